--- a/src/main/java/loomreel/faktory/AdminCommands.java
+++ b/src/main/java/loomreel/faktory/AdminCommands.java
@@ -5,6 +5,12 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.protocol.Reply;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.scheduling.JobClasses;
+import loomreel.faktory.scheduling.JobScheduler;
 import loomreel.io.EventLoop;
 
 /** The commands of operators and dashboards: INFO, FLUSH and MUTATE. */
@@ -53,13 +59,13 @@
   /**
    * MUTATE: discards, kills or requeues the jobs of a set that a filter admits.
    *
-   * @throws PayloadValidator.BadPayloadException if the arguments are not JSON
+   * @throws Json.MalformedException if the arguments are not JSON
    */
-  Reply mutate(String arguments) throws PayloadValidator.BadPayloadException {
+  Reply mutate(String arguments) throws Json.MalformedException {
     if (!mayMutate) {
       return Reply.error("MUTATE is not permitted");
     }
-    JsonNode command = PayloadValidator.read(arguments);
+    JsonNode command = Json.read(arguments);
     Optional<JobQueue.Target> target = target(command.path("target").asText());
     if (target.isEmpty()) {
       return Reply.error("target is scheduled, retries or dead");
--- a/src/main/java/loomreel/faktory/CommandDispatcher.java
+++ b/src/main/java/loomreel/faktory/CommandDispatcher.java
@@ -1,5 +1,9 @@
 package loomreel.faktory;
 
+import loomreel.faktory.protocol.Handshake;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.protocol.Reply;
+import loomreel.faktory.worker.FaktoryWorkerPool;
 import loomreel.io.RateLimitedLogger;
 import loomreel.settings.FaktorySettings;
 
@@ -45,21 +49,20 @@
     }
     try {
       dispatch(connection, verb, arguments);
-    } catch (PayloadValidator.BadPayloadException e) {
+    } catch (Json.MalformedException e) {
       connection.reply(Reply.error(e.getMessage()));
     }
   }
 
   private void dispatch(FaktoryConnection connection, String verb, String arguments)
-      throws PayloadValidator.BadPayloadException {
+      throws Json.MalformedException {
     switch (verb) {
-      case "PUSH" -> producers.push(connection, PayloadValidator.read(arguments));
+      case "PUSH" -> producers.push(connection, Json.read(arguments));
       case "PUSHB" -> producers.pushBatch(connection, arguments);
       case "FETCH" -> consumers.fetch(connection, arguments);
-      case "ACK" ->
-          connection.reply(consumers.acknowledge(connection, PayloadValidator.read(arguments)));
-      case "FAIL" -> connection.reply(consumers.fail(connection, PayloadValidator.read(arguments)));
-      case "BEAT" -> connection.reply(consumers.beat(connection, PayloadValidator.read(arguments)));
+      case "ACK" -> connection.reply(consumers.acknowledge(connection, Json.read(arguments)));
+      case "FAIL" -> connection.reply(consumers.fail(connection, Json.read(arguments)));
+      case "BEAT" -> connection.reply(consumers.beat(connection, Json.read(arguments)));
       case "TRACK" -> connection.reply(tracking.track(connection, arguments));
       case "INFO" -> connection.reply(admin.info());
       case "FLUSH" -> connection.reply(admin.flush());
@@ -81,17 +84,17 @@
     } catch (Handshake.RejectedException e) {
       log.warn("Faktory client rejected reason=" + e.getMessage());
       connection.replyAndClose(Reply.error(e.getMessage()));
-    } catch (PayloadValidator.BadPayloadException e) {
+    } catch (Json.MalformedException e) {
       connection.replyAndClose(Reply.error(e.getMessage()));
     }
   }
 
   private Handshake checkedHandshake(FaktoryConnection connection, String verb, String arguments)
-      throws Handshake.RejectedException, PayloadValidator.BadPayloadException {
+      throws Handshake.RejectedException, Json.MalformedException {
     if (!verb.equals("HELLO")) {
       throw new Handshake.RejectedException("HELLO comes first");
     }
-    Handshake handshake = Handshake.of(PayloadValidator.read(arguments), connection.challenge());
+    Handshake handshake = Handshake.of(Json.read(arguments), connection.challenge());
     if (handshake.isWorker() && !settings.workers().allowed()) {
       throw new Handshake.RejectedException("copy workers are not taken here");
     }
--- a/src/main/java/loomreel/faktory/ConsumerCommands.java
+++ b/src/main/java/loomreel/faktory/ConsumerCommands.java
@@ -4,6 +4,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Locale;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.protocol.Reply;
+import loomreel.faktory.scheduling.JobScheduler;
+import loomreel.faktory.storage.JobPersistence;
+import loomreel.faktory.worker.FaktoryWorkerPool;
+import loomreel.faktory.worker.WorkerRegistry;
 import loomreel.settings.FaktorySettings;
 
 /** The commands of workers: FETCH, ACK, FAIL and BEAT. */
@@ -56,7 +62,7 @@
     }
     return result.isTextual()
         ? result.asText().getBytes(StandardCharsets.UTF_8)
-        : PayloadValidator.toBytes(result);
+        : Json.toBytes(result);
   }
 
   /** FAIL: an error where the worker does not have the job. */
@@ -86,7 +92,7 @@
       return Reply.OK;
     }
     return Reply.json(
-        PayloadValidator.JSON
+        Json.MAPPER
             .createObjectNode()
             .put("state", settings.onStop().name().toLowerCase(Locale.ROOT)));
   }
--- a/src/main/java/loomreel/faktory/FaktoryConnection.java
+++ b/src/main/java/loomreel/faktory/FaktoryConnection.java
@@ -6,6 +6,13 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Optional;
+import loomreel.faktory.protocol.Handshake;
+import loomreel.faktory.protocol.LineReader;
+import loomreel.faktory.protocol.PasswordChallenges;
+import loomreel.faktory.protocol.Reply;
+import loomreel.faktory.worker.FaktoryWorkerPool;
+import loomreel.faktory.worker.WorkerConnection;
+import loomreel.faktory.worker.WorkerRegistry;
 import loomreel.io.ByteConnection;
 import loomreel.io.Bytes;
 import loomreel.io.EventLoop;
@@ -16,7 +23,7 @@
  * {@link CommandDispatcher}, and writes RESP replies in order. Owned by the {@link
  * FaktoryListener}; {@link ConnectionState} has its states and their transitions.
  */
-final class FaktoryConnection extends ByteConnection {
+final class FaktoryConnection extends ByteConnection implements WorkerConnection {
   /** How long HELLO may take, the reading of replies, and the client's close after ours. */
   private static final long TIMEOUT_MICROS = 5_000_000;
 
@@ -203,32 +210,26 @@
     state = state.become(ConnectionState.AWAITING_JOB);
     fetchQueues = queues;
     context.workers().addWaitingFetches(worker, 1);
-    fetchTimer = loop.schedule(loop.now() + micros, () -> answerFetch(null));
+    fetchTimer = loop.schedule(loop.now() + micros, this::answerFetchWithoutJob);
   }
 
-  /** A job may be waiting for the worker: a FETCH that waits takes it. */
-  void offer() {
+  @Override
+  public void offer() {
     if (state == ConnectionState.AWAITING_JOB) {
       byte[] job = context.workers().fetch(worker, this, fetchQueues);
-      if (job != null) {
-        answerFetch(job);
+      if (job != null && state == ConnectionState.AWAITING_JOB) {
+        endFetchWait();
+        sendJob(job);
+        resume();
       }
     }
   }
 
-  /**
-   * Ends the wait of a FETCH, if there is one.
-   *
-   * @param job the payload, or null for none
-   */
-  void answerFetch(byte[] job) {
+  @Override
+  public void answerFetchWithoutJob() {
     if (state == ConnectionState.AWAITING_JOB) {
       endFetchWait();
-      if (job == null) {
-        reply(Reply.NIL);
-      } else {
-        sendJob(job);
-      }
+      reply(Reply.NIL);
       resume();
     }
   }
--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -9,6 +9,17 @@
 import loomreel.core.Ingress;
 import loomreel.core.WorkerPool;
 import loomreel.decision.Settings;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.protocol.PasswordChallenges;
+import loomreel.faktory.queue.Admission;
+import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.scheduling.AttemptOutcomes;
+import loomreel.faktory.scheduling.JobClasses;
+import loomreel.faktory.scheduling.JobScheduler;
+import loomreel.faktory.scheduling.RecentAttempts;
+import loomreel.faktory.storage.JobPersistence;
+import loomreel.faktory.storage.SpoolPersistence;
+import loomreel.faktory.worker.FaktoryWorkerPool;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 import loomreel.settings.FaktorySettings;
@@ -60,7 +71,7 @@
             payloads,
             model.classes(),
             model.zone(),
-            recentAttempts);
+            recentAttempts::lateReport);
     persistence = openPersistence(classes, payloads);
     scheduler =
         new JobScheduler(
@@ -72,7 +83,7 @@
             recentAttempts,
             new AttemptOutcomes(loop, queue, admission, classes, log),
             random);
-    challenges = new PasswordChallenges(loop, settings);
+    challenges = new PasswordChallenges(loop, settings.password(), settings.iterations());
     listener =
         new FaktoryListener(loop, settings.listen(), settings.connections(), this::connect, log);
     report = new IngressReport(loop, queue, workers, listener, settings.queues().keySet());
--- a/src/main/java/loomreel/faktory/IngressReport.java
+++ b/src/main/java/loomreel/faktory/IngressReport.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.queue.Job.State;
+import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.worker.FaktoryWorkerPool;
 import loomreel.io.EventLoop;
 
 /** Counts of jobs, workers and connections: for INFO, and for the periodic log line. */
@@ -53,7 +56,7 @@
 
   /** What INFO replies, with the names that clients and dashboards read. */
   ObjectNode info() {
-    ObjectNode info = PayloadValidator.JSON.createObjectNode();
+    ObjectNode info = Json.MAPPER.createObjectNode();
     putQueues(info.putObject("faktory"));
     putServer(info.putObject("server"));
     Instant now = Instant.ofEpochSecond(loop.now() / 1_000_000);
--- a/src/main/java/loomreel/faktory/JobIntake.java
+++ b/src/main/java/loomreel/faktory/JobIntake.java
@@ -2,6 +2,13 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.protocol.Reply;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.scheduling.JobScheduler;
+import loomreel.faktory.storage.JobPersistence;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
@@ -41,7 +48,7 @@
     }
     try {
       Job.Spec spec = payloads.spec(job);
-      byte[] payload = PayloadValidator.toBytes(job);
+      byte[] payload = Json.toBytes(job);
       if (payload.length > PayloadValidator.MAX_PAYLOAD_BYTES) {
         return rejected("a job of over " + PayloadValidator.MAX_PAYLOAD_BYTES + " bytes");
       }
--- a/src/main/java/loomreel/faktory/ProducerCommands.java
+++ b/src/main/java/loomreel/faktory/ProducerCommands.java
@@ -1,6 +1,7 @@
 package loomreel.faktory;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import loomreel.faktory.protocol.Reply;
 import loomreel.io.EventLoop;
 
 /** The commands of clients that push jobs: PUSH and PUSHB. */
--- a/src/main/java/loomreel/faktory/PushBatch.java
+++ b/src/main/java/loomreel/faktory/PushBatch.java
@@ -10,6 +10,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.protocol.Reply;
 import loomreel.io.EventLoop;
 
 /**
@@ -24,7 +26,7 @@
 
   /** Reads one value and leaves what follows. */
   private static final ObjectReader ELEMENT_READER =
-      PayloadValidator.JSON.reader().without(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+      Json.MAPPER.reader().without(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   private final EventLoop loop;
   private final JobIntake intake;
@@ -32,7 +34,7 @@
   private final List<JsonNode> jobs = new ArrayList<>();
 
   /** The errors of the jobs that were rejected, by jid, or by position where there is none. */
-  private final ObjectNode rejections = PayloadValidator.JSON.createObjectNode();
+  private final ObjectNode rejections = Json.MAPPER.createObjectNode();
 
   private boolean isSynced;
 
@@ -50,7 +52,7 @@
   /** Reads the first slice, and schedules the rest. */
   void start(String text) {
     try {
-      JsonParser parser = PayloadValidator.JSON.getFactory().createParser(text);
+      JsonParser parser = Json.MAPPER.getFactory().createParser(text);
       if (parser.nextToken() != JsonToken.START_ARRAY) {
         onDone.accept(Reply.error("an array of jobs is wanted"));
       } else {
--- a/src/main/java/loomreel/faktory/PushResult.java
+++ b/src/main/java/loomreel/faktory/PushResult.java
@@ -1,5 +1,7 @@
 package loomreel.faktory;
 
+import loomreel.faktory.protocol.Reply;
+
 /** What became of a job that a client pushed. */
 sealed interface PushResult {
   /** Whether a reply must wait until what was recorded of the job's class survives a power loss. */
--- a/src/main/java/loomreel/faktory/TrackCommands.java
+++ b/src/main/java/loomreel/faktory/TrackCommands.java
@@ -6,6 +6,11 @@
 import java.time.Instant;
 import java.util.Locale;
 import java.util.Optional;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.protocol.Reply;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.scheduling.RecentAttempts;
+import loomreel.faktory.worker.FaktoryWorkerPool;
 
 /** TRACK: clients read the state of a job, workers report its progress. */
 final class TrackCommands {
@@ -23,15 +28,14 @@
   /**
    * TRACK GET and TRACK SET.
    *
-   * @throws PayloadValidator.BadPayloadException if the progress is not JSON
+   * @throws Json.MalformedException if the progress is not JSON
    */
-  Reply track(FaktoryConnection connection, String arguments)
-      throws PayloadValidator.BadPayloadException {
+  Reply track(FaktoryConnection connection, String arguments) throws Json.MalformedException {
     if (arguments.startsWith(GET)) {
       return Reply.json(status(arguments.substring(GET.length()).strip()));
     }
     if (arguments.startsWith(SET)) {
-      return recordProgress(connection, PayloadValidator.read(arguments.substring(SET.length())));
+      return recordProgress(connection, Json.read(arguments.substring(SET.length())));
     }
     return Reply.error("TRACK is followed by GET or SET");
   }
@@ -49,7 +53,7 @@
   }
 
   private ObjectNode status(String jid) {
-    ObjectNode status = PayloadValidator.JSON.createObjectNode().put("jid", jid);
+    ObjectNode status = Json.MAPPER.createObjectNode().put("jid", jid);
     jobs.findJob(jid)
         .ifPresentOrElse(job -> describe(job, status), () -> status.put("state", "unknown"));
     return status;
--- a/src/main/java/loomreel/faktory/package-info.java
+++ b/src/main/java/loomreel/faktory/package-info.java
@@ -1,13 +1,18 @@
 /**
  * The Faktory work protocol, version 2: clients push jobs, workers fetch them.
  *
- * <p>{@link loomreel.faktory.FaktoryIngress} is composed of the parts. A {@code FaktoryConnection}
- * frames commands and replies, and the {@code CommandDispatcher} passes each command to the handler
- * of its family ({@code ProducerCommands}, {@code ConsumerCommands}, {@code TrackCommands}, {@code
- * AdminCommands}). The {@code JobScheduler} starts attempts of jobs that are due; the {@code
- * FaktoryWorkerPool} holds what the decision module sends to a worker until the worker fetches it.
+ * <p>This package accepts the connections, carries out their commands, and composes the parts
+ * ({@link loomreel.faktory.FaktoryIngress}). Each part has a package of its own:
  *
- * <p>{@code JobQueue}, {@code Admission} and {@code FetchDispatcher} know no sockets and read no
- * clock. Everything runs on the event loop's thread.
+ * <ul>
+ *   <li>{@link loomreel.faktory.protocol}: framing, replies and the handshake
+ *   <li>{@link loomreel.faktory.payload}: the JSON payloads of jobs
+ *   <li>{@link loomreel.faktory.queue}: jobs, their states and their order; no I/O, no clock
+ *   <li>{@link loomreel.faktory.storage}: jobs on disk
+ *   <li>{@link loomreel.faktory.worker}: the workers and what is handed over to them
+ *   <li>{@link loomreel.faktory.scheduling}: the attempts of jobs
+ * </ul>
+ *
+ * <p>Everything runs on the event loop's thread.
  */
 package loomreel.faktory;
--- a/src/main/java/loomreel/faktory/PayloadValidator.java
+++ b/src/main/java/loomreel/faktory/payload/PayloadValidator.java
@@ -1,10 +1,6 @@
-package loomreel.faktory;
+package loomreel.faktory.payload;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.networknt.schema.JsonSchema;
 import com.networknt.schema.JsonSchemaFactory;
@@ -17,26 +13,26 @@
 import java.util.Map;
 import java.util.Set;
 import loomreel.core.Rpc;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.queue.Job;
 import loomreel.settings.FaktorySettings;
 
 /**
  * Job payloads: checked when they come in, mapped to what the module is told, and written for copy
  * workers.
  */
-final class PayloadValidator {
+public final class PayloadValidator {
   /** What the body of an RPC is that a Faktory client's job became. */
-  static final String JOB_CONTENT_TYPE = "application/vnd.faktory.job+json";
+  public static final String JOB_CONTENT_TYPE = "application/vnd.faktory.job+json";
 
   /** A copy worker of any kind must be able to take it. */
-  static final int MAX_PAYLOAD_BYTES = 60 * 1024;
+  public static final int MAX_PAYLOAD_BYTES = 60 * 1024;
 
-  static final ObjectMapper JSON =
-      JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
   private static final int DEFAULT_PRIORITY = 5;
   private static final long DEFAULT_RESERVATION_MICROS = 1_800_000_000;
 
   /** A payload that is no good. */
-  static final class BadPayloadException extends Exception {
+  public static final class BadPayloadException extends Exception {
     private static final long serialVersionUID = 1;
 
     BadPayloadException(String message) {
@@ -49,7 +45,13 @@
   private final Map<String, Integer> tenants;
   private final JsonSchema schema;
 
-  PayloadValidator(
+  /**
+   * Loads the schema of payloads.
+   *
+   * @param classes positions of the request classes by name
+   * @param tenants positions of the tenants by name
+   */
+  public PayloadValidator(
       FaktorySettings settings, Map<String, Integer> classes, Map<String, Integer> tenants) {
     this.settings = settings;
     this.classes = classes;
@@ -59,30 +61,13 @@
             .getSchema(PayloadValidator.class.getResourceAsStream("job.schema.json"));
   }
 
-  static JsonNode read(String text) throws BadPayloadException {
-    try {
-      return JSON.readTree(text);
-    } catch (JsonProcessingException e) {
-      throw new BadPayloadException("malformed JSON");
-    }
-  }
-
-  /** A JSON document as UTF-8. */
-  static byte[] toBytes(JsonNode document) {
-    try {
-      return JSON.writeValueAsBytes(document);
-    } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a document in memory cannot be written", e);
-    }
-  }
-
   /** How long a copy worker may keep a job once it has fetched it, in microseconds. */
-  long reserveFor(Rpc rpc) {
+  public long reserveFor(Rpc rpc) {
     if (!JOB_CONTENT_TYPE.equals(rpc.contentType())) {
       return DEFAULT_RESERVATION_MICROS;
     }
     try {
-      int seconds = JSON.readTree(rpc.body().toArray()).path("reserve_for").asInt(0);
+      int seconds = Json.MAPPER.readTree(rpc.body().toArray()).path("reserve_for").asInt(0);
       return seconds == 0 ? DEFAULT_RESERVATION_MICROS : 1_000_000L * seconds;
     } catch (java.io.IOException e) {
       throw new IllegalStateException("a payload that was checked cannot be read", e);
@@ -93,10 +78,10 @@
    * The queue in which a copy worker looks for a job: the client's own, or the first that is of its
    * class.
    */
-  String queue(Rpc rpc, String requestClass) {
+  public String queue(Rpc rpc, String requestClass) {
     if (JOB_CONTENT_TYPE.equals(rpc.contentType())) {
       try {
-        return JSON.readTree(rpc.body().toArray()).path("queue").asText("default");
+        return Json.MAPPER.readTree(rpc.body().toArray()).path("queue").asText("default");
       } catch (java.io.IOException e) {
         throw new IllegalStateException("a payload that was checked cannot be read", e);
       }
@@ -114,7 +99,7 @@
    *
    * @throws BadPayloadException saying why it is not taken
    */
-  Job.Spec spec(JsonNode job) throws BadPayloadException {
+  public Job.Spec spec(JsonNode job) throws BadPayloadException {
     Set<ValidationMessage> faults = schema.validate(job);
     if (!faults.isEmpty()) {
       throw new BadPayloadException(faults.iterator().next().getMessage());
@@ -127,7 +112,7 @@
    *
    * @throws BadPayloadException saying why it cannot be taken any more
    */
-  Job.Spec known(JsonNode job) throws BadPayloadException {
+  public Job.Spec known(JsonNode job) throws BadPayloadException {
     String queue = job.path("queue").asText("default");
     FaktorySettings.Queue q = settings.queues().getOrDefault(queue, settings.queues().get("*"));
     if (q == null) {
@@ -174,14 +159,14 @@
    *
    * @param left how long the attempt may take, in microseconds
    */
-  byte[] forWorker(Rpc rpc, String requestClass, long left) {
+  public byte[] forWorker(Rpc rpc, String requestClass, long left) {
     ObjectNode job;
     try {
       if (JOB_CONTENT_TYPE.equals(rpc.contentType())) {
-        job = (ObjectNode) JSON.readTree(rpc.body().toArray());
+        job = (ObjectNode) Json.MAPPER.readTree(rpc.body().toArray());
         custom(job).put("client_jid", job.path("jid").asText());
       } else {
-        job = JSON.createObjectNode();
+        job = Json.MAPPER.createObjectNode();
         String path = rpc.target().split("[?]", 2)[0];
         String rest = path.substring(Math.min(path.length(), requestClass.length() + 2));
         job.put("jobtype", rest.isEmpty() ? requestClass : rest);
@@ -195,7 +180,7 @@
       job.put("reserve_for", Math.max(1, (left + 999_999) / 1_000_000));
       job.put("retry", 0);
       custom(job).put("class", requestClass).put("budget_ms", Math.max(1, left / 1000));
-      return JSON.writeValueAsBytes(job);
+      return Json.MAPPER.writeValueAsBytes(job);
     } catch (java.io.IOException e) {
       throw new IllegalStateException("a payload that was checked cannot be read", e);
     }
--- a/src/main/java/loomreel/faktory/Handshake.java
+++ b/src/main/java/loomreel/faktory/protocol/Handshake.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
@@ -15,19 +15,20 @@
  * @param wid the id of a worker's process, or null for a client that only pushes
  * @param labels of the form name=value
  */
-record Handshake(String wid, Map<String, String> labels) {
+public record Handshake(String wid, Map<String, String> labels) {
   /** The version of the protocol. */
-  static final int VERSION = 2;
+  public static final int VERSION = 2;
 
   private static final int MAX_LABELS = 64;
   private static final Pattern WID = Pattern.compile("[A-Za-z0-9_.:-]{1,64}");
   private static final Pattern SLOTS = Pattern.compile("[1-9][0-9]{0,3}");
 
   /** The client is not admitted; the message is for the client. */
-  static final class RejectedException extends Exception {
+  public static final class RejectedException extends Exception {
     private static final long serialVersionUID = 1;
 
-    RejectedException(String message) {
+    /** Creates an exception without a stack trace, since clients can cause many. */
+    public RejectedException(String message) {
       super(message, null, false, false);
     }
   }
@@ -37,7 +38,7 @@
    *
    * @throws RejectedException if the version, the password or the wid is wrong
    */
-  static Handshake of(JsonNode hello, PasswordChallenges.Challenge challenge)
+  public static Handshake of(JsonNode hello, PasswordChallenges.Challenge challenge)
       throws RejectedException {
     if (!hello.isObject() || hello.path("v").asInt(-1) != VERSION) {
       throw new RejectedException("this is version " + VERSION + " of the protocol");
@@ -74,7 +75,7 @@
    * The hash that a client sends: SHA-256 of password and salt, hashed again until there were so
    * many iterations, in hexadecimal.
    */
-  static String hash(String password, String salt, int iterations) {
+  public static String hash(String password, String salt, int iterations) {
     try {
       MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
       byte[] hash = sha256.digest((password + salt).getBytes(StandardCharsets.UTF_8));
@@ -88,12 +89,12 @@
   }
 
   /** Whether the client is a worker, and may fetch. */
-  boolean isWorker() {
+  public boolean isWorker() {
     return wid != null;
   }
 
   /** The number of jobs at a time that the labels give, or {@code defaultSlots}. */
-  int slots(int defaultSlots) {
+  public int slots(int defaultSlots) {
     String slots = labels.getOrDefault("slots", "");
     return SLOTS.matcher(slots).matches() ? Integer.parseInt(slots) : defaultSlots;
   }
--- a/src/main/java/loomreel/faktory/LineReader.java
+++ b/src/main/java/loomreel/faktory/protocol/LineReader.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.protocol;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -7,9 +7,9 @@
 import loomreel.io.Bytes;
 
 /** Reads commands, one a line, from bytes that arrive split anywhere. */
-final class LineReader {
+public final class LineReader {
   /** The input is no line of a bounded length; nothing after it can be understood. */
-  static final class BadLineException extends Exception {
+  public static final class BadLineException extends Exception {
     private static final long serialVersionUID = 1;
 
     BadLineException(String message) {
@@ -27,19 +27,19 @@
    * @param bufferPool of the buffers for incomplete lines
    * @param maxLineBytes of a line without its end
    */
-  LineReader(BufferPool bufferPool, int maxLineBytes) {
+  public LineReader(BufferPool bufferPool, int maxLineBytes) {
     this.bufferPool = bufferPool;
     this.maxLineBytes = maxLineBytes;
     line = new Bytes(bufferPool);
   }
 
   /** Limits lines to so many bytes, from the next one on. */
-  void maxLineBytes(int bytes) {
+  public void maxLineBytes(int bytes) {
     maxLineBytes = bytes;
   }
 
   /** Whether nothing of the next line has arrived. */
-  boolean atStart() {
+  public boolean atStart() {
     return line.length() == 0;
   }
 
@@ -49,7 +49,7 @@
    * @throws BadLineException for RESP's own framing, which servers use and clients do not, and for
    *     a line that is too long
    */
-  Optional<String> next(ByteBuffer in) throws BadLineException {
+  public Optional<String> next(ByteBuffer in) throws BadLineException {
     rejectRespFraming(in);
     int end = in.position();
     while (end < in.limit() && in.get(end) != '\n') {
@@ -92,7 +92,7 @@
   }
 
   /** Gives the buffers back; the reader is not used after this. */
-  void release() {
+  public void release() {
     line.release();
   }
 }
--- a/src/main/java/loomreel/faktory/PasswordChallenges.java
+++ b/src/main/java/loomreel/faktory/protocol/PasswordChallenges.java
@@ -1,15 +1,14 @@
-package loomreel.faktory;
+package loomreel.faktory.protocol;
 
 import java.security.SecureRandom;
 import java.util.HexFormat;
 import loomreel.io.EventLoop;
-import loomreel.settings.FaktorySettings;
 
 /**
  * Issues the challenges of the handshake. Hashing is deliberately slow work, so a salt is shared by
  * all connections of one second: a crowd of connections must not multiply it.
  */
-final class PasswordChallenges {
+public final class PasswordChallenges {
   /** How long a salt is handed out, in microseconds. */
   private static final long SALT_LIFETIME_MICROS = 1_000_000;
 
@@ -21,34 +20,44 @@
    * @param salt sent to the client; empty where no password is required
    * @param expectedHash what a client that knows the password answers; empty where none is required
    */
-  record Challenge(String salt, String expectedHash) {
+  public record Challenge(String salt, String expectedHash) {
     static final Challenge NONE = new Challenge("", "");
 
     /** Whether a password is required at all. */
-    boolean isRequired() {
+    public boolean isRequired() {
       return !expectedHash.isEmpty();
     }
   }
 
   private final EventLoop loop;
-  private final FaktorySettings settings;
+
+  /** Null where no password is required. */
+  private final String password;
+
+  private final int iterations;
   private final SecureRandom random = new SecureRandom();
   private Challenge current = Challenge.NONE;
   private long expiresAt;
 
-  PasswordChallenges(EventLoop loop, FaktorySettings settings) {
+  /**
+   * Creates a source of challenges.
+   *
+   * @param password null where none is required
+   * @param iterations how often the client hashes its password
+   */
+  public PasswordChallenges(EventLoop loop, String password, int iterations) {
     this.loop = loop;
-    this.settings = settings;
+    this.password = password;
+    this.iterations = iterations;
   }
 
   /** The challenge for a connection that is made now. */
-  Challenge next() {
-    if (settings.password() != null && loop.now() >= expiresAt) {
+  public Challenge next() {
+    if (password != null && loop.now() >= expiresAt) {
       byte[] bytes = new byte[SALT_BYTES];
       random.nextBytes(bytes);
       String salt = HexFormat.of().formatHex(bytes);
-      current =
-          new Challenge(salt, Handshake.hash(settings.password(), salt, settings.iterations()));
+      current = new Challenge(salt, Handshake.hash(password, salt, iterations));
       expiresAt = loop.now() + SALT_LIFETIME_MICROS;
     }
     return current;
--- a/src/main/java/loomreel/faktory/Reply.java
+++ b/src/main/java/loomreel/faktory/protocol/Reply.java
@@ -1,11 +1,11 @@
-package loomreel.faktory;
+package loomreel.faktory.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
 import loomreel.io.Bytes;
 
 /** A reply to a command, as RESP (the Redis serialization protocol) frames it. */
-sealed interface Reply {
+public sealed interface Reply {
   /** The command has been carried out, and there is nothing to say. */
   Reply OK = new SimpleString("OK");
 
@@ -25,7 +25,7 @@
 
   /** A JSON document as a bulk string. */
   static Reply json(JsonNode document) {
-    return new BulkString(PayloadValidator.toBytes(document));
+    return new BulkString(Json.toBytes(document));
   }
 
   /** Cuts a text of a client to {@link #MAX_TEXT_CHARS}. */
@@ -68,7 +68,7 @@
     private final byte[] value;
 
     /** Wraps bytes, which must not change afterwards. */
-    BulkString(byte[] value) {
+    public BulkString(byte[] value) {
       this.value = value;
     }
 
--- a/src/main/java/loomreel/faktory/Admission.java
+++ b/src/main/java/loomreel/faktory/queue/Admission.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * its own: a backlog neither crowds out HTTP clients nor tries a full fleet in a busy loop, and a
  * queue whose jobs are stuck does not block another. Reads no clock; times are microseconds.
  */
-final class Admission {
+public final class Admission {
   /** Stands for every queue without a weight of its own in the settings. */
   private static final String ANY_QUEUE = "*";
 
@@ -47,14 +47,14 @@
    * @param weights of the queues that the settings name
    * @param defaultWeight of a queue that has no weight of its own
    */
-  Admission(Map<String, Integer> weights, int defaultWeight) {
+  public Admission(Map<String, Integer> weights, int defaultWeight) {
     this.weights = Map.copyOf(weights);
     this.defaultWeight = defaultWeight;
     weights.keySet().stream().filter(name -> !name.equals(ANY_QUEUE)).forEach(this::queue);
   }
 
   /** Sets how many tries may be open in all; at least one may. */
-  void setCapacity(int tries) {
+  public void setCapacity(int tries) {
     capacity = Math.max(1, tries);
   }
 
@@ -96,7 +96,7 @@
    * @param ready the queues that hold jobs to be tried
    * @return its name, or null where no queue may start a try now
    */
-  String nextQueue(Iterable<String> ready, long now) {
+  public String nextQueue(Iterable<String> ready, long now) {
     String chosen = null;
     long eligibleWeight = 0;
     for (String name : ready) {
@@ -116,7 +116,7 @@
   }
 
   /** When the first pause of some queues ends; {@link Long#MAX_VALUE} where none is paused. */
-  long resumesAt(Iterable<String> ready, long now) {
+  public long resumesAt(Iterable<String> ready, long now) {
     long first = Long.MAX_VALUE;
     for (String name : ready) {
       CongestionWindow window = queue(name).window;
@@ -128,7 +128,7 @@
   }
 
   /** Records that a try has started. */
-  void recordStart(String queueName) {
+  public void recordStart(String queueName) {
     openTries++;
     queue(queueName).openTries++;
   }
@@ -141,17 +141,17 @@
   }
 
   /** Records that an open try was served. */
-  void recordServed(String queueName) {
+  public void recordServed(String queueName) {
     closed(queueName).window.onServed(capacity);
   }
 
   /** Records that an open try failed, which says nothing of the capacity. */
-  void recordFailed(String queueName) {
+  public void recordFailed(String queueName) {
     closed(queueName);
   }
 
   /** Records that an open try was rejected. */
-  void recordRejected(String queueName, long now) {
+  public void recordRejected(String queueName, long now) {
     closed(queueName).window.onRejected(now);
   }
 
--- a/src/main/java/loomreel/faktory/CongestionWindow.java
+++ b/src/main/java/loomreel/faktory/queue/CongestionWindow.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 /**
  * How many tries of one queue may be open, and whether new ones have to pause: as in TCP, the
--- a/src/main/java/loomreel/faktory/EndedJobs.java
+++ b/src/main/java/loomreel/faktory/queue/EndedJobs.java
@@ -1,11 +1,11 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import java.util.Collection;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.function.Consumer;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 
 /**
  * Jobs that have ended: all of them for a while, so that their jids are not taken again, and the
--- a/src/main/java/loomreel/faktory/Job.java
+++ b/src/main/java/loomreel/faktory/queue/Job.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 /**
  * A job that a Faktory client has pushed.
@@ -7,7 +7,7 @@
  * state; {@link #logSegment}, {@link #logRecordBytes} and {@link #handedOut} belong to {@link
  * DurableJobStore}. Times are microseconds of Unix time.
  */
-final class Job {
+public final class Job {
   /**
    * Where a job stands. The names stand in the records of {@link DurableJobStore} and must not
    * change.
@@ -30,7 +30,7 @@
    *
    * A try that is under way is never interrupted: nothing but its own end moves an ACTIVE job.
    */
-  enum State {
+  public enum State {
     SCHEDULED,
     ENQUEUED,
     ACTIVE,
@@ -41,7 +41,7 @@
     CANCELLED;
 
     /** Whether the job has ended; a dead job may still be requeued. */
-    boolean isFinal() {
+    public boolean isFinal() {
       return switch (this) {
         case SCHEDULED, ENQUEUED, ACTIVE, RETRY -> false;
         case DONE, DEAD, EXPIRED, CANCELLED -> true;
@@ -86,7 +86,7 @@
    * @param deadline the time after which it is not worth starting, in microseconds of Unix time;
    *     {@link Long#MAX_VALUE} for none
    */
-  record Spec(
+  public record Spec(
       String jid,
       String queue,
       String type,
@@ -100,7 +100,7 @@
       long at,
       long deadline) {
     /** The specification of a job of which only the jid is known. */
-    static Spec of(String jid) {
+    public static Spec of(String jid) {
       return new Spec(jid, "", "", 0, -1, null, 1, Double.NaN, 0, 0, 0, Long.MAX_VALUE);
     }
 
@@ -110,57 +110,62 @@
     }
   }
 
-  final Spec spec;
+  public final Spec spec;
 
   /** The whole payload as pushed; null once the job has ended and is not kept as dead. */
-  byte[] payload;
+  public byte[] payload;
 
   /** Position in the order of arrival, which decides where all else is equal. */
-  final long arrivalOrder;
+  public final long arrivalOrder;
 
   /** Null until the job has entered the queue. */
-  State state;
+  public State state;
 
   /** When it is to be enqueued, while it is SCHEDULED or in RETRY. */
-  long dueMicros;
+  public long dueMicros;
 
   /** How many tries have failed; rejected ones do not count. */
-  int failures;
+  public int failures;
 
   /** Why it is in its state, for people; empty where there is nothing to say. */
-  String reason = "";
+  public String reason = "";
 
   /** What became known after its end, or of a try that was given up; for people. */
-  String evidence = "";
+  public String evidence = "";
 
   /** Whether some try of it may have run. */
-  boolean mayHaveRun;
+  public boolean mayHaveRun;
 
   /** The result of the worker that served it; null before that. */
-  byte[] result;
+  public byte[] result;
 
   /** Progress as reported by a worker or client. */
-  String percent = "";
+  public String percent = "";
 
   /** Description of the progress as reported by a worker or client. */
-  String description = "";
+  public String description = "";
 
   /** When the state last changed. */
-  long updatedAt;
+  public long updatedAt;
 
   /** How often it has been rejected since its last failure. */
   int rejections;
 
   /** The log segment that holds its full record; -1 for none. */
-  int logSegment = -1;
+  public int logSegment = -1;
 
   /** Size of that record in bytes. */
-  int logRecordBytes;
+  public int logRecordBytes;
 
   /** Whether the log says that the try under way has gone out to a worker. */
-  boolean handedOut;
+  public boolean handedOut;
 
-  Job(Spec spec, byte[] payload, long arrivalOrder) {
+  /**
+   * Creates a job that has no state yet.
+   *
+   * @param payload as pushed; not copied
+   */
+  public Job(Spec spec, byte[] payload, long arrivalOrder) {
     this.spec = spec;
     this.payload = payload;
     this.arrivalOrder = arrivalOrder;
--- a/src/main/java/loomreel/faktory/JobQueue.java
+++ b/src/main/java/loomreel/faktory/queue/JobQueue.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import java.util.Collection;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.NavigableSet;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 
 /**
  * The jobs of Faktory clients and their states: one final state for each jid, reached once.
@@ -15,7 +15,7 @@
  * are due are enqueued by due time and then by order of arrival. Not safe for use by several
  * threads.
  */
-final class JobQueue {
+public final class JobQueue {
   /**
    * Bounds of the queue.
    *
@@ -25,11 +25,11 @@
    * @param retentionMicros how long an ended job is known
    * @param maxRetained how many ended jobs are known
    */
-  record Limits(
+  public record Limits(
       int maxJobs, long maxBytes, long baseBackoffMicros, long retentionMicros, int maxRetained) {}
 
   /** Receives every change, after it has been made. */
-  interface Listener {
+  public interface Listener {
     /**
      * Called when a job has entered the queue or changed its state.
      *
@@ -62,7 +62,7 @@
    *
    * @param random source of the backoff's jitter, shared with the caller
    */
-  JobQueue(Limits limits, RandomGenerator random) {
+  public JobQueue(Limits limits, RandomGenerator random) {
     this.limits = limits;
     backoff = new RetryBackoff(limits.baseBackoffMicros(), random);
     table =
@@ -74,7 +74,7 @@
   }
 
   /** Sets the listener that receives all changes from now on. */
-  void setListener(Listener listener) {
+  public void setListener(Listener listener) {
     table.setListener(listener);
   }
 
@@ -83,7 +83,7 @@
    *
    * @return the protocol's error line where the job is rejected, or null where it is accepted
    */
-  String push(Job.Spec spec, byte[] payload, long now) {
+  public String push(Job.Spec spec, byte[] payload, long now) {
     ended.forgetOld(now);
     String rejection = rejectionOf(spec, payload, now);
     if (rejection != null) {
@@ -119,7 +119,7 @@
   }
 
   /** Enqueues jobs that are due, and expires those whose deadline has passed. */
-  void processDue(long now) {
+  public void processDue(long now) {
     while (pending.hasPassedDeadline(now)) {
       Job job = pending.pollEarliestDeadline();
       // Of an active job, the end of its try decides.
@@ -139,29 +139,29 @@
   }
 
   /** When {@link #processDue} has something to do next; {@link Long#MAX_VALUE} for never. */
-  long nextDueMicros() {
+  public long nextDueMicros() {
     return pending.nextEventMicros();
   }
 
   /** The queues that hold jobs to be tried now. */
-  Iterable<String> readyQueues() {
+  public Iterable<String> readyQueues() {
     return pending.readyQueues();
   }
 
   /** Whether a job may be tried now. */
-  boolean hasReady() {
+  public boolean hasReady() {
     return pending.hasReady();
   }
 
   /** Starts a try of the first job of a queue that has some ready. */
-  Job startNext(String queue, long now) {
+  public Job startNext(String queue, long now) {
     Job job = pending.firstReady(queue);
     table.transition(job, State.ACTIVE, job.reason, now);
     return job;
   }
 
   /** Ends an active job whose try was served. */
-  void completeTry(Job job, byte[] result, long now) {
+  public void completeTry(Job job, byte[] result, long now) {
     job.result = result;
     table.transition(job, State.DONE, "", now);
   }
@@ -171,7 +171,7 @@
    * the job waits for capacity, longer each time, so that it does not block other jobs of its
    * queue.
    */
-  void rejectTry(Job job, String why, long now) {
+  public void rejectTry(Job job, String why, long now) {
     long nextTry = now + backoff.afterRejection(job.rejections++);
     if (nextTry >= job.spec.deadline()) {
       String reason = "refused: " + why + ", and its own deadline comes before the next try";
@@ -183,7 +183,7 @@
   }
 
   /** Enqueues an active job again whose try was withdrawn before any of it ran. */
-  void withdrawTry(Job job, long now) {
+  public void withdrawTry(Job job, long now) {
     table.transition(job, State.ENQUEUED, job.reason, now);
   }
 
@@ -193,7 +193,7 @@
    * @param mayHaveRun whether the try may have run
    * @param mayRepeat whether the job may run again although it may have run
    */
-  void failTry(Job job, boolean mayHaveRun, boolean mayRepeat, long now) {
+  public void failTry(Job job, boolean mayHaveRun, boolean mayRepeat, long now) {
     failureCount++;
     job.rejections = 0;
     job.mayHaveRun |= mayHaveRun;
@@ -222,19 +222,19 @@
   }
 
   /** The job with a jid, or null where it is not known or no longer. */
-  Job find(String jid) {
+  public Job find(String jid) {
     return table.find(jid);
   }
 
   /** Adds to a job's evidence, up to a bound; its state and its result stay as they are. */
-  void addEvidence(Job job, String what) {
+  public void addEvidence(Job job, String what) {
     if (job.evidence.length() < MAX_EVIDENCE_CHARS) {
       job.evidence += (job.evidence.isEmpty() ? "" : "; ") + what;
     }
   }
 
   /** The sets of jobs that the MUTATE command names. */
-  enum Target {
+  public enum Target {
     SCHEDULED,
     RETRIES,
     DEAD
@@ -245,7 +245,7 @@
    *
    * @return a copy, in the set's order
    */
-  List<Job> select(Target target, Predicate<Job> filter) {
+  public List<Job> select(Target target, Predicate<Job> filter) {
     Collection<Job> jobs =
         switch (target) {
           case SCHEDULED -> pending.scheduled();
@@ -259,7 +259,7 @@
    * Cancels a job that waits, or drops a dead one, whose jid stays known for a while; an active or
    * otherwise ended job stays as it is.
    */
-  void discard(Job job, long now) {
+  public void discard(Job job, long now) {
     if (job.state == State.DEAD) {
       ended.discard(job);
     } else if (isWaiting(job)) {
@@ -268,7 +268,7 @@
   }
 
   /** Moves a job that waits to the dead ones; an active or ended job stays as it is. */
-  void kill(Job job, long now) {
+  public void kill(Job job, long now) {
     if (isWaiting(job)) {
       table.transition(job, State.DEAD, "killed", now);
     }
@@ -284,7 +284,7 @@
    * @param mayRepeat whether it may run again although it may have run
    * @return whether it was enqueued; a dead job that may have run stays dead unless it may repeat
    */
-  boolean requeue(Job job, boolean mayRepeat, long now) {
+  public boolean requeue(Job job, boolean mayRepeat, long now) {
     if (job.state == State.DEAD) {
       if (!canRevive(job, mayRepeat, now)) {
         return false;
@@ -309,7 +309,7 @@
   }
 
   /** Cancels all jobs that are not active, and drops the dead ones. */
-  void flush(long now) {
+  public void flush(long now) {
     table.flush(DISCARDED, now);
   }
 
@@ -318,7 +318,7 @@
    *
    * @param job one that has no state yet
    */
-  void restore(Job job, State state, String reason, long now) {
+  public void restore(Job job, State state, String reason, long now) {
     if (find(job.spec.jid()) != null) {
       return;
     }
@@ -331,7 +331,7 @@
   }
 
   /** Adds the jid of a job that ended in an earlier process, for the rest of its retention. */
-  void restoreEnded(String jid, State state, long endedAtMicros, long now) {
+  public void restoreEnded(String jid, State state, long endedAtMicros, long now) {
     if (!ended.isRetained(endedAtMicros, now) || find(jid) != null) {
       return;
     }
@@ -342,37 +342,37 @@
   }
 
   /** How many jobs are in a state now; of the final states, only dead jobs are kept. */
-  int size(State state) {
+  public int size(State state) {
     return table.size(state);
   }
 
   /** How many jobs have ended in a state since the start of the process. */
-  long ended(State state) {
+  public long ended(State state) {
     return table.endedCount(state);
   }
 
   /** How many jobs have been accepted since the start of the process. */
-  long pushed() {
+  public long pushed() {
     return pushedCount;
   }
 
   /** How many tries have failed since the start of the process. */
-  long failures() {
+  public long failures() {
     return failureCount;
   }
 
   /** How many jobs have not ended. */
-  int liveCount() {
+  public int liveCount() {
     return table.liveCount();
   }
 
   /** Payload bytes of the jobs that have not ended. */
-  long liveBytes() {
+  public long liveBytes() {
     return table.liveBytes();
   }
 
   /** How many jobs of each queue are to be tried now. */
-  Map<String, Integer> readyCounts() {
+  public Map<String, Integer> readyCounts() {
     return pending.readyCounts();
   }
 }
--- a/src/main/java/loomreel/faktory/JobTable.java
+++ b/src/main/java/loomreel/faktory/queue/JobTable.java
@@ -1,10 +1,10 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 
 /**
  * All jobs that are known, and the one place where a job changes its state.
--- a/src/main/java/loomreel/faktory/PendingJobs.java
+++ b/src/main/java/loomreel/faktory/queue/PendingJobs.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import java.util.Collection;
 import java.util.Comparator;
@@ -7,7 +7,7 @@
 import java.util.NavigableSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 
 /**
  * The orders in which jobs that have not ended are taken: by due time, by priority within a queue,
--- a/src/main/java/loomreel/faktory/RetryBackoff.java
+++ b/src/main/java/loomreel/faktory/queue/RetryBackoff.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import java.util.random.RandomGenerator;
 
--- a/src/main/java/loomreel/faktory/AttemptOutcomes.java
+++ b/src/main/java/loomreel/faktory/scheduling/AttemptOutcomes.java
@@ -1,18 +1,22 @@
-package loomreel.faktory;
+package loomreel.faktory.scheduling;
 
 import loomreel.core.UnavailableStatus;
+import loomreel.faktory.queue.Admission;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.JobQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
 /** Applies the end of an attempt to its job, and to the window of the job's queue. */
-final class AttemptOutcomes {
+public final class AttemptOutcomes {
   private final EventLoop loop;
   private final JobQueue queue;
   private final Admission admission;
   private final JobClasses classes;
   private final RateLimitedLogger log;
 
-  AttemptOutcomes(
+  /** Outcomes for all attempts; the log gets rejected and dead jobs. */
+  public AttemptOutcomes(
       EventLoop loop,
       JobQueue queue,
       Admission admission,
--- a/src/main/java/loomreel/faktory/JobAttempt.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobAttempt.java
@@ -1,7 +1,9 @@
-package loomreel.faktory;
+package loomreel.faktory.scheduling;
 
 import loomreel.core.Rpc;
 import loomreel.core.UnavailableStatus;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.storage.JobPersistence;
 
 /** One attempt to run a job: the caller of one {@link Rpc}. Owned by the {@link JobScheduler}. */
 final class JobAttempt implements Rpc.Caller {
--- a/src/main/java/loomreel/faktory/JobClasses.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobClasses.java
@@ -1,16 +1,22 @@
-package loomreel.faktory;
+package loomreel.faktory.scheduling;
 
 import java.util.List;
 import loomreel.decision.Idempotency;
 import loomreel.decision.Settings;
+import loomreel.faktory.storage.DurableJobStore;
 import loomreel.settings.FaktorySettings;
 
 /** What the settings say of the request classes that jobs belong to, by position. */
-final class JobClasses implements DurableJobStore.Classes {
+public final class JobClasses implements DurableJobStore.Classes {
   private final List<Settings.RequestClass> classes;
   private final FaktorySettings settings;
 
-  JobClasses(List<Settings.RequestClass> classes, FaktorySettings settings) {
+  /**
+   * Creates a view of the settings.
+   *
+   * @param classes in the order in which jobs refer to them
+   */
+  public JobClasses(List<Settings.RequestClass> classes, FaktorySettings settings) {
     this.classes = classes;
     this.settings = settings;
   }
--- a/src/main/java/loomreel/faktory/JobScheduler.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.scheduling;
 
 import java.util.HexFormat;
 import java.util.LinkedHashSet;
@@ -9,6 +9,11 @@
 import loomreel.core.Rpc;
 import loomreel.decision.Event;
 import loomreel.decision.Settings;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.queue.Admission;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.storage.JobPersistence;
 import loomreel.io.Bytes;
 import loomreel.io.EventLoop;
 
@@ -17,7 +22,7 @@
  * It runs from a timer of the event loop only, never within the call that wakes it up. Times are
  * microseconds of the loop's clock.
  */
-final class JobScheduler {
+public final class JobScheduler {
   /** Attempts started in one turn of the loop: HTTP clients wait no longer than these take. */
   private static final int MAX_STARTS_PER_TURN = 16;
 
@@ -41,7 +46,12 @@
   private long nextRunAt = Long.MAX_VALUE;
   private boolean isDraining;
 
-  JobScheduler(
+  /**
+   * Creates a scheduler that is idle until {@link #wakeUp}.
+   *
+   * @param random source of the ids of attempts, shared with the caller
+   */
+  public JobScheduler(
       Dispatcher dispatcher,
       JobQueue queue,
       Admission admission,
@@ -62,12 +72,12 @@
   }
 
   /** Runs in this turn of the loop or the next. */
-  void wakeUp() {
+  public void wakeUp() {
     wakeUpAt(loop.now());
   }
 
   /** Runs at a time, or earlier where that is planned already. */
-  void wakeUpAt(long time) {
+  public void wakeUpAt(long time) {
     if (time < nextRunAt) {
       if (timer != null) {
         timer.cancel();
@@ -192,7 +202,7 @@
    * Starts nothing new that the next process can do: attempts of which nothing was sent are
    * returned to the queue where that is stored, and the others are waited for.
    */
-  void beginDrain() {
+  public void beginDrain() {
     isDraining = true;
     if (persistence.outlivesProcess()) {
       List.copyOf(openAttempts).stream()
@@ -213,12 +223,12 @@
   }
 
   /** Whether {@link #beginDrain} was called. */
-  boolean isDraining() {
+  public boolean isDraining() {
     return isDraining;
   }
 
   /** Whether jobs are still to be waited for: active ones, and without storage the ready ones. */
-  boolean hasPendingWork() {
+  public boolean hasPendingWork() {
     return queue.size(Job.State.ACTIVE) > 0 || (!persistence.outlivesProcess() && queue.hasReady());
   }
 }
--- a/src/main/java/loomreel/faktory/RecentAttempts.java
+++ b/src/main/java/loomreel/faktory/scheduling/RecentAttempts.java
@@ -1,9 +1,11 @@
-package loomreel.faktory;
+package loomreel.faktory.scheduling;
 
 import java.time.Instant;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.JobQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
@@ -11,7 +13,7 @@
  * The jobs of recent attempts by the attempt's id, so that what a worker reports late, twice or
  * from elsewhere is noted as evidence on the right job.
  */
-final class RecentAttempts implements FaktoryWorkerPool.Late {
+public final class RecentAttempts {
   /** Bounds the memory; a worker that reports after so many further attempts is only logged. */
   private static final int MAX_ATTEMPTS = 100_000;
 
@@ -30,7 +32,8 @@
         }
       };
 
-  RecentAttempts(EventLoop loop, JobQueue queue, RateLimitedLogger log) {
+  /** Creates an empty record; the log gets reports on attempts that are not in it. */
+  public RecentAttempts(EventLoop loop, JobQueue queue, RateLimitedLogger log) {
     this.loop = loop;
     this.queue = queue;
     this.log = log;
@@ -47,12 +50,17 @@
   }
 
   /** The job that has a jid, or an attempt of that id: workers know jobs by their attempts. */
-  Optional<Job> findJob(String id) {
+  public Optional<Job> findJob(String id) {
     Job job = queue.find(id);
     return Optional.ofNullable(job == null ? jobs.get(id) : job);
   }
 
-  @Override
+  /**
+   * Records a report of a worker that does not change an attempt's end, as evidence on its job.
+   *
+   * @param id the attempt's id as the worker gave it
+   * @param what the report
+   */
   public void lateReport(String id, String what) {
     Job job = jobs.get(id);
     if (job != null) {
--- a/src/main/java/loomreel/faktory/DurableJobStore.java
+++ b/src/main/java/loomreel/faktory/storage/DurableJobStore.java
@@ -1,9 +1,12 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Optional;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.Job.State;
+import loomreel.faktory.queue.JobQueue;
 import loomreel.wal.WriteAheadLog;
 
 /**
@@ -14,9 +17,9 @@
  * process ended waits again, or is dead where it may have run and must not run twice. Owns the log
  * and closes it. Times are microseconds of Unix time.
  */
-final class DurableJobStore implements JobQueue.Listener {
+public final class DurableJobStore implements JobQueue.Listener {
   /** What the store asks of a request class. */
-  interface Classes {
+  public interface Classes {
     /** Whether its jobs may run again although they may have run; their tries are not recorded. */
     boolean mayRepeat(int requestClass);
 
--- a/src/main/java/loomreel/faktory/JobPersistence.java
+++ b/src/main/java/loomreel/faktory/storage/JobPersistence.java
@@ -1,11 +1,12 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
 import java.util.Optional;
+import loomreel.faktory.queue.Job;
 
 /** Where jobs that have not ended are stored: on disk ({@link SpoolPersistence}), or nowhere. */
-interface JobPersistence extends Closeable {
+public interface JobPersistence extends Closeable {
   /** No storage: jobs are lost with the process. */
   JobPersistence NONE =
       new JobPersistence() {
--- a/src/main/java/loomreel/faktory/JobRecord.java
+++ b/src/main/java/loomreel/faktory/storage/JobRecord.java
@@ -1,6 +1,7 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.Job.State;
 
 /** A record of the log that {@link DurableJobStore} writes; {@link JobRecordCodec} has its form. */
 sealed interface JobRecord {
--- a/src/main/java/loomreel/faktory/JobRecordCodec.java
+++ b/src/main/java/loomreel/faktory/storage/JobRecordCodec.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 
 /**
  * The stored form of a {@link JobRecord}: a JSON object. Its field names and the order of its
--- a/src/main/java/loomreel/faktory/JobReplay.java
+++ b/src/main/java/loomreel/faktory/storage/JobReplay.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 import loomreel.wal.WriteAheadLog;
 
 /** Replays the records of earlier processes into the jobs that they amount to. */
--- a/src/main/java/loomreel/faktory/LogCompactor.java
+++ b/src/main/java/loomreel/faktory/storage/LogCompactor.java
@@ -1,6 +1,7 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import java.util.function.Consumer;
+import loomreel.faktory.queue.Job;
 import loomreel.wal.WriteAheadLog;
 
 /**
--- a/src/main/java/loomreel/faktory/RecordIndex.java
+++ b/src/main/java/loomreel/faktory/storage/RecordIndex.java
@@ -1,10 +1,11 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.OptionalInt;
 import java.util.TreeMap;
+import loomreel.faktory.queue.Job;
 
 /**
  * Which segment of the log holds the full record of which job that is still wanted. Owned by {@link
--- a/src/main/java/loomreel/faktory/SpoolPersistence.java
+++ b/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
@@ -1,15 +1,18 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.JobQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 import loomreel.settings.FaktorySettings;
 import loomreel.wal.WriteAheadLog;
 
 /** Jobs in the spool directory. Owns the {@link DurableJobStore} and its write-ahead log. */
-final class SpoolPersistence implements JobPersistence {
+public final class SpoolPersistence implements JobPersistence {
   /** The size of a segment of the write-ahead log, in bytes. */
   private static final long SEGMENT_BYTES = 16 << 20;
 
@@ -30,10 +33,10 @@
    *
    * @throws IOException if the spool cannot be read
    */
-  static SpoolPersistence open(
+  public static SpoolPersistence open(
       EventLoop loop,
       FaktorySettings settings,
-      JobClasses classes,
+      DurableJobStore.Classes classes,
       JobQueue queue,
       PayloadValidator payloads,
       RateLimitedLogger log)
--- a/src/main/java/loomreel/faktory/StoredJob.java
+++ b/src/main/java/loomreel/faktory/storage/StoredJob.java
@@ -1,7 +1,10 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import java.io.IOException;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.Job.State;
 
 /**
  * What the records of one job in the log amount to, replayed in order up to some record. Used while
@@ -85,7 +88,7 @@
   /** Reads the payload under the settings of this process. */
   void parsePayload(PayloadValidator payloads) {
     try {
-      spec = payloads.known(PayloadValidator.JSON.readTree(payload));
+      spec = payloads.known(Json.MAPPER.readTree(payload));
     } catch (PayloadValidator.BadPayloadException | IOException e) {
       unusableReason = e.getMessage();
     }
--- a/src/main/java/loomreel/faktory/FaktorySubchannel.java
+++ b/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.worker;
 
 import java.util.List;
 import java.util.Map;
@@ -12,6 +12,7 @@
 import loomreel.decision.Endpoint;
 import loomreel.decision.Settings;
 import loomreel.decision.WorkerLoad;
+import loomreel.faktory.payload.PayloadValidator;
 import loomreel.io.EventLoop;
 
 /**
@@ -44,7 +45,7 @@
   private final Context context;
   private final EventLoop loop;
   private final WorkerRegistry.Worker worker;
-  private final FetchDispatcher<CallAttempt, FaktoryConnection> fetches = new FetchDispatcher<>();
+  private final FetchDispatcher<CallAttempt, WorkerConnection> fetches = new FetchDispatcher<>();
   private Endpoint endpoint;
 
   /** The slots that were logged last; 0 before. */
@@ -90,7 +91,7 @@
   @Override
   public ActiveCall start(CallAttempt attempt) {
     String queue = context.payloads().queue(attempt.rpc(), className(attempt.rpc()));
-    FetchDispatcher.Item<CallAttempt, FaktoryConnection> item =
+    FetchDispatcher.Item<CallAttempt, WorkerConnection> item =
         worker.mayTake() && worker.queues.contains(queue)
             ? fetches.enqueue(attempt.rpc().id(), queue, attempt, MAX_WAITING_PER_SLOT * slots())
             : null;
@@ -108,7 +109,7 @@
     return context.classes().get(rpc.requestClass()).name();
   }
 
-  private void writeDeadlinePassed(FetchDispatcher.Item<CallAttempt, FaktoryConnection> item) {
+  private void writeDeadlinePassed(FetchDispatcher.Item<CallAttempt, WorkerConnection> item) {
     if (fetches.withdraw(item)) {
       item.value().end(AttemptOutcome.CONNECT_FAILED, null);
     } else if (item.state() == FetchDispatcher.State.WRITING) {
@@ -118,20 +119,20 @@
   }
 
   private void offerToWaitingFetches() {
-    for (Object connection : List.copyOf(worker.connections)) {
+    for (WorkerConnection connection : List.copyOf(worker.connections)) {
       if (fetches.waitingCount() > 0) {
-        ((FaktoryConnection) connection).offer();
+        connection.offer();
       }
     }
   }
 
   /** An attempt that waits for a FETCH; once fetched it cannot be stopped. */
   private final class WaitingCall implements ActiveCall {
-    private final FetchDispatcher.Item<CallAttempt, FaktoryConnection> item;
+    private final FetchDispatcher.Item<CallAttempt, WorkerConnection> item;
     private final EventLoop.Timer writeTimer;
 
     WaitingCall(
-        FetchDispatcher.Item<CallAttempt, FaktoryConnection> item, EventLoop.Timer writeTimer) {
+        FetchDispatcher.Item<CallAttempt, WorkerConnection> item, EventLoop.Timer writeTimer) {
       this.item = item;
       this.writeTimer = writeTimer;
     }
@@ -153,8 +154,8 @@
   }
 
   /** The payload of the first attempt that a FETCH of these queues takes, or null for none. */
-  byte[] fetch(FaktoryConnection connection, List<String> queues) {
-    FetchDispatcher.Item<CallAttempt, FaktoryConnection> item =
+  byte[] fetch(WorkerConnection connection, List<String> queues) {
+    FetchDispatcher.Item<CallAttempt, WorkerConnection> item =
         fetches.fetch(queues::contains, connection);
     if (item == null) {
       return null;
@@ -176,7 +177,7 @@
         .forWorker(attempt.rpc(), className(attempt.rpc()), attempt.deadline() - loop.now());
   }
 
-  private void reservationPassed(FetchDispatcher.Item<CallAttempt, FaktoryConnection> item) {
+  private void reservationPassed(FetchDispatcher.Item<CallAttempt, WorkerConnection> item) {
     if (fetches.findInProgress(item.id()) == item) {
       boolean mayHaveRun = item.state() == FetchDispatcher.State.SENT;
       item.value().end(mayHaveRun ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED, null);
@@ -184,12 +185,12 @@
   }
 
   /** Sets where the attempt that a connection fetched last ends in all that is written there. */
-  void setEndOffset(FaktoryConnection connection, long offset) {
+  void setEndOffset(WorkerConnection connection, long offset) {
     fetches.setEndOffset(connection, offset);
   }
 
   /** Handles that so many bytes in all have been written on a connection. */
-  void bytesWritten(FaktoryConnection connection, long bytes) {
+  void bytesWritten(WorkerConnection connection, long bytes) {
     for (FetchDispatcher.Item<CallAttempt, ?> item : fetches.markSent(connection, bytes)) {
       item.value().requestWritten();
       item.value().accepted();
@@ -197,7 +198,7 @@
   }
 
   /** Ends the attempts that a lost connection had fetched; those that are sent may run. */
-  void connectionLost(FaktoryConnection connection) {
+  void connectionLost(WorkerConnection connection) {
     for (FetchDispatcher.Item<CallAttempt, ?> item : fetches.removeConnection(connection)) {
       boolean mayHaveRun = item.state() == FetchDispatcher.State.SENT;
       item.value().end(mayHaveRun ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null);
--- a/src/main/java/loomreel/faktory/FaktoryWorkerPool.java
+++ b/src/main/java/loomreel/faktory/worker/FaktoryWorkerPool.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.worker;
 
 import java.util.HashMap;
 import java.util.List;
@@ -10,6 +10,8 @@
 import loomreel.decision.AttemptOutcome;
 import loomreel.decision.Endpoint;
 import loomreel.decision.Settings;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.protocol.Handshake;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 import loomreel.settings.FaktorySettings;
@@ -18,7 +20,7 @@
  * The workers that fetch their jobs by the Faktory protocol. Each is listed as an endpoint from its
  * first FETCH until it is gone; the dispatcher sends attempts to its {@link FaktorySubchannel}.
  */
-final class FaktoryWorkerPool implements WorkerPool {
+public final class FaktoryWorkerPool implements WorkerPool {
   /** Endpoint ids of Faktory workers begin with this, and no others do. */
   static final String PREFIX = "f:";
 
@@ -33,7 +35,7 @@
   private static final long MICROS_PER_SECOND = 1_000_000;
 
   /** Receives what a worker says of an attempt that does not change the attempt's end. */
-  interface Late {
+  public interface LateReportListener {
     /**
      * Called for each such message.
      *
@@ -48,7 +50,7 @@
   private final FaktorySubchannel.Context subchannelContext;
   private final long heartbeatTimeoutMicros;
   private final WorkerRegistry registry;
-  private final Late listener;
+  private final LateReportListener listener;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.faktory.worker");
 
   /** By endpoint id. */
@@ -60,13 +62,13 @@
    * @param classes the request classes of the settings, in their order
    * @param site zone of a worker whose labels do not say
    */
-  FaktoryWorkerPool(
+  public FaktoryWorkerPool(
       Dispatcher dispatcher,
       FaktorySettings.Workers settings,
       PayloadValidator payloads,
       List<Settings.RequestClass> classes,
       String site,
-      Late listener) {
+      LateReportListener listener) {
     this.dispatcher = dispatcher;
     this.loop = dispatcher.loop();
     this.listener = listener;
@@ -89,9 +91,9 @@
               + worker.wid
               + " timeout_s="
               + heartbeatTimeoutMicros / MICROS_PER_SECOND);
-      for (Object connection : List.copyOf(worker.connections)) {
-        connectionLost(worker, (FaktoryConnection) connection);
-        ((FaktoryConnection) connection).close();
+      for (WorkerConnection connection : List.copyOf(worker.connections)) {
+        connectionLost(worker, connection);
+        connection.close();
       }
       removeEndpoint(worker);
     }
@@ -104,7 +106,7 @@
   }
 
   /** Adds a connection to the worker that its handshake names. */
-  WorkerRegistry.Worker connect(Handshake handshake, FaktoryConnection connection) {
+  public WorkerRegistry.Worker connect(Handshake handshake, WorkerConnection connection) {
     return registry.connect(handshake, connection, loop.now());
   }
 
@@ -144,8 +146,8 @@
       subchannel.withdrawAll();
     }
     // A FETCH that waits would wait in vain.
-    for (Object connection : List.copyOf(worker.connections)) {
-      ((FaktoryConnection) connection).answerFetch(null);
+    for (WorkerConnection connection : List.copyOf(worker.connections)) {
+      connection.answerFetchWithoutJob();
     }
   }
 
@@ -154,7 +156,8 @@
    *
    * @return the payload of the job that it takes, or null for none; the FETCH may wait then
    */
-  byte[] fetch(WorkerRegistry.Worker worker, FaktoryConnection connection, List<String> queues) {
+  public byte[] fetch(
+      WorkerRegistry.Worker worker, WorkerConnection connection, List<String> queues) {
     int queuesBefore = worker.queues.size();
     if (registry.recordFetch(worker, queues)) {
       addEndpoint(worker);
@@ -170,7 +173,7 @@
   }
 
   /** Changes the number of a worker's FETCHes that wait for a job. */
-  void addWaitingFetches(WorkerRegistry.Worker worker, int change) {
+  public void addWaitingFetches(WorkerRegistry.Worker worker, int change) {
     worker.slots.addWaitingFetches(change);
     FaktorySubchannel subchannel = subchannelOf(worker);
     if (change > 0 && subchannel != null) {
@@ -180,7 +183,7 @@
   }
 
   /** Sets where the job that a connection has just fetched ends in all that is written there. */
-  void setEndOffset(WorkerRegistry.Worker worker, FaktoryConnection connection, long offset) {
+  public void setEndOffset(WorkerRegistry.Worker worker, WorkerConnection connection, long offset) {
     FaktorySubchannel subchannel = subchannelOf(worker);
     if (subchannel != null) {
       subchannel.setEndOffset(connection, offset);
@@ -188,7 +191,7 @@
   }
 
   /** Handles that so many bytes in all have been written on a connection. */
-  void bytesWritten(WorkerRegistry.Worker worker, FaktoryConnection connection, long bytes) {
+  public void bytesWritten(WorkerRegistry.Worker worker, WorkerConnection connection, long bytes) {
     FaktorySubchannel subchannel = subchannelOf(worker);
     if (subchannel != null) {
       subchannel.bytesWritten(connection, bytes);
@@ -201,7 +204,7 @@
    * @param state what the worker says that it is: quiet, terminate or null
    * @param rssKb the memory that it says it uses, which nothing depends on
    */
-  void heartbeat(WorkerRegistry.Worker worker, String state, long rssKb) {
+  public void heartbeat(WorkerRegistry.Worker worker, String state, long rssKb) {
     if (registry.recordHeartbeat(worker, state, loop.now())) {
       log.info("worker draining wid=" + worker.wid + " state=" + state);
       drain(worker);
@@ -212,7 +215,7 @@
    * Handles the loss of a connection. Jobs that were sent on it may run; the worker's other
    * connections go on.
    */
-  void disconnect(WorkerRegistry.Worker worker, FaktoryConnection connection) {
+  public void disconnect(WorkerRegistry.Worker worker, WorkerConnection connection) {
     connectionLost(worker, connection);
     if (registry.disconnect(worker, connection)) {
       log.info("worker disconnected wid=" + worker.wid);
@@ -220,7 +223,7 @@
     }
   }
 
-  private void connectionLost(WorkerRegistry.Worker worker, FaktoryConnection connection) {
+  private void connectionLost(WorkerRegistry.Worker worker, WorkerConnection connection) {
     FaktorySubchannel subchannel = subchannelOf(worker);
     if (subchannel != null) {
       subchannel.connectionLost(connection);
@@ -234,7 +237,7 @@
    * @param worker the worker that sent it, or null for a client that is none
    * @return whether the worker had this job
    */
-  boolean acknowledge(WorkerRegistry.Worker worker, String id, byte[] result) {
+  public boolean acknowledge(WorkerRegistry.Worker worker, String id, byte[] result) {
     FaktorySubchannel subchannel = subchannelOf(worker);
     CallAttempt attempt = subchannel == null ? null : subchannel.complete(id);
     if (attempt == null || attempt.hasEnded()) {
@@ -252,7 +255,7 @@
    * @param why what the worker says of the failure
    * @return whether the worker had this job
    */
-  boolean fail(WorkerRegistry.Worker worker, String id, String why) {
+  public boolean fail(WorkerRegistry.Worker worker, String id, String why) {
     FaktorySubchannel subchannel = subchannelOf(worker);
     CallAttempt attempt = subchannel == null ? null : subchannel.complete(id);
     if (attempt == null || attempt.hasEnded()) {
@@ -269,7 +272,7 @@
   }
 
   /** Handles the progress of a job that a worker reports. */
-  void progress(WorkerRegistry.Worker worker, String id) {
+  public void progress(WorkerRegistry.Worker worker, String id) {
     FaktorySubchannel subchannel = subchannelOf(worker);
     CallAttempt attempt = subchannel == null ? null : subchannel.findInProgress(id);
     if (attempt != null) {
--- a/src/main/java/loomreel/faktory/FetchDispatcher.java
+++ b/src/main/java/loomreel/faktory/worker/FetchDispatcher.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.worker;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/loomreel/faktory/SlotEstimator.java
+++ b/src/main/java/loomreel/faktory/worker/SlotEstimator.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.worker;
 
 /**
  * How many jobs a worker takes at a time: what its labels say, else the most FETCHes that waited
--- a/src/main/java/loomreel/faktory/WorkerRegistry.java
+++ b/src/main/java/loomreel/faktory/worker/WorkerRegistry.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.worker;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,13 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import loomreel.faktory.protocol.Handshake;
 
 /**
  * The Faktory workers that are connected, and whether they may be given jobs. A worker is a process
  * (wid) with one or more connections, kept alive by its BEAT commands. Does no I/O and reads no
  * clock; times are microseconds of the event loop's clock.
  */
-final class WorkerRegistry {
+public final class WorkerRegistry {
   /**
    * Settings that hold for each worker.
    *
@@ -56,14 +57,14 @@
   }
 
   /** One process. */
-  static final class Worker {
-    final String wid;
+  public static final class Worker {
+    public final String wid;
     final Handshake handshake;
 
     /** When it connected; 0 where it does not have to warm up. */
     final long startedAt;
 
-    final Set<Object> connections = new LinkedHashSet<>();
+    final Set<WorkerConnection> connections = new LinkedHashSet<>();
 
     /** The queues that it has fetched from; empty before its first FETCH. */
     final Set<String> queues = new HashSet<>();
@@ -107,7 +108,7 @@
   }
 
   /** Adds a connection to the worker that its handshake names, which may be new. */
-  Worker connect(Handshake handshake, Object connection, long now) {
+  Worker connect(Handshake handshake, WorkerConnection connection, long now) {
     Worker worker =
         workers.computeIfAbsent(
             handshake.wid(), wid -> new Worker(handshake, limits, disabledWids.contains(wid), now));
@@ -134,7 +135,7 @@
   }
 
   /** Removes a connection; returns whether the worker is gone with it and was not before. */
-  boolean disconnect(Worker worker, Object connection) {
+  boolean disconnect(Worker worker, WorkerConnection connection) {
     worker.connections.remove(connection);
     return worker.connections.isEmpty() && remove(worker);
   }
--- a/src/test/java/loomreel/arch/ArrowsTest.java
+++ b/src/test/java/loomreel/arch/ArrowsTest.java
@@ -1,6 +1,7 @@
 package loomreel.arch;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.base.DescribedPredicate;
@@ -43,6 +44,63 @@
   @ArchTest
   static final ArchRule FAKTORY = knowsOnly("faktory", "io", "wal", "core", "decision", "settings");
 
+  @ArchTest static final ArchRule FAKTORY_PROTOCOL = knowsOnly("faktory.protocol", "io");
+
+  /** Jobs and their order are computed without I/O, clock, settings or dispatcher. */
+  @ArchTest static final ArchRule FAKTORY_QUEUE = knowsOnly("faktory.queue");
+
+  @ArchTest
+  static final ArchRule FAKTORY_QUEUE_HAS_NO_IO =
+      noClasses()
+          .that()
+          .resideInAPackage("loomreel.faktory.queue..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "java.io..", "java.net..", "java.nio..", "java.time..", "com.fasterxml..");
+
+  @ArchTest
+  static final ArchRule FAKTORY_PAYLOAD =
+      knowsOnly("faktory.payload", "faktory.protocol", "faktory.queue", "core", "io", "settings");
+
+  @ArchTest
+  static final ArchRule FAKTORY_STORAGE =
+      knowsOnly(
+          "faktory.storage",
+          "faktory.protocol",
+          "faktory.payload",
+          "faktory.queue",
+          "wal",
+          "io",
+          "settings");
+
+  @ArchTest
+  static final ArchRule FAKTORY_WORKER =
+      knowsOnly(
+          "faktory.worker",
+          "faktory.protocol",
+          "faktory.payload",
+          "core",
+          "decision",
+          "io",
+          "settings");
+
+  @ArchTest
+  static final ArchRule FAKTORY_SCHEDULING =
+      knowsOnly(
+          "faktory.scheduling",
+          "faktory.payload",
+          "faktory.queue",
+          "faktory.storage",
+          "core",
+          "decision",
+          "io",
+          "settings");
+
+  @ArchTest
+  static final ArchRule NO_CIRCLES_IN_FAKTORY =
+      slices().matching("loomreel.faktory.(*)..").should().beFreeOfCycles();
+
   @ArchTest static final ArchRule WAL = knowsOnly("wal");
 
   @ArchTest static final ArchRule PROCESS = knowsOnly("process", "http", "io", "core", "decision");
--- a/src/test/java/loomreel/faktory/ProtocolTest.java
+++ b/src/test/java/loomreel/faktory/ProtocolTest.java
@@ -22,6 +22,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicInteger;
+import loomreel.faktory.protocol.Handshake;
 import loomreel.standin.DaemonProcess;
 import loomreel.standin.FaktoryClient;
 import loomreel.standin.RespReader;
--- a/src/test/java/loomreel/faktory/ReplyTest.java
+++ b/src/test/java/loomreel/faktory/protocol/ReplyTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -20,7 +20,7 @@
     assertEquals("+OK\r\n", encoded(Reply.OK));
     assertEquals("$-1\r\n", encoded(Reply.NIL));
     assertEquals("-ERR unknown worker\r\n", encoded(Reply.error("unknown worker")));
-    assertEquals("$2\r\n{}\r\n", encoded(Reply.json(PayloadValidator.JSON.createObjectNode())));
+    assertEquals("$2\r\n{}\r\n", encoded(Reply.json(Json.MAPPER.createObjectNode())));
   }
 
   @Test
--- a/src/test/java/loomreel/faktory/JobQueueTest.java
+++ b/src/test/java/loomreel/faktory/queue/JobQueueTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.StreamSupport;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/loomreel/faktory/JobStateTest.java
+++ b/src/test/java/loomreel/faktory/queue/JobStateTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/loomreel/faktory/RetryBackoffTest.java
+++ b/src/test/java/loomreel/faktory/queue/RetryBackoffTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.queue;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/loomreel/faktory/DurableJobStoreTest.java
+++ b/src/test/java/loomreel/faktory/storage/DurableJobStoreTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,7 +20,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Function;
 import java.util.stream.Stream;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.protocol.Json;
+import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.Job.State;
+import loomreel.faktory.queue.JobQueue;
 import loomreel.settings.FaktorySettings;
 import loomreel.wal.WriteAheadLog;
 import org.junit.jupiter.api.BeforeEach;
@@ -109,7 +113,7 @@
   private Job push(String jid, String queueName, long at) throws Exception {
     String text =
         "{\"jid\":\"" + jid + "\",\"jobtype\":\"T\",\"queue\":\"" + queueName + "\",\"args\":[1]}";
-    Job.Spec known = payloads.known(PayloadValidator.read(text));
+    Job.Spec known = payloads.known(Json.read(text));
     Job.Spec spec =
         new Job.Spec(
             jid,
--- a/src/test/java/loomreel/faktory/JobRecordCodecTest.java
+++ b/src/test/java/loomreel/faktory/storage/JobRecordCodecTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,7 +6,7 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import loomreel.faktory.Job.State;
+import loomreel.faktory.queue.Job.State;
 import org.junit.jupiter.api.Test;
 
 /** The stored form of records, byte by byte: earlier and later versions read it. */
--- a/src/test/java/loomreel/faktory/SlotEstimatorTest.java
+++ b/src/test/java/loomreel/faktory/worker/SlotEstimatorTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.worker;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/loomreel/faktory/WorkerRegistryTest.java
+++ b/src/test/java/loomreel/faktory/worker/WorkerRegistryTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.faktory.worker;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,7 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import loomreel.faktory.WorkerRegistry.Phase;
+import loomreel.faktory.protocol.Handshake;
+import loomreel.faktory.worker.WorkerRegistry.Phase;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -28,8 +29,26 @@
 
   private final WorkerRegistry registry =
       new WorkerRegistry(new WorkerRegistry.Limits(100, 2, true, 50));
-  private final Object one = new Object();
-  private final Object two = new Object();
+  private final WorkerConnection one = new UnusedConnection();
+  private final WorkerConnection two = new UnusedConnection();
+
+  /** The registry compares connections and never calls them. */
+  private static final class UnusedConnection implements WorkerConnection {
+    @Override
+    public void offer() {
+      throw new AssertionError("called by the registry");
+    }
+
+    @Override
+    public void answerFetchWithoutJob() {
+      throw new AssertionError("called by the registry");
+    }
+
+    @Override
+    public void close() {
+      throw new AssertionError("called by the registry");
+    }
+  }
 
   private static Handshake handshake(String wid) {
     return new Handshake(wid, Map.of());
