--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -53,7 +53,7 @@
       endpoints.add(endpoint);
       if (host.get("dial") instanceof String address && !address.isEmpty()) {
         addresses.put(id, AddressParser.parse(address));
-      } else if (endpoint.state() != Endpoint.State.GONE) {
+      } else if (endpoint.state() != Endpoint.State.REMOVED) {
         throw new IllegalArgumentException("no dial for " + id);
       }
     }
@@ -64,7 +64,7 @@
     return switch (health) {
       case "SERVING" -> Endpoint.State.READY;
       case "DRAINING" -> Endpoint.State.DRAINING;
-      case "DELETED" -> Endpoint.State.GONE;
+      case "DELETED" -> Endpoint.State.REMOVED;
       default -> throw new IllegalArgumentException("unknown health " + health);
     };
   }
--- a/src/main/java/loomreel/config/SettingsReader.java
+++ b/src/main/java/loomreel/config/SettingsReader.java
@@ -45,19 +45,20 @@
       throw new IllegalArgumentException("the settings are not an object");
     }
     boolean pollsEndpoints = text(root, "Discovery").equals("ask");
-    return new Settings(
-        (int) number(get(root, "Balancers"), 1),
-        text(root, "Locality"),
-        requestClasses(),
-        tenants(),
-        rules(pollsEndpoints),
-        limits(),
-        pollsEndpoints,
-        !text(root, "Weights").equals("live"),
-        loadReporting(),
-        flag(root, SPECIFICS, "TellsStart"),
-        micros(0.001, root, "TickS"),
-        flag(root, "Callers", "MarksRetry"));
+    return Settings.builder()
+        .dispatchers((int) number(get(root, "Balancers"), 1))
+        .zone(text(root, "Locality"))
+        .classes(requestClasses())
+        .tenants(tenants())
+        .rules(rules(pollsEndpoints))
+        .limits(limits())
+        .pollsEndpoints(pollsEndpoints)
+        .stableWeights(!text(root, "Weights").equals("live"))
+        .loadReporting(loadReporting())
+        .reportsJobStart(flag(root, SPECIFICS, "TellsStart"))
+        .tick(micros(0.001, root, "TickS"))
+        .clientsMarkRetries(flag(root, "Callers", "MarksRetry"))
+        .build();
   }
 
   private List<Settings.RequestClass> requestClasses() {
@@ -114,7 +115,7 @@
     return switch (text(json, "Group")) {
       case "all" -> DeduplicationScope.ALL;
       case "zone" -> DeduplicationScope.ZONE;
-      default -> DeduplicationScope.CELL;
+      default -> DeduplicationScope.FAILURE_DOMAIN;
     };
   }
 
@@ -150,7 +151,7 @@
   private Settings.LoadReporting loadReporting() {
     return switch (text(root, "Telemetry", "How")) {
       case "answers" -> Settings.LoadReporting.WITH_ANSWERS;
-      case "probe" -> Settings.LoadReporting.WITH_PROBES;
+      case "probe" -> Settings.LoadReporting.WITH_HEALTH_CHECKS;
       default -> Settings.LoadReporting.NONE;
     };
   }
--- a/src/main/java/loomreel/core/CallAttempt.java
+++ b/src/main/java/loomreel/core/CallAttempt.java
@@ -135,7 +135,7 @@
   public void returnedUnstarted(WorkerLoad load) {
     boolean repeated = rpc.wasReturnedBy(worker);
     returnedUnstarted = true;
-    end(repeated ? AttemptOutcome.RESET : AttemptOutcome.FULL, load);
+    end(repeated ? AttemptOutcome.RESET : AttemptOutcome.REJECTED, load);
   }
 
   /** Whether the worker has returned the job unstarted. */
--- a/src/main/java/loomreel/core/Dispatcher.java
+++ b/src/main/java/loomreel/core/Dispatcher.java
@@ -112,8 +112,8 @@
    * Sets the fraction of the dispatcher's slow-start allowance that this process may use, from 0 to
    * 1.
    */
-  public void setCapacityShare(double fraction) {
-    submit(new Event.CapacityShareChanged(fraction));
+  public void setCapacityFraction(double fraction) {
+    submit(new Event.CapacityFractionChanged(fraction));
   }
 
   /** Starts no further attempt at a worker, and aborts those that have not been written whole. */
--- a/src/main/java/loomreel/core/ExternalNames.java
+++ b/src/main/java/loomreel/core/ExternalNames.java
@@ -2,6 +2,7 @@
 
 import java.util.Locale;
 import loomreel.decision.AttemptOutcome;
+import loomreel.decision.Endpoint;
 import loomreel.decision.RejectionReason;
 
 /**
@@ -17,7 +18,7 @@
     return switch (outcome) {
       case OK -> "OK";
       case ERROR -> "ERROR";
-      case FULL -> "FULL";
+      case REJECTED -> "FULL";
       case TIMEOUT -> "TIMEOUT";
       case CONNECT_FAILED -> "CONNECT_FAILED";
       case RESET -> "RESET";
@@ -26,6 +27,15 @@
     };
   }
 
+  /** The endpoint state's name in trace lines. */
+  static String of(Endpoint.State state) {
+    return switch (state) {
+      case READY -> "READY";
+      case DRAINING -> "DRAINING";
+      case REMOVED -> "GONE";
+    };
+  }
+
   /** The reason's name in trace lines. */
   static String of(RejectionReason reason) {
     return switch (reason) {
--- a/src/main/java/loomreel/core/PolicyTracer.java
+++ b/src/main/java/loomreel/core/PolicyTracer.java
@@ -87,9 +87,9 @@
         "free",
         load == null ? null : load.freeSlots(),
         "waiting",
-        load == null ? null : load.waiting(),
+        load == null ? null : load.queuedJobs(),
         "held",
-        load == null ? null : load.held());
+        load == null ? null : load.activeJobs());
   }
 
   /** Writes a line for each endpoint whose start time is known, and one with the counts. */
@@ -101,7 +101,7 @@
     for (Endpoint endpoint : endpoints) {
       ready += endpoint.state() == Endpoint.State.READY ? 1 : 0;
       draining += endpoint.state() == Endpoint.State.DRAINING ? 1 : 0;
-      gone += endpoint.state() == Endpoint.State.GONE ? 1 : 0;
+      gone += endpoint.state() == Endpoint.State.REMOVED ? 1 : 0;
       if (endpoint.startedAt() > 0) {
         endpointStarted(trace, now, endpoint);
       }
@@ -116,7 +116,7 @@
         "worker",
         endpoint.id(),
         "state",
-        endpoint.state(),
+        ExternalNames.of(endpoint.state()),
         "kind",
         endpoint.kind(),
         "born",
--- a/src/main/java/loomreel/decision/Action.java
+++ b/src/main/java/loomreel/decision/Action.java
@@ -1,14 +1,14 @@
 package loomreel.decision;
 
-/** Something that the policy has its dispatcher do. Times are microseconds. */
+/** What the policy decides, for the dispatcher to execute. Times are microseconds. */
 public sealed interface Action {
 
   /**
    * Starts an attempt. The attempts of a request are numbered from 0 in the order of their starts.
    *
    * @param timeout how long its answer is awaited; 0 until the client's deadline
-   * @param writeDeadline by when its request must be written, or it is not: workers recognise
-   *     repetitions only until then
+   * @param writeDeadline its request must not be written after this time, since workers deduplicate
+   *     only until then
    */
   record StartAttempt(String requestId, String workerId, long timeout, long writeDeadline)
       implements Action {}
@@ -19,17 +19,17 @@
   /**
    * Rejects a request: a final answer that says that nothing ran, or that a retry does no harm.
    *
-   * @param retryAfter when the client may retry; 0 if that is not told
+   * @param retryAfter when the client may retry; 0 if the answer does not say
    */
   record Reject(String requestId, long retryAfter, RejectionReason reason) implements Action {}
 
   /** Fails a request: a final answer that leaves open what ran. */
   record Fail(String requestId, RejectionReason reason) implements Action {}
 
-  /** Asks a worker for its load. */
+  /** Queries the load of a worker. */
   record CheckHealth(String workerId) implements Action {}
 
-  /** Asks for {@link Event.TimerFired} at a time. */
+  /** Requests {@link Event.TimerFired} at a time. */
   record SetTimer(long time, long token) implements Action {}
 
   /** Polls the endpoint list. */
--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -44,7 +44,8 @@
     double meanRunTime = times.meanRunTime(request.arrival.classIndex());
     double work = Double.isNaN(announced) ? TYPICAL_WORK * meanRunTime : announced;
     long slack =
-        requestClass.latencyObjective() + (long) (work * Math.max(0, requestClass.stretch() - 1));
+        requestClass.latencyObjective()
+            + (long) (work * Math.max(0, requestClass.latencyObjectivePerWork() - 1));
     long firstAttemptAt =
         firstAttempts.firstAttemptAt(request.arrival, requestClass, context.now());
     request.fullValueUntil = Math.min(deadline, firstAttemptAt + slack);
@@ -61,7 +62,7 @@
     }
     Settings settings = context.settings();
     Tenant tenant = settings.tenants().get(tenantIndex);
-    double equalShare = tenant.allowancePerSecond() / settings.dispatchers();
+    double equalShare = tenant.quotaPerSecond() / settings.dispatchers();
     double rate = equalShare * QUOTA_HEADROOM * loads.equalShares();
     boolean within = tenantBuckets[tenantIndex].tryAcquire(rate / 1e6, 2 * rate + 3, context.now());
     request.loadThreshold = within ? WorkerSelector.FULL_THRESHOLD : OVER_QUOTA_THRESHOLD;
--- a/src/main/java/loomreel/decision/AttemptOutcome.java
+++ b/src/main/java/loomreel/decision/AttemptOutcome.java
@@ -2,13 +2,13 @@
 
 /** How an attempt or a health check ended. */
 public enum AttemptOutcome {
-  /** It was served, or answered. */
+  /** It succeeded. */
   OK(false),
   /** The worker reported an error. */
   ERROR(false),
-  /** The worker rejected it before it ran. */
-  FULL(true),
-  /** No answer came in time. */
+  /** The worker rejected it before it ran, for lack of capacity. */
+  REJECTED(true),
+  /** No answer arrived in time. */
   TIMEOUT(false),
   /** No connection could be opened. */
   CONNECT_FAILED(true),
--- a/src/main/java/loomreel/decision/DeduplicationScope.java
+++ b/src/main/java/loomreel/decision/DeduplicationScope.java
@@ -6,15 +6,16 @@
   ALL,
   /** Those of one zone. */
   ZONE,
-  /** Those of one cell of a zone. */
-  CELL;
+  /** Those of one failure domain of a zone. */
+  FAILURE_DOMAIN;
 
   /** Whether two workers recognise each other's keyed requests. */
   public boolean sharedBy(Endpoint first, Endpoint second) {
     return switch (this) {
       case ALL -> true;
       case ZONE -> first.zone().equals(second.zone());
-      case CELL -> first.zone().equals(second.zone()) && first.cell() == second.cell();
+      case FAILURE_DOMAIN ->
+          first.zone().equals(second.zone()) && first.failureDomain() == second.failureDomain();
     };
   }
 }
--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -55,8 +55,8 @@
   private void start(Event.Start event, long now, List<Action> actions) {
     context = new PolicyContext(event.settings(), new SplittableRandom(event.seed()));
     context.begin(now, actions);
-    double capacityShare = state == null ? 1 : state.slowStart.capacityShare();
-    state = new PolicyState(context, capacityShare);
+    double capacityFraction = state == null ? 1 : state.slowStart.capacityFraction();
+    state = new PolicyState(context, capacityFraction);
     handler = new PolicyEventHandler(state);
     started = true;
   }
--- a/src/main/java/loomreel/decision/EndpointUpdater.java
+++ b/src/main/java/loomreel/decision/EndpointUpdater.java
@@ -51,7 +51,7 @@
       worker.endpoint = endpoint;
     }
     pollBackoff.pollSucceeded();
-    state.workers.removeGone();
+    state.workers.dropRemoved();
     state.workers.rebuildPools();
   }
 
--- a/src/main/java/loomreel/decision/Event.java
+++ b/src/main/java/loomreel/decision/Event.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Something that a dispatcher is told. */
+/** What a dispatcher observes and reports to the policy. Times are microseconds. */
 public sealed interface Event {
   /** Calls the handler's method for this type of event. */
   void deliverTo(Handler handler);
@@ -39,8 +39,8 @@
     /** Handles {@link WorkerEnabled}. */
     void onWorkerEnabled(WorkerEnabled event);
 
-    /** Handles {@link CapacityShareChanged}. */
-    void onCapacityShareChanged(CapacityShareChanged event);
+    /** Handles {@link CapacityFractionChanged}. */
+    void onCapacityFractionChanged(CapacityFractionChanged event);
 
     /** Handles {@link TimerFired}. */
     void onTimerFired(TimerFired event);
@@ -62,7 +62,7 @@
     }
   }
 
-  /** The complete endpoint list: a worker that is missing from it is gone. */
+  /** The complete endpoint list: a worker that is missing from it has been removed. */
   record EndpointSnapshot(List<Endpoint> endpoints) implements Event {
     @Override
     public void deliverTo(Handler handler) {
@@ -111,7 +111,7 @@
       String queue,
       boolean hasIdempotencyKey)
       implements Event {
-    /** Creates a request without a queue, with the idempotency key that its class asks for. */
+    /** Creates a request without a queue, with the idempotency key that its class requires. */
     public RequestArrived(
         String requestId,
         String key,
@@ -140,7 +140,7 @@
     }
   }
 
-  /** The client has left, or its deadline has passed: the request needs no answer any more. */
+  /** The client has disconnected, or its deadline has passed: no answer is needed any more. */
   record RequestCancelled(String requestId) implements Event {
     @Override
     public void deliverTo(Handler handler) {
@@ -211,16 +211,16 @@
   /**
    * Another process serves as the same dispatcher, or does so no longer.
    *
-   * @param fraction this process's share of what the dispatcher may send to warming workers
+   * @param fraction the fraction of the dispatcher's slow-start allowance that this process may use
    */
-  record CapacityShareChanged(double fraction) implements Event {
+  record CapacityFractionChanged(double fraction) implements Event {
     @Override
     public void deliverTo(Handler handler) {
-      handler.onCapacityShareChanged(this);
+      handler.onCapacityFractionChanged(this);
     }
   }
 
-  /** A timer that {@link Action.SetTimer} asked for has fired. */
+  /** A timer that {@link Action.SetTimer} requested has fired. */
   record TimerFired(long token) implements Event {
     @Override
     public void deliverTo(Handler handler) {
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -131,9 +131,9 @@
     }
     long now = context.now();
     double free = Math.max(0, report.freeSlots());
-    double waiting = Double.isNaN(report.waiting()) ? 0 : Math.max(0, report.waiting());
-    if (!Double.isNaN(report.held())) {
-      reportedJobs.add(report.held(), now);
+    double waiting = Double.isNaN(report.queuedJobs()) ? 0 : Math.max(0, report.queuedJobs());
+    if (!Double.isNaN(report.activeJobs())) {
+      reportedJobs.add(report.activeJobs(), now);
       // Of a mean worker, not this one: it is asked when it has been sent nothing for a while.
       ownJobs.add(totalOpenAttempts() / (double) workers.size(), now);
     }
@@ -153,10 +153,10 @@
   }
 
   private void learnSlots(WorkerState worker, WorkerLoad report, double free, double waiting) {
-    if (Double.isNaN(report.held())) {
+    if (Double.isNaN(report.activeJobs())) {
       worker.slots = Math.max(Math.max(1, free), worker.slots);
     } else {
-      double slots = Math.max(1, report.held() - waiting + free);
+      double slots = Math.max(1, report.activeJobs() - waiting + free);
       boolean isFirst = worker.slots == 0;
       worker.slots = isFirst ? slots : worker.slots + WORKER_SLOTS_WEIGHT * (slots - worker.slots);
     }
--- a/src/main/java/loomreel/decision/OutcomeRecorder.java
+++ b/src/main/java/loomreel/decision/OutcomeRecorder.java
@@ -40,7 +40,7 @@
     switch (event.outcome()) {
       case OK -> recordServed(attempt, event.duration());
       case ERROR, RESET -> worker.heard(context.now());
-      case FULL -> {
+      case REJECTED -> {
         worker.heard(context.now());
         state.loads.recordSample(worker, LOAD_WHEN_FULL);
         ejector.ejectFull(worker);
--- a/src/main/java/loomreel/decision/PolicyEventHandler.java
+++ b/src/main/java/loomreel/decision/PolicyEventHandler.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import loomreel.decision.Event.AttemptEnded;
 import loomreel.decision.Event.AttemptProgressed;
-import loomreel.decision.Event.CapacityShareChanged;
+import loomreel.decision.Event.CapacityFractionChanged;
 import loomreel.decision.Event.EndpointSnapshot;
 import loomreel.decision.Event.EndpointUpdate;
 import loomreel.decision.Event.HealthChecked;
@@ -38,7 +38,7 @@
 
   @Override
   public void onEndpointSnapshot(EndpointSnapshot event) {
-    state.workers.markAllGone();
+    state.workers.markAllRemoved();
     updateEndpoints(event.endpoints());
   }
 
@@ -68,8 +68,8 @@
   }
 
   @Override
-  public void onCapacityShareChanged(CapacityShareChanged event) {
-    state.slowStart.setCapacityShare(event.fraction());
+  public void onCapacityFractionChanged(CapacityFractionChanged event) {
+    state.slowStart.setCapacityFraction(event.fraction());
   }
 
   @Override
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -16,15 +16,15 @@
   final SlowStartController slowStart;
 
   /**
-   * @param capacityShare this process's share of what the dispatcher may send to warming workers
+   * @param capacityFraction this process's share of what the dispatcher may send to warming workers
    */
-  PolicyState(PolicyContext context, double capacityShare) {
+  PolicyState(PolicyContext context, double capacityFraction) {
     this.context = context;
     Settings settings = context.settings();
-    keys = new KeyAffinityTable(workers, new RendezvousRanking(settings.steadyWeights()));
+    keys = new KeyAffinityTable(workers, new RendezvousRanking(settings.stableWeights()));
     times = new ServiceTimeEstimator(settings);
     loads = new LoadEstimator(context, workers, times);
-    slowStart = new SlowStartController(context, workers, times, loads, capacityShare);
+    slowStart = new SlowStartController(context, workers, times, loads, capacityFraction);
   }
 
   /** An attempt of a request is being started. */
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -45,7 +45,7 @@
   private final DecayingSum workSent = new DecayingSum(Time.RATE_TIME_CONSTANT);
 
   /** This process's share of what the dispatcher may send, while two processes serve as one. */
-  private double capacityShare;
+  private double capacityFraction;
 
   private long warmCount;
   private long warmCountedAt = Time.NEVER;
@@ -56,23 +56,23 @@
       WorkerTable workers,
       ServiceTimeEstimator times,
       LoadEstimator loads,
-      double capacityShare) {
+      double capacityFraction) {
     this.context = context;
     this.rules = context.settings().rules();
     this.workers = workers;
     this.times = times;
     this.loads = loads;
-    this.capacityShare = capacityShare;
+    this.capacityFraction = capacityFraction;
     meanCost = new MovingAverage(times.meanRunTime());
     meanLightCost = new MovingAverage(times.meanRunTime());
   }
 
-  double capacityShare() {
-    return capacityShare;
+  double capacityFraction() {
+    return capacityFraction;
   }
 
-  void setCapacityShare(double share) {
-    capacityShare = share;
+  void setCapacityFraction(double fraction) {
+    capacityFraction = fraction;
   }
 
   /** A request has come. */
@@ -128,7 +128,7 @@
     if (fraction >= 1) {
       return true;
     }
-    double rate = capacityShare * fraction * rules.overloadMultiple() * safeRate(worker);
+    double rate = capacityFraction * fraction * rules.overloadMultiple() * safeRate(worker);
     return worker.slowStart.allows(
         rate, meanLightCost.mean(), rules.overloadWindow(), cost(request), maxCost(), now);
   }
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -58,15 +58,15 @@
   }
 
   /** Marks all workers as gone; those that the new list names are to be marked again. */
-  void markAllGone() {
+  void markAllRemoved() {
     for (WorkerState worker : workers.values()) {
-      worker.endpoint = worker.endpoint.withState(State.GONE);
+      worker.endpoint = worker.endpoint.withState(State.REMOVED);
     }
   }
 
   /** Drops the workers that are gone. */
-  void removeGone() {
-    workers.values().removeIf(worker -> worker.endpoint.state() == State.GONE);
+  void dropRemoved() {
+    workers.values().removeIf(worker -> worker.endpoint.state() == State.REMOVED);
   }
 
   /** Disables a worker, unless it is disabled. */
--- a/src/main/java/loomreel/faktory/FaktorySubchannel.java
+++ b/src/main/java/loomreel/faktory/FaktorySubchannel.java
@@ -79,7 +79,7 @@
             endpoint.id(),
             endpoint.zone(),
             endpoint.kind(),
-            endpoint.cell(),
+            endpoint.failureDomain(),
             state,
             endpoint.startedAt(),
             endpoint.weight(),
@@ -95,7 +95,7 @@
             ? fetches.enqueue(attempt.rpc().id(), queue, attempt, MAX_WAITING_PER_SLOT * slots())
             : null;
     if (item == null) {
-      attempt.end(AttemptOutcome.FULL, load());
+      attempt.end(AttemptOutcome.REJECTED, load());
       return null;
     }
     EventLoop.Timer writeTimer =
@@ -162,7 +162,7 @@
     CallAttempt attempt = item.value();
     if (!attempt.mayStart()) {
       fetches.complete(item.id());
-      attempt.end(AttemptOutcome.FULL, load());
+      attempt.end(AttemptOutcome.REJECTED, load());
       return null;
     }
     long reservedUntil = loop.now() + context.payloads().reserveFor(attempt.rpc());
@@ -218,7 +218,7 @@
 
   /** Rejects all attempts that wait, as the worker gets nothing new. */
   void withdrawAll() {
-    fetches.withdrawAll().forEach(item -> item.value().end(AttemptOutcome.FULL, load()));
+    fetches.withdrawAll().forEach(item -> item.value().end(AttemptOutcome.REJECTED, load()));
   }
 
   /** Gives the slots of attempts free of which the worker has said nothing in their time. */
--- a/src/main/java/loomreel/faktory/FaktoryWorkerPool.java
+++ b/src/main/java/loomreel/faktory/FaktoryWorkerPool.java
@@ -131,7 +131,7 @@
     FaktorySubchannel removed = subchannels.remove(PREFIX + worker.wid);
     if (removed != null) {
       // Published first: what is withdrawn must not be sent there again.
-      Endpoint gone = removed.endpoint().withState(Endpoint.State.GONE);
+      Endpoint gone = removed.endpoint().withState(Endpoint.State.REMOVED);
       dispatcher.endpointsChanged(this, false, List.of(gone));
       removed.withdrawAll();
     }
--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -90,18 +90,18 @@
     } else {
       idsActiveElsewhere.clear();
     }
-    dispatcher.setCapacityShare(isShared ? HALF : ALL);
+    dispatcher.setCapacityFraction(isShared ? HALF : ALL);
   }
 
   /** Gives all capacity to the successor. */
   void handOver() {
-    dispatcher.setCapacityShare(0);
+    dispatcher.setCapacityFraction(0);
     send(HotRestartMessage.notice(HotRestartMessage.Type.HANDING_OVER, ""));
   }
 
   /** The other process gives all capacity to this one. */
   void takeOver() {
-    dispatcher.setCapacityShare(ALL);
+    dispatcher.setCapacityFraction(ALL);
   }
 
   @Override
--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -73,18 +73,18 @@
 
   private static Settings settings(Installation installation) {
     boolean pollsEndpoints = installation.discovery() != null;
-    return new Settings(
-        installation.dispatchers(),
-        installation.site(),
-        requestClasses(installation.classes()),
-        tenants(installation.tenants()),
-        rules(installation.rules(), pollsEndpoints),
-        limits(installation.limits()),
-        pollsEndpoints,
-        true,
-        loadReporting(installation.network().reports()),
-        installation.network().tellsStart(),
-        TICK_MICROS);
+    return Settings.builder()
+        .dispatchers(installation.dispatchers())
+        .zone(installation.site())
+        .classes(requestClasses(installation.classes()))
+        .tenants(tenants(installation.tenants()))
+        .rules(rules(installation.rules(), pollsEndpoints))
+        .limits(limits(installation.limits()))
+        .pollsEndpoints(pollsEndpoints)
+        .loadReporting(loadReporting(installation.network().reports()))
+        .reportsJobStart(installation.network().tellsStart())
+        .tick(TICK_MICROS)
+        .build();
   }
 
   private static List<Settings.RequestClass> requestClasses(
@@ -105,7 +105,7 @@
         jobClass.worth(),
         jobClass.lateWorth(),
         idempotency(jobClass.repeat()),
-        DeduplicationScope.valueOf(jobClass.group().name()),
+        deduplicationScope(jobClass.group()),
         jobClass.window().micros());
   }
 
@@ -117,6 +117,14 @@
     };
   }
 
+  private static DeduplicationScope deduplicationScope(Installation.Group group) {
+    return switch (group) {
+      case ALL -> DeduplicationScope.ALL;
+      case ZONE -> DeduplicationScope.ZONE;
+      case CELL -> DeduplicationScope.FAILURE_DOMAIN;
+    };
+  }
+
   private static List<Settings.Tenant> tenants(Map<String, Installation.Tenant> tenants) {
     List<Settings.Tenant> translated = new ArrayList<>();
     tenants.forEach(
@@ -148,7 +156,7 @@
     return switch (reports) {
       case NONE -> Settings.LoadReporting.NONE;
       case ANSWERS -> Settings.LoadReporting.WITH_ANSWERS;
-      case PROBES -> Settings.LoadReporting.WITH_PROBES;
+      case PROBES -> Settings.LoadReporting.WITH_HEALTH_CHECKS;
     };
   }
 }
--- a/src/main/java/loomreel/simulator/WireEventReader.java
+++ b/src/main/java/loomreel/simulator/WireEventReader.java
@@ -121,7 +121,7 @@
     return switch (code) {
       case 0 -> AttemptOutcome.OK;
       case 5 -> AttemptOutcome.ERROR; // EIO
-      case 11 -> AttemptOutcome.FULL; // EAGAIN
+      case 11 -> AttemptOutcome.REJECTED; // EAGAIN
       case 104 -> AttemptOutcome.RESET; // ECONNRESET
       case 110 -> AttemptOutcome.TIMEOUT; // ETIMEDOUT
       case 111 -> AttemptOutcome.CONNECT_FAILED; // ECONNREFUSED
@@ -175,7 +175,7 @@
     return switch (health) {
       case "live" -> Endpoint.State.READY;
       case "quiescing" -> Endpoint.State.DRAINING;
-      case "dead" -> Endpoint.State.GONE;
+      case "dead" -> Endpoint.State.REMOVED;
       default -> throw new MalformedBatchException("DefineList: unknown Health " + health);
     };
   }
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -82,7 +82,7 @@
   @Override
   public ActiveCall start(CallAttempt attempt) {
     if (!attempt.mayStart()) {
-      attempt.end(AttemptOutcome.FULL, null);
+      attempt.end(AttemptOutcome.REJECTED, null);
       return null;
     }
     Rpc rpc = attempt.rpc();
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -214,7 +214,7 @@
   }
 
   private void updateSubchannel(Endpoint endpoint, InetSocketAddress address) {
-    if (endpoint.state() == Endpoint.State.GONE) {
+    if (endpoint.state() == Endpoint.State.REMOVED) {
       retire(endpoint.id());
     } else {
       subchannels
@@ -274,7 +274,7 @@
                 id,
                 known.zone(),
                 known.kind(),
-                known.cell(),
+                known.failureDomain(),
                 Endpoint.State.READY,
                 dispatcher.loop().now(),
                 known.weight()));
@@ -286,7 +286,7 @@
       long now = dispatcher.loop().now();
       if (detector.recordFailure(now) == OutlierDetector.Change.EJECTED) {
         log.warn("worker ejected, it cannot be reached worker=" + id);
-        publish(subchannels.get(id).endpoint().withState(Endpoint.State.GONE));
+        publish(subchannels.get(id).endpoint().withState(Endpoint.State.REMOVED));
       }
     }
 
--- a/src/main/java/loomreel/upstream/JobCall.java
+++ b/src/main/java/loomreel/upstream/JobCall.java
@@ -91,7 +91,7 @@
       subchannel.logUnexpectedStatus(status);
     }
     attempt.end(
-        isRejected ? AttemptOutcome.FULL : AttemptOutcome.ERROR,
+        isRejected ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR,
         LoadReport.parse(message.header("x-load-report")).orElse(null));
   }
 
--- a/src/main/java/loomreel/upstream/LoadReport.java
+++ b/src/main/java/loomreel/upstream/LoadReport.java
@@ -46,9 +46,9 @@
             number(fields, "util", "load_share"),
             number(fields, "x0", "x0"));
     boolean isEmpty =
-        Double.isNaN(load.waiting())
-            && Double.isNaN(load.held())
-            && Double.isNaN(load.busy())
+        Double.isNaN(load.queuedJobs())
+            && Double.isNaN(load.activeJobs())
+            && Double.isNaN(load.utilization())
             && Double.isNaN(load.freeSlots());
     return isEmpty ? Optional.empty() : Optional.of(load);
   }
--- a/src/test/java/loomreel/core/ExternalNamesTest.java
+++ b/src/test/java/loomreel/core/ExternalNamesTest.java
@@ -5,6 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 import loomreel.decision.AttemptOutcome;
+import loomreel.decision.Endpoint;
 import loomreel.decision.RejectionReason;
 import org.junit.jupiter.api.Test;
 
@@ -17,6 +18,13 @@
         Arrays.stream(AttemptOutcome.values()).map(ExternalNames::of).toList());
   }
 
+  @Test
+  void endpointStatesKeepTheirNamesInTraceLines() {
+    assertEquals(
+        List.of("READY", "DRAINING", "GONE"),
+        Arrays.stream(Endpoint.State.values()).map(ExternalNames::of).toList());
+  }
+
   @Test
   void reasonsKeepTheirNamesInTraceLines() {
     assertEquals(
--- a/src/test/java/loomreel/decision/Fixture.java
+++ b/src/test/java/loomreel/decision/Fixture.java
@@ -42,7 +42,7 @@
               5,
               0,
               Idempotency.KEYED,
-              DeduplicationScope.CELL,
+              DeduplicationScope.FAILURE_DOMAIN,
               3 * SECOND),
           new RequestClass(
               "issue",
@@ -88,18 +88,17 @@
 
   static Settings settings(
       int nodes, boolean secondCopies, boolean probing, LoadReporting reporting, boolean ask) {
-    return new Settings(
-        nodes,
-        "north",
-        CLASSES,
-        List.of(),
-        RULES,
-        new Limits(4, secondCopies, true, probing, true, SECOND),
-        ask,
-        true,
-        reporting,
-        true,
-        2000);
+    return Settings.builder()
+        .rules(RULES)
+        .limits(new Limits(4, secondCopies, true, probing, true, SECOND))
+        .dispatchers(nodes)
+        .zone("north")
+        .classes(CLASSES)
+        .pollsEndpoints(ask)
+        .loadReporting(reporting)
+        .reportsJobStart(true)
+        .tick(2000)
+        .build();
   }
 
   /**
--- a/src/test/java/loomreel/decision/Fleet.java
+++ b/src/test/java/loomreel/decision/Fleet.java
@@ -229,7 +229,7 @@
           node,
           send,
           number,
-          m.dead ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.FULL,
+          m.dead ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.REJECTED,
           now + (m.dead ? CONNECT_WITHIN : 1000));
       return;
     }
--- a/src/test/java/loomreel/decision/FleetTest.java
+++ b/src/test/java/loomreel/decision/FleetTest.java
@@ -39,18 +39,16 @@
                       c.deduplicationWindow()))
           .toList();
   private static final Settings SETTINGS =
-      new Settings(
-          NODES,
-          "north",
-          CLASSES,
-          List.of(),
-          new Rules(3 * SECOND, 10 * SECOND, 0.2, 20 * SECOND, 2.5, 3 * SECOND),
-          new Limits(4, true, true, true, true, SECOND),
-          true,
-          true,
-          LoadReporting.WITH_PROBES,
-          false,
-          4000);
+      Settings.builder()
+          .rules(new Rules(3 * SECOND, 10 * SECOND, 0.2, 20 * SECOND, 2.5, 3 * SECOND))
+          .limits(new Limits(4, true, true, true, true, SECOND))
+          .dispatchers(NODES)
+          .zone("north")
+          .classes(CLASSES)
+          .pollsEndpoints(true)
+          .loadReporting(LoadReporting.WITH_HEALTH_CHECKS)
+          .tick(4000)
+          .build();
 
   private static Machine machine(Fleet fleet, int number, long startedAt) {
     Machine m = new Machine(Fixture.worker(number, State.READY, startedAt), 4, 1);
@@ -157,7 +155,7 @@
       fleet.run(fleet.now + 5 * SECOND);
       zone.forEach(m -> m.dead = true);
       fleet.run(fleet.now + 3 * SECOND / 2);
-      List<Endpoint> gone = zone.stream().map(m -> m.entry.withState(State.GONE)).toList();
+      List<Endpoint> gone = zone.stream().map(m -> m.entry.withState(State.REMOVED)).toList();
       fleet.every(node -> fleet.tell(node, new EndpointUpdate(gone)));
       fleet.run(fleet.now + 4 * SECOND);
       long back = fleet.now;
@@ -188,22 +186,8 @@
   @Test
   void aTenantWithinItsShareIsServedWhereItsTrafficIsUneven() {
     for (long seed = 1; seed <= 3; seed++) {
-      Settings s = SETTINGS;
-      Fleet fleet =
-          new Fleet(
-              new Settings(
-                  NODES,
-                  s.zone(),
-                  s.classes(),
-                  List.of(new Tenant("t", 300)),
-                  s.rules(),
-                  s.limits(),
-                  true,
-                  true,
-                  s.loadReporting(),
-                  false,
-                  s.tick()),
-              seed);
+      Settings settings = SETTINGS.toBuilder().tenants(List.of(new Tenant("t", 300))).build();
+      Fleet fleet = new Fleet(settings, seed);
       List<Machine> all = machines(fleet, 0, 20, 0);
       fleet.start(NODES, entries(all));
       double part = 240.0 / (NODES - 2 + 2 * 4);
--- a/src/test/java/loomreel/decision/LegalityTest.java
+++ b/src/test/java/loomreel/decision/LegalityTest.java
@@ -283,7 +283,7 @@
   @CsvSource({
     "1,true,true,WITH_ANSWERS,false",
     "2,false,false,WITH_ANSWERS,false",
-    "3,true,true,WITH_PROBES,true",
+    "3,true,true,WITH_HEALTH_CHECKS,true",
     "4,true,false,NONE,false",
     "5,false,true,WITH_ANSWERS,true",
     "6,true,true,WITH_ANSWERS,false"
@@ -311,7 +311,7 @@
         int worker = random.nextInt(16);
         State state =
             random.nextInt(3) == 0
-                ? List.of(State.READY, State.DRAINING, State.GONE).get(random.nextInt(3))
+                ? List.of(State.READY, State.DRAINING, State.REMOVED).get(random.nextInt(3))
                 : State.READY;
         boolean restarts = state == State.READY;
         Endpoint entry = Fixture.worker(worker, state, restarts ? now : 0);
--- a/src/test/java/loomreel/decision/OrdinaryPathTest.java
+++ b/src/test/java/loomreel/decision/OrdinaryPathTest.java
@@ -85,7 +85,8 @@
   void aJobWithoutAKeyGoesToTheLeastLoadedOfThoseAsked() {
     for (int seed = 0; seed < 20; seed++) {
       Fixture f =
-          new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_PROBES, false), seed);
+          new Fixture(
+              Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), seed);
       f.on(new EndpointSnapshot(Fixture.workers(20)));
       List<CheckHealth> probes = Fixture.of(CheckHealth.class, f.arrive("a", null, Fixture.READ));
       List<Action> last = List.of();
@@ -261,7 +262,8 @@
 
   @Test
   void aResetProbeIsNoSilence() {
-    Fixture f = new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_PROBES, false), 3);
+    Fixture f =
+        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
     f.on(new EndpointSnapshot(Fixture.workers(20)));
     List<CheckHealth> probes = Fixture.of(CheckHealth.class, f.arrive("a", "key", Fixture.READ));
     List<Action> then = new ArrayList<>();
@@ -323,7 +325,8 @@
 
   @Test
   void whereANodeMayProbeItAsksTheCandidatesFirst() {
-    Fixture f = new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_PROBES, false), 3);
+    Fixture f =
+        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
     f.on(new EndpointSnapshot(Fixture.workers(20)));
     List<Action> asked = f.arrive("a", "key", Fixture.READ);
     assertTrue(sends(asked).isEmpty());
@@ -344,7 +347,8 @@
 
   @Test
   void probesThatDoNotComeBackDoNotHoldTheJob() {
-    Fixture f = new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_PROBES, false), 3);
+    Fixture f =
+        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
     f.on(new EndpointSnapshot(Fixture.workers(20)));
     List<Action> asked = f.arrive("a", "key", Fixture.READ);
     assertFalse(Fixture.of(CheckHealth.class, asked).isEmpty());
@@ -375,7 +379,8 @@
    */
   @Test
   void aRushInTheFirstReportIsSoonForgotten() {
-    Fixture f = new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_PROBES, false), 7);
+    Fixture f =
+        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
     f.on(new EndpointSnapshot(Fixture.workers(1)));
     f.on(new HealthChecked("w00", AttemptOutcome.OK, 1000, Fixture.report(30, 34, 0)));
     for (int i = 0; i < 5; i++) {
@@ -413,7 +418,7 @@
   void theFallbackIsAskedBeforeItIsUsed() {
     for (int i = 0; i < 30; i++) {
       Fixture f =
-          new Fixture(Fixture.settings(60, true, true, LoadReporting.WITH_PROBES, false), i);
+          new Fixture(Fixture.settings(60, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), i);
       f.on(new EndpointSnapshot(Fixture.workers(20)));
       List<Action> next = new ArrayList<>();
       Set<String> pair = new HashSet<>();
@@ -441,7 +446,8 @@
    */
   @Test
   void aHotKeysJobGoesWhereItAsked() {
-    Fixture f = new Fixture(Fixture.settings(60, true, true, LoadReporting.WITH_PROBES, false), 3);
+    Fixture f =
+        new Fixture(Fixture.settings(60, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
     f.on(new EndpointSnapshot(Fixture.workers(20)));
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 40; i++) {
--- a/src/test/java/loomreel/decision/RulesTest.java
+++ b/src/test/java/loomreel/decision/RulesTest.java
@@ -157,21 +157,7 @@
   @Test
   void aTryThatComesTooLateTakesNoTokenOfItsTenant() {
     Settings s = Fixture.settings(1, true, false, LoadReporting.WITH_ANSWERS, false);
-    Fixture f =
-        new Fixture(
-            new Settings(
-                1,
-                s.zone(),
-                s.classes(),
-                List.of(new Tenant("t", 1)),
-                s.rules(),
-                s.limits(),
-                false,
-                true,
-                s.loadReporting(),
-                true,
-                s.tick()),
-            7);
+    Fixture f = new Fixture(s.toBuilder().tenants(List.of(new Tenant("t", 1))).build(), 7);
     for (int i = 0; i < 50; i++) {
       f.on(new RequestArrived("late" + i, "key", 1, Fixture.READ, 0, f.now + SECOND, true, SECOND));
     }
@@ -188,14 +174,14 @@
     List<Action> actions = f.arrive("a", "key", Fixture.READ);
     List<Action> left = f.on(new RequestCancelled("a"));
     assertEquals(1, Fixture.of(CancelAttempt.class, left).size());
-    List<Action> then = f.ended("a", 0, sends(actions).get(0).workerId(), AttemptOutcome.FULL);
+    List<Action> then = f.ended("a", 0, sends(actions).get(0).workerId(), AttemptOutcome.REJECTED);
     assertTrue(then.isEmpty());
     assertTrue(f.runTimers(actions, f.now + 20 * SECOND).isEmpty());
   }
 
   @Test
   void whatDrainsOrIsGoneGetsNothingFromTheNewsOn() {
-    for (State state : new State[] {State.DRAINING, State.GONE}) {
+    for (State state : new State[] {State.DRAINING, State.REMOVED}) {
       Fixture f = fixture();
       StartAttempt before = sends(f.arrive("a", "key", Fixture.READ)).get(0);
       int number = Integer.parseInt(before.workerId().substring(1));
@@ -286,7 +272,8 @@
    */
   @Test
   void aFleetThatIsAllColdGetsWhatItsSlotsAreGoodFor() {
-    Fixture f = new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_PROBES, false), 7);
+    Fixture f =
+        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
     f.on(
         new EndpointSnapshot(
             List.of(Fixture.worker(0, State.READY, f.now), Fixture.worker(1, State.READY, f.now))));
@@ -322,7 +309,8 @@
    */
   @Test
   void aWorkerThatIsDownGetsNothingUntilItIsUpAndThenIsCold() {
-    Fixture f = new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_PROBES, false), 7);
+    Fixture f =
+        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
     f.on(new EndpointSnapshot(Fixture.workers(2)));
     f.on(new WorkerDisabled("w00"));
     assertEquals(1, f.brain.ejectedWorkers(f.now));
@@ -333,7 +321,7 @@
       f.on(new HealthChecked("w01", AttemptOutcome.OK, 1000, Fixture.report(0, 0, 4)));
       List<Action> then = new ArrayList<>(f.arrive("r" + i, null, Fixture.READ));
       elsewhere += sends(then).size();
-      then.addAll(f.ended("r" + i, 0, "w01", AttemptOutcome.FULL));
+      then.addAll(f.ended("r" + i, 0, "w01", AttemptOutcome.REJECTED));
       assertTrue(sends(then).stream().noneMatch(s -> s.workerId().equals("w00")));
       assertTrue(
           Fixture.of(CheckHealth.class, then).stream().noneMatch(p -> p.workerId().equals("w00")));
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -193,18 +193,14 @@
     policy.on(
         new Event.Start(
             seed,
-            new Settings(
-                20,
-                "z",
-                List.of(),
-                List.of(),
-                rules,
-                new Settings.Limits(4, true, true, false, false, 0),
-                true,
-                true,
-                Settings.LoadReporting.NONE,
-                false,
-                4000)),
+            Settings.builder()
+                .rules(rules)
+                .limits(new Settings.Limits(4, true, true, false, false, 0))
+                .dispatchers(20)
+                .zone("z")
+                .pollsEndpoints(true)
+                .tick(4000)
+                .build()),
         0,
         actions);
     long calledAt = 0;
--- a/src/test/java/loomreel/simulator/WireEventReaderTest.java
+++ b/src/test/java/loomreel/simulator/WireEventReaderTest.java
@@ -43,7 +43,7 @@
   @CsvSource({
     "0, OK",
     "5, ERROR",
-    "11, FULL",
+    "11, REJECTED",
     "104, RESET",
     "110, TIMEOUT",
     "111, CONNECT_FAILED",
