--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -83,7 +83,6 @@
   /**
    * One class of requests.
    *
-   * @param workerKind the kind of worker that runs it, or null if any does
    * @param workerKind the kind of worker that it needs, or null if any will do
    * @param latencyObjectivePerWork how much the objective grows for each microsecond of the job's
    *     own work
