--- a/deploy/loomreel.cue
+++ b/deploy/loomreel.cue
@@ -1,4 +1,4 @@
-// An installation by itself: `loomreel daemon deploy/loomreel.cue`. All that may stand here: `loomreel schema`.
+// Example of an installation: `loomreel daemon deploy/loomreel.cue`. `loomreel schema` prints every field.
 name: "example"
 site: "here"
 
@@ -7,7 +7,7 @@
 	operators: "127.0.0.1:8001"
 }
 
-// A page may be rendered again; an entry must never be recorded twice.
+// Rendering a page is idempotent; an entry must never be recorded twice.
 classes: {
 	render: {repeat: "free", target: "1s", stretch: 2, deadline: "10s", worth: 1}
 	record: {repeat: "single_shot", target: "500ms", stretch: 2, deadline: "8s", worth: 3}
@@ -15,7 +15,7 @@
 
 tenants: "office": allowance: 50
 
-// HTTP copy workers; those that speak Faktory come by themselves.
+// HTTP workers; Faktory workers register themselves.
 workers: {
 	"w-1": {address: "127.0.0.1:8101", site: "here"}
 	"w-2": {address: "127.0.0.1:8102", site: "here"}
