--- a/src/main/java/loomreel/faktory/AdminCommands.java
+++ b/src/main/java/loomreel/faktory/AdminCommands.java
@@ -8,7 +8,7 @@
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.protocol.Reply;
 import loomreel.faktory.queue.Job;
-import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.JobAdministration;
 import loomreel.faktory.scheduling.JobClasses;
 import loomreel.faktory.scheduling.JobScheduler;
 import loomreel.io.EventLoop;
@@ -16,7 +16,7 @@
 /** The commands of operators and dashboards: INFO, FLUSH and MUTATE. */
 final class AdminCommands {
   private final EventLoop loop;
-  private final JobQueue queue;
+  private final JobAdministration jobs;
   private final JobClasses classes;
   private final JobScheduler scheduler;
   private final IngressReport report;
@@ -29,13 +29,13 @@
    */
   AdminCommands(
       EventLoop loop,
-      JobQueue queue,
+      JobAdministration jobs,
       JobClasses classes,
       JobScheduler scheduler,
       IngressReport report,
       boolean mayMutate) {
     this.loop = loop;
-    this.queue = queue;
+    this.jobs = jobs;
     this.classes = classes;
     this.scheduler = scheduler;
     this.report = report;
@@ -52,7 +52,7 @@
     if (!mayMutate) {
       return Reply.error("FLUSH is not permitted");
     }
-    queue.flush(loop.now());
+    jobs.flush(loop.now());
     return Reply.OK;
   }
 
@@ -66,7 +66,7 @@
       return Reply.error("MUTATE is not permitted");
     }
     JsonNode command = Json.read(arguments);
-    Optional<JobQueue.Target> target = target(command.path("target").asText());
+    Optional<JobAdministration.Target> target = target(command.path("target").asText());
     if (target.isEmpty()) {
       return Reply.error("target is scheduled, retries or dead");
     }
@@ -77,11 +77,11 @@
     return mutate(command.path("cmd").asText(), target.get(), predicate(filter));
   }
 
-  private static Optional<JobQueue.Target> target(String name) {
+  private static Optional<JobAdministration.Target> target(String name) {
     return switch (name) {
-      case "scheduled" -> Optional.of(JobQueue.Target.SCHEDULED);
-      case "retries" -> Optional.of(JobQueue.Target.RETRIES);
-      case "dead" -> Optional.of(JobQueue.Target.DEAD);
+      case "scheduled" -> Optional.of(JobAdministration.Target.SCHEDULED);
+      case "retries" -> Optional.of(JobAdministration.Target.RETRIES);
+      case "dead" -> Optional.of(JobAdministration.Target.DEAD);
       default -> Optional.empty();
     };
   }
@@ -92,16 +92,16 @@
     filter.path("jids").forEach(jid -> jids.add(jid.asText()));
     String type = filter.path("jobtype").asText("");
     return job ->
-        (jids.isEmpty() || jids.contains(job.spec.jid()))
-            && (type.isEmpty() || type.equals(job.spec.type()));
+        (jids.isEmpty() || jids.contains(job.spec().jid()))
+            && (type.isEmpty() || type.equals(job.spec().type()));
   }
 
-  private Reply mutate(String operation, JobQueue.Target target, Predicate<Job> filter) {
+  private Reply mutate(String operation, JobAdministration.Target target, Predicate<Job> filter) {
     long now = loop.now();
     switch (operation) {
-      case "clear" -> queue.select(target, job -> true).forEach(job -> queue.discard(job, now));
-      case "discard" -> queue.select(target, filter).forEach(job -> queue.discard(job, now));
-      case "kill" -> queue.select(target, filter).forEach(job -> queue.kill(job, now));
+      case "clear" -> jobs.select(target, job -> true).forEach(job -> jobs.discard(job, now));
+      case "discard" -> jobs.select(target, filter).forEach(job -> jobs.discard(job, now));
+      case "kill" -> jobs.select(target, filter).forEach(job -> jobs.kill(job, now));
       case "requeue" -> {
         return requeue(target, filter);
       }
@@ -112,11 +112,11 @@
     return Reply.OK;
   }
 
-  private Reply requeue(JobQueue.Target target, Predicate<Job> filter) {
+  private Reply requeue(JobAdministration.Target target, Predicate<Job> filter) {
     int remaining = 0;
-    for (Job job : queue.select(target, filter)) {
+    for (Job job : jobs.select(target, filter)) {
       boolean isRequeued =
-          queue.requeue(job, classes.mayRepeat(job.spec.requestClass()), loop.now());
+          jobs.requeue(job, classes.isIdempotent(job.spec().requestClass()), loop.now());
       remaining += isRequeued ? 0 : 1;
     }
     scheduler.wakeUp();
--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -11,8 +11,11 @@
 import loomreel.decision.Settings;
 import loomreel.faktory.payload.PayloadValidator;
 import loomreel.faktory.protocol.PasswordChallenges;
-import loomreel.faktory.queue.Admission;
+import loomreel.faktory.queue.ConcurrencyLimiter;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.QueueLimits;
+import loomreel.faktory.queue.QueueWeights;
+import loomreel.faktory.queue.WeightedRoundRobin;
 import loomreel.faktory.scheduling.AttemptOutcomes;
 import loomreel.faktory.scheduling.JobClasses;
 import loomreel.faktory.scheduling.JobScheduler;
@@ -26,18 +29,15 @@
 
 /**
  * The Faktory protocol's side of the dispatcher, composed of its parts. A client's job waits in the
- * {@link JobQueue} until it is due and {@link Admission} admits it; the {@link JobScheduler} makes
- * each attempt an RPC, for which the decision module decides as for any other.
+ * {@link JobQueue} until it is due and the {@link ConcurrencyLimiter} admits it; the {@link
+ * JobScheduler} makes each attempt an RPC, for which the decision module decides as for any other.
  */
 public final class FaktoryIngress implements Ingress {
-  private static final String ANY_QUEUE = "*";
-  private static final int DEFAULT_WEIGHT = 1;
-
   private final EventLoop loop;
   private final FaktorySettings settings;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.faktory.ingress");
   private final JobQueue queue;
-  private final Admission admission;
+  private final ConcurrencyLimiter limiter;
   private final FaktoryWorkerPool workers;
   private final JobPersistence persistence;
   private final JobScheduler scheduler;
@@ -62,7 +62,8 @@
     JobClasses classes = new JobClasses(model.classes(), settings);
     PayloadValidator payloads = payloadValidator(settings, model);
     queue = new JobQueue(queueLimits(settings), random);
-    admission = admission(settings);
+    QueueWeights weights = queueWeights(settings);
+    limiter = new ConcurrencyLimiter(weights);
     RecentAttempts recentAttempts = new RecentAttempts(loop, queue, log);
     workers =
         new FaktoryWorkerPool(
@@ -77,11 +78,12 @@
         new JobScheduler(
             dispatcher,
             queue,
-            admission,
+            new WeightedRoundRobin(weights),
+            limiter,
             persistence,
             classes,
             recentAttempts,
-            new AttemptOutcomes(loop, queue, admission, classes, log),
+            new AttemptOutcomes(loop, queue, limiter, classes, log),
             random);
     challenges = new PasswordChallenges(loop, settings.password(), settings.iterations());
     listener =
@@ -100,8 +102,8 @@
     return new PayloadValidator(settings, classes, tenants);
   }
 
-  private static JobQueue.Limits queueLimits(FaktorySettings settings) {
-    return new JobQueue.Limits(
+  private static QueueLimits queueLimits(FaktorySettings settings) {
+    return new QueueLimits(
         settings.backlog().jobs(),
         settings.backlog().bytes().bytes(),
         settings.backoff().micros(),
@@ -109,10 +111,10 @@
         settings.rememberMost());
   }
 
-  private static Admission admission(FaktorySettings settings) {
+  private static QueueWeights queueWeights(FaktorySettings settings) {
     Map<String, Integer> weights = new HashMap<>();
     settings.queues().forEach((name, queue) -> weights.put(name, queue.weight()));
-    return new Admission(weights, weights.getOrDefault(ANY_QUEUE, DEFAULT_WEIGHT));
+    return new QueueWeights(weights);
   }
 
   private JobPersistence openPersistence(JobClasses classes, PayloadValidator payloads)
@@ -133,7 +135,8 @@
         new ProducerCommands(loop, intake),
         new ConsumerCommands(workers, settings.workers(), scheduler, persistence),
         new TrackCommands(attempts, workers),
-        new AdminCommands(loop, queue, classes, scheduler, report, settings.mayMutate()),
+        new AdminCommands(
+            loop, queue.administration(), classes, scheduler, report, settings.mayMutate()),
         report,
         log);
   }
@@ -157,7 +160,7 @@
    * @param openRpcs of all clients; the settings say which share of them may be Faktory jobs
    */
   public void setCapacity(int openRpcs) {
-    admission.setCapacity((int) (openRpcs * settings.share()));
+    limiter.setCapacity((int) (openRpcs * settings.share()));
   }
 
   @Override
--- a/src/main/java/loomreel/faktory/JobIntake.java
+++ b/src/main/java/loomreel/faktory/JobIntake.java
@@ -7,6 +7,7 @@
 import loomreel.faktory.protocol.Reply;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.PushRejection;
 import loomreel.faktory.scheduling.JobScheduler;
 import loomreel.faktory.storage.JobPersistence;
 import loomreel.io.EventLoop;
@@ -36,7 +37,7 @@
     this.log = log;
   }
 
-  /** Queues a job, or says why not. */
+  /** Checks and queues a job. */
   PushResult push(JsonNode job) {
     if (scheduler.isDraining()) {
       return rejected("this server is leaving");
@@ -64,9 +65,9 @@
 
   private PushResult enqueue(Job.Spec spec, byte[] payload) {
     boolean isSynced = persistence.isSynced(spec.requestClass());
-    String rejection = queue.push(spec, payload, loop.now());
-    if (rejection != null) {
-      return new PushResult.Rejected(new Reply.ErrorReply(rejection), isSynced);
+    Optional<PushRejection> rejection = queue.push(spec, payload, loop.now());
+    if (rejection.isPresent()) {
+      return new PushResult.Rejected(PushErrors.of(rejection.get(), queue.limits()), isSynced);
     }
     scheduler.wakeUpAt(Math.max(spec.at(), loop.now()));
     if (spec.deadline() < Long.MAX_VALUE) {
--- a/src/main/java/loomreel/faktory/TrackCommands.java
+++ b/src/main/java/loomreel/faktory/TrackCommands.java
@@ -47,8 +47,9 @@
     if (job.isEmpty()) {
       return ConsumerCommands.jobNotFound(id);
     }
-    job.get().percent = progress.path("percent").asText("");
-    job.get().description = Reply.truncate(progress.path("desc").asText(""));
+    job.get()
+        .setProgress(
+            progress.path("percent").asText(""), Reply.truncate(progress.path("desc").asText("")));
     return Reply.OK;
   }
 
@@ -61,22 +62,22 @@
 
   private static void describe(Job job, ObjectNode status) {
     status
-        .put("state", stateName(job.state))
-        .put("percent", job.percent)
-        .put("desc", job.description)
-        .put("failures", job.failures)
-        .put("updated_at", Instant.ofEpochMilli(job.updatedAt / 1000).toString());
-    if (!job.reason.isEmpty()) {
-      status.put("reason", job.reason);
+        .put("state", stateName(job.state()))
+        .put("percent", job.percent())
+        .put("desc", job.description())
+        .put("failures", job.failures())
+        .put("updated_at", Instant.ofEpochMilli(job.updatedAt() / 1000).toString());
+    if (!job.reason().isEmpty()) {
+      status.put("reason", job.reason());
     }
-    if (job.state == Job.State.DEAD) {
-      status.put("may_have_run", job.mayHaveRun);
+    if (job.state() == Job.State.DEAD) {
+      status.put("may_have_run", job.mayHaveRun());
     }
-    if (!job.evidence.isEmpty()) {
-      status.put("evidence", job.evidence);
+    if (!job.evidence().isEmpty()) {
+      status.put("evidence", job.evidence());
     }
-    if (job.result != null) {
-      status.put("result", new String(job.result, StandardCharsets.UTF_8));
+    if (job.result() != null) {
+      status.put("result", new String(job.result(), StandardCharsets.UTF_8));
     }
   }
 
--- a/src/main/java/loomreel/faktory/queue/CongestionWindow.java
+++ b/src/main/java/loomreel/faktory/queue/CongestionWindow.java
@@ -1,9 +1,9 @@
 package loomreel.faktory.queue;
 
 /**
- * How many tries of one queue may be open, and whether new ones have to pause: as in TCP, the
- * window grows by one for as many served tries as it holds, and shrinks by a factor when tries are
- * rejected. Reads no clock; times are microseconds.
+ * How many attempts of one queue may be in flight, and whether new ones have to pause: as in TCP,
+ * the window grows by one for as many served attempts as it holds, and shrinks by a factor when
+ * attempts are rejected. Reads no clock; times are microseconds.
  */
 final class CongestionWindow {
   private static final int INITIAL_SIZE = 16;
@@ -20,18 +20,18 @@
   private double size = INITIAL_SIZE;
   private long shrunkAt = NEVER;
 
-  /** Length of the last pause; 0 if a try has been served since. */
+  /** Length of the last pause; 0 if an attempt has been served since. */
   private long pauseMicros;
 
   private long pausedUntil;
 
-  /** Grows after a try was served, up to a limit, and forgets earlier pauses. */
+  /** Grows after an attempt was served, up to a limit, and resets the length of pauses. */
   void onServed(int maxSize) {
     pauseMicros = 0;
     size = Math.min(maxSize, size + 1 / size);
   }
 
-  /** Shrinks and pauses after a try was rejected; each pause is twice as long as the last. */
+  /** Shrinks and pauses after an attempt was rejected; each pause is twice as long as the last. */
   void onRejected(long now) {
     if (!isPaused(now)) {
       pauseMicros = Math.min(MAX_PAUSE_MICROS, Math.max(FIRST_PAUSE_MICROS, 2 * pauseMicros));
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Whether no try may start now. */
+  /** Whether no attempt may start now. */
   boolean isPaused(long now) {
     return pausedUntil > now;
   }
@@ -53,7 +53,7 @@
     return pausedUntil;
   }
 
-  /** How many tries may be open; only its whole part counts. */
+  /** How many attempts may be in flight; only the integer part counts. */
   double size() {
     return size;
   }
--- a/src/main/java/loomreel/faktory/queue/EndedJobs.java
+++ b/src/main/java/loomreel/faktory/queue/EndedJobs.java
@@ -8,15 +8,15 @@
 import loomreel.faktory.queue.Job.State;
 
 /**
- * Jobs that have ended: all of them for a while, so that their jids are not taken again, and the
- * dead ones with their payloads, for people to inspect and requeue. Owned by {@link JobQueue}.
+ * Jobs that have ended: all of them for a while, so that their jids are not accepted again, and the
+ * dead ones with their payloads, for operators to inspect and requeue. Owned by {@link JobQueue}.
  */
 final class EndedJobs {
   /**
    * Bounds of what is retained.
    *
    * @param retentionMicros how long an ended job is known
-   * @param maxRetained how many ended jobs are known, and how many dead ones are kept
+   * @param maxRetained how many ended jobs are known, and how many dead ones are retained
    * @param maxDeadBytes payload bytes of the dead jobs
    */
   record Limits(long retentionMicros, int maxRetained, long maxDeadBytes) {}
@@ -27,7 +27,7 @@
   /** By jid, in the order in which they ended. */
   private final LinkedHashMap<String, Job> history = new LinkedHashMap<>();
 
-  /** Jobs that are kept with their payload, by jid, in the order in which they ended. */
+  /** Jobs that are retained with their payload, by jid, in the order in which they ended. */
   private final LinkedHashMap<String, Job> dead = new LinkedHashMap<>();
 
   private long deadBytes;
@@ -42,9 +42,9 @@
     this.deadJobDropped = deadJobDropped;
   }
 
-  /** Adds a job that has just ended; unless it is kept as dead, its payload is dropped. */
+  /** Adds a job that has just ended; unless it is retained as dead, its payload is dropped. */
   void add(Job job, long now) {
-    if (isKeptAsDead(job)) {
+    if (isRetainedAsDead(job)) {
       dead.put(job.spec.jid(), job);
       deadBytes += job.payloadBytes();
       while (dead.size() > limits.maxRetained() || deadBytes > limits.maxDeadBytes()) {
@@ -54,11 +54,11 @@
       job.payload = null;
     }
     history.put(job.spec.jid(), job);
-    forgetOld(now);
+    removeOutdated(now);
   }
 
-  /** A job that asks for no retries is not kept, as in Faktory, unless it may have run. */
-  private static boolean isKeptAsDead(Job job) {
+  /** As in Faktory, a job without retries is not retained, unless it may have run. */
+  private static boolean isRetainedAsDead(Job job) {
     return job.state == State.DEAD && (job.spec.retry() != 0 || job.mayHaveRun);
   }
 
@@ -72,8 +72,8 @@
     return now - endedAtMicros < limits.retentionMicros();
   }
 
-  /** Forgets what is beyond the limits; dead jobs are kept on. */
-  void forgetOld(long now) {
+  /** Removes jobs from the history that are beyond its limits; dead jobs stay in theirs. */
+  void removeOutdated(long now) {
     while (!history.isEmpty()) {
       Job oldest = history.values().iterator().next();
       if (history.size() <= limits.maxRetained() && isRetained(oldest.updatedAt, now)) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Drops a dead job if it is kept; its jid stays known for a while. */
+  /** Drops a dead job if it is retained; its jid stays known for a while. */
   void discard(Job job) {
     if (dead.containsKey(job.spec.jid())) {
       dropDead(job);
@@ -115,12 +115,12 @@
     return job == null ? dead.get(jid) : job;
   }
 
-  /** The jobs that are kept as dead, in the order in which they ended. */
+  /** The dead jobs that are retained, in the order in which they ended. */
   Collection<Job> dead() {
     return Collections.unmodifiableCollection(dead.values());
   }
 
-  /** How many jobs are kept as dead. */
+  /** How many dead jobs are retained. */
   int deadCount() {
     return dead.size();
   }
--- a/src/main/java/loomreel/faktory/queue/Job.java
+++ b/src/main/java/loomreel/faktory/queue/Job.java
@@ -3,32 +3,30 @@
 /**
  * A job that a Faktory client has pushed.
  *
- * <p>The fields that change belong to {@link JobQueue}, which alone moves a job from state to
- * state; {@link #logSegment}, {@link #logRecordBytes} and {@link #handedOut} belong to {@link
- * DurableJobStore}. Times are microseconds of Unix time.
+ * <p>{@link JobQueue} alone moves a job from state to state. The accessors of the log record and of
+ * {@link #isHandedOut} are for the storage. Times are microseconds of Unix time.
  */
 public final class Job {
   /**
-   * Where a job stands. The names stand in the records of {@link DurableJobStore} and must not
-   * change.
+   * Where a job stands. The names stand in stored records and must not change.
    *
    * <table>
    *   <caption>Transitions</caption>
    *   <tr><th>from</th><th>to</th><th>when</th></tr>
    *   <tr><td>SCHEDULED, RETRY</td><td>ENQUEUED</td><td>it is due, or requeued</td></tr>
-   *   <tr><td>ENQUEUED</td><td>ACTIVE</td><td>a try of it starts</td></tr>
-   *   <tr><td>ACTIVE</td><td>DONE</td><td>the try was served</td></tr>
-   *   <tr><td>ACTIVE</td><td>RETRY</td><td>the try was rejected, or failed and may be retried</td></tr>
-   *   <tr><td>ACTIVE</td><td>ENQUEUED</td><td>the try was withdrawn before it ran</td></tr>
-   *   <tr><td>ACTIVE</td><td>DEAD</td><td>the try failed, and no further one is allowed</td></tr>
-   *   <tr><td>ACTIVE</td><td>EXPIRED</td><td>its deadline comes before the next try</td></tr>
+   *   <tr><td>ENQUEUED</td><td>ACTIVE</td><td>an attempt starts</td></tr>
+   *   <tr><td>ACTIVE</td><td>DONE</td><td>the attempt was served</td></tr>
+   *   <tr><td>ACTIVE</td><td>RETRY</td><td>the attempt was rejected, or failed and may be retried</td></tr>
+   *   <tr><td>ACTIVE</td><td>ENQUEUED</td><td>the attempt was withdrawn before it ran</td></tr>
+   *   <tr><td>ACTIVE</td><td>DEAD</td><td>the attempt failed, and no further one is allowed</td></tr>
+   *   <tr><td>ACTIVE</td><td>EXPIRED</td><td>its deadline is before the next attempt</td></tr>
    *   <tr><td>SCHEDULED, RETRY, ENQUEUED</td><td>EXPIRED</td><td>its deadline has passed</td></tr>
    *   <tr><td>SCHEDULED, RETRY, ENQUEUED</td><td>CANCELLED</td><td>discarded or flushed</td></tr>
    *   <tr><td>SCHEDULED, RETRY, ENQUEUED</td><td>DEAD</td><td>killed</td></tr>
    *   <tr><td>DEAD</td><td>ENQUEUED</td><td>requeued</td></tr>
    * </table>
    *
-   * A try that is under way is never interrupted: nothing but its own end moves an ACTIVE job.
+   * An attempt in flight is never interrupted: only its own end moves an ACTIVE job.
    */
   public enum State {
     SCHEDULED,
@@ -51,8 +49,8 @@
     /** Whether a job may go from this state to another, by the table above. */
     boolean canBecome(State next) {
       return switch (this) {
-        case SCHEDULED, RETRY -> next == ENQUEUED || isEndWithoutTry(next);
-        case ENQUEUED -> next == ACTIVE || isEndWithoutTry(next);
+        case SCHEDULED, RETRY -> next == ENQUEUED || isEndWithoutAttempt(next);
+        case ENQUEUED -> next == ACTIVE || isEndWithoutAttempt(next);
         case ACTIVE ->
             switch (next) {
               case ENQUEUED, RETRY, DONE, DEAD, EXPIRED -> true;
@@ -63,7 +61,7 @@
       };
     }
 
-    private static boolean isEndWithoutTry(State next) {
+    private static boolean isEndWithoutAttempt(State next) {
       return next == DEAD || next == EXPIRED || next == CANCELLED;
     }
   }
@@ -76,12 +74,12 @@
    * @param type the jobtype
    * @param requestClass position of its class in the settings
    * @param tenant position of its tenant in the settings, or -1 for none
-   * @param key what the job needs at hand, or null for nothing
+   * @param key the data that a worker needs for it, which it may have cached; null for none
    * @param slots how many slots of a worker it takes
    * @param work its cost in microseconds at speed 1, or NaN where it is not known
    * @param priority 1 to 9, the highest first
-   * @param retry how many failures are followed by a retry: 0 also keeps no dead job, -1 never
-   *     retries
+   * @param retry how many failures are followed by a retry; with 0 a dead job is not retained
+   *     either, -1 never retries
    * @param at earliest start, in microseconds of Unix time; 0 for at once
    * @param deadline the time after which it is not worth starting, in microseconds of Unix time;
    *     {@link Long#MAX_VALUE} for none
@@ -110,55 +108,58 @@
     }
   }
 
-  public final Spec spec;
-
-  /** The whole payload as pushed; null once the job has ended and is not kept as dead. */
-  public byte[] payload;
-
-  /** Position in the order of arrival, which decides where all else is equal. */
-  public final long arrivalOrder;
-
-  /** Null until the job has entered the queue. */
-  public State state;
-
-  /** When it is to be enqueued, while it is SCHEDULED or in RETRY. */
-  public long dueMicros;
+  /**
+   * The fields that change together with the state, as they are stored.
+   *
+   * @param state the state, never null in a stored snapshot
+   * @param dueMicros see {@link Job#dueMicros()}
+   * @param failures see {@link Job#failures()}
+   * @param mayHaveRun see {@link Job#mayHaveRun()}
+   * @param handedOut whether the job was active and its attempt had been handed out to a worker
+   * @param reason see {@link Job#reason()}
+   * @param updatedAt see {@link Job#updatedAt()}
+   */
+  public record Snapshot(
+      State state,
+      long dueMicros,
+      int failures,
+      boolean mayHaveRun,
+      boolean handedOut,
+      String reason,
+      long updatedAt) {}
 
-  /** How many tries have failed; rejected ones do not count. */
-  public int failures;
+  /** A job that is not in the log. */
+  private static final int NO_SEGMENT = -1;
 
-  /** Why it is in its state, for people; empty where there is nothing to say. */
-  public String reason = "";
+  public final Spec spec;
 
-  /** What became known after its end, or of a try that was given up; for people. */
-  public String evidence = "";
+  /** Null once the job has ended and is not retained as dead. */
+  byte[] payload;
 
-  /** Whether some try of it may have run. */
-  public boolean mayHaveRun;
+  final long arrivalOrder;
 
-  /** The result of the worker that served it; null before that. */
-  public byte[] result;
+  /** Null until the job has entered the queue. */
+  State state;
 
-  /** Progress as reported by a worker or client. */
-  public String percent = "";
+  long dueMicros;
+  int failures;
+  String reason = "";
+  String evidence = "";
+  boolean mayHaveRun;
 
-  /** Description of the progress as reported by a worker or client. */
-  public String description = "";
+  /** Null until a worker has served the job. */
+  byte[] result;
 
-  /** When the state last changed. */
-  public long updatedAt;
+  long updatedAt;
 
   /** How often it has been rejected since its last failure. */
   int rejections;
 
-  /** The log segment that holds its full record; -1 for none. */
-  public int logSegment = -1;
-
-  /** Size of that record in bytes. */
-  public int logRecordBytes;
-
-  /** Whether the log says that the try under way has gone out to a worker. */
-  public boolean handedOut;
+  private String percent = "";
+  private String description = "";
+  private int logSegment = NO_SEGMENT;
+  private int logRecordBytes;
+  private boolean handedOut;
 
   /**
    * Creates a job that has no state yet.
@@ -171,8 +172,148 @@
     this.arrivalOrder = arrivalOrder;
   }
 
+  /** Creates a job that has no state yet, with the fields of a stored one. */
+  public static Job restored(
+      Spec spec, byte[] payload, long arrivalOrder, Snapshot stored, boolean mayHaveRun) {
+    Job job = new Job(spec, payload, arrivalOrder);
+    job.dueMicros = stored.dueMicros();
+    job.failures = stored.failures();
+    job.mayHaveRun = mayHaveRun;
+    return job;
+  }
+
+  /** Creates a job that never enters a queue and stays in the state in which it was stored. */
+  public static Job unusable(
+      String jid, byte[] payload, long arrivalOrder, Snapshot stored, boolean handedOut) {
+    Job job = restored(Spec.of(jid), payload, arrivalOrder, stored, stored.mayHaveRun());
+    job.state = stored.state();
+    job.reason = stored.reason();
+    job.updatedAt = stored.updatedAt();
+    job.handedOut = handedOut;
+    return job;
+  }
+
+  /** The fields that change together with the state, as they are now. */
+  public Snapshot snapshot() {
+    return new Snapshot(
+        state,
+        dueMicros,
+        failures,
+        mayHaveRun,
+        state == State.ACTIVE && handedOut,
+        reason,
+        updatedAt);
+  }
+
+  /** What the payload says. */
+  public Spec spec() {
+    return spec;
+  }
+
+  /** The complete payload as pushed; null once the job has ended and is not retained as dead. */
+  public byte[] payload() {
+    return payload;
+  }
+
   /** Size of the payload that is still held. */
   int payloadBytes() {
     return payload == null ? 0 : payload.length;
   }
+
+  /** Position in the order of arrival, which decides where all else is equal. */
+  public long arrivalOrder() {
+    return arrivalOrder;
+  }
+
+  /** The state; null until the job has entered the queue. */
+  public State state() {
+    return state;
+  }
+
+  /** When it is to be enqueued; only valid while it is SCHEDULED or in RETRY. */
+  public long dueMicros() {
+    return dueMicros;
+  }
+
+  /** How many attempts have failed; rejected ones do not count. */
+  public int failures() {
+    return failures;
+  }
+
+  /** Why it is in its state, for people; empty where there is nothing to say. */
+  public String reason() {
+    return reason;
+  }
+
+  /** Reports of workers on attempts that had ended, for people. */
+  public String evidence() {
+    return evidence;
+  }
+
+  /** Whether some attempt of it may have run. */
+  public boolean mayHaveRun() {
+    return mayHaveRun;
+  }
+
+  /** The result of the worker that served it; null before that. */
+  public byte[] result() {
+    return result;
+  }
+
+  /** When the state last changed. */
+  public long updatedAt() {
+    return updatedAt;
+  }
+
+  /** Records the progress that a worker or client has reported. */
+  public void setProgress(String newPercent, String newDescription) {
+    percent = newPercent;
+    description = newDescription;
+  }
+
+  /** Progress as reported by a worker or client. */
+  public String percent() {
+    return percent;
+  }
+
+  /** Description of the progress as reported by a worker or client. */
+  public String description() {
+    return description;
+  }
+
+  /** Records that the full record of the job stands in a segment of the log. */
+  public void setLogRecord(int segment, int bytes) {
+    logSegment = segment;
+    logRecordBytes = bytes;
+  }
+
+  /** Records that the full record of the job is not needed any more. */
+  public void clearLogRecord() {
+    logSegment = NO_SEGMENT;
+  }
+
+  /** Whether the log holds a full record of the job. */
+  public boolean hasLogRecord() {
+    return logSegment != NO_SEGMENT;
+  }
+
+  /** The log segment that holds the full record; only valid while {@link #hasLogRecord}. */
+  public int logSegment() {
+    return logSegment;
+  }
+
+  /** Size of the full record in bytes. */
+  public int logRecordBytes() {
+    return logRecordBytes;
+  }
+
+  /** Records whether the log says that the attempt under way was handed out to a worker. */
+  public void setHandedOut(boolean isHandedOut) {
+    handedOut = isHandedOut;
+  }
+
+  /** Whether the log says that the attempt under way was handed out to a worker. */
+  public boolean isHandedOut() {
+    return handedOut;
+  }
 }
--- a/src/main/java/loomreel/faktory/queue/JobQueue.java
+++ b/src/main/java/loomreel/faktory/queue/JobQueue.java
@@ -1,10 +1,8 @@
 package loomreel.faktory.queue;
 
-import java.util.Collection;
-import java.util.List;
 import java.util.Map;
 import java.util.NavigableSet;
-import java.util.function.Predicate;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import loomreel.faktory.queue.Job.State;
 
@@ -16,43 +14,15 @@
  * threads.
  */
 public final class JobQueue {
-  /**
-   * Bounds of the queue.
-   *
-   * @param maxJobs jobs that have not ended
-   * @param maxBytes payload bytes of those, and likewise of the dead jobs
-   * @param baseBackoffMicros delay before the first retry, see {@link RetryBackoff}
-   * @param retentionMicros how long an ended job is known
-   * @param maxRetained how many ended jobs are known
-   */
-  public record Limits(
-      int maxJobs, long maxBytes, long baseBackoffMicros, long retentionMicros, int maxRetained) {}
-
-  /** Receives every change, after it has been made. */
-  public interface Listener {
-    /**
-     * Called when a job has entered the queue or changed its state.
-     *
-     * @param job the job; where its payload is null it has ended for good
-     * @param from the state before, or null where the job is new
-     */
-    void stateChanged(Job job, State from);
-
-    /** Called when a dead job is no longer kept. */
-    void deadJobDropped(Job job);
-  }
-
   /** Bound of a job's evidence: a worker that repeats itself must not fill the memory. */
   private static final int MAX_EVIDENCE_CHARS = 512;
 
-  /** Reason of a cancelled job. */
-  private static final String DISCARDED = "discarded";
-
-  private final Limits limits;
-  private final RetryBackoff backoff;
+  private final QueueLimits limits;
+  private final RetryPolicy retryPolicy;
   private final JobTable table;
   private final PendingJobs pending;
   private final EndedJobs ended;
+  private final JobAdministration administration;
   private long nextArrivalOrder;
   private long pushedCount;
   private long failureCount;
@@ -62,69 +32,78 @@
    *
    * @param random source of the backoff's jitter, shared with the caller
    */
-  public JobQueue(Limits limits, RandomGenerator random) {
+  public JobQueue(QueueLimits limits, RandomGenerator random) {
     this.limits = limits;
-    backoff = new RetryBackoff(limits.baseBackoffMicros(), random);
-    table =
-        new JobTable(
-            new EndedJobs.Limits(
-                limits.retentionMicros(), limits.maxRetained(), limits.maxBytes()));
+    retryPolicy = new RetryPolicy(limits.baseBackoffMicros(), random);
+    table = new JobTable(limits.endedJobs());
     pending = table.pending();
     ended = table.ended();
+    administration = new JobAdministration(limits, table);
   }
 
   /** Sets the listener that receives all changes from now on. */
-  public void setListener(Listener listener) {
+  public void setListener(JobListener listener) {
     table.setListener(listener);
   }
 
+  /** The bounds of this queue. */
+  public QueueLimits limits() {
+    return limits;
+  }
+
+  /** What operators may do to the jobs of this queue. */
+  public JobAdministration administration() {
+    return administration;
+  }
+
   /**
    * Adds a job.
    *
-   * @return the protocol's error line where the job is rejected, or null where it is accepted
+   * @param payload as pushed; not copied
+   * @return why the job is rejected; empty where it is accepted
    */
-  public String push(Job.Spec spec, byte[] payload, long now) {
-    ended.forgetOld(now);
-    String rejection = rejectionOf(spec, payload, now);
-    if (rejection != null) {
+  public Optional<PushRejection> push(Job.Spec spec, byte[] payload, long now) {
+    ended.removeOutdated(now);
+    Optional<PushRejection> rejection = rejectionOf(spec, payload, now);
+    if (rejection.isPresent()) {
       return rejection;
     }
     Job job = new Job(spec, payload, nextArrivalOrder++);
     table.addLive(job);
     pushedCount++;
-    pending.watchDeadline(job);
+    pending.addDeadline(job);
     if (spec.at() > now) {
       job.dueMicros = spec.at();
-      table.transition(job, State.SCHEDULED, "", now);
+      table.transition(job, State.SCHEDULED, StateReasons.NONE, now);
     } else {
-      table.transition(job, State.ENQUEUED, "", now);
+      table.transition(job, State.ENQUEUED, StateReasons.NONE, now);
     }
-    return null;
+    return Optional.empty();
   }
 
-  private String rejectionOf(Job.Spec spec, byte[] payload, long now) {
+  private Optional<PushRejection> rejectionOf(Job.Spec spec, byte[] payload, long now) {
     if (table.isLive(spec.jid())) {
-      return "NOTUNIQUE jid is in use";
+      return Optional.of(PushRejection.JID_IN_USE);
     }
     if (ended.find(spec.jid()) != null) {
-      return "NOTUNIQUE jid has ended lately";
+      return Optional.of(PushRejection.JID_ENDED);
     }
-    if (table.liveCount() >= limits.maxJobs()) {
-      return "ERR backlog is full: " + limits.maxJobs() + " jobs";
+    if (!limits.admitJob(table.liveCount())) {
+      return Optional.of(PushRejection.TOO_MANY_JOBS);
     }
-    if (table.liveBytes() + payload.length > limits.maxBytes()) {
-      return "ERR backlog is full: " + limits.maxBytes() + " bytes";
+    if (!limits.admitPayload(table.liveBytes(), payload.length)) {
+      return Optional.of(PushRejection.TOO_MANY_BYTES);
     }
-    return spec.deadline() <= now ? "ERR its own deadline has passed" : null;
+    return spec.deadline() <= now ? Optional.of(PushRejection.DEADLINE_PASSED) : Optional.empty();
   }
 
   /** Enqueues jobs that are due, and expires those whose deadline has passed. */
   public void processDue(long now) {
     while (pending.hasPassedDeadline(now)) {
       Job job = pending.pollEarliestDeadline();
-      // Of an active job, the end of its try decides.
+      // Of an active job, the end of its attempt decides.
       if (job.state != State.ACTIVE) {
-        table.transition(job, State.EXPIRED, "its own deadline passed", now);
+        table.transition(job, State.EXPIRED, StateReasons.DEADLINE_PASSED, now);
       }
     }
     enqueueDue(pending.scheduled(), now);
@@ -143,82 +122,59 @@
     return pending.nextEventMicros();
   }
 
-  /** The queues that hold jobs to be tried now. */
+  /** The queues that hold jobs that may be attempted now. */
   public Iterable<String> readyQueues() {
     return pending.readyQueues();
   }
 
-  /** Whether a job may be tried now. */
+  /** Whether a job may be attempted now. */
   public boolean hasReady() {
     return pending.hasReady();
   }
 
-  /** Starts a try of the first job of a queue that has some ready. */
+  /** Starts an attempt of the first job of a queue that has some ready. */
   public Job startNext(String queue, long now) {
     Job job = pending.firstReady(queue);
     table.transition(job, State.ACTIVE, job.reason, now);
     return job;
   }
 
-  /** Ends an active job whose try was served. */
-  public void completeTry(Job job, byte[] result, long now) {
+  /** Ends an active job whose attempt was served. */
+  public void completeAttempt(Job job, byte[] result, long now) {
     job.result = result;
-    table.transition(job, State.DONE, "", now);
+    table.transition(job, State.DONE, StateReasons.NONE, now);
   }
 
   /**
-   * Handles the rejection of a try, of which nothing ran. That is no failure and uses up no retry;
-   * the job waits for capacity, longer each time, so that it does not block other jobs of its
-   * queue.
+   * Handles the rejection of an attempt, of which nothing ran; it uses up no retry.
+   *
+   * @param why the reason, for people
    */
-  public void rejectTry(Job job, String why, long now) {
-    long nextTry = now + backoff.afterRejection(job.rejections++);
-    if (nextTry >= job.spec.deadline()) {
-      String reason = "refused: " + why + ", and its own deadline comes before the next try";
-      table.transition(job, State.EXPIRED, reason, now);
-    } else {
-      job.dueMicros = nextTry;
-      table.transition(job, State.RETRY, "refused: " + why, now);
-    }
+  public void rejectAttempt(Job job, String why, long now) {
+    apply(retryPolicy.afterRejection(job, why, now), job, now);
   }
 
-  /** Enqueues an active job again whose try was withdrawn before any of it ran. */
-  public void withdrawTry(Job job, long now) {
+  /** Enqueues an active job again whose attempt was withdrawn before any of it ran. */
+  public void withdrawAttempt(Job job, long now) {
     table.transition(job, State.ENQUEUED, job.reason, now);
   }
 
   /**
-   * Handles the failure of a try.
+   * Handles the failure of an attempt.
    *
-   * @param mayHaveRun whether the try may have run
-   * @param mayRepeat whether the job may run again although it may have run
+   * @param mayHaveRun whether the attempt may have run
+   * @param isIdempotent whether the job may run again although it may have run
    */
-  public void failTry(Job job, boolean mayHaveRun, boolean mayRepeat, long now) {
+  public void failAttempt(Job job, boolean mayHaveRun, boolean isIdempotent, long now) {
     failureCount++;
-    job.rejections = 0;
-    job.mayHaveRun |= mayHaveRun;
-    if (mayHaveRun && !mayRepeat) {
-      table.transition(job, State.DEAD, "may have run", now);
-    } else {
-      retryOrEnd(job, mayHaveRun ? "failed" : "failed before it ran", now);
-    }
+    apply(retryPolicy.afterFailure(job, mayHaveRun, isIdempotent, now), job, now);
   }
 
-  private void retryOrEnd(Job job, String why, long now) {
-    // Drawn before the decision: the sequence of random numbers must not depend on it.
-    long nextTry = now + backoff.afterFailure(job.failures);
-    job.failures++;
-    boolean hasRetry = job.failures <= job.spec.retry();
-    long deadline = job.spec.deadline();
-    if (now >= deadline || (hasRetry && nextTry >= deadline)) {
-      String reason = why + ", and its own deadline comes before the next try";
-      table.transition(job, State.EXPIRED, reason, now);
-    } else if (!hasRetry) {
-      table.transition(job, State.DEAD, why + ", tries used up", now);
-    } else {
-      job.dueMicros = nextTry;
-      table.transition(job, State.RETRY, why, now);
+  private void apply(RetryPolicy.Decision decision, Job job, long now) {
+    if (decision.state() == State.RETRY) {
+      job.dueMicros = decision.dueMicros();
     }
+    table.transition(job, decision.state(), decision.reason(), now);
   }
 
   /** The job with a jid, or null where it is not known or no longer. */
@@ -233,86 +189,6 @@
     }
   }
 
-  /** The sets of jobs that the MUTATE command names. */
-  public enum Target {
-    SCHEDULED,
-    RETRIES,
-    DEAD
-  }
-
-  /**
-   * Selects jobs of a set.
-   *
-   * @return a copy, in the set's order
-   */
-  public List<Job> select(Target target, Predicate<Job> filter) {
-    Collection<Job> jobs =
-        switch (target) {
-          case SCHEDULED -> pending.scheduled();
-          case RETRIES -> pending.retries();
-          case DEAD -> ended.dead();
-        };
-    return jobs.stream().filter(filter).toList();
-  }
-
-  /**
-   * Cancels a job that waits, or drops a dead one, whose jid stays known for a while; an active or
-   * otherwise ended job stays as it is.
-   */
-  public void discard(Job job, long now) {
-    if (job.state == State.DEAD) {
-      ended.discard(job);
-    } else if (isWaiting(job)) {
-      table.transition(job, State.CANCELLED, DISCARDED, now);
-    }
-  }
-
-  /** Moves a job that waits to the dead ones; an active or ended job stays as it is. */
-  public void kill(Job job, long now) {
-    if (isWaiting(job)) {
-      table.transition(job, State.DEAD, "killed", now);
-    }
-  }
-
-  private static boolean isWaiting(Job job) {
-    return job.state != State.ACTIVE && !job.state.isFinal();
-  }
-
-  /**
-   * Enqueues a scheduled, retrying or dead job now.
-   *
-   * @param mayRepeat whether it may run again although it may have run
-   * @return whether it was enqueued; a dead job that may have run stays dead unless it may repeat
-   */
-  public boolean requeue(Job job, boolean mayRepeat, long now) {
-    if (job.state == State.DEAD) {
-      if (!canRevive(job, mayRepeat, now)) {
-        return false;
-      }
-      ended.removeForRequeue(job);
-      table.addLive(job);
-      job.failures = 0;
-      pending.watchDeadline(job);
-    } else if (job.state != State.SCHEDULED && job.state != State.RETRY) {
-      return false;
-    }
-    table.transition(job, State.ENQUEUED, "requeued", now);
-    return true;
-  }
-
-  private boolean canRevive(Job dead, boolean mayRepeat, long now) {
-    return (mayRepeat || !dead.mayHaveRun)
-        && dead.payload != null
-        && table.liveCount() < limits.maxJobs()
-        && table.liveBytes() + dead.payloadBytes() <= limits.maxBytes()
-        && dead.spec.deadline() > now;
-  }
-
-  /** Cancels all jobs that are not active, and drops the dead ones. */
-  public void flush(long now) {
-    table.flush(DISCARDED, now);
-  }
-
   /**
    * Adds a job that an earlier process has stored. Nothing happens where its jid is known already.
    *
@@ -325,7 +201,7 @@
     nextArrivalOrder = Math.max(nextArrivalOrder, job.arrivalOrder + 1);
     table.addLive(job);
     if (state != State.DEAD) {
-      pending.watchDeadline(job);
+      pending.addDeadline(job);
     }
     table.transition(job, state, reason, now);
   }
@@ -341,7 +217,7 @@
     ended.addRestored(job);
   }
 
-  /** How many jobs are in a state now; of the final states, only dead jobs are kept. */
+  /** How many jobs are in a state now; of the final states, only dead jobs are retained. */
   public int size(State state) {
     return table.size(state);
   }
@@ -356,7 +232,7 @@
     return pushedCount;
   }
 
-  /** How many tries have failed since the start of the process. */
+  /** How many attempts have failed since the start of the process. */
   public long failures() {
     return failureCount;
   }
@@ -371,7 +247,7 @@
     return table.liveBytes();
   }
 
-  /** How many jobs of each queue are to be tried now. */
+  /** How many jobs of each queue may be attempted now. */
   public Map<String, Integer> readyCounts() {
     return pending.readyCounts();
   }
--- a/src/main/java/loomreel/faktory/queue/JobTable.java
+++ b/src/main/java/loomreel/faktory/queue/JobTable.java
@@ -13,15 +13,6 @@
  * its state calls for, counts, and notifies a listener. Times are microseconds of Unix time.
  */
 final class JobTable {
-  private static final JobQueue.Listener NO_LISTENER =
-      new JobQueue.Listener() {
-        @Override
-        public void stateChanged(Job job, State from) {}
-
-        @Override
-        public void deadJobDropped(Job job) {}
-      };
-
   private final PendingJobs pending = new PendingJobs();
   private final EndedJobs ended;
 
@@ -32,7 +23,7 @@
   private final Map<State, Long> endedCounts = new EnumMap<>(State.class);
 
   private long liveBytes;
-  private JobQueue.Listener listener = NO_LISTENER;
+  private JobListener listener = JobListener.NONE;
 
   /** Creates an empty table that retains ended jobs within limits. */
   JobTable(EndedJobs.Limits limits) {
@@ -40,7 +31,7 @@
   }
 
   /** Sets the listener that receives all changes from now on. */
-  void setListener(JobQueue.Listener newListener) {
+  void setListener(JobListener newListener) {
     listener = newListener;
   }
 
@@ -96,24 +87,24 @@
 
   private void finish(Job job, long now) {
     liveJobs.remove(job.spec.jid());
-    pending.forgetDeadline(job);
+    pending.removeDeadline(job);
     liveBytes -= job.payloadBytes();
     endedCounts.merge(job.state, 1L, Long::sum);
     ended.add(job, now);
   }
 
   /**
-   * Cancels all jobs that are not active, and drops the dead ones. Empties the indexes as a whole
-   * first, since a backlog may be very long.
+   * Cancels all jobs that are not active, and drops the dead ones. The indexes are emptied first in
+   * one step each: removing the jobs one by one would take long for a long backlog.
    */
   void flush(String reason, long now) {
     List<Job> cancelled =
         liveJobs.values().stream().filter(job -> job.state != State.ACTIVE).toList();
     pending.clearStates();
     if (cancelled.size() == liveJobs.size()) {
-      pending.forgetAllDeadlines();
+      pending.clearDeadlines();
     } else {
-      pending.forgetDeadlines(cancelled);
+      pending.removeDeadlines(cancelled);
     }
     for (Job job : cancelled) {
       transition(job, State.CANCELLED, reason, now);
@@ -121,7 +112,7 @@
     ended.discardAllDead();
   }
 
-  /** How many jobs are in a state now; of the final states, only dead jobs are kept. */
+  /** How many jobs are in a state now; of the final states, only dead jobs are retained. */
   int size(State state) {
     return switch (state) {
       case SCHEDULED -> pending.scheduled().size();
--- a/src/main/java/loomreel/faktory/queue/PendingJobs.java
+++ b/src/main/java/loomreel/faktory/queue/PendingJobs.java
@@ -66,27 +66,27 @@
     }
   }
 
-  /** Starts to watch the deadline of a job, if it has one. */
-  void watchDeadline(Job job) {
+  /** Indexes the deadline of a job, if it has one. */
+  void addDeadline(Job job) {
     if (job.spec.hasDeadline()) {
       byDeadline.add(job);
     }
   }
 
-  /** Watches the deadline of a job no longer. */
-  void forgetDeadline(Job job) {
+  /** Removes the deadline of a job. */
+  void removeDeadline(Job job) {
     if (job.spec.hasDeadline()) {
       byDeadline.remove(job);
     }
   }
 
-  /** Watches the deadlines of many jobs no longer. */
-  void forgetDeadlines(Collection<Job> jobs) {
+  /** Removes the deadlines of many jobs. */
+  void removeDeadlines(Collection<Job> jobs) {
     byDeadline.removeAll(new HashSet<>(jobs));
   }
 
-  /** Watches no deadline any longer. */
-  void forgetAllDeadlines() {
+  /** Removes all deadlines. */
+  void clearDeadlines() {
     byDeadline.clear();
   }
 
@@ -124,27 +124,27 @@
     return retries.isEmpty() ? next : Math.min(next, retries.first().dueMicros);
   }
 
-  /** Whether a job may be tried now. */
+  /** Whether a job may be attempted now. */
   boolean hasReady() {
     return !readyByQueue.isEmpty();
   }
 
-  /** Names of the queues that hold jobs to be tried now, in the order of their names. */
+  /** Names of the queues that hold jobs that may be attempted now, in the order of their names. */
   Iterable<String> readyQueues() {
     return readyByQueue.keySet();
   }
 
-  /** The first job to be tried of a queue that has some. */
+  /** The job of a queue that is taken first; there must be one. */
   Job firstReady(String queue) {
     return readyByQueue.get(queue).first();
   }
 
-  /** How many jobs are to be tried now. */
+  /** How many jobs may be attempted now. */
   int readyCount() {
     return readyByQueue.values().stream().mapToInt(TreeSet::size).sum();
   }
 
-  /** How many jobs of each queue are to be tried now. */
+  /** How many jobs of each queue may be attempted now. */
   Map<String, Integer> readyCounts() {
     Map<String, Integer> counts = new TreeMap<>();
     readyByQueue.forEach((queue, jobs) -> counts.put(queue, jobs.size()));
--- a/src/main/java/loomreel/faktory/queue/RetryBackoff.java
+++ b/src/main/java/loomreel/faktory/queue/RetryBackoff.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** How long a job waits before its next try. */
+/** How long a job waits before its next attempt. */
 final class RetryBackoff {
   /** Delay after the first rejection: nothing ran, and there may be capacity in a moment. */
   private static final long FIRST_REJECTION_DELAY_MICROS = 100_000;
@@ -35,7 +35,7 @@
    * Returns the delay after a rejection: exponential, between half and one and a half times its
    * nominal value.
    *
-   * @param earlierRejections how many rejections came before, since the last failure
+   * @param earlierRejections how many rejections there were since the last failure
    * @return microseconds
    */
   long afterRejection(int earlierRejections) {
@@ -49,7 +49,7 @@
    * a random part of up to 30 s times the count so that jobs that failed together are not retried
    * together.
    *
-   * @param earlierFailures how many failures came before
+   * @param earlierFailures how many failures there were
    * @return microseconds
    */
   long afterFailure(int earlierFailures) {
--- /dev/null
+++ b/src/main/java/loomreel/faktory/queue/WeightedRoundRobin.java
@@ -0,0 +1,52 @@
+package loomreel.faktory.queue;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Predicate;
+
+/** Chooses the queue whose turn it is, by smooth weighted round robin. */
+public final class WeightedRoundRobin {
+  private static final class Turn {
+    private final int weight;
+    private long currentWeight;
+
+    Turn(int weight) {
+      this.weight = weight;
+    }
+  }
+
+  private final QueueWeights weights;
+  private final Map<String, Turn> turns = new HashMap<>();
+
+  /** Creates a round robin in which no queue has had a turn. */
+  public WeightedRoundRobin(QueueWeights weights) {
+    this.weights = weights;
+  }
+
+  /**
+   * Chooses a queue; the others come closer to their turn.
+   *
+   * @param queues where two are equally close, the one that comes first here is chosen
+   * @param isEligible called once for each of them, in their order
+   * @return empty where none is eligible
+   */
+  public Optional<String> next(Iterable<String> queues, Predicate<String> isEligible) {
+    String chosen = null;
+    long eligibleWeight = 0;
+    for (String queue : queues) {
+      if (isEligible.test(queue)) {
+        Turn turn = turns.computeIfAbsent(queue, name -> new Turn(weights.of(name)));
+        turn.currentWeight += turn.weight;
+        eligibleWeight += turn.weight;
+        if (chosen == null || turn.currentWeight > turns.get(chosen).currentWeight) {
+          chosen = queue;
+        }
+      }
+    }
+    if (chosen != null) {
+      turns.get(chosen).currentWeight -= eligibleWeight;
+    }
+    return Optional.ofNullable(chosen);
+  }
+}
--- a/src/main/java/loomreel/faktory/scheduling/JobAttempt.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobAttempt.java
@@ -25,12 +25,12 @@
     this.persistence = persistence;
   }
 
-  /** The job that is being tried. */
+  /** The job that is attempted. */
   Job job() {
     return job;
   }
 
-  /** The dispatcher has the attempt from here on. */
+  /** Records that the attempt is submitted to the dispatcher. */
   void submitted(Rpc request) {
     rpc = request;
   }
--- a/src/main/java/loomreel/faktory/scheduling/JobClasses.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobClasses.java
@@ -6,8 +6,8 @@
 import loomreel.faktory.storage.DurableJobStore;
 import loomreel.settings.FaktorySettings;
 
-/** What the settings say of the request classes that jobs belong to, by position. */
-public final class JobClasses implements DurableJobStore.Classes {
+/** The settings of the request classes that jobs belong to, by position. */
+public final class JobClasses implements DurableJobStore.RequestClasses {
   private final List<Settings.RequestClass> classes;
   private final FaktorySettings settings;
 
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public boolean mayRepeat(int requestClass) {
+  public boolean isIdempotent(int requestClass) {
     return classes.get(requestClass).idempotency() == Idempotency.IDEMPOTENT;
   }
 
@@ -35,6 +35,8 @@
   @Override
   public boolean isSynced(int requestClass) {
     FaktorySettings.Durability chosen = settings.durability().get(classes.get(requestClass).name());
-    return chosen == null ? !mayRepeat(requestClass) : chosen == FaktorySettings.Durability.SYNCED;
+    return chosen == null
+        ? !isIdempotent(requestClass)
+        : chosen == FaktorySettings.Durability.SYNCED;
   }
 }
--- a/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
@@ -3,6 +3,7 @@
 import java.util.HexFormat;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import loomreel.core.Dispatcher;
@@ -10,29 +11,31 @@
 import loomreel.decision.Event;
 import loomreel.decision.Settings;
 import loomreel.faktory.payload.PayloadValidator;
-import loomreel.faktory.queue.Admission;
+import loomreel.faktory.queue.ConcurrencyLimiter;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.WeightedRoundRobin;
 import loomreel.faktory.storage.JobPersistence;
 import loomreel.io.Bytes;
 import loomreel.io.EventLoop;
 
 /**
- * Starts attempts of jobs that are due, as {@link Admission} and the dispatcher's capacity allow.
- * It runs from a timer of the event loop only, never within the call that wakes it up. Times are
- * microseconds of the loop's clock.
+ * Starts attempts of jobs that are due, as the {@link ConcurrencyLimiter} and the dispatcher's
+ * capacity allow. It runs from a timer of the event loop only, never within the call that wakes it
+ * up. Times are microseconds of the loop's clock.
  */
 public final class JobScheduler {
   /** Attempts started in one turn of the loop: HTTP clients wait no longer than these take. */
   private static final int MAX_STARTS_PER_TURN = 16;
 
-  /** When the dispatcher has no capacity, it is checked again after this. */
+  /** The delay after which a dispatcher without capacity is checked again, in microseconds. */
   private static final long CAPACITY_RETRY_MICROS = 5_000;
 
   private final Dispatcher dispatcher;
   private final EventLoop loop;
   private final JobQueue queue;
-  private final Admission admission;
+  private final WeightedRoundRobin turns;
+  private final ConcurrencyLimiter limiter;
   private final JobPersistence persistence;
   private final JobClasses classes;
   private final RecentAttempts recentAttempts;
@@ -54,7 +57,8 @@
   public JobScheduler(
       Dispatcher dispatcher,
       JobQueue queue,
-      Admission admission,
+      WeightedRoundRobin turns,
+      ConcurrencyLimiter limiter,
       JobPersistence persistence,
       JobClasses classes,
       RecentAttempts recentAttempts,
@@ -63,7 +67,8 @@
     this.dispatcher = dispatcher;
     this.loop = dispatcher.loop();
     this.queue = queue;
-    this.admission = admission;
+    this.turns = turns;
+    this.limiter = limiter;
     this.persistence = persistence;
     this.classes = classes;
     this.recentAttempts = recentAttempts;
@@ -91,13 +96,13 @@
     nextRunAt = Long.MAX_VALUE;
     long now = loop.now();
     queue.processDue(now);
-    // What is stored is left for the next process.
+    // The next process runs what is stored.
     boolean startsAttempts = !(isDraining && persistence.outlivesProcess());
     if (startsAttempts) {
       startAttempts(now);
     }
     if (startsAttempts && queue.hasReady()) {
-      wakeUpUnlessNever(admission.resumesAt(queue.readyQueues(), now));
+      wakeUpUnlessNever(limiter.resumesAt(queue.readyQueues(), now));
     }
     wakeUpUnlessNever(queue.nextDueMicros());
     if (persistence.reclaimSpace()) {
@@ -116,13 +121,13 @@
     boolean hasCapacity = true;
     while (started < MAX_STARTS_PER_TURN && queue.hasReady()) {
       hasCapacity = dispatcher.hasCapacity();
-      String next = hasCapacity ? admission.nextQueue(queue.readyQueues(), now) : null;
-      if (next == null) {
+      Optional<String> next = hasCapacity ? nextQueue(now) : Optional.empty();
+      if (next.isEmpty()) {
         break;
       }
       started++;
-      admission.recordStart(next);
-      start(queue.startNext(next, now));
+      limiter.recordStart(next.get());
+      start(queue.startNext(next.get(), now));
     }
     if (started == MAX_STARTS_PER_TURN) {
       wakeUpAt(now);
@@ -131,13 +136,17 @@
     }
   }
 
+  private Optional<String> nextQueue(long now) {
+    return turns.next(queue.readyQueues(), name -> limiter.mayStart(name, now));
+  }
+
   /** Where the job must not run twice, it is submitted once the attempt is safely recorded. */
   private void start(Job job) {
     JobAttempt attempt = new JobAttempt(job, this, outcomes, persistence);
     openAttempts.add(attempt);
-    int requestClass = job.spec.requestClass();
+    int requestClass = job.spec().requestClass();
     persistence.whenDurable(
-        !classes.mayRepeat(requestClass) && persistence.isSynced(requestClass),
+        !classes.isIdempotent(requestClass) && persistence.isSynced(requestClass),
         () -> submit(attempt));
   }
 
@@ -146,13 +155,13 @@
       return;
     }
     Job job = attempt.job();
-    Job.Spec spec = job.spec;
+    Job.Spec spec = job.spec();
     String id = newAttemptId();
     recentAttempts.add(id, job);
     Settings.RequestClass requestClass = classes.get(spec.requestClass());
     long deadline = Math.min(loop.now() + requestClass.deadline(), spec.deadline());
     Bytes body = new Bytes(loop.pool());
-    body.append(job.payload);
+    body.append(job.payload());
     Rpc rpc =
         new Rpc(
             id,
@@ -169,8 +178,8 @@
   }
 
   private static Event.RequestArrived arrival(String id, Job job, long deadline) {
-    Job.Spec spec = job.spec;
-    boolean isRetry = job.failures > 0;
+    Job.Spec spec = job.spec();
+    boolean isRetry = job.failures() > 0;
     boolean hasIdempotencyKey = true;
     return new Event.RequestArrived(
         id,
@@ -193,14 +202,14 @@
     return id;
   }
 
-  /** An attempt has its outcome. */
+  /** Removes an attempt that has its outcome. */
   void ended(JobAttempt attempt) {
     openAttempts.remove(attempt);
   }
 
   /**
-   * Starts nothing new that the next process can do: attempts of which nothing was sent are
-   * returned to the queue where that is stored, and the others are waited for.
+   * Starts no attempt that the next process can make: attempts of which nothing was sent are
+   * returned to the queue where that is stored, and the others are awaited.
    */
   public void beginDrain() {
     isDraining = true;
@@ -215,11 +224,11 @@
 
   private void returnToQueue(JobAttempt attempt) {
     openAttempts.remove(attempt);
-    admission.recordFailed(attempt.job().spec.queue());
+    limiter.recordFailed(attempt.job().spec().queue());
     if (attempt.rpc() != null) {
       dispatcher.cancel(attempt.rpc());
     }
-    queue.withdrawTry(attempt.job(), loop.now());
+    queue.withdrawAttempt(attempt.job(), loop.now());
   }
 
   /** Whether {@link #beginDrain} was called. */
@@ -227,7 +236,7 @@
     return isDraining;
   }
 
-  /** Whether jobs are still to be waited for: active ones, and without storage the ready ones. */
+  /** Whether jobs are still awaited: active ones, and without storage the ready ones. */
   public boolean hasPendingWork() {
     return queue.size(Job.State.ACTIVE) > 0 || (!persistence.outlivesProcess() && queue.hasReady());
   }
--- a/src/main/java/loomreel/faktory/storage/DurableJobStore.java
+++ b/src/main/java/loomreel/faktory/storage/DurableJobStore.java
@@ -6,22 +6,25 @@
 import loomreel.faktory.payload.PayloadValidator;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
+import loomreel.faktory.queue.JobListener;
 import loomreel.faktory.queue.JobQueue;
 import loomreel.wal.WriteAheadLog;
 
 /**
- * Keeps the jobs of a {@link JobQueue} in a {@link WriteAheadLog}: each job in full when it is
- * pushed, then its changes of state, and that a try is handed out to a worker.
+ * Stores the jobs of a {@link JobQueue} in a {@link WriteAheadLog}: each job in full when it is
+ * pushed, then its changes of state, and that an attempt is handed out to a worker.
  *
- * <p>Restoring gives the queue as it stood, except that a job which was being tried when the
- * process ended waits again, or is dead where it may have run and must not run twice. Owns the log
- * and closes it. Times are microseconds of Unix time.
+ * <p>Restoring gives the queue as it was, except that a job which was active when the process ended
+ * is enqueued again, or is dead where it may have run and must not run twice. Owns the log and
+ * closes it. Times are microseconds of Unix time.
  */
-public final class DurableJobStore implements JobQueue.Listener {
-  /** What the store asks of a request class. */
-  public interface Classes {
-    /** Whether its jobs may run again although they may have run; their tries are not recorded. */
-    boolean mayRepeat(int requestClass);
+public final class DurableJobStore implements JobListener {
+  /** What the store has to know of a request class. */
+  public interface RequestClasses {
+    /**
+     * Whether its jobs may run again although they may have run; their attempts are not recorded.
+     */
+    boolean isIdempotent(int requestClass);
 
     /** Whether its jobs must survive a loss of power, and not only the end of the process. */
     boolean isSynced(int requestClass);
@@ -34,13 +37,13 @@
   }
 
   private final WriteAheadLog log;
-  private final Classes classes;
+  private final RequestClasses classes;
   private final long maxBytes;
   private final JobRecordCodec codec = new JobRecordCodec();
   private final RecordIndex index = new RecordIndex();
   private final LogCompactor compactor;
 
-  /** Whether changes come from {@link #restore}, and stand in the log already. */
+  /** Whether changes are those of {@link #restore}, which the log has already. */
   private boolean isRestoring;
 
   /**
@@ -50,7 +53,7 @@
    * @param segmentBytes size of the log's segments
    * @param maxBytes size of the log beyond which no job is accepted
    */
-  DurableJobStore(WriteAheadLog log, Classes classes, long segmentBytes, long maxBytes) {
+  DurableJobStore(WriteAheadLog log, RequestClasses classes, long segmentBytes, long maxBytes) {
     this.log = log;
     this.classes = classes;
     this.maxBytes = maxBytes;
@@ -89,16 +92,17 @@
   }
 
   private void restoreJob(JobQueue queue, StoredJob stored, long now) {
-    StoredJob.Restored restored = stored.resolve(classes.mayRepeat(stored.spec().requestClass()));
+    StoredJob.Restored restored =
+        stored.resolve(classes.isIdempotent(stored.spec().requestClass()));
     isRestoring = true;
     queue.restore(restored.job(), restored.state(), restored.reason(), now);
     isRestoring = false;
     Job job = queue.find(stored.jid());
     index.add(job, stored.segment(), stored.recordBytes());
-    if (restored.isChanged() || job.payload == null) {
+    if (restored.isChanged() || job.payload() == null) {
       appendStateChange(job);
     }
-    if (job.payload == null) {
+    if (job.payload() == null) {
       index.remove(job);
     }
   }
@@ -118,8 +122,8 @@
   }
 
   /**
-   * Runs an action once all changes so far survive the end of the process, or where asked a loss of
-   * power.
+   * Runs an action once all changes so far survive the end of the process, or a loss of power where
+   * {@code isSynced}.
    */
   void whenDurable(boolean isSynced, Runnable action) {
     if (isSynced) {
@@ -135,27 +139,28 @@
     log.write();
   }
 
-  /** Writes all changes so far, and has the disk take them over soon. */
+  /** Writes all changes so far, and starts to sync them to the disk. */
   void sync() {
     log.sync();
   }
 
   /**
-   * Records that a try is handed out to a worker; has to be called before its first byte is sent.
+   * Records that an attempt is handed out to a worker; has to be called before its first byte is
+   * sent.
    *
    * @return false where the record cannot be written although the job must not run twice
    */
   boolean recordHandedOut(Job job) {
-    if (job.handedOut || classes.mayRepeat(job.spec.requestClass())) {
+    if (job.isHandedOut() || classes.isIdempotent(job.spec().requestClass())) {
       return true;
     }
-    job.handedOut = true;
-    append(new JobRecord.HandedOut(job.spec.jid()));
+    job.setHandedOut(true);
+    append(new JobRecord.HandedOut(job.spec().jid()));
     log.write();
     return log.fault().isEmpty();
   }
 
-  /** Bytes at the ends of earlier processes' segments that were no whole record. */
+  /** Bytes at the ends of earlier processes' segments that were no complete record. */
   int truncatedBytes() {
     return log.truncatedBytes();
   }
@@ -165,14 +170,14 @@
     if (isRestoring) {
       return;
     }
-    if (job.state == State.ACTIVE) {
-      job.handedOut = false;
+    if (job.state() == State.ACTIVE) {
+      job.setHandedOut(false);
     }
-    if (!RecordIndex.contains(job)) {
-      if (job.payload != null) {
+    if (!job.hasLogRecord()) {
+      if (job.payload() != null) {
         appendFullJob(job);
       }
-    } else if (job.payload == null) {
+    } else if (job.payload() == null) {
       appendStateChange(job);
       index.remove(job);
     } else if (!isImplied(job, from)) {
@@ -182,32 +187,31 @@
 
   /** Whether restoring without a record of this change gives the same. */
   private boolean isImplied(Job job, State from) {
-    return switch (job.state) {
+    return switch (job.state()) {
       case ENQUEUED ->
-          (from == State.SCHEDULED || from == State.RETRY) && job.dueMicros <= job.updatedAt;
-      case ACTIVE -> classes.mayRepeat(job.spec.requestClass());
+          (from == State.SCHEDULED || from == State.RETRY) && job.dueMicros() <= job.updatedAt();
+      case ACTIVE -> classes.isIdempotent(job.spec().requestClass());
       case SCHEDULED, RETRY, DONE, DEAD, EXPIRED, CANCELLED -> false;
     };
   }
 
   @Override
   public void deadJobDropped(Job job) {
-    if (RecordIndex.contains(job)) {
-      append(new JobRecord.Dropped(job.spec.jid()));
+    if (job.hasLogRecord()) {
+      append(new JobRecord.Dropped(job.spec().jid()));
       index.remove(job);
     }
   }
 
   private void appendFullJob(Job job) {
     JobRecord.FullJob record =
-        new JobRecord.FullJob(
-            job.spec.jid(), JobRecord.Snapshot.of(job), job.arrivalOrder, job.payload);
+        new JobRecord.FullJob(job.spec().jid(), job.snapshot(), job.arrivalOrder(), job.payload());
     byte[] content = codec.encode(record);
     index.add(job, log.append(content), content.length);
   }
 
   private void appendStateChange(Job job) {
-    append(new JobRecord.StateChange(job.spec.jid(), JobRecord.Snapshot.of(job)));
+    append(new JobRecord.StateChange(job.spec().jid(), job.snapshot()));
   }
 
   private void append(JobRecord record) {
--- a/src/main/java/loomreel/faktory/storage/JobPersistence.java
+++ b/src/main/java/loomreel/faktory/storage/JobPersistence.java
@@ -47,7 +47,7 @@
         public void close() {}
       };
 
-  /** Whether jobs that wait are there for the next process. */
+  /** Whether waiting jobs are there for the next process. */
   boolean outlivesProcess();
 
   /** Why no further job can be stored now; empty where one can. */
--- a/src/main/java/loomreel/faktory/storage/JobRecordCodec.java
+++ b/src/main/java/loomreel/faktory/storage/JobRecordCodec.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
 
 /**
@@ -21,7 +22,7 @@
   private static final String FAILURES = "failures";
   private static final String MAY_HAVE_RUN = "may_have_run";
 
-  /** In a snapshot: the try had gone out when the record was written. */
+  /** In a snapshot: the attempt had been handed out when the record was written. */
   private static final String WAS_OUT = "was_out";
 
   private static final String REASON = "reason";
@@ -81,7 +82,7 @@
     generator.writeRawValue(new String(full.payload(), StandardCharsets.UTF_8));
   }
 
-  private static void writeSnapshot(JsonGenerator generator, JobRecord.Snapshot snapshot)
+  private static void writeSnapshot(JsonGenerator generator, Job.Snapshot snapshot)
       throws IOException {
     generator.writeStringField(STATE, snapshot.state().name());
     generator.writeNumberField(DUE, snapshot.dueMicros());
@@ -154,8 +155,8 @@
       if (isDropped) {
         return new JobRecord.Dropped(jid);
       }
-      JobRecord.Snapshot snapshot =
-          new JobRecord.Snapshot(state, dueMicros, failures, mayHaveRun, wasOut, reason, updatedAt);
+      Job.Snapshot snapshot =
+          new Job.Snapshot(state, dueMicros, failures, mayHaveRun, wasOut, reason, updatedAt);
       if (payload != null) {
         return new JobRecord.FullJob(jid, snapshot, arrivalOrder, payload);
       }
--- a/src/main/java/loomreel/faktory/storage/JobReplay.java
+++ b/src/main/java/loomreel/faktory/storage/JobReplay.java
@@ -9,7 +9,7 @@
 import loomreel.faktory.queue.Job.State;
 import loomreel.wal.WriteAheadLog;
 
-/** Replays the records of earlier processes into the jobs that they amount to. */
+/** Replays the records of earlier processes into jobs. */
 final class JobReplay implements WriteAheadLog.Reader {
   private final JobRecordCodec codec;
   private final Map<String, StoredJob> jobs = new HashMap<>();
@@ -43,8 +43,8 @@
     } else if (before != null && before.hasPayload()) {
       jobs.put(change.jid(), before.after(change, sameBoot));
     }
-    // Else its full record stood in a segment that was removed: the job has ended since, or a new
-    // full record follows.
+    // Else its full record was in a segment that has been removed: the job has ended since, or a
+    // new full record follows.
   }
 
   /** The jobs in the order of their arrival. */
--- a/src/main/java/loomreel/faktory/storage/LogCompactor.java
+++ b/src/main/java/loomreel/faktory/storage/LogCompactor.java
@@ -5,12 +5,12 @@
 import loomreel.wal.WriteAheadLog;
 
 /**
- * Removes old segments of the log, a little at a time: those in which no wanted record stands, and
- * where the log is much larger than its wanted records, the oldest one after its jobs have been
+ * Removes old segments of the log, a little at a time: those in which no needed record stands, and
+ * where the log is much larger than its needed records, the oldest one after its jobs have been
  * written again.
  */
 final class LogCompactor {
-  /** Bytes on disk for each wanted byte, above which the oldest segment is rewritten. */
+  /** Bytes on disk for each needed byte, above which the oldest segment is rewritten. */
   private static final int MAX_BYTES_PER_LIVE_BYTE = 2;
 
   /** Segments on disk that are allowed beyond that ratio. */
@@ -48,7 +48,7 @@
       return false;
     }
     if (index.isEmpty(oldest)) {
-      removeUnwantedSegments();
+      removeUnneededSegments();
       return false;
     }
     long allowedBytes = MAX_BYTES_PER_LIVE_BYTE * index.liveBytes() + SPARE_SEGMENTS * segmentBytes;
@@ -62,14 +62,14 @@
     return true;
   }
 
-  /** Removes the oldest segments without wanted records, once what was written later is synced. */
-  private void removeUnwantedSegments() {
-    int firstWanted = index.oldestSegment().orElse(log.current());
+  /** Removes the oldest segments without needed records, once what was written later is synced. */
+  private void removeUnneededSegments() {
+    int firstNeeded = index.oldestSegment().orElse(log.current());
     isRemoving = true;
     log.whenSynced(
         () -> {
           isRemoving = false;
-          while (log.oldest() < firstWanted) {
+          while (log.oldest() < firstNeeded) {
             index.removeSegment(log.oldest());
             log.dropOldest();
           }
--- a/src/main/java/loomreel/faktory/storage/RecordIndex.java
+++ b/src/main/java/loomreel/faktory/storage/RecordIndex.java
@@ -8,8 +8,8 @@
 import loomreel.faktory.queue.Job;
 
 /**
- * Which segment of the log holds the full record of which job that is still wanted. Owned by {@link
- * DurableJobStore}.
+ * Which segment of the log holds the full record of which job, for records that are still needed.
+ * Owned by {@link DurableJobStore}.
  */
 final class RecordIndex {
   private final TreeMap<Integer, LinkedHashSet<Job>> jobsBySegment = new TreeMap<>();
@@ -17,24 +17,18 @@
 
   /** Adds a job whose full record stands in a segment. */
   void add(Job job, int segment, int recordBytes) {
-    job.logSegment = segment;
-    job.logRecordBytes = recordBytes;
+    job.setLogRecord(segment, recordBytes);
     jobsBySegment.computeIfAbsent(segment, number -> new LinkedHashSet<>()).add(job);
     liveBytes += recordBytes;
   }
 
-  /** Removes a job whose full record is wanted no longer. */
+  /** Removes a job whose full record is not needed any more. */
   void remove(Job job) {
-    LinkedHashSet<Job> jobs = jobsBySegment.get(job.logSegment);
+    LinkedHashSet<Job> jobs = jobsBySegment.get(job.logSegment());
     if (jobs != null && jobs.remove(job)) {
-      liveBytes -= job.logRecordBytes;
+      liveBytes -= job.logRecordBytes();
     }
-    job.logSegment = -1;
-  }
-
-  /** Whether the full record of a job stands in the log and is wanted. */
-  static boolean contains(Job job) {
-    return job.logSegment >= 0;
+    job.clearLogRecord();
   }
 
   /** The first jobs whose records stand in a segment, up to a number of them; a copy. */
@@ -43,13 +37,13 @@
     return jobs == null ? List.of() : jobs.stream().limit(limit).toList();
   }
 
-  /** Whether no wanted record stands in a segment. */
+  /** Whether no needed record stands in a segment. */
   boolean isEmpty(int segment) {
     LinkedHashSet<Job> jobs = jobsBySegment.get(segment);
     return jobs == null || jobs.isEmpty();
   }
 
-  /** The oldest segment in which a wanted record stands. */
+  /** The oldest segment in which a needed record stands. */
   OptionalInt oldestSegment() {
     return jobsBySegment.entrySet().stream()
         .filter(entry -> !entry.getValue().isEmpty())
@@ -57,12 +51,12 @@
         .findFirst();
   }
 
-  /** Forgets a segment that is removed from the log. */
+  /** Removes a segment that is removed from the log. */
   void removeSegment(int segment) {
     jobsBySegment.remove(segment);
   }
 
-  /** Bytes of all wanted records. */
+  /** Bytes of all needed records. */
   long liveBytes() {
     return liveBytes;
   }
--- a/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
+++ b/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
@@ -16,7 +16,7 @@
   /** The size of a segment of the write-ahead log, in bytes. */
   private static final long SEGMENT_BYTES = 16 << 20;
 
-  /** How often the disk is asked to sync what need not be safe at once, in microseconds. */
+  /** How often changes are synced that need not be durable at once, in microseconds. */
   private static final long SYNC_INTERVAL_MICROS = 100_000;
 
   private final EventLoop loop;
@@ -36,7 +36,7 @@
   public static SpoolPersistence open(
       EventLoop loop,
       FaktorySettings settings,
-      DurableJobStore.Classes classes,
+      DurableJobStore.RequestClasses classes,
       JobQueue queue,
       PayloadValidator payloads,
       RateLimitedLogger log)
--- a/src/main/java/loomreel/faktory/storage/StoredJob.java
+++ b/src/main/java/loomreel/faktory/storage/StoredJob.java
@@ -5,13 +5,15 @@
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
+import loomreel.faktory.queue.StateReasons;
 
 /**
- * What the records of one job in the log amount to, replayed in order up to some record. Used while
+ * The state of one job by its records in the log, replayed in order up to some record. Used while
  * {@link DurableJobStore} restores, and not afterwards.
  */
 final class StoredJob {
-  private static final String INTERRUPTED = "the process ended while it was tried";
+  private static final String INTERRUPTED_AFTER_HAND_OUT =
+      StateReasons.MAY_HAVE_RUN + ": " + StateReasons.INTERRUPTED;
 
   private final String jid;
 
@@ -28,12 +30,12 @@
   /** Whether the machine has run on since the last change of state was written. */
   private final boolean sameBoot;
 
-  private final JobRecord.Snapshot snapshot;
+  private final Job.Snapshot snapshot;
 
-  /** Whether its try was handed out to a worker. */
+  /** Whether its attempt was handed out to a worker. */
   private boolean handedOut;
 
-  /** What the payload says under these settings; null where they cannot use it. */
+  /** What the payload says under these settings; null where it cannot be used. */
   private Job.Spec spec;
 
   /** Why these settings cannot use the payload, where spec is null. */
@@ -41,7 +43,7 @@
 
   private StoredJob(
       JobRecord record,
-      JobRecord.Snapshot snapshot,
+      Job.Snapshot snapshot,
       byte[] payload,
       long arrivalOrder,
       int segment,
@@ -80,7 +82,7 @@
         record, record.snapshot(), payload, arrivalOrder, segment, recordBytes, changeSameBoot);
   }
 
-  /** Notes that the try under way was handed out. */
+  /** Records that the attempt under way was handed out. */
   void markHandedOut() {
     handedOut = true;
   }
@@ -95,28 +97,28 @@
   }
 
   /**
-   * The job as it is to be restored: one that was being tried when the process ended waits again,
+   * The job as it is to be restored: one that was active when the process ended is enqueued again,
    * or is dead where it may have run and must not run twice.
    *
-   * @param mayRepeat whether it may run again although it may have run
+   * @param isIdempotent whether it may run again although it may have run
    */
-  Restored resolve(boolean mayRepeat) {
-    Job job = new Job(spec, payload, arrivalOrder);
-    job.dueMicros = snapshot.dueMicros();
-    job.failures = snapshot.failures();
-    job.mayHaveRun = snapshot.mayHaveRun();
+  Restored resolve(boolean isIdempotent) {
     if (snapshot.state() != State.ACTIVE) {
-      return new Restored(job, snapshot.state(), snapshot.reason(), false);
+      return new Restored(toJob(snapshot.mayHaveRun()), snapshot.state(), snapshot.reason(), false);
     }
-    boolean mayHaveRun = job.mayHaveRun || mayHaveBeenHandedOut();
-    if (mayHaveRun && !mayRepeat) {
-      job.mayHaveRun = true;
-      return new Restored(job, State.DEAD, "may have run: " + INTERRUPTED, true);
+    boolean mayHaveRun = snapshot.mayHaveRun() || mayHaveBeenHandedOut();
+    if (mayHaveRun && !isIdempotent) {
+      return new Restored(toJob(true), State.DEAD, INTERRUPTED_AFTER_HAND_OUT, true);
     }
-    return new Restored(job, State.ENQUEUED, INTERRUPTED, true);
+    return new Restored(
+        toJob(snapshot.mayHaveRun()), State.ENQUEUED, StateReasons.INTERRUPTED, true);
   }
 
-  /** With the machine's power, the record that a try was handed out may be lost as well. */
+  private Job toJob(boolean mayHaveRun) {
+    return Job.restored(spec, payload, arrivalOrder, snapshot, mayHaveRun);
+  }
+
+  /** After a loss of power, the record that an attempt was handed out may be missing. */
   private boolean mayHaveBeenHandedOut() {
     return handedOut || !sameBoot;
   }
@@ -133,15 +135,7 @@
 
   /** The job as it is stored, of a payload that these settings cannot use. */
   Job toUnusableJob() {
-    Job job = new Job(Job.Spec.of(jid), payload, arrivalOrder);
-    job.state = snapshot.state();
-    job.dueMicros = snapshot.dueMicros();
-    job.failures = snapshot.failures();
-    job.mayHaveRun = snapshot.mayHaveRun();
-    job.reason = snapshot.reason();
-    job.updatedAt = snapshot.updatedAt();
-    job.handedOut = mayHaveBeenHandedOut();
-    return job;
+    return Job.unusable(jid, payload, arrivalOrder, snapshot, mayHaveBeenHandedOut());
   }
 
   String jid() {
--- a/src/test/java/loomreel/faktory/queue/CongestionWindowTest.java
+++ b/src/test/java/loomreel/faktory/queue/CongestionWindowTest.java
@@ -6,13 +6,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many tries of a queue may be open, and when it pauses. */
+/** How many attempts of a queue may be in flight, and when it pauses. */
 class CongestionWindowTest {
   private static final long MS = 1000;
   private final CongestionWindow window = new CongestionWindow();
 
   @Test
-  void growsByOneForAsManyServedTriesAsItHolds() {
+  void growsByOneForAsManyServedAttemptsAsItHolds() {
     for (int i = 0; i < 16; i++) {
       window.onServed(100);
     }
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void pausesDoubleUpToTwoSecondsWhileTriesAreRejected() {
+  void pausesDoubleUpToTwoSecondsWhileAttemptsAreRejected() {
     long now = 0;
     for (long expectedMs : new long[] {50, 100, 200, 400, 800, 1600, 2000, 2000}) {
       window.onRejected(now);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aServedTryMakesTheNextPauseShortAgain() {
+  void aServedAttemptMakesTheNextPauseShortAgain() {
     window.onRejected(0);
     window.onRejected(50 * MS);
     window.onServed(100);
--- a/src/test/java/loomreel/faktory/queue/JobQueueTest.java
+++ b/src/test/java/loomreel/faktory/queue/JobQueueTest.java
@@ -2,16 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.stream.IntStream;
 import java.util.stream.StreamSupport;
 import loomreel.faktory.queue.Job.State;
 import net.jqwik.api.ForAll;
@@ -23,7 +25,7 @@
   private static final long SECOND = 1_000_000;
   private final JobQueue queue =
       new JobQueue(
-          new JobQueue.Limits(100, 10_000, 15 * SECOND, 600 * SECOND, 50), new SplittableRandom(1));
+          new QueueLimits(100, 10_000, 15 * SECOND, 600 * SECOND, 50), new SplittableRandom(1));
 
   private static Job.Spec spec(
       String jid, String queue, int priority, int retry, long at, long deadline) {
@@ -31,7 +33,9 @@
   }
 
   private Job pushAndStart(String jid, int retry, long now) {
-    assertNull(queue.push(spec(jid, "q", 5, retry, 0, Long.MAX_VALUE), new byte[10], now));
+    assertEquals(
+        Optional.empty(),
+        queue.push(spec(jid, "q", 5, retry, 0, Long.MAX_VALUE), new byte[10], now));
     return queue.startNext("q", now);
   }
 
@@ -41,12 +45,12 @@
     while (queue.hasReady()) {
       Job job = queue.startNext(queue.readyQueues().iterator().next(), now);
       jids.add(job.spec.jid());
-      queue.completeTry(job, new byte[0], now);
+      queue.completeAttempt(job, new byte[0], now);
     }
     return jids;
   }
 
-  /** By due time, then by arrival; it does not matter when the queue is looked at. */
+  /** By due time, then by arrival, whenever the queue is processed. */
   @Test
   void scheduledJobsAreEnqueuedWhenDue() {
     queue.push(spec("c", "q", 5, 0, 30, Long.MAX_VALUE), new byte[1], 5);
@@ -56,8 +60,7 @@
     assertEquals(10, queue.nextDueMicros());
     assertEquals(List.of(), serveAllReady(9));
     assertEquals(List.of("a"), serveAllReady(10));
-    // Late by far: those that are due together are still taken by arrival, as their priorities are
-    // the same.
+    // Processed late: jobs that became due meanwhile start by arrival, as their priority is equal.
     assertEquals(List.of("c", "b1", "b2"), serveAllReady(10_000));
     assertEquals(Long.MAX_VALUE, queue.nextDueMicros());
   }
@@ -72,19 +75,18 @@
   @Test
   void jobsThatMayHaveRunAndMustNotRepeatStayDead() {
     Job job = pushAndStart("issue-1", 25, 0);
-    queue.failTry(job, true, false, 1);
+    queue.failAttempt(job, true, false, 1);
     assertEquals(State.DEAD, job.state);
     assertEquals("may have run", job.reason);
-    assertFalse(queue.requeue(job, false, 2));
+    assertFalse(queue.administration().requeue(job, false, 2));
     queue.addEvidence(job, "ACK came late");
     assertEquals(State.DEAD, job.state);
     assertEquals("ACK came late", job.evidence);
-    assertThrows(IllegalStateException.class, () -> queue.completeTry(job, new byte[0], 3));
-    assertThrows(IllegalStateException.class, () -> queue.rejectTry(job, "no room", 3));
-    assertTrue(
-        queue
-            .push(spec("issue-1", "q", 5, 25, 0, Long.MAX_VALUE), new byte[1], 3)
-            .startsWith("NOTUNIQUE"));
+    assertThrows(IllegalStateException.class, () -> queue.completeAttempt(job, new byte[0], 3));
+    assertThrows(IllegalStateException.class, () -> queue.rejectAttempt(job, "no room", 3));
+    assertEquals(
+        Optional.of(PushRejection.JID_ENDED),
+        queue.push(spec("issue-1", "q", 5, 25, 0, Long.MAX_VALUE), new byte[1], 3));
     assertEquals(List.of(), serveAllReady(1_000_000 * SECOND));
   }
 
@@ -94,7 +96,7 @@
     long now = 0;
     List<Long> waits = new ArrayList<>();
     while (true) {
-      queue.failTry(job, true, true, now);
+      queue.failAttempt(job, true, true, now);
       if (job.state != State.RETRY) {
         break;
       }
@@ -110,81 +112,85 @@
       assertTrue(
           waits.get(i) >= least - 1 && waits.get(i) <= least + 30 * (i + 1), waits.toString());
     }
-    assertTrue(queue.requeue(job, true, now));
+    assertTrue(queue.administration().requeue(job, true, now));
     assertEquals(State.ENQUEUED, job.state);
   }
 
-  /** A job expires at once, not when its next try would have been. */
+  /** A job expires at once, not when its next attempt would have been due. */
   @Test
-  void aDeadlineBeforeTheNextTryExpiresAJob() {
-    assertNull(queue.push(spec("a", "q", 5, 25, 0, 10 * SECOND), new byte[1], 0));
+  void aDeadlineBeforeTheNextAttemptExpiresAJob() {
+    assertEquals(
+        Optional.empty(), queue.push(spec("a", "q", 5, 25, 0, 10 * SECOND), new byte[1], 0));
     Job job = queue.startNext("q", 1);
-    queue.failTry(job, false, true, 2);
+    queue.failAttempt(job, false, true, 2);
     assertEquals(State.EXPIRED, job.state);
-    assertNull(queue.push(spec("b", "q", 5, 25, 5 * SECOND, 6 * SECOND), new byte[1], 3));
-    assertNull(queue.push(spec("c", "q", 5, 25, 0, 6 * SECOND), new byte[1], 3));
+    assertEquals(
+        Optional.empty(),
+        queue.push(spec("b", "q", 5, 25, 5 * SECOND, 6 * SECOND), new byte[1], 3));
+    assertEquals(
+        Optional.empty(), queue.push(spec("c", "q", 5, 25, 0, 6 * SECOND), new byte[1], 3));
     queue.processDue(6 * SECOND);
     assertEquals(State.EXPIRED, queue.find("b").state);
     assertEquals(State.EXPIRED, queue.find("c").state);
-    assertNotNull(queue.push(spec("d", "q", 5, 25, 0, 6 * SECOND), new byte[1], 7 * SECOND));
+    assertEquals(
+        Optional.of(PushRejection.DEADLINE_PASSED),
+        queue.push(spec("d", "q", 5, 25, 0, 6 * SECOND), new byte[1], 7 * SECOND));
   }
 
   @Test
   void theBacklogIsBoundedInJobsAndBytes() {
     for (int i = 0; i < 100; i++) {
-      assertNull(queue.push(spec("j" + i, "q", 5, 0, 0, Long.MAX_VALUE), new byte[10], 0));
+      assertEquals(
+          Optional.empty(),
+          queue.push(spec("j" + i, "q", 5, 0, 0, Long.MAX_VALUE), new byte[10], 0));
     }
-    assertTrue(
-        queue
-            .push(spec("more", "q", 5, 0, 0, Long.MAX_VALUE), new byte[1], 0)
-            .contains("100 jobs"));
-    queue.flush(1);
+    assertEquals(
+        Optional.of(PushRejection.TOO_MANY_JOBS),
+        queue.push(spec("more", "q", 5, 0, 0, Long.MAX_VALUE), new byte[1], 0));
+    queue.administration().flush(1);
     assertEquals(0, queue.liveBytes());
     assertEquals(100, queue.ended(State.CANCELLED));
-    assertTrue(
-        queue
-            .push(spec("big", "q", 5, 0, 0, Long.MAX_VALUE), new byte[10_001], 2)
-            .contains("10000 bytes"));
-    // What has ended is forgotten in time, and within bounds.
+    assertEquals(
+        Optional.of(PushRejection.TOO_MANY_BYTES),
+        queue.push(spec("big", "q", 5, 0, 0, Long.MAX_VALUE), new byte[10_001], 2));
+    // Ended jobs are known for a limited time, and up to a limit.
     List<String> known =
-        java.util.stream.IntStream.range(0, 100)
-            .mapToObj(i -> "j" + i)
-            .filter(j -> queue.find(j) != null)
-            .toList();
+        IntStream.range(0, 100).mapToObj(i -> "j" + i).filter(j -> queue.find(j) != null).toList();
     assertEquals(50, known.size());
-    assertTrue(
-        queue
-            .push(spec(known.get(0), "q", 5, 0, 0, Long.MAX_VALUE), new byte[1], 3)
-            .startsWith("NOTUNIQUE"));
-    assertNull(
+    assertEquals(
+        Optional.of(PushRejection.JID_ENDED),
+        queue.push(spec(known.get(0), "q", 5, 0, 0, Long.MAX_VALUE), new byte[1], 3));
+    assertEquals(
+        Optional.empty(),
         queue.push(spec(known.get(0), "q", 5, 0, 0, Long.MAX_VALUE), new byte[1], 601 * SECOND));
   }
 
-  /** Any sequence of operations: no job has two ends, none is lost, and the sums agree. */
+  /** Any sequence of operations: no job has two final states, none is lost, and the sums agree. */
   @Property(tries = 300, seed = "20261201")
-  void everyJobHasOneEnd(@ForAll long seed) {
+  void everyJobHasOneFinalState(@ForAll long seed) {
     RandomOperations operations = new RandomOperations(seed);
     for (int step = 0; step < 200; step++) {
       operations.performOne();
-      operations.assertOneEndForEachJob();
+      operations.assertOneFinalStateForEachJob();
       operations.assertSumsAgree();
     }
   }
 
-  /** A queue under random operations, and what it has to agree with. */
+  /** A queue under random operations, and the jobs that it must hold. */
   private static final class RandomOperations {
     private static final int PAYLOAD_BYTES = 20;
+    private static final Set<PushRejection> NOT_UNIQUE =
+        EnumSet.of(PushRejection.JID_IN_USE, PushRejection.JID_ENDED);
     private final SplittableRandom random;
     private final JobQueue queue;
-    private final Map<String, State> ends = new HashMap<>();
+    private final Map<String, State> finalStates = new HashMap<>();
     private final List<Job> active = new ArrayList<>();
     private final List<Job> all = new ArrayList<>();
     private long now;
 
     RandomOperations(long seed) {
       random = new SplittableRandom(seed);
-      queue =
-          new JobQueue(new JobQueue.Limits(30, 600, SECOND, 1_000_000 * SECOND, 100_000), random);
+      queue = new JobQueue(new QueueLimits(30, 600, SECOND, 1_000_000 * SECOND, 100_000), random);
     }
 
     void performOne() {
@@ -198,9 +204,9 @@
             StreamSupport.stream(queue.readyQueues().spliterator(), false).toList();
         active.add(queue.startNext(ready.get(random.nextInt(ready.size())), now));
       } else if (operation == 5 && random.nextInt(20) == 0) {
-        queue.flush(now);
+        queue.administration().flush(now);
       } else if (!active.isEmpty()) {
-        endTry(active.remove(random.nextInt(active.size())));
+        endAttempt(active.remove(random.nextInt(active.size())));
       }
     }
 
@@ -215,26 +221,27 @@
               random.nextInt(4) - 1,
               random.nextBoolean() ? 0 : now + random.nextLong(9 * SECOND),
               random.nextBoolean() ? Long.MAX_VALUE : now + 1 + random.nextLong(20 * SECOND));
-      String rejection = queue.push(spec, new byte[PAYLOAD_BYTES], now);
-      assertEquals(isKnown, rejection != null && rejection.startsWith("NOTUNIQUE"));
-      if (rejection == null) {
+      Optional<PushRejection> rejection = queue.push(spec, new byte[PAYLOAD_BYTES], now);
+      assertEquals(isKnown, rejection.filter(NOT_UNIQUE::contains).isPresent());
+      if (rejection.isEmpty()) {
         all.add(queue.find(jid));
       }
     }
 
-    private void endTry(Job job) {
+    private void endAttempt(Job job) {
       switch (random.nextInt(3)) {
-        case 0 -> queue.completeTry(job, new byte[0], now);
-        case 1 -> queue.rejectTry(job, "no room", now);
-        default -> queue.failTry(job, random.nextBoolean(), random.nextBoolean(), now);
+        case 0 -> queue.completeAttempt(job, new byte[0], now);
+        case 1 -> queue.rejectAttempt(job, "no room", now);
+        default -> queue.failAttempt(job, random.nextBoolean(), random.nextBoolean(), now);
       }
     }
 
-    void assertOneEndForEachJob() {
+    void assertOneFinalStateForEachJob() {
       for (Job job : all) {
         if (job.state.isFinal()) {
-          State before = ends.putIfAbsent(job.spec.jid() + "#" + job.arrivalOrder, job.state);
-          assertTrue(before == null || before == job.state, "a second end");
+          State before =
+              finalStates.putIfAbsent(job.spec.jid() + "#" + job.arrivalOrder, job.state);
+          assertTrue(before == null || before == job.state, "a second final state");
         }
       }
     }
--- a/src/test/java/loomreel/faktory/queue/RetryBackoffTest.java
+++ b/src/test/java/loomreel/faktory/queue/RetryBackoffTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Delays before the next try of a job. */
+/** Delays before the next attempt of a job. */
 class RetryBackoffTest {
   private static final long SECOND = 1_000_000;
   private static final long BASE = 15 * SECOND;
--- a/src/test/java/loomreel/faktory/storage/DurableJobStoreTest.java
+++ b/src/test/java/loomreel/faktory/storage/DurableJobStoreTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,6 +13,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.BlockingQueue;
@@ -25,6 +25,8 @@
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.PushRejection;
+import loomreel.faktory.queue.QueueLimits;
 import loomreel.settings.FaktorySettings;
 import loomreel.wal.WriteAheadLog;
 import org.junit.jupiter.api.BeforeEach;
@@ -40,10 +42,10 @@
   private static final long SECOND = 1_000_000;
   private static final int FREE = 0;
   private static final int SINGLE = 1;
-  private static final DurableJobStore.Classes CLASSES =
-      new DurableJobStore.Classes() {
+  private static final DurableJobStore.RequestClasses CLASSES =
+      new DurableJobStore.RequestClasses() {
         @Override
-        public boolean mayRepeat(int requestClass) {
+        public boolean isIdempotent(int requestClass) {
           return requestClass == FREE;
         }
 
@@ -86,8 +88,7 @@
   void open() throws IOException {
     queue =
         new JobQueue(
-            new JobQueue.Limits(1000, 1 << 20, SECOND, 600 * SECOND, 1000),
-            new SplittableRandom(1));
+            new QueueLimits(1000, 1 << 20, SECOND, 600 * SECOND, 1000), new SplittableRandom(1));
     store =
         new DurableJobStore(
             new WriteAheadLog(directory, segmentBytes, loop::add), CLASSES, segmentBytes, 1 << 30);
@@ -128,7 +129,7 @@
             25,
             at,
             Long.MAX_VALUE);
-    assertNull(queue.push(spec, text.getBytes(StandardCharsets.UTF_8), now));
+    assertEquals(Optional.empty(), queue.push(spec, text.getBytes(StandardCharsets.UTF_8), now));
     return queue.find(jid);
   }
 
@@ -144,8 +145,8 @@
     push("later", "free", 90 * SECOND);
     killAndOpen();
     killAndOpen();
-    assertEquals(State.SCHEDULED, queue.find("later").state);
-    assertEquals(90 * SECOND, queue.find("later").dueMicros);
+    assertEquals(State.SCHEDULED, queue.find("later").state());
+    assertEquals(90 * SECOND, queue.find("later").dueMicros());
     push("new", "free", 0);
     killAndOpen();
     assertEquals("b", queue.startNext("free", now).spec.jid());
@@ -166,20 +167,20 @@
     pushAndStart("single-not-out", "single");
     Job again = pushAndStart("single-again", "single");
     assertTrue(store.recordHandedOut(again));
-    queue.failTry(again, false, false, now);
-    now = again.dueMicros;
+    queue.failAttempt(again, false, false, now);
+    now = again.dueMicros();
     queue.processDue(now);
     queue.startNext("single", now);
     killAndOpen();
-    assertEquals(State.ENQUEUED, queue.find("free-out").state);
-    assertEquals(State.DEAD, queue.find("single-out").state);
-    assertTrue(queue.find("single-out").reason.startsWith("may have run"));
-    assertFalse(queue.requeue(queue.find("single-out"), false, now));
-    assertEquals(State.ENQUEUED, queue.find("single-not-out").state);
+    assertEquals(State.ENQUEUED, queue.find("free-out").state());
+    assertEquals(State.DEAD, queue.find("single-out").state());
+    assertTrue(queue.find("single-out").reason().startsWith("may have run"));
+    assertFalse(queue.administration().requeue(queue.find("single-out"), false, now));
+    assertEquals(State.ENQUEUED, queue.find("single-not-out").state());
     assertEquals(
-        State.ENQUEUED, queue.find("single-again").state, "its second try had not gone out");
+        State.ENQUEUED, queue.find("single-again").state(), "its second try had not gone out");
     killAndOpen();
-    assertEquals(State.DEAD, queue.find("single-out").state, "and it stays so");
+    assertEquals(State.DEAD, queue.find("single-out").state(), "and it stays so");
   }
 
   /** The last records may be lost with the power: an active job may have been handed out. */
@@ -199,16 +200,18 @@
     }
     store.close();
     open();
-    assertEquals(State.DEAD, queue.find("tried").state);
-    assertEquals(State.ENQUEUED, queue.find("waits").state);
+    assertEquals(State.DEAD, queue.find("tried").state());
+    assertEquals(State.ENQUEUED, queue.find("waits").state());
   }
 
   @Test
   void endedJidsAreKnownForTheRetention() throws Exception {
-    queue.completeTry(pushAndStart("done", "free"), new byte[0], now);
+    queue.completeAttempt(pushAndStart("done", "free"), new byte[0], now);
     killAndOpen();
-    assertEquals(State.DONE, queue.find("done").state);
-    assertNotNull(queue.push(queue.find("done").spec, new byte[1], now));
+    assertEquals(State.DONE, queue.find("done").state());
+    assertEquals(
+        Optional.of(PushRejection.JID_ENDED),
+        queue.push(queue.find("done").spec(), new byte[1], now));
     now += 601 * SECOND;
     killAndOpen();
     assertNull(queue.find("done"));
@@ -221,7 +224,7 @@
     store.write();
     store.close();
     JobQueue next =
-        new JobQueue(new JobQueue.Limits(10, 1000, SECOND, SECOND, 10), new SplittableRandom(1));
+        new JobQueue(new QueueLimits(10, 1000, SECOND, SECOND, 10), new SplittableRandom(1));
     DurableJobStore reader =
         new DurableJobStore(
             new WriteAheadLog(directory, segmentBytes, loop::add), CLASSES, segmentBytes, 1 << 20);
@@ -236,8 +239,8 @@
     compactAll(reader);
     reader.close();
     open();
-    assertEquals(State.ENQUEUED, queue.find("a").state);
-    assertEquals(State.DEAD, queue.find("b").state);
+    assertEquals(State.ENQUEUED, queue.find("a").state());
+    assertEquals(State.DEAD, queue.find("b").state());
   }
 
   @Test
@@ -246,8 +249,7 @@
         new DurableJobStore(
             new WriteAheadLog(directory.resolve("small"), 100, loop::add), CLASSES, 100, 300);
     JobQueue of =
-        new JobQueue(
-            new JobQueue.Limits(1000, 1 << 20, SECOND, SECOND, 10), new SplittableRandom(1));
+        new JobQueue(new QueueLimits(1000, 1 << 20, SECOND, SECOND, 10), new SplittableRandom(1));
     of.setListener(small);
     small.restore(of, payloads, (jid, why) -> {}, now);
     assertNull(small.rejectionReason());
@@ -281,7 +283,8 @@
         active.clear();
         killAndOpen();
         queue.processDue(now);
-        Map<String, String> found = describeKeptJobs(step, job -> job.state + " " + job.failures);
+        Map<String, String> found =
+            describeKeptJobs(step, job -> job.state() + " " + job.failures());
         assertEquals(expected, found, "seed " + seed + ", step " + step);
       }
     }
@@ -304,10 +307,10 @@
     } else if (!active.isEmpty()) {
       Job job = active.remove(random.nextInt(active.size()));
       switch (random.nextInt(4)) {
-        case 0 -> queue.rejectTry(job, "no room", now);
-        case 1 -> queue.failTry(job, job.handedOut, job.spec.requestClass() == FREE, now);
-        case 2 -> queue.withdrawTry(job, now);
-        default -> queue.completeTry(job, new byte[0], now);
+        case 0 -> queue.rejectAttempt(job, "no room", now);
+        case 1 -> queue.failAttempt(job, job.isHandedOut(), job.spec().requestClass() == FREE, now);
+        case 2 -> queue.withdrawAttempt(job, now);
+        default -> queue.completeAttempt(job, new byte[0], now);
       }
     }
   }
@@ -324,8 +327,8 @@
     Map<String, String> described = new TreeMap<>();
     for (int i = 0; i <= last; i++) {
       Job job = queue.find("j" + i);
-      if (job != null && (!job.state.isFinal() || job.state == State.DEAD)) {
-        described.put(job.spec.jid(), describe.apply(job));
+      if (job != null && (!job.state().isFinal() || job.state() == State.DEAD)) {
+        described.put(job.spec().jid(), describe.apply(job));
       }
     }
     return described;
@@ -333,9 +336,9 @@
 
   private static String afterKill(Job job) {
     boolean isDead =
-        job.state == State.ACTIVE && job.spec.requestClass() == SINGLE && job.handedOut;
-    State state = isDead ? State.DEAD : job.state == State.ACTIVE ? State.ENQUEUED : job.state;
-    return state + " " + job.failures;
+        job.state() == State.ACTIVE && job.spec().requestClass() == SINGLE && job.isHandedOut();
+    State state = isDead ? State.DEAD : job.state() == State.ACTIVE ? State.ENQUEUED : job.state();
+    return state + " " + job.failures();
   }
 
   /** What was ever written is many times that: without compaction it would all still be there. */
--- a/src/test/java/loomreel/faktory/storage/JobRecordCodecTest.java
+++ b/src/test/java/loomreel/faktory/storage/JobRecordCodecTest.java
@@ -6,13 +6,14 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
 import org.junit.jupiter.api.Test;
 
 /** The stored form of records, byte by byte: earlier and later versions read it. */
 class JobRecordCodecTest {
-  private static final JobRecord.Snapshot SNAPSHOT =
-      new JobRecord.Snapshot(State.ACTIVE, 7, 2, true, true, "why \"not\"", 9);
+  private static final Job.Snapshot SNAPSHOT =
+      new Job.Snapshot(State.ACTIVE, 7, 2, true, true, "why \"not\"", 9);
   private static final String SNAPSHOT_JSON =
       "\"state\":\"ACTIVE\",\"due\":7,\"failures\":2,\"may_have_run\":true,\"was_out\":true,"
           + "\"reason\":\"why \\\"not\\\"\",\"at\":9";
