--- a/src/main/java/loomreel/cli/InstallationRunner.java
+++ b/src/main/java/loomreel/cli/InstallationRunner.java
@@ -68,16 +68,16 @@
       System.out.println(
           installation.name()
               + ": listen "
-              + installation.listen().http()
+              + installation.listeners().httpAddress()
               + ", "
-              + installation.classes().size()
+              + installation.jobClasses().size()
               + " classes, "
-              + (installation.discovery() != null
-                  ? "discovery " + installation.discovery()
+              + (installation.discoveryAddress() != null
+                  ? "discovery " + installation.discoveryAddress()
                   : installation.workers().size() + " workers")
               + (installation.faktory() == null
                   ? ""
-                  : ", Faktory at " + installation.faktory().listen()));
+                  : ", Faktory at " + installation.faktory().listenAddress()));
       return ExitCodes.OK;
     } catch (CueException e) {
       e.problems().forEach(System.err::println);
--- a/src/main/java/loomreel/faktory/CommandDispatcher.java
+++ b/src/main/java/loomreel/faktory/CommandDispatcher.java
@@ -72,7 +72,8 @@
   private void authenticate(FaktoryConnection connection, String verb, String arguments) {
     try {
       Handshake handshake = checkedHandshake(connection, verb, arguments);
-      int maxCommandBytes = (int) Math.min(Integer.MAX_VALUE / 2, settings.command().bytes());
+      int maxCommandBytes =
+          (int) Math.min(Integer.MAX_VALUE / 2, settings.maxCommandSize().bytes());
       connection.authenticated(maxCommandBytes);
       if (handshake.isWorker()) {
         connection.joinedAs(workers.connect(handshake, connection));
@@ -92,7 +93,7 @@
       throw new Handshake.RejectedException("HELLO comes first");
     }
     Handshake handshake = Handshake.of(PayloadValidator.read(arguments), connection.challenge());
-    if (handshake.isWorker() && !settings.workers().allowed()) {
+    if (handshake.isWorker() && !settings.workers().enabled()) {
       throw new Handshake.RejectedException("copy workers are not taken here");
     }
     return handshake;
--- a/src/main/java/loomreel/faktory/ConsumerCommands.java
+++ b/src/main/java/loomreel/faktory/ConsumerCommands.java
@@ -38,7 +38,7 @@
     if (job != null) {
       connection.sendJob(job);
     } else {
-      connection.awaitJob(queues, settings.fetchWait().micros());
+      connection.awaitJob(queues, settings.fetchTimeout().micros());
     }
   }
 
@@ -82,12 +82,13 @@
     JsonNode state = beat.path("current_state");
     workers.heartbeat(
         worker, state.isTextual() ? state.asText() : null, beat.path("rss_kb").asLong(0));
-    if (!scheduler.isDraining() || settings.onStop() == FaktorySettings.OnStop.STAY) {
+    if (!scheduler.isDraining()
+        || settings.shutdownRequest() == FaktorySettings.ShutdownRequest.NONE) {
       return Reply.OK;
     }
     return Reply.json(
         PayloadValidator.JSON
             .createObjectNode()
-            .put("state", settings.onStop().name().toLowerCase(Locale.ROOT)));
+            .put("state", settings.shutdownRequest().name().toLowerCase(Locale.ROOT)));
   }
 }
--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -74,7 +74,8 @@
             random);
     challenges = new PasswordChallenges(loop, settings);
     listener =
-        new FaktoryListener(loop, settings.listen(), settings.connections(), this::connect, log);
+        new FaktoryListener(
+            loop, settings.listenAddress(), settings.maxConnections(), this::connect, log);
     report = new IngressReport(loop, queue, workers, listener, settings.queues().keySet());
     commands = commands(classes, payloads, recentAttempts);
     // Restored jobs must not wait until something else happens.
@@ -91,11 +92,11 @@
 
   private static JobQueue.Limits queueLimits(FaktorySettings settings) {
     return new JobQueue.Limits(
-        settings.backlog().jobs(),
-        settings.backlog().bytes().bytes(),
-        settings.backoff().micros(),
-        settings.remember().micros(),
-        settings.rememberMost());
+        settings.backlog().maxJobs(),
+        settings.backlog().maxSize().bytes(),
+        settings.initialBackoff().micros(),
+        settings.endedJobRetention().micros(),
+        settings.maxRetainedJobs());
   }
 
   private static Admission admission(FaktorySettings settings) {
@@ -106,7 +107,7 @@
 
   private JobPersistence openPersistence(JobClasses classes, PayloadValidator payloads)
       throws IOException {
-    if (settings.spool().equals(FaktorySettings.NO_SPOOL)) {
+    if (settings.spoolDirectory().equals(FaktorySettings.NO_SPOOL)) {
       log.warn("spool disabled: waiting jobs are lost when this process ends");
       return JobPersistence.NONE;
     }
@@ -122,7 +123,7 @@
         new ProducerCommands(loop, intake),
         new ConsumerCommands(workers, settings.workers(), scheduler, persistence),
         new TrackCommands(attempts, workers),
-        new AdminCommands(loop, queue, classes, scheduler, report, settings.mayMutate()),
+        new AdminCommands(loop, queue, classes, scheduler, report, settings.allowsMutation()),
         report,
         log);
   }
@@ -132,7 +133,8 @@
         loop,
         channel,
         challenges.next(),
-        new FaktoryConnection.Context(commands, workers, listener, settings.iterations(), log));
+        new FaktoryConnection.Context(
+            commands, workers, listener, settings.passwordHashIterations(), log));
   }
 
   /** The workers that fetch jobs here. */
@@ -146,7 +148,7 @@
    * @param openRpcs of all clients; the settings say which share of them may be Faktory jobs
    */
   public void setCapacity(int openRpcs) {
-    admission.setCapacity((int) (openRpcs * settings.share()));
+    admission.setCapacity((int) (openRpcs * settings.maxCapacityFraction()));
   }
 
   @Override
--- a/src/main/java/loomreel/faktory/FaktoryWorkerPool.java
+++ b/src/main/java/loomreel/faktory/FaktoryWorkerPool.java
@@ -71,14 +71,14 @@
     this.loop = dispatcher.loop();
     this.listener = listener;
     subchannelContext = new FaktorySubchannel.Context(dispatcher, this, payloads, classes, site);
-    heartbeatTimeoutMicros = settings.beatWithin().micros();
+    heartbeatTimeoutMicros = settings.heartbeatTimeout().micros();
     registry =
         new WorkerRegistry(
             new WorkerRegistry.Limits(
                 heartbeatTimeoutMicros,
-                settings.slots(),
-                settings.cold(),
-                Math.max(MIN_SLOT_WINDOW_MICROS, 2 * settings.fetchWait().micros())));
+                settings.initialSlots(),
+                settings.slowStart(),
+                Math.max(MIN_SLOT_WINDOW_MICROS, 2 * settings.fetchTimeout().micros())));
     checkHeartbeats();
   }
 
--- a/src/main/java/loomreel/faktory/PasswordChallenges.java
+++ b/src/main/java/loomreel/faktory/PasswordChallenges.java
@@ -48,7 +48,8 @@
       random.nextBytes(bytes);
       String salt = HexFormat.of().formatHex(bytes);
       current =
-          new Challenge(salt, Handshake.hash(settings.password(), salt, settings.iterations()));
+          new Challenge(
+              salt, Handshake.hash(settings.password(), salt, settings.passwordHashIterations()));
       expiresAt = loop.now() + SALT_LIFETIME_MICROS;
     }
     return current;
--- a/src/main/java/loomreel/faktory/PayloadValidator.java
+++ b/src/main/java/loomreel/faktory/PayloadValidator.java
@@ -102,7 +102,7 @@
       }
     }
     return settings.queues().entrySet().stream()
-        .filter(q -> q.getValue().clazz().equals(requestClass))
+        .filter(q -> q.getValue().jobClass().equals(requestClass))
         .map(Map.Entry::getKey)
         .filter(q -> !q.equals("*"))
         .findFirst()
@@ -142,13 +142,13 @@
         job.path("jid").asText(),
         queue,
         type,
-        classes.get(t == null ? q.clazz() : t.clazz()),
+        classes.get(t == null ? q.jobClass() : t.jobClass()),
         tenants.getOrDefault(tenant, -1),
         custom.path("key").isTextual() ? custom.path("key").asText() : null,
         custom.path("slots").asDouble(1),
         custom.path("cost_us").asDouble(Double.NaN),
         priority == 0 ? DEFAULT_PRIORITY : priority,
-        job.path("retry").asInt(settings.retry()),
+        job.path("retry").asInt(settings.defaultRetries()),
         time(job, "at", 0),
         time(custom, "deadline", Long.MAX_VALUE));
   }
--- a/src/main/java/loomreel/faktory/SpoolPersistence.java
+++ b/src/main/java/loomreel/faktory/SpoolPersistence.java
@@ -38,13 +38,13 @@
       PayloadValidator payloads,
       RateLimitedLogger log)
       throws IOException {
-    Path directory = Path.of(settings.spool());
+    Path directory = Path.of(settings.spoolDirectory());
     DurableJobStore store =
         new DurableJobStore(
             new WriteAheadLog(directory, SEGMENT_BYTES, loop::execute),
             classes,
             SEGMENT_BYTES,
-            settings.spoolMost().bytes());
+            settings.maxSpoolSize().bytes());
     queue.setListener(store);
     long startedNanos = System.nanoTime();
     int jobs =
--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -37,18 +37,18 @@
   public static ServeConfig of(Installation installation, long seed) {
     return new ServeConfig(
         installation.name(),
-        installation.listen().http(),
+        installation.listeners().httpAddress(),
         false,
-        installation.listen().operators(),
+        installation.listeners().adminAddress(),
         null,
-        installation.discovery(),
+        installation.discoveryAddress(),
         seed,
-        installation.limits().descriptors(),
+        installation.limits().maxDescriptors(),
         installation.limits().memory().bytes(),
         workers(installation),
         settings(installation),
-        installation.network().connectWithin().micros(),
-        installation.network().idleFor().micros(),
+        installation.network().connectTimeout().micros(),
+        installation.network().idleTimeout().micros(),
         ANSWER_SLACK_MICROS,
         SHUTDOWN_LIMIT_MICROS);
   }
@@ -68,22 +68,28 @@
 
   private static Endpoint endpoint(String id, Installation.Worker worker) {
     return new Endpoint(
-        id, worker.site(), worker.kind(), worker.block(), Endpoint.State.READY, 0, worker.weight());
+        id,
+        worker.zone(),
+        worker.kind(),
+        worker.failureDomain(),
+        Endpoint.State.READY,
+        0,
+        worker.weight());
   }
 
   private static Settings settings(Installation installation) {
-    boolean pollsEndpoints = installation.discovery() != null;
+    boolean pollsEndpoints = installation.discoveryAddress() != null;
     return new Settings(
         installation.dispatchers(),
-        installation.site(),
-        requestClasses(installation.classes()),
+        installation.zone(),
+        requestClasses(installation.jobClasses()),
         tenants(installation.tenants()),
-        rules(installation.rules(), pollsEndpoints),
+        rules(installation.workerRules(), pollsEndpoints),
         limits(installation.limits()),
         pollsEndpoints,
         true,
-        loadReporting(installation.network().reports()),
-        installation.network().tellsStart(),
+        loadReporting(installation.network().loadReporting()),
+        installation.network().reportsJobStart(),
         TICK_MICROS);
   }
 
@@ -97,58 +103,66 @@
   private static Settings.RequestClass requestClass(String name, Installation.JobClass jobClass) {
     return new Settings.RequestClass(
         name,
-        jobClass.kind().isEmpty() ? null : jobClass.kind(),
+        jobClass.workerKind().isEmpty() ? null : jobClass.workerKind(),
         jobClass.priority(),
-        jobClass.stretch(),
-        jobClass.target().micros(),
+        jobClass.workMultiple(),
+        jobClass.latencyObjective().micros(),
         jobClass.deadline().micros(),
-        jobClass.worth(),
-        jobClass.lateWorth(),
-        idempotency(jobClass.repeat()),
-        DeduplicationScope.valueOf(jobClass.group().name()),
-        jobClass.window().micros());
+        jobClass.priorityWeight(),
+        jobClass.lateWeightFraction(),
+        idempotency(jobClass.idempotency()),
+        deduplicationScope(jobClass.deduplicationScope()),
+        jobClass.deduplicationWindow().micros());
   }
 
-  private static Idempotency idempotency(Installation.Repeat repeat) {
-    return switch (repeat) {
-      case FREE -> Idempotency.IDEMPOTENT;
-      case GUARDED -> Idempotency.KEYED;
-      case SINGLE_SHOT -> Idempotency.NON_IDEMPOTENT;
+  private static Idempotency idempotency(Installation.Idempotency idempotency) {
+    return switch (idempotency) {
+      case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+      case KEYED -> Idempotency.KEYED;
+      case NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
+    };
+  }
+
+  private static DeduplicationScope deduplicationScope(Installation.DeduplicationScope scope) {
+    return switch (scope) {
+      case ALL -> DeduplicationScope.ALL;
+      case ZONE -> DeduplicationScope.ZONE;
+      case CELL -> DeduplicationScope.CELL;
     };
   }
 
   private static List<Settings.Tenant> tenants(Map<String, Installation.Tenant> tenants) {
     List<Settings.Tenant> translated = new ArrayList<>();
     tenants.forEach(
-        (name, tenant) -> translated.add(new Settings.Tenant(name, tenant.allowance())));
+        (name, tenant) -> translated.add(new Settings.Tenant(name, tenant.quotaPerSecond())));
     return translated;
   }
 
-  private static Settings.Rules rules(Installation.Rules rules, boolean pollsEndpoints) {
+  private static Settings.Rules rules(Installation.WorkerRules rules, boolean pollsEndpoints) {
     return new Settings.Rules(
-        rules.stopSendingWithin().micros(),
-        pollsEndpoints ? rules.askWithin().micros() : 0,
-        rules.coldFrom(),
-        rules.coldFor().micros(),
-        rules.tipMultiple(),
-        rules.fallWithin().micros());
+        rules.drainGrace().micros(),
+        pollsEndpoints ? rules.pollInterval().micros() : 0,
+        rules.initialCapacityFraction(),
+        rules.slowStartDuration().micros(),
+        rules.overloadMultiple(),
+        rules.overloadWindow().micros());
   }
 
   private static Settings.Limits limits(Installation.Limits limits) {
     return new Settings.Limits(
-        limits.attempts(),
-        limits.secondCopies(),
-        limits.cancelling(),
-        limits.probing(),
-        limits.holdOff(),
-        limits.maxHoldOff().micros());
+        limits.maxAttempts(),
+        limits.hedging(),
+        limits.cancellation(),
+        limits.healthChecks(),
+        limits.retryAfter(),
+        limits.maxRetryAfter().micros());
   }
 
-  private static Settings.LoadReporting loadReporting(Installation.Reports reports) {
-    return switch (reports) {
+  private static Settings.LoadReporting loadReporting(Installation.LoadReporting reporting) {
+    return switch (reporting) {
       case NONE -> Settings.LoadReporting.NONE;
-      case ANSWERS -> Settings.LoadReporting.WITH_ANSWERS;
-      case PROBES -> Settings.LoadReporting.WITH_PROBES;
+      case WITH_RESPONSES -> Settings.LoadReporting.WITH_ANSWERS;
+      case WITH_HEALTH_CHECKS -> Settings.LoadReporting.WITH_PROBES;
     };
   }
 }
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -69,7 +69,7 @@
     http = new HttpIngress(dispatcher, config.settings(), listener, this);
     ingresses.add(http);
     faktory = faktoryIngress(faktorySettings);
-    faktoryDescriptors = faktorySettings == null ? 0 : faktorySettings.connections();
+    faktoryDescriptors = faktorySettings == null ? 0 : faktorySettings.maxConnections();
     shutdown =
         new GracefulShutdown(
             dispatcher, lifecycle, http, faktory, config.settings(), config.shutdownLimitMicros());
--- a/src/main/java/loomreel/settings/InstallationFile.java
+++ b/src/main/java/loomreel/settings/InstallationFile.java
@@ -9,6 +9,7 @@
 import loomreel.settings.cue.Binder;
 import loomreel.settings.cue.Cue;
 import loomreel.settings.cue.CueException;
+import loomreel.settings.cue.Key;
 import loomreel.settings.cue.Position;
 import loomreel.settings.cue.Problem;
 import loomreel.settings.cue.Tree;
@@ -31,7 +32,7 @@
    *
    * @param faktory null where the file has no such section
    */
-  public record Features(FaktorySettings faktory) {}
+  public record Features(@Key("faktory") FaktorySettings faktory) {}
 
   /** The schema that ships with the program. */
   public static Cue schema() {
--- a/src/main/java/loomreel/settings/InstallationValidator.java
+++ b/src/main/java/loomreel/settings/InstallationValidator.java
@@ -46,18 +46,22 @@
   }
 
   void checkInstallation(Installation installation) {
-    if (installation.classes().isEmpty()) {
+    if (installation.jobClasses().isEmpty()) {
       problem("classes", "at least one class is needed");
     }
-    installation.classes().forEach((name, jobClass) -> checkJobClass("classes." + name, jobClass));
+    installation
+        .jobClasses()
+        .forEach((name, jobClass) -> checkJobClass("classes." + name, jobClass));
     checkWorkerSources(installation);
     checkDescriptors(installation);
-    if (installation.rules().stopSendingWithin().micros() > MAX_DRAIN_GRACE_MICROS) {
+    if (installation.workerRules().drainGrace().micros() > MAX_DRAIN_GRACE_MICROS) {
       problem("rules.stop_sending_within", "nothing new may go to a draining worker after 3s");
     }
     if (installation.faktory() != null) {
       checkFaktory(
-          installation.faktory(), installation.classes().keySet(), installation.tenants().keySet());
+          installation.faktory(),
+          installation.jobClasses().keySet(),
+          installation.tenants().keySet());
     }
   }
 
@@ -75,7 +79,7 @@
         .jobTypes()
         .forEach(
             (name, type) ->
-                checkClass("faktory.job_types." + name + ".class", type.clazz(), classes));
+                checkClass("faktory.job_types." + name + ".class", type.jobClass(), classes));
     faktory
         .durability()
         .keySet()
@@ -84,28 +88,29 @@
       problem("faktory.queues", "at least one queue is needed");
     }
     FaktorySettings.Workers workers = faktory.workers();
-    if (workers.fetchWait().micros() >= workers.beatWithin().micros()) {
+    if (workers.fetchTimeout().micros() >= workers.heartbeatTimeout().micros()) {
       problem("faktory.workers.fetch_wait", "must be shorter than beat_within");
     }
   }
 
   private void checkJobClass(String path, Installation.JobClass jobClass) {
-    if (jobClass.target().micros() > jobClass.deadline().micros()) {
+    if (jobClass.latencyObjective().micros() > jobClass.deadline().micros()) {
       problem(path + ".target", "later than the deadline");
     }
     if (jobClass.deadline().micros() < MIN_DEADLINE_MICROS) {
       problem(path + ".deadline", "no client waits less than 1ms");
     }
-    if (jobClass.repeat() == Installation.Repeat.GUARDED && jobClass.window().micros() == 0) {
+    if (jobClass.idempotency() == Installation.Idempotency.KEYED
+        && jobClass.deduplicationWindow().micros() == 0) {
       problem(path + ".window", "a guarded class needs the time in which repeats are dropped");
     }
   }
 
   private void checkWorkerSources(Installation installation) {
-    boolean hasDiscovery = installation.discovery() != null;
+    boolean hasDiscovery = installation.discoveryAddress() != null;
     boolean hasWorkers = !installation.workers().isEmpty();
     boolean hasFaktoryWorkers =
-        installation.faktory() != null && installation.faktory().workers().allowed();
+        installation.faktory() != null && installation.faktory().workers().enabled();
     if (hasDiscovery && hasWorkers) {
       problem("workers", "workers come from discovery or from this list, not both");
     }
@@ -116,8 +121,8 @@
 
   private void checkDescriptors(Installation installation) {
     FaktorySettings faktory = installation.faktory();
-    int limit = installation.limits().descriptors();
-    if (faktory != null && faktory.connections() + MIN_HTTP_DESCRIPTORS > limit) {
+    int limit = installation.limits().maxDescriptors();
+    if (faktory != null && faktory.maxConnections() + MIN_HTTP_DESCRIPTORS > limit) {
       problem(
           "faktory.connections",
           "must leave " + MIN_HTTP_DESCRIPTORS + " of limits.descriptors (" + limit + ") to HTTP");
@@ -126,7 +131,7 @@
 
   private void checkQueue(
       String path, FaktorySettings.Queue queue, Set<String> classes, Set<String> tenants) {
-    checkClass(path + ".class", queue.clazz(), classes);
+    checkClass(path + ".class", queue.jobClass(), classes);
     if (queue.tenant() != null && !tenants.contains(queue.tenant())) {
       problem(path + ".tenant", "no tenant is called " + queue.tenant());
     }
--- a/src/main/java/loomreel/settings/cue/Binder.java
+++ b/src/main/java/loomreel/settings/cue/Binder.java
@@ -1,5 +1,6 @@
 package loomreel.settings.cue;
 
+import java.lang.reflect.AnnotatedElement;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.ParameterizedType;
 import java.lang.reflect.RecordComponent;
@@ -8,19 +9,16 @@
 import java.math.BigInteger;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import loomreel.config.AddressParser;
 import loomreel.settings.Micros;
 import loomreel.settings.Size;
 
 /**
- * Binds settled values to Java records: the field {@code max_command} to the component {@code
- * maxCommand}. A field that is absent, and has no default in the schema, is null, 0, false or
- * empty.
+ * Binds settled values to Java records, by the {@link Key} of each record component and enum
+ * constant. A field that is absent, and has no default in the schema, is null, 0, false or empty.
  */
 public final class Binder {
   private final List<Problem> problems = new ArrayList<>();
@@ -71,10 +69,7 @@
       } else if (target == InetSocketAddress.class) {
         return AddressParser.parse((String) value);
       } else if (target.isEnum()) {
-        return Arrays.stream(target.getEnumConstants())
-            .filter(c -> c.toString().toLowerCase(Locale.ROOT).equals(value))
-            .findFirst()
-            .orElseThrow(() -> new IllegalArgumentException("unknown " + value));
+        return constant(target, (String) value);
       }
     } catch (ArithmeticException e) {
       problems.add(Problem.conflict(tree.at(), path, value + " is out of range"));
@@ -87,6 +82,36 @@
         "the schema gives " + path + " as " + value.getClass() + ", the program wants " + target);
   }
 
+  private static Object constant(Class<?> enumType, String key) {
+    for (Object constant : enumType.getEnumConstants()) {
+      if (keyOf((Enum<?>) constant).equals(key)) {
+        return constant;
+      }
+    }
+    throw new IllegalArgumentException("unknown " + key);
+  }
+
+  private static String keyOf(Enum<?> constant) {
+    try {
+      return keyOf(constant.getDeclaringClass().getField(constant.name()), constant);
+    } catch (NoSuchFieldException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  /**
+   * The key of a record component or the field of an enum constant.
+   *
+   * @param member its name, for the message if it has no key
+   */
+  private static String keyOf(AnnotatedElement element, Object member) {
+    Key key = element.getAnnotation(Key.class);
+    if (key == null) {
+      throw new IllegalStateException("no @Key on " + member);
+    }
+    return key.value();
+  }
+
   /** The value of a field that is absent, for a Java type. */
   private static Object absent(Class<?> target) {
     if (target == boolean.class) {
@@ -127,13 +152,9 @@
     Class<?>[] types = new Class<?>[components.length];
     int before = problems.size();
     for (int i = 0; i < components.length; i++) {
-      // A component cannot be called class.
-      String name =
-          components[i].getName().equals("clazz")
-              ? "class"
-              : components[i].getName().replaceAll("([A-Z])", "_$1").toLowerCase(Locale.ROOT);
+      String key = keyOf(components[i], components[i]);
       types[i] = components[i].getType();
-      values[i] = bind((Tree) fields.get(name), components[i].getGenericType(), inner(path, name));
+      values[i] = bind((Tree) fields.get(key), components[i].getGenericType(), inner(path, key));
     }
     if (problems.size() > before) {
       return null;
--- a/src/test/java/loomreel/settings/InstallationFileTest.java
+++ b/src/test/java/loomreel/settings/InstallationFileTest.java
@@ -29,12 +29,12 @@
 
   @Test
   void theOneThatShipsIsGood() throws Exception {
-    assertEquals(2, InstallationFile.read(Path.of("deploy/loomreel.cue")).classes().size());
+    assertEquals(2, InstallationFile.read(Path.of("deploy/loomreel.cue")).jobClasses().size());
     Installation good = InstallationFile.installation("f", GOOD);
-    assertEquals(90_000_000, good.classes().get("copy").deadline().micros());
-    assertEquals(4 << 20, good.faktory().command().bytes());
-    assertEquals(0.5, good.faktory().share());
-    assertEquals(4, good.limits().attempts());
+    assertEquals(90_000_000, good.jobClasses().get("copy").deadline().micros());
+    assertEquals(4 << 20, good.faktory().maxCommandSize().bytes());
+    assertEquals(0.5, good.faktory().maxCapacityFraction());
+    assertEquals(4, good.limits().maxAttempts());
   }
 
   @ParameterizedTest
