--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -83,9 +83,11 @@
             recentAttempts,
             new AttemptOutcomes(loop, queue, admission, classes, log),
             random);
-    challenges = new PasswordChallenges(loop, settings.password(), settings.iterations());
+    challenges =
+        new PasswordChallenges(loop, settings.password(), settings.passwordHashIterations());
     listener =
-        new FaktoryListener(loop, settings.listen(), settings.connections(), this::connect, log);
+        new FaktoryListener(
+            loop, settings.listenAddress(), settings.maxConnections(), this::connect, log);
     report = new IngressReport(loop, queue, workers, listener, settings.queues().keySet());
     commands = commands(classes, payloads, recentAttempts);
     // Restored jobs must not wait until something else happens.
@@ -102,11 +104,11 @@
 
   private static JobQueue.Limits queueLimits(FaktorySettings settings) {
     return new JobQueue.Limits(
-        settings.backlog().jobs(),
-        settings.backlog().bytes().bytes(),
-        settings.backoff().micros(),
-        settings.remember().micros(),
-        settings.rememberMost());
+        settings.backlog().maxJobs(),
+        settings.backlog().maxSize().bytes(),
+        settings.initialBackoff().micros(),
+        settings.endedJobRetention().micros(),
+        settings.maxRetainedJobs());
   }
 
   private static Admission admission(FaktorySettings settings) {
@@ -117,7 +119,7 @@
 
   private JobPersistence openPersistence(JobClasses classes, PayloadValidator payloads)
       throws IOException {
-    if (settings.spool().equals(FaktorySettings.NO_SPOOL)) {
+    if (settings.spoolDirectory().equals(FaktorySettings.NO_SPOOL)) {
       log.warn("spool disabled: waiting jobs are lost when this process ends");
       return JobPersistence.NONE;
     }
@@ -133,7 +135,7 @@
         new ProducerCommands(loop, intake),
         new ConsumerCommands(workers, settings.workers(), scheduler, persistence),
         new TrackCommands(attempts, workers),
-        new AdminCommands(loop, queue, classes, scheduler, report, settings.mayMutate()),
+        new AdminCommands(loop, queue, classes, scheduler, report, settings.allowsMutation()),
         report,
         log);
   }
@@ -143,7 +145,8 @@
         loop,
         channel,
         challenges.next(),
-        new FaktoryConnection.Context(commands, workers, listener, settings.iterations(), log));
+        new FaktoryConnection.Context(
+            commands, workers, listener, settings.passwordHashIterations(), log));
   }
 
   /** The workers that fetch jobs here. */
@@ -157,7 +160,7 @@
    * @param openRpcs of all clients; the settings say which share of them may be Faktory jobs
    */
   public void setCapacity(int openRpcs) {
-    admission.setCapacity((int) (openRpcs * settings.share()));
+    admission.setCapacity((int) (openRpcs * settings.maxCapacityFraction()));
   }
 
   @Override
