--- a/src/main/java/loomreel/cli/DispatcherRunner.java
+++ b/src/main/java/loomreel/cli/DispatcherRunner.java
@@ -1,6 +1,7 @@
 package loomreel.cli;
 
 import java.io.IOException;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
 import loomreel.admin.AdminServer;
@@ -17,12 +18,15 @@
   /**
    * Runs a dispatcher; the exit code.
    *
-   * @param faktory null where Faktory is off
+   * @param faktory empty where Faktory is off
    * @param isTraced whether events are traced on standard error
    * @param onHangUp called at SIGHUP, on the JVM's signal thread
    */
   static int run(
-      ServeConfig config, FaktorySettings faktory, boolean isTraced, Consumer<Server> onHangUp) {
+      ServeConfig config,
+      Optional<FaktorySettings> faktory,
+      boolean isTraced,
+      Consumer<Server> onHangUp) {
     return run(config, faktory, isTraced, onHangUp, () -> {});
   }
 
@@ -33,15 +37,19 @@
    */
   static int run(
       ServeConfig config,
-      FaktorySettings faktory,
+      Optional<FaktorySettings> faktory,
       boolean isTraced,
       Consumer<Server> onHangUp,
       Runnable onListening) {
     Server server;
     try {
-      server = new Server(config, faktory, isTraced ? new TraceWriter(System.err) : null);
+      server =
+          new Server(
+              config,
+              faktory,
+              isTraced ? Optional.of(new TraceWriter(System.err)) : Optional.empty());
       if (config.adminAddress() != null) {
-        new AdminServer(server.loop(), config.adminAddress(), server);
+        new AdminServer(server.loop(), config.adminAddress(), server.adminOperations());
       }
     } catch (IOException e) {
       System.err.println("loomreel: cannot listen: " + e.getMessage());
--- a/src/main/java/loomreel/cli/InstallationRunner.java
+++ b/src/main/java/loomreel/cli/InstallationRunner.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
+import java.util.Optional;
 import java.util.stream.Collectors;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
@@ -35,7 +36,7 @@
     }
     return DispatcherRunner.run(
         DaemonConfig.of(installation, new SecureRandom().nextLong()),
-        installation.faktory(),
+        Optional.ofNullable(installation.faktory()),
         false,
         server -> {
           try {
@@ -88,20 +89,22 @@
   /**
    * Reads Faktory's section of a settings file beside the platform's configuration.
    *
-   * @return the section, or null where the file has none
+   * @return the section, if the file has one
    * @throws ConfigException with all that is wrong with the file
    */
-  static FaktorySettings readFaktorySettings(Path file, ServeConfig config) throws ConfigException {
+  static Optional<FaktorySettings> readFaktorySettings(Path file, ServeConfig config)
+      throws ConfigException {
     try {
-      return InstallationFile.features(
-              file,
-              config.settings().classes().stream()
-                  .map(Settings.RequestClass::name)
-                  .collect(Collectors.toSet()),
-              config.settings().tenants().stream()
-                  .map(Settings.Tenant::name)
-                  .collect(Collectors.toSet()))
-          .faktory();
+      return Optional.ofNullable(
+          InstallationFile.features(
+                  file,
+                  config.settings().classes().stream()
+                      .map(Settings.RequestClass::name)
+                      .collect(Collectors.toSet()),
+                  config.settings().tenants().stream()
+                      .map(Settings.Tenant::name)
+                      .collect(Collectors.toSet()))
+              .faktory());
     } catch (CueException e) {
       throw new ConfigException(e.getMessage());
     }
--- a/src/main/java/loomreel/cli/ServeCommand.java
+++ b/src/main/java/loomreel/cli/ServeCommand.java
@@ -1,6 +1,7 @@
 package loomreel.cli;
 
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
@@ -33,8 +34,10 @@
   public Integer call() {
     try {
       ServeConfig config = ServeConfig.read(System.getenv());
-      FaktorySettings faktory =
-          settings == null ? null : InstallationRunner.readFaktorySettings(settings, config);
+      Optional<FaktorySettings> faktory =
+          settings == null
+              ? Optional.empty()
+              : InstallationRunner.readFaktorySettings(settings, config);
       return DispatcherRunner.run(
           config, faktory, isTraced, server -> server.configReloader().reload(System.getenv()));
     } catch (ConfigException e) {
--- a/src/main/java/loomreel/cli/TrainArchiveCommand.java
+++ b/src/main/java/loomreel/cli/TrainArchiveCommand.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
@@ -34,7 +35,7 @@
               },
               "client");
       client.setDaemon(true);
-      return DispatcherRunner.run(config, null, false, server -> {}, client::start);
+      return DispatcherRunner.run(config, Optional.empty(), false, server -> {}, client::start);
     }
   }
 }
--- a/src/main/java/loomreel/io/EventLoop.java
+++ b/src/main/java/loomreel/io/EventLoop.java
@@ -5,6 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -61,7 +62,7 @@
   private final Selector selector;
   private final BufferPool pool;
 
-  /** Null where tracing is off. */
+  /** Null where tracing is off, which is checked for each event. */
   private final TraceWriter trace;
 
   private final ByteBuffer scratch = ByteBuffer.allocateDirect(BufferPool.SIZE);
@@ -78,15 +79,24 @@
   private boolean stopped;
   private long longestIterationMicros;
 
+  /**
+   * Creates a loop that does not run yet and traces nothing.
+   *
+   * @throws IOException if no selector can be opened
+   */
+  public EventLoop(BufferPool pool) throws IOException {
+    this(pool, Optional.empty());
+  }
+
   /**
    * Creates a loop that does not run yet.
    *
-   * @param trace where events are traced, or null for no trace
+   * @param trace where events are traced
    * @throws IOException if no selector can be opened
    */
-  public EventLoop(BufferPool pool, TraceWriter trace) throws IOException {
+  public EventLoop(BufferPool pool, Optional<TraceWriter> trace) throws IOException {
     this.pool = pool;
-    this.trace = trace;
+    this.trace = trace.orElse(null);
     selector = Selector.open();
   }
 
--- a/src/main/java/loomreel/process/AdminOperations.java
+++ b/src/main/java/loomreel/process/AdminOperations.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** What operators may ask of a dispatcher and set in it. Called on the event loop's thread. */
+/** What operators can query and set in a dispatcher. Called on the event loop's thread. */
 public interface AdminOperations {
   /** Whether this process can serve. */
   boolean isReady();
@@ -12,17 +12,17 @@
   Map<String, Object> metrics();
 
   /**
-   * Disables a worker, to which no more jobs are sent, or enables it again.
+   * Disables a worker, which then receives no more jobs, or enables it again.
    *
    * @return false where no worker has this id
-   * @throws IOException if it could not be saved for the next process; nothing has changed then
+   * @throws IOException if it could not be stored for the next process; nothing has changed then
    */
   boolean setWorkerDisabled(String id, boolean disabled) throws IOException;
 
   /**
-   * Starts a client drain, in which clients are sent away, or stops it.
+   * Starts a client drain, which directs clients to other dispatchers, or stops it.
    *
-   * @throws IOException if it could not be saved for the next process; nothing has changed then
+   * @throws IOException if it could not be stored for the next process; nothing has changed then
    */
   void setClientDrain(boolean draining) throws IOException;
 }
--- a/src/main/java/loomreel/process/ClientDrainState.java
+++ b/src/main/java/loomreel/process/ClientDrainState.java
@@ -1,7 +1,7 @@
 package loomreel.process;
 
 /**
- * How far a client drain, which operators start and stop, has come. {@link #next} holds all
+ * The progress of a client drain, which operators start and stop. {@link #next} holds all
  * transitions; a trigger for which the table has no entry leaves the state as it is.
  *
  * <table>
@@ -17,7 +17,7 @@
   /** Clients are served. */
   ACCEPTING,
 
-  /** Clients are told to go, by the health check and with each answer; jobs are still taken. */
+  /** The health check and each response ask clients to disconnect; jobs are still accepted. */
   NOTIFYING,
 
   /** Idle connections have been closed; jobs are rejected. */
--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -10,57 +10,69 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * This process's side of a hot restart: while two processes serve as one dispatcher it shares the
- * ids of active calls and the capacity between them, and forwards callbacks.
+ * This process's side of a hot restart: while two processes serve as one dispatcher it divides the
+ * capacity between them, shares the ids of active calls, and forwards callbacks.
  *
- * <p>Without a channel, as where no other process may come or no loopback port can be opened, it
- * does nothing. Confined to the event loop's thread.
+ * <p>Without a channel, as where hot restart is disabled or no loopback port can be opened, it does
+ * nothing. Confined to the event loop's thread, apart from {@link #connect}.
  */
-final class HotRestart implements CallIdRegistry {
-  /** The share of the dispatcher's capacity for each of two processes. */
+public final class HotRestart implements CallIdRegistry {
+  /** The fraction of the dispatcher's capacity for each of two processes. */
   private static final double HALF = 0.5;
 
-  /** The share of a process that serves alone. */
+  /** The fraction for a process that serves alone. */
   private static final double ALL = 1;
 
-  private final RateLimitedLogger log = new RateLimitedLogger("loomreel.process.hotrestart");
+  private static final double NONE = 0;
+
   private final Dispatcher dispatcher;
   private final Optional<HotRestartChannel> channel;
 
   /** The ids of calls that are active in the other process: an id is in use once in both. */
   private final Set<String> idsActiveElsewhere = new HashSet<>();
 
+  private HotRestart(Dispatcher dispatcher, Optional<HotRestartChannel> channel) {
+    this.dispatcher = dispatcher;
+    this.channel = channel;
+  }
+
   /**
-   * Connects to the process that is running, if there is one, and awaits a newer one.
+   * Connects to the predecessor, if there is one, and listens for a successor.
    *
-   * @param portFile where processes find each other, or empty where no other process may come
-   * @param listener receives what the other process sends, once the loop runs
+   * @param portFile where processes find each other; empty where hot restart is disabled
    */
-  HotRestart(Dispatcher dispatcher, Optional<Path> portFile, HotRestartChannel.Listener listener) {
-    this.dispatcher = dispatcher;
-    channel = portFile.flatMap(file -> openChannel(file, listener));
-    if (channel.isPresent()) {
-      dispatcher.setCallIdRegistry(this);
+  public static HotRestart connect(Dispatcher dispatcher, Optional<Path> portFile) {
+    HotRestart hotRestart =
+        new HotRestart(dispatcher, portFile.flatMap(file -> openChannel(dispatcher, file)));
+    if (hotRestart.channel.isPresent()) {
+      dispatcher.setCallIdRegistry(hotRestart);
     }
+    return hotRestart;
   }
 
-  private Optional<HotRestartChannel> openChannel(
-      Path portFile, HotRestartChannel.Listener listener) {
+  private static Optional<HotRestartChannel> openChannel(Dispatcher dispatcher, Path portFile) {
     try {
-      return Optional.of(new HotRestartChannel(dispatcher.loop(), portFile, listener));
+      return Optional.of(HotRestartChannel.open(dispatcher.loop(), portFile));
     } catch (IOException e) {
-      log.warn("hot restart unavailable, an upgrade would lose callbacks reason=" + e.getMessage());
+      new RateLimitedLogger("loomreel.process.hotrestart")
+          .warn(
+              "hot restart unavailable, an upgrade would lose callbacks reason=" + e.getMessage());
       return Optional.empty();
     }
   }
 
+  /** Sets the receiver of what the other process sends; required before the event loop runs. */
+  void setListener(HotRestartChannel.Listener listener) {
+    channel.ifPresent(open -> open.setListener(listener));
+  }
+
   /** Whether another process serves beside this one. */
-  boolean isShared() {
+  public boolean isShared() {
     return channel.isPresent() && channel.get().isConnected();
   }
 
-  /** Whether a newer process serves beside this one. */
-  boolean hasSuccessor() {
+  /** Whether a successor serves beside this process. */
+  public boolean hasSuccessor() {
     return channel.isPresent() && channel.get().hasSuccessor();
   }
 
@@ -69,8 +81,12 @@
     channel.ifPresent(to -> to.send(notice));
   }
 
-  /** As {@link Lifecycle#forwardCallback}. */
-  void forwardCallback(byte[] callback, Runnable handled) {
+  /**
+   * Forwards a callback whose job is not in flight here to the other process.
+   *
+   * @param handled run once that process has handled it; at once where there is none
+   */
+  public void forwardCallback(byte[] callback, Runnable handled) {
     if (channel.isPresent()) {
       channel.get().forwardCallback(callback, handled);
     } else {
@@ -79,11 +95,11 @@
   }
 
   /**
-   * Takes the share of the capacity that this process has by the number of processes, and tells the
-   * other one which ids are active here. To be called at the start and whenever a process has come
-   * or gone.
+   * Divides the capacity by the number of processes, and sends the ids of the calls that are active
+   * here to the other one. To be called at the start and whenever a process has connected or
+   * disconnected.
    */
-  void shareAnew() {
+  public void divideCapacity() {
     boolean isShared = isShared();
     if (isShared) {
       dispatcher.activeIds().forEach(this::acquired);
@@ -94,13 +110,13 @@
   }
 
   /** Gives all capacity to the successor. */
-  void handOver() {
-    dispatcher.setCapacityShare(0);
+  public void handOver() {
+    dispatcher.setCapacityShare(NONE);
     send(HotRestartMessage.notice(HotRestartMessage.Type.HANDING_OVER, ""));
   }
 
-  /** The other process gives all capacity to this one. */
-  void takeOver() {
+  /** The predecessor has given all capacity to this process. */
+  void receiveCapacity() {
     dispatcher.setCapacityShare(ALL);
   }
 
--- a/src/main/java/loomreel/process/HotRestartChannel.java
+++ b/src/main/java/loomreel/process/HotRestartChannel.java
@@ -11,72 +11,78 @@
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
+import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.Set;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Connects the processes of one dispatcher while a new one takes over from an old one. Both accept
- * at the address that clients and workers know, so each receives what is meant for the other.
+ * Connects the processes of one dispatcher during a hot restart. Both accept connections at the
+ * address that clients and workers use, so each receives requests that are meant for the other.
  *
  * <p>Each process listens on a port of IPv4 loopback, and the newest one writes its port to a file
- * in {@code $TMPDIR} where the next one finds it. A Unix socket would be simpler, but the full
- * fleet's platform serves only TCP and UDP over IPv4 (STANDING, "The bench's clock"), and a
- * connection of another kind would be a refused call there.
+ * in {@code $TMPDIR} where its successor finds it. Unix sockets are not available on every
+ * platform: the full fleet's serves only TCP and UDP over IPv4.
  *
- * <p>Confined to the event loop's thread, and open until the process ends.
+ * <p>Confined to the event loop's thread, apart from {@link #open}; open until the process ends.
  */
 final class HotRestartChannel implements EventLoop.Handler {
   /** Receives what the other process sends. */
   interface Listener {
-    /** A newer process has connected. */
+    /** The successor has connected. */
     void successorConnected();
 
-    /** One of the other processes has gone. */
+    /** Another process has disconnected. */
     void processDisconnected();
 
-    /** A message has come that needs no answer. */
+    /** A message was received that needs no answer. */
     void noticeReceived(HotRestartMessage notice);
 
     /**
-     * A callback has come whose job is not in flight at the other process.
+     * A callback was received whose job is not in flight at the other process.
      *
      * @return whether its job is in flight here
      */
     boolean deliverCallback(byte[] callback);
   }
 
-  /** Connections that wait in the system's queue: no more than a few processes ever come. */
+  /** Pending connections in the kernel's queue; only a few processes ever connect. */
   private static final int BACKLOG = 4;
 
   private static final int LARGEST_PORT = 65_535;
 
+  private static final byte[] LOOPBACK = {127, 0, 0, 1};
+  private static final int ANY_PORT = 0;
+
   private final EventLoop loop;
-  private final Listener listener;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.process.hotrestart");
   private final ServerSocketChannel acceptor;
   private final Set<HotRestartLink> links = new LinkedHashSet<>();
 
+  /** Set before the event loop runs, and so before anything is received. */
+  private Listener listener;
+
+  private HotRestartChannel(EventLoop loop, ServerSocketChannel acceptor) {
+    this.loop = loop;
+    this.acceptor = acceptor;
+  }
+
   /**
-   * Connects to the process that is running, if there is one, and listens for one that comes later.
+   * Connects to the predecessor, if there is one, and listens for a successor.
    *
    * @param portFile holds the port of the newest process of this dispatcher
    * @throws IOException if no port can be opened or the file cannot be written
    */
-  HotRestartChannel(EventLoop loop, Path portFile, Listener listener) throws IOException {
-    this.loop = loop;
-    this.listener = listener;
-    InetAddress loopback = InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
+  static HotRestartChannel open(EventLoop loop, Path portFile) throws IOException {
+    InetAddress loopback = InetAddress.getByAddress(LOOPBACK);
+    HotRestartChannel channel = new HotRestartChannel(loop, ServerSocketChannel.open());
     OptionalInt predecessor = readPort(portFile);
     if (predecessor.isPresent()) {
-      connect(new InetSocketAddress(loopback, predecessor.getAsInt()), portFile);
+      channel.connect(new InetSocketAddress(loopback, predecessor.getAsInt()), portFile);
     }
-    acceptor = ServerSocketChannel.open();
-    acceptor.bind(new InetSocketAddress(loopback, 0), BACKLOG);
-    writePort(portFile, ((InetSocketAddress) acceptor.getLocalAddress()).getPort());
-    acceptor.configureBlocking(false);
-    acceptor.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
+    channel.listen(new InetSocketAddress(loopback, ANY_PORT), portFile);
+    return channel;
   }
 
   private void connect(InetSocketAddress predecessor, Path portFile) {
@@ -88,6 +94,18 @@
     }
   }
 
+  private void listen(InetSocketAddress address, Path portFile) throws IOException {
+    acceptor.bind(address, BACKLOG);
+    writePort(portFile, ((InetSocketAddress) acceptor.getLocalAddress()).getPort());
+    acceptor.configureBlocking(false);
+    acceptor.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
+  }
+
+  /** Sets the receiver of what the other processes send; required before the event loop runs. */
+  void setListener(Listener listener) {
+    this.listener = listener;
+  }
+
   /** The port in the file, if it exists and holds one. */
   private static OptionalInt readPort(Path file) {
     try {
@@ -98,7 +116,7 @@
     }
   }
 
-  /** Replaces the file in one step: a process that starts meanwhile never reads half a port. */
+  /** Replaces the file atomically: a process that starts meanwhile reads a complete port. */
   private static void writePort(Path file, int port) throws IOException {
     Path next = file.resolveSibling(file.getFileName() + ".next");
     Files.writeString(next, Integer.toString(port));
@@ -110,7 +128,7 @@
     return !links.isEmpty();
   }
 
-  /** Whether a newer process serves beside this one. */
+  /** Whether a successor serves beside this process. */
   boolean hasSuccessor() {
     return links.stream().anyMatch(HotRestartLink::isToSuccessor);
   }
@@ -126,16 +144,15 @@
    * @param handled run once another process has handled it, at once if there is none
    */
   void forwardCallback(byte[] callback, Runnable handled) {
-    forwardCallback(callback, null, handled);
+    forward(callback, links.stream().findFirst(), handled);
   }
 
-  /** Forwards a callback, but never to {@code source}, the link that it came from. */
-  private void forwardCallback(byte[] callback, HotRestartLink source, Runnable handled) {
-    HotRestartLink link = links.stream().filter(l -> l != source).findFirst().orElse(null);
-    if (link == null) {
-      handled.run();
+  private static void forward(
+      byte[] callback, Optional<HotRestartLink> destination, Runnable handled) {
+    if (destination.isPresent()) {
+      destination.get().sendCallback(callback, handled);
     } else {
-      link.sendCallback(callback, handled);
+      handled.run();
     }
   }
 
@@ -154,19 +171,20 @@
   }
 
   /**
-   * A callback has come. If nobody waits for it here, a third process of an earlier upgrade may.
+   * A callback was received. If its job is not in flight here, it may be in a third process, which
+   * is still draining after an earlier upgrade; the callback is never sent back to its source.
    *
-   * @param handled run once it needs nothing more
+   * @param handled run once a process has handled the callback
    */
   void callbackReceived(HotRestartLink source, byte[] callback, Runnable handled) {
     if (listener.deliverCallback(callback)) {
       handled.run();
     } else {
-      forwardCallback(callback, source, handled);
+      forward(callback, links.stream().filter(link -> link != source).findFirst(), handled);
     }
   }
 
-  /** A message has come that needs no answer. */
+  /** A message was received that needs no answer. */
   void noticeReceived(HotRestartMessage notice) {
     listener.noticeReceived(notice);
   }
@@ -176,7 +194,7 @@
     links.remove(link);
   }
 
-  /** A link that was detached is closed. */
+  /** A detached link has been closed. */
   void closed() {
     listener.processDisconnected();
   }
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -28,8 +28,8 @@
   /**
    * A link over a connected socket, which it owns from now on.
    *
-   * @param toSuccessor whether the other process is the newer one
-   * @param owner receives what comes over the link, and is told when it closes
+   * @param toSuccessor whether the other process is the successor
+   * @param owner receives the messages of the link, and is notified when it closes
    * @throws IOException if the socket cannot be registered with the loop
    */
   HotRestartLink(
@@ -50,7 +50,7 @@
     return socket;
   }
 
-  /** Whether the other process is the newer one. */
+  /** Whether the other process is the successor. */
   boolean isToSuccessor() {
     return toSuccessor;
   }
@@ -67,7 +67,7 @@
   /**
    * Sends a callback.
    *
-   * @param handled run once the other process has handled it, or has gone
+   * @param handled run once the other process has handled it or has disconnected
    */
   void sendCallback(byte[] callback, Runnable handled) {
     long number = ++lastCallback;
@@ -111,7 +111,7 @@
   @Override
   protected void flushed() {}
 
-  /** The other process has gone, and with it the jobs that the callbacks were for. */
+  /** Closes the link; the jobs of unhandled callbacks have ended with the other process. */
   @Override
   public void close() {
     if (!isClosed()) {
--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -9,16 +9,16 @@
  * A message between the two processes of a hot restart.
  *
  * <p>On the connection it is an HTTP request, {@code POST /WORD} with a number in {@code X-Number}
- * and the rest as its body; there are no responses. Processes of different versions exchange these
- * messages, so the words and the form must stay as they are.
+ * and the content as its body; there are no responses. Processes of different versions exchange
+ * these messages, so the words and the format must not change.
  */
 final class HotRestartMessage {
-  /** What a message says; the word of each is fixed by the versions that are in service. */
+  /** The kind of a message; its word on the wire is fixed by the versions that are in service. */
   enum Type {
     /** A callback whose job is not in flight at the sender; the body is the callback's. */
     CALLBACK("news"),
 
-    /** The callback with this number needs nothing more from its sender. */
+    /** The callback with this number was handled. */
     CALLBACK_HANDLED("taken"),
 
     /** A call with the id in the body has become active at the sender. */
@@ -27,7 +27,7 @@
     /** The call with the id in the body has ended at the sender. */
     CALL_ID_RELEASED("frees"),
 
-    /** The sender shuts down and leaves all capacity to the receiver. */
+    /** The sender shuts down and gives all capacity to the receiver. */
     HANDING_OVER("leaving"),
 
     /** Operators have disabled the worker in the body. */
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Reads a message that has come in.
+   * Decodes a received message.
    *
    * @param target the request's target
    * @param number the value of {@link #NUMBER_HEADER}
@@ -110,7 +110,7 @@
     return HttpHeaders.request("POST", "/" + type.word, HOST, body.length, "X-Number: " + number);
   }
 
-  /** What it says. */
+  /** Its kind. */
   Type type() {
     return type;
   }
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -2,21 +2,20 @@
 
 import java.io.IOException;
 import java.util.Optional;
-import java.util.function.Consumer;
+import java.util.Set;
 import loomreel.core.Dispatcher;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Applies what operators set by hand, keeps it for the next process and shares it with the other
- * process of a hot restart. Owns the {@link OperatorOverrides} and the {@link ClientDrainState};
+ * Applies what operators set by hand, stores it for the next process and sends it to the other
+ * process of a hot restart. Owns the {@link OperatorOverrides} and drives the {@link ClientDrain};
  * confined to the event loop's thread.
  */
-final class OperatorControls {
+public final class OperatorControls {
   /**
-   * For this long after the start of a client drain idle connections are kept and jobs are taken:
-   * load balancers in front need 0.2 s to notice, and after 2 s no job may come in any more. In
-   * microseconds.
+   * For this long after the start of a client drain idle connections stay open and jobs are
+   * accepted: load balancers in front need 0.2 s to notice, and after 2 s no job may be accepted.
    */
   private static final long NOTICE_PERIOD_MICROS = 1_800_000;
 
@@ -24,42 +23,35 @@
   private final Dispatcher dispatcher;
   private final EventLoop loop;
   private final OperatorOverridesStore store;
-  private final Consumer<HotRestartMessage> otherProcess;
+  private final HotRestart hotRestart;
+  private final ClientDrain clientDrain;
   private final Runnable closeIdleClients;
   private OperatorOverrides overrides;
-  private ClientDrainState clientDrain;
 
   /** Runs while the state is {@link ClientDrainState#NOTIFYING}. */
   private Optional<EventLoop.Timer> noticePeriod = Optional.empty();
 
   /**
-   * Reads what operators set in an earlier process.
+   * Continues with what operators set in an earlier process.
    *
-   * @param otherProcess sends a message to the other process, if there is one
+   * @param initial as the store held it at the start
+   * @param clientDrain in the state that follows from {@code initial}
    * @param closeIdleClients run when the notice period of a client drain has ended
    */
-  OperatorControls(
+  public OperatorControls(
       Dispatcher dispatcher,
       OperatorOverridesStore store,
-      Consumer<HotRestartMessage> otherProcess,
+      OperatorOverrides initial,
+      ClientDrain clientDrain,
+      HotRestart hotRestart,
       Runnable closeIdleClients) {
     this.dispatcher = dispatcher;
     this.loop = dispatcher.loop();
     this.store = store;
-    this.otherProcess = otherProcess;
+    this.overrides = initial;
+    this.clientDrain = clientDrain;
+    this.hotRestart = hotRestart;
     this.closeIdleClients = closeIdleClients;
-    overrides = load();
-    clientDrain =
-        overrides.clientsDrained() ? ClientDrainState.REJECTING : ClientDrainState.ACCEPTING;
-  }
-
-  private OperatorOverrides load() {
-    try {
-      return store.load();
-    } catch (IOException e) {
-      log.warn("operator overrides not read, none are in force reason=" + e.getMessage());
-      return OperatorOverrides.NONE;
-    }
   }
 
   /** What operators have set. */
@@ -67,13 +59,17 @@
     return overrides;
   }
 
-  /** How far a client drain has come. */
-  ClientDrainState clientDrain() {
-    return clientDrain;
+  /** The ids of the workers that operators have disabled. */
+  public Set<String> disabledWorkers() {
+    return overrides.disabledWorkers();
   }
 
-  /** As {@link AdminOperations#setWorkerDisabled}. */
-  boolean setWorkerDisabled(String id, boolean disabled) throws IOException {
+  /**
+   * As {@link AdminOperations#setWorkerDisabled}.
+   *
+   * @throws IOException if it could not be stored; nothing has changed then
+   */
+  public boolean setWorkerDisabled(String id, boolean disabled) throws IOException {
     boolean isDisabled = overrides.disabledWorkers().contains(id);
     boolean known = dispatcher.isListed(id) || isDisabled;
     if (known && isDisabled != disabled) {
@@ -84,8 +80,12 @@
     return known;
   }
 
-  /** As {@link AdminOperations#setClientDrain}. */
-  void setClientDrain(boolean draining) throws IOException {
+  /**
+   * As {@link AdminOperations#setClientDrain}.
+   *
+   * @throws IOException if it could not be stored; nothing has changed then
+   */
+  public void setClientDrain(boolean draining) throws IOException {
     if (overrides.clientsDrained() != draining) {
       HotRestartMessage.Type type =
           draining
@@ -98,19 +98,19 @@
   private void change(OperatorOverrides next, HotRestartMessage notice) throws IOException {
     store.save(next);
     apply(next);
-    otherProcess.accept(notice);
+    hotRestart.send(notice);
   }
 
-  /** Sends all that is set to a process that may have read the file just before the last change. */
+  /** Sends everything to a process that may have read the file just before the last change. */
   void sendAll() {
-    otherProcess.accept(
+    hotRestart.send(
         HotRestartMessage.notice(HotRestartMessage.Type.OPERATOR_OVERRIDES, overrides.toText()));
   }
 
-  /** Operators have set something in the other process. */
+  /** Operators have changed something in the other process. */
   void changedElsewhere(OperatorOverrides next) {
     try {
-      // Both processes save it: two changes may cross, and the file must then hold both.
+      // Both processes store it: two changes may cross, and the file must then contain both.
       store.save(next);
     } catch (IOException e) {
       log.warn("operator overrides of the other process not saved reason=" + e.getMessage());
@@ -132,20 +132,20 @@
       if (next.clientsDrained()) {
         startClientDrain();
       } else {
-        clientDrain = clientDrain.next(ClientDrainState.Trigger.DRAIN_STOPPED);
+        clientDrain.apply(ClientDrainState.Trigger.DRAIN_STOPPED);
         noticePeriod = Optional.empty();
       }
     }
   }
 
   private void startClientDrain() {
-    clientDrain = clientDrain.next(ClientDrainState.Trigger.DRAIN_STARTED);
+    clientDrain.apply(ClientDrainState.Trigger.DRAIN_STARTED);
     noticePeriod =
         Optional.of(loop.schedule(loop.now() + NOTICE_PERIOD_MICROS, this::noticePeriodEnded));
   }
 
   private void noticePeriodEnded() {
-    clientDrain = clientDrain.next(ClientDrainState.Trigger.NOTICE_PERIOD_ENDED);
+    clientDrain.apply(ClientDrainState.Trigger.NOTICE_PERIOD_ENDED);
     closeIdleClients.run();
   }
 }
--- a/src/main/java/loomreel/process/OperatorOverrides.java
+++ b/src/main/java/loomreel/process/OperatorOverrides.java
@@ -4,17 +4,17 @@
 import java.util.TreeSet;
 
 /**
- * What operators have set by hand, which holds until they set it otherwise, also in later processes
- * of this dispatcher.
+ * What operators have set by hand. It stays in force until they change it, across restarts of the
+ * dispatcher.
  *
- * @param clientsDrained whether clients are sent away
- * @param disabledWorkers the ids of workers that get no jobs
+ * @param clientsDrained whether clients are drained: they are directed to other dispatchers
+ * @param disabledWorkers the ids of workers that receive no jobs
  */
-record OperatorOverrides(boolean clientsDrained, Set<String> disabledWorkers) {
+public record OperatorOverrides(boolean clientsDrained, Set<String> disabledWorkers) {
   /** Nothing is overridden. */
-  static final OperatorOverrides NONE = new OperatorOverrides(false, Set.of());
+  public static final OperatorOverrides NONE = new OperatorOverrides(false, Set.of());
 
-  // The words of the text form, which files and other versions of the program hold.
+  // Words of the text form, which is stored in files and exchanged with other versions.
   private static final String CLIENTS_DRAINED = "drained";
   private static final String WORKER_DISABLED = "down ";
 
--- a/src/main/java/loomreel/process/OperatorOverridesStore.java
+++ b/src/main/java/loomreel/process/OperatorOverridesStore.java
@@ -5,20 +5,32 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.Optional;
+import loomreel.io.RateLimitedLogger;
 
-/** Keeps {@link OperatorOverrides} in a file for the next process of this dispatcher. */
-final class OperatorOverridesStore {
+/** Stores {@link OperatorOverrides} in a file for the next process of this dispatcher. */
+public final class OperatorOverridesStore {
+  private final RateLimitedLogger log = new RateLimitedLogger("loomreel.process.operators");
   private final Optional<Path> file;
 
   /**
    * A store.
    *
-   * @param file empty where there is no directory for it: then nothing is kept
+   * @param file empty where there is no directory for it: then nothing is stored
    */
-  OperatorOverridesStore(Optional<Path> file) {
+  public OperatorOverridesStore(Optional<Path> file) {
     this.file = file;
   }
 
+  /** As {@link #load}, but a file that cannot be read is logged and overrides nothing. */
+  public OperatorOverrides loadOrNone() {
+    try {
+      return load();
+    } catch (IOException e) {
+      log.warn("operator overrides not read, none are in force reason=" + e.getMessage());
+      return OperatorOverrides.NONE;
+    }
+  }
+
   /**
    * Reads what was saved last, also by another process; nothing is overridden where there is no
    * file.
@@ -33,9 +45,9 @@
   }
 
   /**
-   * Replaces the file in one step, so that nobody ever reads half of it.
+   * Replaces the file atomically, so that no process reads a part of it.
    *
-   * @throws IOException if the file cannot be written; the old one stays then
+   * @throws IOException if the file cannot be written; the previous one stays then
    */
   void save(OperatorOverrides overrides) throws IOException {
     if (file.isPresent()) {
--- a/src/main/java/loomreel/process/package-info.java
+++ b/src/main/java/loomreel/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of a process beside others of the same dispatcher: hot restart, in which a new process
- * takes over from an old one, and what operators set by hand, which outlives the process.
+ * What outlives one process of a dispatcher: hot restart, in which a successor process replaces its
+ * predecessor, and what operators set by hand.
  */
 package loomreel.process;
--- a/src/main/java/loomreel/server/ClientListener.java
+++ b/src/main/java/loomreel/server/ClientListener.java
@@ -9,18 +9,17 @@
 /** Opens the socket at which clients and callbacks are accepted. */
 final class ClientListener {
   /**
-   * Connections that wait in the system's queue; a client that finds it full tries again after a
-   * second.
+   * Pending connections in the kernel's queue; a client that finds it full retries after a second.
    */
   private static final int BACKLOG = 4096;
 
   private ClientListener() {}
 
   /**
-   * Binds the configured address, or takes over the platform's listener. The result does not block;
-   * the caller owns it.
+   * Binds the configured address, or uses the listener that the platform passes. The result does
+   * not block; the caller owns it.
    *
-   * @throws IOException if the address cannot be bound or no listener was handed over
+   * @throws IOException if the address cannot be bound or no listener was passed
    */
   static ServerSocketChannel open(ServeConfig config) throws IOException {
     ServerSocketChannel listener =
--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -14,7 +14,7 @@
 /**
  * Applies a configuration that was read again, as after SIGHUP. Only discovery's address can change
  * while the process runs. A configuration that cannot be read, or that changes anything else, may
- * be another installation's: it is rejected as a whole and counted.
+ * be another installation's: it is rejected completely and counted.
  *
  * <p>Unless said otherwise the methods may be called on any thread; the work is done on the event
  * loop's.
@@ -66,7 +66,7 @@
         });
   }
 
-  /** Records that a configuration could not be read again, and why. */
+  /** Records that a configuration could not be reloaded, and the reason. */
   public void reject(String reason) {
     loop.execute(() -> recordRejection(reason));
   }
--- a/src/main/java/loomreel/server/DescriptorBudget.java
+++ b/src/main/java/loomreel/server/DescriptorBudget.java
@@ -15,17 +15,15 @@
    */
   private static final int OTHER_DESCRIPTORS = 32;
 
-  /**
-   * However little is granted, this many descriptors are shared out, so that something is served.
-   */
-  private static final int LEAST_CONNECTIONS = 16;
+  /** Connections that are budgeted even if fewer descriptors are granted. */
+  private static final int MIN_CONNECTIONS = 16;
 
-  /** The fraction for workers: a job holds a connection to one only for a round trip. */
+  /** The fraction for workers: a job occupies a connection to one only for a round trip. */
   private static final double UPSTREAM_FRACTION = 0.25;
 
   /**
-   * The fraction of accepted connections that jobs may hold; callbacks need the rest, for without
-   * them no job would ever end.
+   * The fraction of accepted connections that jobs may occupy; callbacks, without which no job
+   * ends, need the rest.
    */
   private static final double JOB_FRACTION = 0.75;
 
@@ -34,12 +32,11 @@
    *
    * @param descriptorLimit descriptors that the platform grants to the dispatcher
    * @param reservedForFaktory descriptors of those that HTTP cannot have
-   * @param shared whether two processes serve as this dispatcher: to the platform they are one, so
-   *     each gets half
+   * @param shared whether two processes serve as this dispatcher, each with half of the limit
    */
   static DescriptorBudget divide(int descriptorLimit, int reservedForFaktory, boolean shared) {
     int granted = (descriptorLimit - reservedForFaktory) / (shared ? 2 : 1);
-    int connections = Math.max(LEAST_CONNECTIONS, granted - OTHER_DESCRIPTORS);
+    int connections = Math.max(MIN_CONNECTIONS, granted - OTHER_DESCRIPTORS);
     int upstreamConnections = (int) (connections * UPSTREAM_FRACTION);
     int clientConnections = connections - upstreamConnections;
     int jobs = (int) (clientConnections * JOB_FRACTION);
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -4,11 +4,8 @@
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.stream.Collectors;
 import loomreel.config.ServeConfig;
 import loomreel.core.Dispatcher;
 import loomreel.core.Ingress;
@@ -19,69 +16,90 @@
 import loomreel.io.RateLimitedLogger;
 import loomreel.io.TraceWriter;
 import loomreel.process.AdminOperations;
-import loomreel.process.Lifecycle;
+import loomreel.process.ClientDrain;
+import loomreel.process.HotRestart;
+import loomreel.process.HotRestartCoordinator;
+import loomreel.process.OperatorControls;
+import loomreel.process.OperatorOverrides;
+import loomreel.process.OperatorOverridesStore;
+import loomreel.process.SharedFiles;
 import loomreel.settings.FaktorySettings;
 import loomreel.upstream.HttpWorkerPool;
-import loomreel.upstream.JobStatusUpdate;
 
 /**
  * One dispatcher process: creates the event loop and the parts that run on it, connects them, and
  * owns them until the process ends. Each of the parts does its own work; nothing is decided here.
  */
-public final class Server implements AdminOperations, HttpIngress.AdmissionGate, Lifecycle.Host {
-  /** The fraction of the memory that buffers may take. */
+public final class Server {
+  /** Buffers may take the memory divided by this. */
   private static final int MEMORY_PER_BUFFER_MEMORY = 16;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
-  private final ServeConfig config;
   private final EventLoop loop;
   private final Dispatcher dispatcher;
   private final HttpWorkerPool workers;
   private final ServerSocketChannel listener;
-  private final Lifecycle lifecycle;
+  private final HotRestart hotRestart;
   private final HttpIngress http;
-
-  /** Empty where it is not configured: its classes stay unloaded then. */
-  private final Optional<FaktoryIngress> faktory;
-
-  private final List<Ingress> ingresses = new ArrayList<>(2);
-  private final int faktoryDescriptors;
+  private final List<Ingress> ingresses;
+  private final OperatorControls operatorControls;
   private final GracefulShutdown shutdown;
   private final ConfigReloader configReloader;
+  private final AdminOperations adminOperations;
+  private final IngressSummaryLogger ingressSummary;
 
   /**
    * Opens the ports.
    *
-   * @param faktorySettings null for none
-   * @param trace null for none
+   * @param faktorySettings empty where Faktory is off
+   * @param trace empty where events are not traced
    * @throws IOException if a port cannot be opened
    */
-  public Server(ServeConfig config, FaktorySettings faktorySettings, TraceWriter trace)
+  public Server(
+      ServeConfig config, Optional<FaktorySettings> faktorySettings, Optional<TraceWriter> trace)
       throws IOException {
-    this.config = config;
     loop = new EventLoop(bufferPool(config), trace);
     dispatcher = new Dispatcher(loop, config.settings(), config.seed(), config.answerSlackMicros());
     workers = workerPool(config, dispatcher);
     dispatcher.addWorkerPool(workers);
     listener = ClientListener.open(config);
+
+    SharedFiles files = sharedFiles(config);
     // Before anything is accepted: the first callback may be meant for the other process.
-    lifecycle = new Lifecycle(dispatcher, sharedFiles(config), config.listenerInherited(), this);
-    http = new HttpIngress(dispatcher, config.settings(), listener, this);
-    ingresses.add(http);
-    faktory = faktoryIngress(faktorySettings);
-    faktoryDescriptors = faktorySettings == null ? 0 : faktorySettings.connections();
-    shutdown =
-        new GracefulShutdown(
-            dispatcher, lifecycle, http, faktory, config.settings(), config.shutdownLimitMicros());
+    hotRestart = HotRestart.connect(dispatcher, hotRestartPort(config, files));
+    // Read once the link is up, over which the predecessor sends all later changes.
+    OperatorOverridesStore store = new OperatorOverridesStore(files.operatorOverrides());
+    OperatorOverrides overrides = store.loadOrNone();
+
+    ServerStateMachine lifecycle = new ServerStateMachine();
+    ClientDrain clientDrain = new ClientDrain(overrides);
+    http =
+        new HttpIngress(
+            dispatcher,
+            config.settings(),
+            listener,
+            new ServerAdmissionGate(lifecycle, clientDrain, hotRestart));
+    Optional<FaktoryIngress> faktory = faktoryIngress(faktorySettings, config, dispatcher);
+    ingresses = ingresses(http, faktory);
+    operatorControls =
+        new OperatorControls(
+            dispatcher, store, overrides, clientDrain, hotRestart, http::closeIdleClients);
+    shutdown = new GracefulShutdown(dispatcher, lifecycle, hotRestart, http, faktory, config);
     configReloader = new ConfigReloader(dispatcher, workers, config);
-    shareDescriptors(lifecycle.isShared());
-    log.info(
-        "listening for clients address="
-            + listener.getLocalAddress()
-            + " name="
-            + config.name()
-            + " workers="
-            + config.initialEndpoints().endpoints().size());
+    adminOperations = new ServerAdminOperations(dispatcher, lifecycle, operatorControls);
+    ingressSummary = new IngressSummaryLogger(loop, ingresses, log);
+    DescriptorAllocator descriptors =
+        new DescriptorAllocator(
+            config.descriptorLimit(),
+            reservedDescriptors(faktorySettings),
+            workers,
+            dispatcher,
+            faktory,
+            http);
+    HotRestartCoordinator.attach(
+        hotRestart, operatorControls, new HotRestartHost(dispatcher, descriptors));
+    descriptors.allocate(hotRestart.isShared());
+    logListening(config);
   }
 
   private static BufferPool bufferPool(ServeConfig config) {
@@ -99,38 +117,45 @@
         config.idleTimeoutMicros());
   }
 
-  /**
-   * The path, without its ending, of the files that the processes of this dispatcher share; null
-   * where there is no directory for them.
-   */
-  private static Path sharedFiles(ServeConfig config) {
-    return config.stateDirectory() == null
-        ? null
-        : config.stateDirectory().resolve(config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
+  private static SharedFiles sharedFiles(ServeConfig config) {
+    return new SharedFiles(Optional.ofNullable(config.stateDirectory()), config.name());
   }
 
-  private Optional<FaktoryIngress> faktoryIngress(FaktorySettings settings) throws IOException {
-    if (settings == null) {
+  /** Empty where hot restart is disabled: without a passed listener no successor can accept. */
+  private static Optional<Path> hotRestartPort(ServeConfig config, SharedFiles files) {
+    return config.listenerInherited() ? files.hotRestartPort() : Optional.empty();
+  }
+
+  private static Optional<FaktoryIngress> faktoryIngress(
+      Optional<FaktorySettings> settings, ServeConfig config, Dispatcher dispatcher)
+      throws IOException {
+    if (settings.isEmpty()) {
       return Optional.empty();
     }
     FaktoryIngress ingress =
-        new FaktoryIngress(dispatcher, settings, config.settings(), config.seed());
-    ingresses.add(ingress);
+        new FaktoryIngress(dispatcher, settings.get(), config.settings(), config.seed());
     dispatcher.addWorkerPool(ingress.workers());
     return Optional.of(ingress);
   }
 
-  @Override
-  public void shareDescriptors(boolean shared) {
-    DescriptorBudget budget =
-        DescriptorBudget.divide(config.descriptorLimit(), faktoryDescriptors, shared);
-    workers.setCapacity(budget.upstreamConnections());
-    dispatcher.setCapacity(budget.jobs());
-    if (faktory.isPresent()) {
-      // No lambda: linking it would load the class also where Faktory is off.
-      faktory.get().setCapacity(budget.jobs());
-    }
-    http.setCapacity(budget.clientConnections(), budget.granted());
+  private static List<Ingress> ingresses(HttpIngress http, Optional<FaktoryIngress> faktory) {
+    // No lambda on Faktory's type: linking it would load the class also where Faktory is off.
+    return faktory.isPresent() ? List.of(http, faktory.get()) : List.of(http);
+  }
+
+  /** The file descriptors that HTTP cannot use. */
+  private static int reservedDescriptors(Optional<FaktorySettings> faktorySettings) {
+    return faktorySettings.isPresent() ? faktorySettings.get().connections() : 0;
+  }
+
+  private void logListening(ServeConfig config) throws IOException {
+    log.info(
+        "listening for clients address="
+            + listener.getLocalAddress()
+            + " name="
+            + config.name()
+            + " workers="
+            + config.initialEndpoints().endpoints().size());
   }
 
   /**
@@ -152,26 +177,31 @@
     return configReloader;
   }
 
+  /** Carries out the requests of operators. */
+  public AdminOperations adminOperations() {
+    return adminOperations;
+  }
+
   /**
    * Serves until a shutdown is complete.
    *
    * @throws IOException if the selector fails
    */
   public void run() throws IOException {
-    // On the loop, whose clock has not moved since it was made: timers set from here on would
-    // otherwise be late at once.
+    // On the loop, whose clock has not advanced since it was created: timers set from here on would
+    // otherwise be overdue at once.
     loop.execute(this::start);
-    logSummary();
+    ingressSummary.start();
     loop.run();
     ingresses.forEach(Ingress::close);
-    log.info("stopped; " + dispatcher.summary() + "; " + ingressSummary());
+    log.info("stopped; " + dispatcher.summary() + "; " + ingressSummary.summary());
   }
 
   private void start() {
-    dispatcher.start(lifecycle.disabledWorkers());
+    dispatcher.start(operatorControls.disabledWorkers());
     workers.start(this::openToClients);
     dispatcher.startPeriodicTasks();
-    lifecycle.dispatcherStarted();
+    hotRestart.divideCapacity();
   }
 
   private void openToClients() {
@@ -179,82 +209,8 @@
     http.open();
   }
 
-  private void logSummary() {
-    log.info(ingressSummary());
-    loop.schedule(loop.now() + Dispatcher.METRICS_LOG_INTERVAL_MICROS, this::logSummary);
-  }
-
-  private String ingressSummary() {
-    return ingresses.stream().map(Ingress::summary).collect(Collectors.joining("; "));
-  }
-
   /** Begins a graceful shutdown, after which {@link #run} returns. Any thread may call this. */
   public void shutDown() {
     loop.execute(shutdown::request);
   }
-
-  // What operators may ask and set.
-
-  @Override
-  public boolean isReady() {
-    return shutdown.state().isReady();
-  }
-
-  @Override
-  public Map<String, Object> metrics() {
-    return dispatcher.metricsSnapshot().toJsonFields();
-  }
-
-  @Override
-  public boolean setWorkerDisabled(String id, boolean disabled) throws IOException {
-    return lifecycle.setWorkerDisabled(id, disabled);
-  }
-
-  @Override
-  public void setClientDrain(boolean draining) throws IOException {
-    lifecycle.setClientDrain(draining);
-  }
-
-  // What the state of the process means for those who connect.
-
-  @Override
-  public boolean acceptsClients() {
-    return !lifecycle.isDrainingClients();
-  }
-
-  @Override
-  public boolean acceptsJobs() {
-    return !lifecycle.isRejectingJobs();
-  }
-
-  @Override
-  public boolean isClosing() {
-    return shutdown.state().isClosing();
-  }
-
-  /** Workers keep their connections during a client drain. */
-  @Override
-  public boolean isFinalResponse(boolean bringsCallbacks) {
-    return isClosing() || (lifecycle.isDrainingClients() && !bringsCallbacks);
-  }
-
-  @Override
-  public void forwardStatusUpdate(byte[] callback, Runnable handled) {
-    lifecycle.forwardCallback(callback, handled);
-  }
-
-  // What the other process of a hot restart, and operators, make this one do.
-
-  @Override
-  public void closeIdleClients() {
-    http.closeIdleClients();
-  }
-
-  @Override
-  public boolean deliverCallback(byte[] callback) {
-    Optional<JobStatusUpdate> update =
-        JobStatusUpdate.parse(callback).filter(parsed -> dispatcher.isActive(parsed.callId()));
-    update.ifPresent(active -> active.applyTo(dispatcher));
-    return update.isPresent();
-  }
 }
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -26,13 +26,13 @@
   /** Open to clients. */
   SERVING,
 
-  /** Asked to shut down before it was open; it may still open within the grace period. */
+  /** Shutdown requested before it was open; it may still open within the grace period. */
   DRAINING_UNOPENED,
 
-  /** Asked to shut down without a successor: it serves as before until the grace period ends. */
+  /** Shutdown requested without a successor: serves as before until the grace period ends. */
   DRAINING,
 
-  /** Asked to shut down with a successor, which accepts the new connections from now on. */
+  /** Shutdown requested with a successor, which accepts all new connections. */
   HANDING_OVER,
 
   /** Idle connections are closed; the process ends as soon as nothing is pending. */
@@ -43,7 +43,7 @@
 
   /** What moves a process from one state to the next. */
   enum Trigger {
-    /** The first endpoint list is there: jobs can be sent. */
+    /** The first endpoint list was received: jobs can be sent. */
     ENDPOINTS_KNOWN,
 
     /** A shutdown was requested and no successor serves beside this process. */
@@ -96,7 +96,7 @@
     return this == HANDING_OVER || this == CLOSING || this == STOPPED;
   }
 
-  /** Whether a shutdown has been requested, which cannot be taken back. */
+  /** Whether a shutdown has been requested, which cannot be revoked. */
   boolean isShutdownRequested() {
     return this != STARTING && this != SERVING;
   }
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -98,7 +98,7 @@
 
   private void runCalls(int calls, String... responses) throws Exception {
     try (ServerSocket listener = respondWith(responses);
-        EventLoop loop = new EventLoop(new BufferPool(100), null)) {
+        EventLoop loop = new EventLoop(new BufferPool(100))) {
       ConnectionPool pool =
           new ConnectionPool(
               loop,
--- a/src/test/java/loomreel/io/AcceptorTest.java
+++ b/src/test/java/loomreel/io/AcceptorTest.java
@@ -29,7 +29,7 @@
 
   @BeforeEach
   void connect() throws IOException {
-    loop = new EventLoop(new BufferPool(1), null);
+    loop = new EventLoop(new BufferPool(1));
     listener = ServerSocketChannel.open();
     listener.bind(new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), 0));
     listener.configureBlocking(false);
--- a/src/test/java/loomreel/io/EventLoopTest.java
+++ b/src/test/java/loomreel/io/EventLoopTest.java
@@ -14,7 +14,7 @@
 
   @Test
   void timersRunByTimeThenInTheOrderOfScheduling() throws Exception {
-    try (EventLoop loop = new EventLoop(new BufferPool(1), null)) {
+    try (EventLoop loop = new EventLoop(new BufferPool(1))) {
       long start = loop.now();
       loop.schedule(start + 2, () -> ran.add("second"));
       loop.schedule(start + 2, () -> ran.add("third"));
@@ -29,7 +29,7 @@
 
   @Test
   void aCancelledTimerDoesNotRun() throws Exception {
-    try (EventLoop loop = new EventLoop(new BufferPool(1), null)) {
+    try (EventLoop loop = new EventLoop(new BufferPool(1))) {
       EventLoop.Timer cancelled = loop.schedule(loop.now() + 2, () -> ran.add("cancelled"));
       loop.schedule(loop.now() + 1, cancelled::cancel);
       loop.schedule(loop.now() + 3, loop::stop);
@@ -42,7 +42,7 @@
 
   @Test
   void aTimerThatReschedulesItselfRunsOncePerIteration() throws Exception {
-    try (EventLoop loop = new EventLoop(new BufferPool(1), null)) {
+    try (EventLoop loop = new EventLoop(new BufferPool(1))) {
       long start = loop.now();
       loop.schedule(
           start,
@@ -60,7 +60,7 @@
 
   @Test
   void aFaultInATaskEndsNeitherTheLoopNorOtherTasks() throws Exception {
-    try (EventLoop loop = new EventLoop(new BufferPool(1), null)) {
+    try (EventLoop loop = new EventLoop(new BufferPool(1))) {
       loop.execute(
           () -> {
             throw new IllegalStateException("thrown by a test");
--- a/src/test/java/loomreel/program/LateConnectionTest.java
+++ b/src/test/java/loomreel/program/LateConnectionTest.java
@@ -71,7 +71,7 @@
 
   private static void down(SteppedServer server) {
     try {
-      server.server.setWorkerDisabled("w0", true);
+      server.server.adminOperations().setWorkerDisabled("w0", true);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/loomreel/program/SteppedServer.java
+++ b/src/test/java/loomreel/program/SteppedServer.java
@@ -9,6 +9,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -59,7 +60,7 @@
         file, change.apply(settings == null ? configuration(false) : configuration(settings)));
     ServeConfig config = ServeConfig.read(Map.of("BALANCER_CONFIG", file.toString()));
     Files.delete(file);
-    server = new Server(config, null, new Steps());
+    server = new Server(config, Optional.empty(), Optional.of(new Steps()));
     port = server.port();
     thread =
         new Thread(
