--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -106,18 +106,18 @@
     } else {
       idsActiveElsewhere.clear();
     }
-    dispatcher.setCapacityShare(isShared ? HALF : ALL);
+    dispatcher.setCapacityFraction(isShared ? HALF : ALL);
   }
 
   /** Gives all capacity to the successor. */
   public void handOver() {
-    dispatcher.setCapacityShare(NONE);
+    dispatcher.setCapacityFraction(NONE);
     send(HotRestartMessage.notice(HotRestartMessage.Type.HANDING_OVER, ""));
   }
 
   /** The predecessor has given all capacity to this process. */
   void receiveCapacity() {
-    dispatcher.setCapacityShare(ALL);
+    dispatcher.setCapacityFraction(ALL);
   }
 
   @Override
