--- a/src/test/java/loomreel/program/GoneClientTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -17,7 +17,7 @@
  * it any more.
  */
 @Timeout(120)
-class GoneClientTest {
+class ClientDisconnectTest {
   private static void leave(Socket client, boolean reset) throws Exception {
     if (reset) {
       client.setSoLinger(true, 0);
@@ -33,18 +33,18 @@
   @CsvSource({"false,false", "true,false", "false,true", "true,true"})
   void aJobIsNotSentOnAConnectionThatComesUpAfterItsClientLeft(boolean reset, boolean cancelling)
       throws Exception {
-    try (SteppedServer server =
-            new SteppedServer(
+    try (StepControlledServer server =
+            new StepControlledServer(
                 1, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":" + cancelling));
-        LatePeer late = server.workers.get(0).lateFromNowOn()) {
-      Stage.Job job = server.job("/issue", "");
+        StalledListener late = server.workers.get(0).lateFromNowOn()) {
+      DispatcherHarness.Job job = server.job("/issue", "");
       assertEquals(job.id(), server.await("send").field("id"));
       leave(job.socket(), reset);
-      SteppedServer.Step end = server.await("end");
+      StepControlledServer.Step end = server.await("end");
       assertEquals(job.id(), end.field("id"));
       assertEquals("MOOT", end.field("outcome").toString(), "it never ran");
       // Another one's connection comes up, and brings what is its own.
-      Stage.Job next = server.job("/copy", "");
+      DispatcherHarness.Job next = server.job("/copy", "");
       Http.Message first = Http.read(late.next(Http.PATIENCE_MS));
       assertEquals(next.id(), first.header("X-Call-Id"));
     }
@@ -56,17 +56,18 @@
    */
   @Test
   void aFurtherAttemptIsTakenBackAsWell() throws Exception {
-    try (SteppedServer server =
-        new SteppedServer(2, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":false"))) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server =
+        new StepControlledServer(
+            2, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":false"))) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       int at = server.awaitSend();
       Http.Message post = server.workers.get(at).next();
-      try (LatePeer late = server.workers.get(1 - at).lateFromNowOn()) {
+      try (StalledListener late = server.workers.get(1 - at).lateFromNowOn()) {
         post.from().close();
         assertEquals("w" + (1 - at), server.await("send").field("worker"));
         leave(job.socket(), false);
         server.await("withdrawn");
-        Stage.Job next = server.job("/copy", "");
+        DispatcherHarness.Job next = server.job("/copy", "");
         Socket up = late.next(Http.PATIENCE_MS);
         assertEquals(next.id(), Http.read(up).header("X-Call-Id"));
       }
@@ -80,8 +81,8 @@
   @ParameterizedTest
   @ValueSource(ints = {20_000, 100_000, 250_000})
   void theEndIsSeenBehindMuchThatWasSentAhead(int size) throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity())) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       server.workers.get(0).next().answer(202, "");
       server.news(job.id(), "w0", "running", ",\"share\":0.1");
       Http.write(
@@ -99,8 +100,8 @@
    */
   @Test
   void aFloodBehindARequestIsCutOff() throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity())) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       server.workers.get(0).next().answer(202, "");
       server.news(job.id(), "w0", "running", ",\"share\":0.1");
       Thread flood =
@@ -128,8 +129,8 @@
    */
   @Test
   void aRequestIsAnsweredHoweverMuchComesBehindIt() throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity())) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       Http.Message post = server.workers.get(0).next();
       post.answer(202, "");
       Http.write(job.socket(), "x".repeat(100_000));
@@ -147,7 +148,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aRequestWhoseClientLeftBeforeItWasReadIsNotServed(boolean much) throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity());
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity());
         Socket client = server.connect()) {
       server.settle();
       server.taken();
@@ -157,7 +158,7 @@
             Http.write(client, much ? "POST /issue HTTP/1.1\r\n".repeat(2000) : "");
             leave(client, false);
           });
-      Stage.Job next = server.job("/copy", "");
+      DispatcherHarness.Job next = server.job("/copy", "");
       assertEquals(next.id(), server.await("arrival").field("id"));
       assertEquals(next.id(), server.workers.get(0).next().header("X-Call-Id"));
     }
@@ -166,14 +167,14 @@
   /** Half a burst of clients leave while all of their jobs wait; the others are served. */
   @Test
   void ofABurstOnlyThoseAreSentOnWhoseClientsAreThere() throws Exception {
-    try (SteppedServer server =
-            new SteppedServer(
+    try (StepControlledServer server =
+            new StepControlledServer(
                 1,
                 c ->
                     c.replace("\"Cancelling\":true", "\"Cancelling\":false")
                         .replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":20"));
-        LatePeer late = server.workers.get(0).lateFromNowOn()) {
-      Stage.Job[] jobs = new Stage.Job[4];
+        StalledListener late = server.workers.get(0).lateFromNowOn()) {
+      DispatcherHarness.Job[] jobs = new DispatcherHarness.Job[4];
       for (int i = 0; i < jobs.length; i++) {
         jobs[i] = server.job("/copy/" + i, "");
       }
--- a/src/test/java/loomreel/program/CommandsTest.java
+++ b/src/test/java/loomreel/program/CommandLineTest.java
@@ -19,7 +19,7 @@
 
 /** Commands, their exit codes, and what they load. */
 @Timeout(120)
-class CommandsTest {
+class CommandLineTest {
   private static final String PLATFORM =
       """
       {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":192,"sockets":1024},
--- a/src/test/java/loomreel/program/ClosingTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -17,7 +17,7 @@
 
 /** Connections are ended between requests; bytes may arrive in that very moment. */
 @Timeout(120)
-class ClosingTest {
+class ConnectionCloseRaceTest {
   /** Why a connection on which a client rests is ended. */
   private enum Why {
     /** The process is to stop. */
@@ -28,18 +28,19 @@
     CROWD
   }
 
-  private static SteppedServer server() throws Exception {
+  private static StepControlledServer server() throws Exception {
     // 24 connections may come in, and 8 of them rest.
-    return new SteppedServer(1, c -> c.replace("\"sockets\":1024", "\"sockets\":64"));
+    return new StepControlledServer(1, c -> c.replace("\"sockets\":1024", "\"sockets\":64"));
   }
 
   /** A client that rests, and what makes the server end its connection. */
-  private static void resting(SteppedServer server, Why why, List<Socket> others, Socket[] resting)
+  private static void resting(
+      StepControlledServer server, Why why, List<Socket> others, Socket[] resting)
       throws Exception {
     Socket client = server.connect();
     resting[0] = client;
     if (why != Why.CROWD) {
-      Stage.Job job = server.job(client, "/copy", 20_000, "");
+      DispatcherHarness.Job job = server.job(client, "/copy", 20_000, "");
       server.serve(0, "first");
       assertEquals("first", job.answer().body());
     }
@@ -71,10 +72,10 @@
   @ParameterizedTest
   @EnumSource(Why.class)
   void aRequestThatComesJustBeforeTheEndIsServed(Why why) throws Exception {
-    try (SteppedServer server = server()) {
+    try (StepControlledServer server = server()) {
       List<Socket> others = new ArrayList<>();
       Socket[] client = new Socket[1];
-      Stage.Job[] crossing = new Stage.Job[1];
+      DispatcherHarness.Job[] crossing = new DispatcherHarness.Job[1];
       server.at("letgo", () -> crossing[0] = server.job(client[0], "/copy", 20_000, ""));
       resting(server, why, others, client);
       server.await("letgo");
@@ -91,7 +92,7 @@
   @ParameterizedTest
   @EnumSource(Why.class)
   void aRequestThatComesAfterTheEndIsNotSentOn(Why why) throws Exception {
-    try (SteppedServer server = server()) {
+    try (StepControlledServer server = server()) {
       List<Socket> others = new ArrayList<>();
       Socket[] client = new Socket[1];
       server.at("shut", () -> server.job(client[0], "/copy/crossing", 20_000, ""));
@@ -111,8 +112,8 @@
    */
   @Test
   void theLastAnswerIsReadWhateverComesBehindIt() throws Exception {
-    try (SteppedServer server = server()) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server = server()) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       server.at("shut", () -> Http.write(job.socket(), "POST /copy HTTP/1.1\r\nX-Call-"));
       server.server.shutDown();
       server.workers.get(0).next().answer(202, "");
@@ -127,10 +128,10 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void whatHasHalfComeAtAStopIsWaitedFor(boolean news) throws Exception {
-    try (SteppedServer server = server();
+    try (StepControlledServer server = server();
         Socket half = server.connect();
         Socket resting = server.connect()) {
-      Stage.Job job = server.job("/copy", "");
+      DispatcherHarness.Job job = server.job("/copy", "");
       server.workers.get(0).next().answer(202, "");
       String body =
           "{\"id\":\"" + job.id() + "\",\"from\":\"w0\",\"state\":\"done\",\"result\":\"r\"}";
@@ -162,8 +163,8 @@
    */
   @Test
   void theProcessEndsAfterItsClientsHave() throws Exception {
-    try (SteppedServer server = server()) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server = server()) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       server.serve(0, "r");
       assertEquals("r", job.answer().body());
       AtomicBoolean gone = new AtomicBoolean();
@@ -187,7 +188,7 @@
    */
   @Test
   void aSecondStopChangesNothing() throws Exception {
-    try (SteppedServer server = server()) {
+    try (StepControlledServer server = server()) {
       server.server.shutDown();
       server.server.shutDown();
       server.await("stop");
--- a/src/test/java/loomreel/program/LateConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -15,7 +15,7 @@
  * more.
  */
 @Timeout(120)
-class LateConnectionTest {
+class DelayedWorkerConnectionTest {
   private static String lateConnections(String settings) {
     return settings.replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":25");
   }
@@ -27,12 +27,12 @@
   @ParameterizedTest
   @ValueSource(strings = {"DRAINING", "DELETED", "missing"})
   void whatHasNotLeftForADrainingCopyWorkerGoesElsewhere(String how) throws Exception {
-    try (SteppedServer server =
-            new SteppedServer(
+    try (StepControlledServer server =
+            new StepControlledServer(
                 2,
                 c -> lateConnections(c).replaceFirst("SERVING(.*?)SERVING", "SERVING$1DRAINING"));
-        LatePeer late = server.workers.get(0).lateFromNowOn()) {
-      Stage.Job job = server.job("/issue", "");
+        StalledListener late = server.workers.get(0).lateFromNowOn()) {
+      DispatcherHarness.Job job = server.job("/issue", "");
       assertEquals("w0", server.await("send").field("worker"));
       String list =
           server.list(
@@ -53,12 +53,12 @@
   /** An operator has taken it out of use, for a repair perhaps. */
   @Test
   void whatHasNotLeftForACopyWorkerThatIsTakenDownGoesElsewhere() throws Exception {
-    try (SteppedServer server =
-            new SteppedServer(
+    try (StepControlledServer server =
+            new StepControlledServer(
                 2,
                 c -> lateConnections(c).replaceFirst("SERVING(.*?)SERVING", "SERVING$1DRAINING"));
-        LatePeer late = server.workers.get(0).lateFromNowOn()) {
-      Stage.Job job = server.job("/issue", "");
+        StalledListener late = server.workers.get(0).lateFromNowOn()) {
+      DispatcherHarness.Job job = server.job("/issue", "");
       assertEquals("w0", server.await("send").field("worker"));
       server.discovery.next().answer(200, server.list(43, false, "SERVING", "SERVING"));
       server.discovery.next();
@@ -69,7 +69,7 @@
     }
   }
 
-  private static void down(SteppedServer server) {
+  private static void down(StepControlledServer server) {
     try {
       server.server.setWorkerDisabled("w0", true);
     } catch (IOException e) {
@@ -83,18 +83,18 @@
    */
   @Test
   void aRepeatThatCannotLeaveWhileItIsToldDoesNotLeave() throws Exception {
-    try (SteppedServer server =
-        new SteppedServer(
+    try (StepControlledServer server =
+        new StepControlledServer(
             2,
             c ->
                 lateConnections(ServeTest.keyedClass(c))
                     .replace("\"WindowS\":15", "\"WindowS\":0.8"))) {
-      Stage.Job job = server.keyed("/hold/1", "a-key");
-      SteppedServer.Step first = server.await("send");
+      DispatcherHarness.Job job = server.keyed("/hold/1", "a-key");
+      StepControlledServer.Step first = server.await("send");
       int at = first.field("worker").equals("w0") ? 0 : 1;
       Http.Message post = server.workers.get(at).next();
       assertEquals("a-key", post.header("Idempotency-Key"));
-      try (LatePeer late = server.workers.get(1 - at).lateFromNowOn()) {
+      try (StalledListener late = server.workers.get(1 - at).lateFromNowOn()) {
         post.from().close();
         assertEquals("w" + (1 - at), server.await("send").field("worker"));
         assertEquals(
--- a/src/test/java/loomreel/program/DeployedTest.java
+++ b/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
@@ -29,12 +29,12 @@
  */
 @Timeout(120)
 @EnabledOnOs(OS.LINUX)
-class DeployedTest {
+class DeployedProcessSocketsTest {
   private static final Pattern SOCKET = Pattern.compile("socket:\\[(\\d+)]");
 
   @Test
   void anUpgradeUsesOnlyIpv4SocketsAndStartsNoProgram() throws Exception {
-    try (RealProgram program = RealProgram.deployed(1)) {
+    try (DispatcherProcess program = DispatcherProcess.deployed(1)) {
       program.upgrade();
       assertEquals(2, program.started.size());
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
--- a/src/test/java/loomreel/program/DiscoveryOutageTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -16,7 +16,7 @@
  * the rule on drains.
  */
 @Timeout(120)
-class DiscoveryOutageTest {
+class DiscoveryRecoveryTest {
   private static final int ROOM = 64;
 
   /**
@@ -25,8 +25,8 @@
    */
   @Test
   void idleClientsDoNotKeepTheWatchFromComingBack() throws Exception {
-    try (SteppedServer server =
-        new SteppedServer(2, c -> c.replace("\"sockets\":1024", "\"sockets\":" + ROOM))) {
+    try (StepControlledServer server =
+        new StepControlledServer(2, c -> c.replace("\"sockets\":1024", "\"sockets\":" + ROOM))) {
       Http.Message watch = server.discovery.next();
       int port = server.discovery.at().getPort();
       server.discovery.close();
@@ -37,7 +37,7 @@
         idle.add(server.connect());
         Http.write(idle.get(i), i % 3 == 0 ? "" : "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
       }
-      Stage.Job job = server.job("/copy", "");
+      DispatcherHarness.Job job = server.job("/copy", "");
       int to = server.awaitSend();
       server.serve(to, "while it is down");
       assertEquals("while it is down", job.answer().body());
@@ -60,8 +60,8 @@
   @ParameterizedTest
   @ValueSource(strings = {"cut", "nonsense", "older"})
   void aSpoiltListIsAskedForAgainAtOnceHoweverManyFailuresCameBefore(String how) throws Exception {
-    try (SteppedServer server =
-        new SteppedServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":4"))) {
+    try (StepControlledServer server =
+        new StepControlledServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":4"))) {
       for (int i = 0; i < 3; i++) {
         server.discovery.next().answer(503, "");
       }
@@ -98,8 +98,8 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aMoveIsFollowedAtOnceAlsoDuringAnOutage(boolean down) throws Exception {
-    try (SteppedServer server =
-            new SteppedServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":60"));
+    try (StepControlledServer server =
+            new StepControlledServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":60"));
         Http.Peer next = new Http.Peer()) {
       Http.Message watch = server.discovery.next();
       if (down) {
--- a/src/test/java/loomreel/program/Stage.java
+++ b/src/test/java/loomreel/program/DispatcherHarness.java
@@ -13,7 +13,7 @@
  * What stands around a dispatcher in a test: discovery and copy workers that the test plays, and
  * clients.
  */
-abstract class Stage implements AutoCloseable {
+abstract class DispatcherHarness implements AutoCloseable {
   private static final String SETTINGS =
       """
             {"Balancers":1,"Discovery":"ask","Locality":"n","TickS":0.004,"Specifics":{"TellsStart":false},
@@ -28,7 +28,7 @@
   Http.Peer discovery = new Http.Peer();
   final List<Http.Peer> workers = new ArrayList<>();
 
-  Stage(int workerCount) throws IOException {
+  DispatcherHarness(int workerCount) throws IOException {
     for (int i = 0; i < workerCount; i++) {
       workers.add(new Http.Peer());
     }
--- a/src/test/java/loomreel/program/RealProgram.java
+++ b/src/test/java/loomreel/program/DispatcherProcess.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /** The program as a process of its own, with discovery and copy workers that the test plays. */
-final class RealProgram extends Stage {
+final class DispatcherProcess extends DispatcherHarness {
   /** The JVM's flags of the tests' own processes: they start quicker so. */
   private static final List<String> FLAGS = List.of("-XX:TieredStopAtLevel=1");
 
@@ -36,11 +36,12 @@
 
   final List<Integer> operators = new ArrayList<>();
 
-  RealProgram(int workerCount, boolean probing) throws IOException {
+  DispatcherProcess(int workerCount, boolean probing) throws IOException {
     this(workerCount, probing, settings -> settings);
   }
 
-  RealProgram(int workerCount, boolean probing, UnaryOperator<String> change) throws IOException {
+  DispatcherProcess(int workerCount, boolean probing, UnaryOperator<String> change)
+      throws IOException {
     this(workerCount, probing, change, false);
   }
 
@@ -48,16 +49,17 @@
    * One that operators look after; where the platform holds the listener, it can be started beside
    * itself.
    */
-  static RealProgram operated(int workerCount, boolean platform) throws IOException {
-    return new RealProgram(workerCount, false, RealProgram::withOperators, platform);
+  static DispatcherProcess operated(int workerCount, boolean platform) throws IOException {
+    return new DispatcherProcess(workerCount, false, DispatcherProcess::withOperators, platform);
   }
 
   /**
    * One started as the platform starts it: descriptor 0, operators, and the JVM's flags of {@code
    * run}.
    */
-  static RealProgram deployed(int workerCount) throws IOException {
-    return new RealProgram(workerCount, false, RealProgram::withOperators, true, runFlags());
+  static DispatcherProcess deployed(int workerCount) throws IOException {
+    return new DispatcherProcess(
+        workerCount, false, DispatcherProcess::withOperators, true, runFlags());
   }
 
   /**
@@ -72,13 +74,13 @@
     return List.of(run.group(1).split(" +"));
   }
 
-  private RealProgram(
+  private DispatcherProcess(
       int workerCount, boolean probing, UnaryOperator<String> change, boolean platform)
       throws IOException {
     this(workerCount, probing, change, platform, FLAGS);
   }
 
-  private RealProgram(
+  private DispatcherProcess(
       int workerCount,
       boolean probing,
       UnaryOperator<String> change,
@@ -92,7 +94,7 @@
     if (platform) {
       builder.environment().put("BALANCER_LISTEN_FD", "0");
       List<String> child =
-          new ArrayList<>(List.of(Platform.class.getName(), builder.command().get(0)));
+          new ArrayList<>(List.of(ListenerSupervisor.class.getName(), builder.command().get(0)));
       child.addAll(flags);
       child.addAll(List.of("-cp", System.getProperty("java.class.path")));
       builder.command().addAll(builder.command().indexOf("loomreel.cli.Main"), child);
--- a/src/test/java/loomreel/program/Http.java
+++ b/src/test/java/loomreel/program/Http.java
@@ -83,7 +83,7 @@
     /** One at a port where another one was; 0 for any. */
     Peer(int port) throws IOException {
       listener =
-          LatePeer.bound(
+          StalledListener.bound(
               new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), port), 50);
       BackgroundThreads.start(
           () -> {
@@ -131,10 +131,10 @@
     /**
      * Listens no more; from now on no connection comes up at its address before the test lets it.
      */
-    LatePeer lateFromNowOn() throws IOException {
+    StalledListener lateFromNowOn() throws IOException {
       InetSocketAddress at = at();
       listener.close();
-      return new LatePeer(at);
+      return new StalledListener(at);
     }
 
     void forget() {
--- a/src/test/java/loomreel/program/Platform.java
+++ b/src/test/java/loomreel/program/ListenerSupervisor.java
@@ -14,7 +14,7 @@
  * number it prints; it ends with its input, and all of them with it. Java cannot hand over a socket
  * by itself, hence the calls of the C library.
  */
-final class Platform {
+final class ListenerSupervisor {
   /** The calls that are needed. */
   public interface C extends Library {
     int dup(int descriptor);
@@ -28,7 +28,7 @@
     int listen(int socket, int backlog);
   }
 
-  private Platform() {}
+  private ListenerSupervisor() {}
 
   public static void main(String[] command) throws Exception {
     C c = Native.load("c", C.class);
--- a/src/test/java/loomreel/program/SpoiltAnswerTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -10,7 +10,7 @@
 
 /** Answers of copy workers that are cut, spoilt, doubled or without end, and what they prove. */
 @Timeout(120)
-class SpoiltAnswerTest {
+class MalformedWorkerResponseTest {
   /** What follows the head of a 202; none of it changes that the job was taken. */
   private enum Rest {
     CUT("Content-Length: 10\r\n\r\nabc", true),
@@ -34,8 +34,8 @@
   @ParameterizedTest
   @EnumSource(Rest.class)
   void aJobIsTakenOnceTheHeadSaysSo(Rest rest) throws Exception {
-    try (SteppedServer server = new SteppedServer(2, c -> c)) {
-      Stage.Job job = server.job("/issue", "");
+    try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
+      DispatcherHarness.Job job = server.job("/issue", "");
       int at = server.awaitSend();
       Http.Message post = server.workers.get(at).next();
       Http.write(post.from(), "HTTP/1.1 202 x\r\n" + rest.bytes);
@@ -55,9 +55,10 @@
    */
   @Test
   void aBodyThatNeverComesHoldsNoConnection() throws Exception {
-    try (SteppedServer server =
-        new SteppedServer(1, c -> c.replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":0.25"))) {
-      Stage.Job job = server.job("/issue", "");
+    try (StepControlledServer server =
+        new StepControlledServer(
+            1, c -> c.replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":0.25"))) {
+      DispatcherHarness.Job job = server.job("/issue", "");
       Http.Message post = server.workers.get(0).next();
       Http.write(post.from(), "HTTP/1.1 202 x\r\nTransfer-Encoding: chunked\r\n\r\n");
       server.workers.get(0).awaitEnd(post.from());
@@ -69,8 +70,8 @@
   /** Half a refusal proves nothing: an issue may have run. */
   @Test
   void aRefusalThatIsCutIsNoProof() throws Exception {
-    try (SteppedServer server = new SteppedServer(2, c -> c)) {
-      Stage.Job job = server.job("/issue", "");
+    try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
+      DispatcherHarness.Job job = server.job("/issue", "");
       int at = server.awaitSend();
       Http.Message post = server.workers.get(at).next();
       Http.write(post.from(), "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 10\r\n\r\nabc");
@@ -86,8 +87,8 @@
    */
   @Test
   void aCancelThatCrossesThe202IsSaidAfterIt() throws Exception {
-    try (SteppedServer server = new SteppedServer(1, c -> c)) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server = new StepControlledServer(1, c -> c)) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       Http.Message post = server.workers.get(0).next();
       server.at("cancel", () -> post.answer(202, ""));
       job.socket().close();
@@ -98,8 +99,8 @@
   /** `done` crosses the end of its attempt: it is answered, and acted on once if at all. */
   @Test
   void doneThatCrossesALostAttemptIsActedOnOnce() throws Exception {
-    try (SteppedServer server = new SteppedServer(2, c -> c)) {
-      Stage.Job job = server.job("/copy", "");
+    try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
+      DispatcherHarness.Job job = server.job("/copy", "");
       int at = server.awaitSend();
       Http.Message first = server.workers.get(at).next();
       first.answer(202, "");
--- a/src/test/java/loomreel/program/OpsTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -21,15 +21,15 @@
 
 /** The real program as those who look after it meet it. */
 @Timeout(120)
-class OpsTest {
+class ManagementApiTest {
   private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\n";
 
   @Test
   void everyAnswerIsCountedOnceUnderItsClass() throws Exception {
-    try (RealProgram program = RealProgram.operated(2, false)) {
+    try (DispatcherProcess program = DispatcherProcess.operated(2, false)) {
       assertEquals(200, program.operate(0, "GET", "readiness", "").status());
       assertEquals(0, program.figure(0, "failure.issue"), "what has not happened is there as well");
-      Stage.Job job = program.job("/copy", "");
+      DispatcherHarness.Job job = program.job("/copy", "");
       Http.Message post = next(program);
       assertEquals(1, program.figure(0, "inflight"));
       assertEquals(1, program.figure(0, "backend_calls"));
@@ -66,7 +66,7 @@
   }
 
   /** The next request to either copy worker. */
-  private static Http.Message next(RealProgram program) throws Exception {
+  private static Http.Message next(DispatcherProcess program) throws Exception {
     while (!program.workers.get(0).wasAsked() && !program.workers.get(1).wasAsked()) {
       Thread.sleep(1);
     }
@@ -75,7 +75,7 @@
 
   @Test
   void operatorsAreHeardWhateverElseCalls() throws Exception {
-    try (RealProgram program = RealProgram.operated(1, false)) {
+    try (DispatcherProcess program = DispatcherProcess.operated(1, false)) {
       assertEquals(404, program.operate(0, "GET", "nothing", "").status());
       assertEquals(405, program.operate(0, "GET", "drain/start", "").status());
       assertEquals(405, program.operate(0, "POST", "stats", "").status());
@@ -92,12 +92,12 @@
   /** Clients are sent away and come back; copy workers' news comes in throughout. */
   @Test
   void aDrainSendsClientsAwayUntilItIsStopped() throws Exception {
-    try (RealProgram program = RealProgram.operated(1, false);
+    try (DispatcherProcess program = DispatcherProcess.operated(1, false);
         Socket news = program.connect()) {
-      Stage.Job idle = program.job("/copy", "");
+      DispatcherHarness.Job idle = program.job("/copy", "");
       program.serve(0, "before");
       assertEquals("before", idle.answer().body());
-      Stage.Job held = program.job("/copy", "");
+      DispatcherHarness.Job held = program.job("/copy", "");
       Http.Message post = program.workers.get(0).next();
       post.answer(202, "");
       report(news, held.id(), "running");
@@ -113,7 +113,7 @@
       assertEquals(200, program.operate(0, "GET", "readiness", "").status());
       assertEquals(200, program.operate(0, "POST", "drain/stop", "").status());
       assertEquals(200, program.request(READY, "").status());
-      Stage.Job after = program.job("/copy", "");
+      DispatcherHarness.Job after = program.job("/copy", "");
       program.serve(0, "after");
       assertNull(after.answer().header("Connection"));
     }
@@ -139,7 +139,7 @@
    */
   @Test
   void aCopyWorkerThatIsDownGetsNothing() throws Exception {
-    try (RealProgram program = RealProgram.operated(2, false)) {
+    try (DispatcherProcess program = DispatcherProcess.operated(2, false)) {
       assertEquals(404, program.operate(0, "POST", "copy-workers/down", "w2").status());
       assertEquals(404, program.operate(0, "POST", "copy-workers/up", "").status());
       assertEquals(200, program.operate(0, "POST", "copy-workers/down", "w0").status());
@@ -165,13 +165,13 @@
   // Not split yet; listed in docs/ROADMAP.md.
   @SuppressWarnings("checkstyle:MethodLength")
   void anUpgradeLosesNothingAndForgetsNothing() throws Exception {
-    try (RealProgram program = RealProgram.operated(2, true)) {
+    try (DispatcherProcess program = DispatcherProcess.operated(2, true)) {
       assertEquals(200, program.operate(0, "POST", "copy-workers/down", "w0").status());
-      Stage.Job held = program.job("/issue", "");
+      DispatcherHarness.Job held = program.job("/issue", "");
       program.workers.get(1).next().answer(202, "");
-      Stage.Job late = program.job("/issue", "");
+      DispatcherHarness.Job late = program.job("/issue", "");
       program.workers.get(1).next().answer(202, "");
-      Stage.Job idle = program.job("/copy", "");
+      DispatcherHarness.Job idle = program.job("/copy", "");
       program.serve(1, "r");
       assertEquals("r", idle.answer().body());
       program.upgrade();
@@ -191,7 +191,7 @@
       assertEquals("close", answer.header("Connection"));
       // From here on new connections come to the new process alone, and so does this news of the
       // old one's job.
-      Stage.Job fresh = program.job("/copy", "");
+      DispatcherHarness.Job fresh = program.job("/copy", "");
       program.serve(1, "new");
       assertNull(fresh.answer().header("Connection"));
       assertEquals(200, program.news(held.id(), "w1", "done", ",\"result\":\"passed on\""));
@@ -229,8 +229,8 @@
    */
   @Test
   void whoWaitsAtTheDoorOverAKillIsServed() throws Exception {
-    try (RealProgram program = RealProgram.operated(1, true)) {
-      Stage.Job cut = program.job("/copy", "");
+    try (DispatcherProcess program = DispatcherProcess.operated(1, true)) {
+      DispatcherHarness.Job cut = program.job("/copy", "");
       program.workers.get(0).next().answer(202, "");
       program.started.get(0).destroyForcibly();
       program.started.get(0).onExit().get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -241,7 +241,7 @@
               throw new EOFException();
             }
           });
-      List<Stage.Job> waiting = new ArrayList<>();
+      List<DispatcherHarness.Job> waiting = new ArrayList<>();
       for (int i = 0; i < 24; i++) {
         waiting.add(program.job(i % 2 == 0 ? "/copy" : "/issue", ""));
       }
@@ -254,7 +254,7 @@
         assertTrue(served.add(id), id + " is sent twice");
         assertEquals(200, program.news(id, "w0", "done", ",\"result\":\"" + id + "\""));
       }
-      for (Stage.Job job : waiting) {
+      for (DispatcherHarness.Job job : waiting) {
         assertEquals(job.id(), job.answer().body());
       }
     }
@@ -263,7 +263,7 @@
   @Test
   void onlyDescriptor0CanBeHandedOver() throws Exception {
     Path file = Files.createTempFile("loomreel", ".json");
-    ProcessBuilder builder = RealProgram.builder(file, "serve", "");
+    ProcessBuilder builder = DispatcherProcess.builder(file, "serve", "");
     builder.environment().put("BALANCER_LISTEN_FD", "3");
     Process process = builder.start();
     assertTrue(
--- a/src/test/java/loomreel/program/SitesTest.java
+++ b/src/test/java/loomreel/program/SampleDeploymentsTest.java
@@ -23,7 +23,7 @@
  * goes by.
  */
 @Timeout(120)
-class SitesTest {
+class SampleDeploymentsTest {
   private static final TomlMapper TOML = new TomlMapper();
 
   private static JsonNode site(String name) throws IOException {
@@ -103,7 +103,7 @@
   }
 
   /** What a copy worker is handed next; where it is only asked for its load, it has room. */
-  private static Http.Message nextJob(Stage stage, int[] at) throws Exception {
+  private static Http.Message nextJob(DispatcherHarness stage, int[] at) throws Exception {
     while (true) {
       for (int i = 0; i < stage.workers.size(); i++) {
         if (stage.workers.get(i).wasAsked()) {
@@ -130,9 +130,10 @@
     JsonNode type = site.get("class").get(position);
     String effect = type.get("effect").asText();
     int[] at = new int[1];
-    try (SteppedServer server = new SteppedServer(3, c -> c, settings(site))) {
+    try (StepControlledServer server = new StepControlledServer(3, c -> c, settings(site))) {
       for (boolean reset : new boolean[] {false, true}) {
-        Stage.Job job = server.keyed("/" + type.get("name").asText() + "/1", "key-" + reset);
+        DispatcherHarness.Job job =
+            server.keyed("/" + type.get("name").asText() + "/1", "key-" + reset);
         Http.Message post = nextJob(server, at);
         assertEquals("key-" + reset, post.header("Idempotency-Key"));
         if (reset) {
--- a/src/test/java/loomreel/program/ServeTest.java
+++ b/src/test/java/loomreel/program/ServeTest.java
@@ -30,9 +30,9 @@
 class ServeTest {
   @Test
   void aJobGoesOutUnchangedAndItsResultComesBack() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
-      Stage.Job job = program.job("/copy/page?n=1", "the body");
+      DispatcherHarness.Job job = program.job("/copy/page?n=1", "the body");
       Http.Message post = program.workers.get(0).next();
       assertEquals("POST /copy/page?n=1 HTTP/1.1", post.first());
       assertEquals("the body", post.body());
@@ -62,7 +62,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aKeyedJobIsSentAgainUnderItsKeyAndNeverWithoutOne(boolean keyed) throws Exception {
-    try (RealProgram program = new RealProgram(2, false, ServeTest::keyedClass);
+    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::keyedClass);
         Socket client = program.connect()) {
       String key = "5c0f6e1a-2b3d, \"x\"; ~";
       Http.write(
@@ -97,7 +97,7 @@
   /**
    * Answers with a list until the program goes on from it: it asks again when this machine is slow.
    */
-  private static Http.Message untilItHas(RealProgram program, int seq, String list)
+  private static Http.Message untilItHas(DispatcherProcess program, int seq, String list)
       throws Exception {
     Http.Message call = program.discovery.next();
     while (!call.first().contains("?from=" + seq + "&")) {
@@ -113,10 +113,10 @@
    */
   @Test
   void aPushedListIsTakenBeforeTheFirstJobGoesOut() throws Exception {
-    try (RealProgram program = new RealProgram(2, false, ServeTest::pushed)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
       Http.Message whole = program.discovery.next();
       assertEquals("GET /registry/instances HTTP/1.1", whole.first());
-      List<Stage.Job> jobs = new ArrayList<>();
+      List<DispatcherHarness.Job> jobs = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         jobs.add(program.job("/copy/" + i, ""));
       }
@@ -126,7 +126,7 @@
       for (int i = 0; i < jobs.size(); i++) {
         program.serve(1, "served");
       }
-      for (Stage.Job job : jobs) {
+      for (DispatcherHarness.Job job : jobs) {
         assertEquals("served", job.answer().body());
       }
       assertFalse(program.workers.get(0).wasAsked());
@@ -140,7 +140,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"silent", "503", "closed", "cut"})
   void aPushedListIsAskedForAgainOnANewConnectionWithinTheGrace(String how) throws Exception {
-    try (RealProgram program = new RealProgram(2, false, ServeTest::pushed)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
       Http.Message watch = untilItHas(program, 41, program.list(41, true, "SERVING"));
       for (int i = 0; i < 3; i++) {
         int hold = Integer.parseInt(watch.first().replaceAll(".*hold_ms=(\\d+).*", "$1"));
@@ -164,9 +164,9 @@
    */
   @Test
   void aSilentAgentIsNotWaitedForForEver() throws Exception {
-    try (RealProgram program = new RealProgram(1, false, ServeTest::pushed)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false, ServeTest::pushed)) {
       program.discovery.next();
-      Stage.Job job = program.job("/copy", "");
+      DispatcherHarness.Job job = program.job("/copy", "");
       assertTrue(program.awaitLog("discovery agent silent").contains("last known endpoint list"));
       program.serve(0, "held");
       assertEquals("held", job.answer().body());
@@ -179,7 +179,7 @@
    */
   @Test
   void aListThatComesLateOnASilentWatchIsNotTaken() throws Exception {
-    try (RealProgram program = new RealProgram(2, false, ServeTest::pushed)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
       Http.Message silent = untilItHas(program, 41, program.list(41, true, "SERVING"));
       program.discovery.awaitEnd(silent.from());
       try {
@@ -199,7 +199,7 @@
    */
   @Test
   void aListThatIsAnsweredTwiceCountsOnce() throws Exception {
-    try (RealProgram program = new RealProgram(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
       Http.Message watch = program.discovery.next();
       String first = program.list(43, false, "DRAINING", "SERVING");
       String second = program.list(44, false, "SERVING", "DRAINING");
@@ -226,9 +226,9 @@
    */
   @Test
   void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       for (int i = 0; i < 4; i++) {
-        Stage.Job job = program.job("/issue", "");
+        DispatcherHarness.Job job = program.job("/issue", "");
         Http.Message post = program.workers.get(0).next();
         Http.write(
             post.from(),
@@ -246,8 +246,8 @@
   /** A call-back may overtake the 202, come again, or name a job that nobody knows (any more). */
   @Test
   void newsIsActedOnOnceAndAlwaysAnswered() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
-      Stage.Job first = program.job("/copy", "");
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+      DispatcherHarness.Job first = program.job("/copy", "");
       Http.Message post = program.workers.get(0).next();
       assertEquals(200, program.news(first.id(), "w7", "done", ",\"result\":\"not from there\""));
       assertEquals(200, program.news(first.id(), "w0", "done", ",\"result\":\"early\""));
@@ -256,7 +256,7 @@
       assertEquals(200, program.news(first.id(), "w0", "done", ",\"result\":\"again\""));
       assertEquals(200, program.news("00000000000000ff", "w0", "failed", ""));
       assertEquals(400, program.request("POST /_jobs/news HTTP/1.1\r\nHost: x\r\n", "[1").status());
-      Stage.Job second = program.job(first.socket(), "/copy", 20_000, "");
+      DispatcherHarness.Job second = program.job(first.socket(), "/copy", 20_000, "");
       Http.Message next = program.workers.get(0).next();
       assertSame(post.from(), next.from(), "the connection is used again");
       next.answer(202, "");
@@ -283,8 +283,8 @@
   })
   void anotherAttemptIsMadeAsClassAndOutcomeAllow(String requestClass, String outcome, int status)
       throws Exception {
-    try (RealProgram program = new RealProgram(2, false)) {
-      Stage.Job job = program.job("/" + requestClass, "b");
+    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+      DispatcherHarness.Job job = program.job("/" + requestClass, "b");
       int at = asked(program);
       Http.Message post = program.workers.get(at).next();
       switch (outcome) {
@@ -312,10 +312,10 @@
   @Test
   void aSecondHandBackFromOneCopyWorkerIsNoProofThatNothingRan() throws Exception {
     // Short targets, so that a copy worker which handed a job back is tried again soon.
-    try (RealProgram program =
-        new RealProgram(
+    try (DispatcherProcess program =
+        new DispatcherProcess(
             1, false, s -> s.replace("\"TargetS\":20", "\"TargetS\":0.1,\"AimStretch\":1000"))) {
-      Stage.Job job = program.job("/issue", "");
+      DispatcherHarness.Job job = program.job("/issue", "");
       program.workers.get(0).next().answer(202, "");
       program.news(job.id(), "w0", "returned", "");
       program.workers.get(0).next().answer(202, "");
@@ -325,7 +325,7 @@
     }
   }
 
-  private static int asked(RealProgram program) throws InterruptedException {
+  private static int asked(DispatcherProcess program) throws InterruptedException {
     while (true) {
       for (int i = 0; i < program.workers.size(); i++) {
         if (program.workers.get(i).wasAsked()) {
@@ -338,10 +338,10 @@
 
   @Test
   void aCopyWorkerThatCannotBeReachedIsPassedOver() throws Exception {
-    try (RealProgram program = new RealProgram(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
       program.workers.get(0).close();
       for (int i = 0; i < 6; i++) {
-        Stage.Job job = program.job("/issue", "");
+        DispatcherHarness.Job job = program.job("/issue", "");
         program.serve(1, "there");
         assertEquals("there", job.answer().body());
       }
@@ -355,8 +355,8 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aSilentCopyWorkerCostsNoMoreThanTheDeadline(boolean accepts) throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
-      Stage.Job job = program.job(program.connect(), "/copy", 2000, "");
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+      DispatcherHarness.Job job = program.job(program.connect(), "/copy", 2000, "");
       Http.Message post = program.workers.get(0).next();
       if (accepts) {
         post.answer(202, "");
@@ -364,15 +364,15 @@
       Http.Message answer = job.answer();
       assertEquals(503, answer.status(), "a copy may be asked for again");
       assertEquals("1.500", answer.header("Retry-After"));
-      Stage.Job late = program.job(job.socket(), "/copy", 1, "");
+      DispatcherHarness.Job late = program.job(job.socket(), "/copy", 1, "");
       assertNotEquals(200, late.answer().status());
     }
   }
 
   @Test
   void aClientThatLeavesEndsItsJob() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
-      Stage.Job job = program.job("/copy", "");
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+      DispatcherHarness.Job job = program.job("/copy", "");
       program.workers.get(0).next().answer(202, "");
       // Only after a call-back of its own is it sure that the 202 has been read.
       program.news(job.id(), "w0", "running", ",\"share\":0.1");
@@ -384,7 +384,7 @@
   /** Requests sent ahead on one connection are answered one by one, in their order. */
   @Test
   void requestsSentAheadWaitTheirTurn() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket socket = program.connect()) {
       String[] ids = new String[3];
       for (int i = 0; i < ids.length; i++) {
@@ -406,9 +406,9 @@
    */
   @Test
   void idleConnectionsAreClosedBeforeTheOtherSideDoes() throws Exception {
-    try (RealProgram program =
-        new RealProgram(1, false, s -> s.replace("\"ConnIdleS\":60", "\"ConnIdleS\":1"))) {
-      Stage.Job job = program.job("/copy", "");
+    try (DispatcherProcess program =
+        new DispatcherProcess(1, false, s -> s.replace("\"ConnIdleS\":60", "\"ConnIdleS\":1"))) {
+      DispatcherHarness.Job job = program.job("/copy", "");
       Http.Message post = program.workers.get(0).next();
       post.answer(202, "");
       program.news(job.id(), "w0", "done", ",\"result\":\"r\"");
@@ -423,8 +423,8 @@
    */
   @Test
   void connectionsThatAreResetWhenUsedAgainAreKeptForLess() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
-      Stage.Job job = program.job("/copy", "");
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+      DispatcherHarness.Job job = program.job("/copy", "");
       program.serve(0, "first");
       assertEquals("first", job.answer().body());
       for (int i = 0; i < 3; i++) {
@@ -447,11 +447,11 @@
 
   @Test
   void aCopyWorkerThatMovesIsCalledWhereItIsNow() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       Http.Peer before = program.workers.set(0, new Http.Peer());
       program.discovery.next().answer(200, program.list(42, true, "SERVING"));
       program.discovery.next();
-      Stage.Job job = program.job("/copy", "");
+      DispatcherHarness.Job job = program.job("/copy", "");
       program.serve(0, "moved");
       assertEquals("moved", job.answer().body());
       assertFalse(before.wasAsked());
@@ -461,7 +461,7 @@
 
   @Test
   void bodiesComeWholeHoweverTheyAreCut() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket socket = program.connect()) {
       String request =
           "POST /copy HTTP/1.1\r\nHost: x\r\nX-Call-Id: 00000000000000aa\r\nX-Budget-Ms: 20000\r\n"
@@ -473,7 +473,7 @@
       Http.Message post = program.workers.get(0).next();
       assertEquals("abc0123456789", post.body());
       String large = "x".repeat(64 * 1024);
-      Stage.Job job = program.job("/copy", large);
+      DispatcherHarness.Job job = program.job("/copy", large);
       assertEquals(large, program.workers.get(0).next().body());
       program.news(job.id(), "w0", "done", ",\"result\":\"" + large.substring(100) + "\"");
       assertEquals(large.substring(100), job.answer().body());
@@ -513,7 +513,7 @@
       {"413", job + id + budget + "Transfer-Encoding: chunked\r\n\r\n10001\r\n"},
       {"431", job + "X-Long: " + "y".repeat(9000) + "\r\n\r\n"}
     };
-    try (RealProgram program = new RealProgram(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       for (String[] c : cases) {
         try (Socket socket = program.connect()) {
           Http.write(socket, c[1]);
@@ -527,7 +527,7 @@
 
   @Test
   void theListIsWatchedAndADrainingCopyWorkerGetsNothingNew() throws Exception {
-    try (RealProgram program = new RealProgram(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
       Http.Message watch = program.discovery.next();
       assertTrue(
           watch.first().startsWith("GET /registry/instances?from=41&hold_ms="), watch.first());
@@ -541,7 +541,7 @@
 
   @Test
   void aListThatNamesACopyWorkerTwiceHoldsByItsLastWord() throws Exception {
-    try (RealProgram program = new RealProgram(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
       String draining = program.list(43, true, "DRAINING", "SERVING");
       String serving = program.list(43, true, "SERVING", "SERVING");
       String first = serving.substring(serving.indexOf('[') + 1, serving.lastIndexOf(']'));
@@ -557,7 +557,7 @@
    */
   @Test
   void anOlderListIsNotTakenAndTheWholeOneIsAskedFor() throws Exception {
-    try (RealProgram program = new RealProgram(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
       program.discovery.next().answer(200, program.list(43, false, "DRAINING", "SERVING"));
       program.discovery.next().answer(200, program.list(42, true, "SERVING", "DRAINING"));
       Http.Message whole = program.discovery.next();
@@ -567,7 +567,7 @@
       assertTrue(
           program.discovery.next().first().contains("from=7&"),
           "its count is the one that holds now");
-      Stage.Job job = program.job("/copy", "");
+      DispatcherHarness.Job job = program.job("/copy", "");
       program.serve(0, "back");
       assertEquals("back", job.answer().body());
     }
@@ -580,7 +580,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"503", "nonsense", "cut", "closed", "silent"})
   void aLostWatchIsStartedAgain(String how) throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       Http.Message watch = program.discovery.next();
       switch (how) {
         case "503" -> watch.answer(503, "");
@@ -590,7 +590,7 @@
         default -> watch.from().close();
       }
       assertTrue(program.discovery.next().first().contains("from=41&"));
-      Stage.Job job = program.job("/copy", "");
+      DispatcherHarness.Job job = program.job("/copy", "");
       program.serve(0, "held");
       assertEquals("held", job.answer().body());
     }
@@ -602,8 +602,8 @@
    */
   @Test
   void aNewConfigurationMovesTheWatchAtOnce() throws Exception {
-    try (RealProgram program = new RealProgram(2, false)) {
-      Stage.Job job = program.job("/copy", "");
+    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+      DispatcherHarness.Job job = program.job("/copy", "");
       Http.Message old = program.discovery.next();
       for (int seq : new int[] {7, 3}) {
         try (Http.Peer before = program.moveDiscovery()) {
@@ -636,7 +636,7 @@
   })
   void aNewConfigurationThatChangesMoreThanItMayKeepsTheOldWhole(
       String from, String to, String field) throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Http.Peer other = new Http.Peer()) {
       Http.Message watch = program.discovery.next();
       program.configure(
@@ -651,7 +651,7 @@
           said);
       watch.answer(200, program.list(42, true, "SERVING"));
       assertTrue(program.discovery.next().first().contains("?from=42&"));
-      Stage.Job job = program.job("/issue", "");
+      DispatcherHarness.Job job = program.job("/issue", "");
       program.serve(0, "as before");
       assertEquals("as before", job.answer().body());
       assertFalse(other.wasAsked());
@@ -660,7 +660,7 @@
 
   @Test
   void aBadNewConfigurationChangesNothing() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       Http.Message watch = program.discovery.next();
       program.configure("{\"name\":");
       program.signal("HUP");
@@ -670,7 +670,7 @@
               .contains("the old configuration stays"));
       watch.answer(200, program.list(42, true, "SERVING"));
       assertTrue(program.discovery.next().first().contains("?from=42&"));
-      Stage.Job job = program.job("/copy", "");
+      DispatcherHarness.Job job = program.job("/copy", "");
       program.serve(0, "as before");
       assertEquals("as before", job.answer().body());
     }
@@ -681,9 +681,9 @@
    */
   @Test
   void clientsThatTakeAllTheRoomDoNotShutTheNewsOut() throws Exception {
-    try (RealProgram program =
-        new RealProgram(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":52"))) {
-      List<Stage.Job> jobs = new ArrayList<>();
+    try (DispatcherProcess program =
+        new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":52"))) {
+      List<DispatcherHarness.Job> jobs = new ArrayList<>();
       for (int i = 0; i < 11; i++) {
         jobs.add(program.job("/copy", ""));
       }
@@ -693,10 +693,10 @@
       for (int i = 0; i < jobs.size(); i++) {
         program.serve(0, "served");
       }
-      for (Stage.Job job : jobs) {
+      for (DispatcherHarness.Job job : jobs) {
         assertEquals(200, program.news(job.id(), "w0", "done", ",\"result\":\"served\""));
       }
-      for (Stage.Job job : jobs) {
+      for (DispatcherHarness.Job job : jobs) {
         assertEquals("served", job.answer().body());
       }
     }
@@ -708,9 +708,9 @@
    */
   @Test
   void connectionsThatSayNothingDoNotPushOthersOut() throws Exception {
-    try (RealProgram program =
-        new RealProgram(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
-      Stage.Job first = program.job("/copy", "");
+    try (DispatcherProcess program =
+        new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
+      DispatcherHarness.Job first = program.job("/copy", "");
       program.serve(0, "first");
       assertEquals("first", first.answer().body());
       List<Socket> silent = new ArrayList<>();
@@ -718,7 +718,7 @@
         silent.add(program.connect());
         Http.write(silent.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
       }
-      Stage.Job kept = program.job(first.socket(), "/copy", 20_000, "");
+      DispatcherHarness.Job kept = program.job(first.socket(), "/copy", 20_000, "");
       program.serve(0, "kept");
       assertEquals("kept", kept.answer().body());
       for (Socket socket : silent) {
@@ -733,9 +733,9 @@
    */
   @Test
   void connectionsThatAskOnceAndStayAreNotKeptForLong() throws Exception {
-    try (RealProgram program =
-        new RealProgram(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
-      List<Stage.Job> jobs = new ArrayList<>();
+    try (DispatcherProcess program =
+        new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
+      List<DispatcherHarness.Job> jobs = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         jobs.add(program.job("/copy", ""));
         program.serve(0, "served");
@@ -743,7 +743,7 @@
       }
       assertNull(Http.read(jobs.get(0).socket()));
       assertNull(Http.read(jobs.get(1).socket()));
-      Stage.Job next = program.job(jobs.get(5).socket(), "/copy", 20_000, "");
+      DispatcherHarness.Job next = program.job(jobs.get(5).socket(), "/copy", 20_000, "");
       program.serve(0, "kept");
       assertEquals("kept", next.answer().body());
     }
@@ -761,7 +761,7 @@
   /** A client that repeats at once what was wrong must not take the processor from the others. */
   @Test
   void whoRepeatsWhatWasWrongIsReadLessOften() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket socket = program.connect()) {
       long start = System.nanoTime();
       Http.write(socket, "GET /nowhere HTTP/1.1\r\n\r\n".repeat(5));
@@ -774,8 +774,8 @@
 
   @Test
   void loadIsAskedForWhereProbesAreAllowed() throws Exception {
-    try (RealProgram program = new RealProgram(1, true)) {
-      Stage.Job job = program.job("/copy", "");
+    try (DispatcherProcess program = new DispatcherProcess(1, true)) {
+      DispatcherHarness.Job job = program.job("/copy", "");
       Http.Message probe = program.workers.get(0).next();
       assertEquals("GET /stats HTTP/1.1", probe.first());
       probe.answer(200, "TEXT inflight=1, queue=0, x0=3");
@@ -790,21 +790,21 @@
    */
   @Test
   void aStopServesWhatWasTakenAndThenEnds() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
-      Stage.Job before = program.job("/copy", "");
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+      DispatcherHarness.Job before = program.job("/copy", "");
       program.serve(0, "first");
       assertEquals("first", before.answer().body());
       program.process.toHandle().destroy();
       program.awaitLog("graceful shutdown started successor=false");
-      Stage.Job kept = program.job(before.socket(), "/copy", 20_000, "");
+      DispatcherHarness.Job kept = program.job(before.socket(), "/copy", 20_000, "");
       program.serve(0, "kept");
       Http.Message answer = kept.answer();
       assertEquals("kept", answer.body());
       assertNull(answer.header("Connection"));
-      Stage.Job fresh = program.job("/copy", "");
+      DispatcherHarness.Job fresh = program.job("/copy", "");
       program.serve(0, "taken");
       assertEquals("taken", fresh.answer().body());
-      Stage.Job endless = program.job(kept.socket(), "/issue", 20_000, "");
+      DispatcherHarness.Job endless = program.job(kept.socket(), "/issue", 20_000, "");
       program.workers.get(0).next().answer(202, "");
       assertEquals(500, endless.answer().status());
       assertNull(Http.read(endless.socket()));
@@ -817,13 +817,13 @@
    */
   @Test
   void aStopAnswersWhatWasSentAheadOnOneConnection() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket ahead = program.connect()) {
-      Stage.Job idle = program.job("/copy", "");
+      DispatcherHarness.Job idle = program.job("/copy", "");
       program.serve(0, "idle");
       assertEquals("idle", idle.answer().body());
-      Stage.Job first = program.job(ahead, "/copy/1", 20_000, "");
-      Stage.Job second = program.job(ahead, "/copy/2", 20_000, "");
+      DispatcherHarness.Job first = program.job(ahead, "/copy/1", 20_000, "");
+      DispatcherHarness.Job second = program.job(ahead, "/copy/2", 20_000, "");
       Http.Message post = program.workers.get(0).next();
       post.answer(202, "");
       program.process.toHandle().destroy();
@@ -853,7 +853,7 @@
     Path file = Files.createTempFile("loomreel", ".json");
     Files.writeString(file, config);
     for (String command : new String[] {"serve", "check-config"}) {
-      Process process = RealProgram.start(file, command, "");
+      Process process = DispatcherProcess.start(file, command, "");
       String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
       assertEquals(2, process.waitFor(), said);
       assertEquals(1, said.lines().count(), said);
--- a/src/test/java/loomreel/program/LatePeer.java
+++ b/src/test/java/loomreel/program/StalledListener.java
@@ -14,12 +14,12 @@
  * A place to which no connection comes up before the test lets it: its queue of connections is kept
  * full until then.
  */
-final class LatePeer implements AutoCloseable {
+final class StalledListener implements AutoCloseable {
   private final ServerSocket listener;
   private final List<Socket> fillers = new ArrayList<>();
 
   /** Takes the place of a listener that was there, at its address. */
-  LatePeer(InetSocketAddress at) throws IOException {
+  StalledListener(InetSocketAddress at) throws IOException {
     listener = bound(at, 1);
     while (true) {
       Socket filler = new Socket();
--- a/src/test/java/loomreel/program/SteppedServer.java
+++ b/src/test/java/loomreel/program/StepControlledServer.java
@@ -23,7 +23,7 @@
  * line that it would trace is one. What a test puts there happens on the loop's own thread, so that
  * nothing else does meanwhile.
  */
-final class SteppedServer extends Stage {
+final class StepControlledServer extends DispatcherHarness {
   /** Something that a test does between two steps of the dispatcher. */
   interface Crossing {
     void happen() throws Exception;
@@ -47,12 +47,16 @@
   private final BlockingQueue<Throwable> faults = new LinkedBlockingQueue<>();
   private final int port;
 
-  SteppedServer(int workerCount, UnaryOperator<String> change) throws Exception {
+  StepControlledServer(int workerCount, UnaryOperator<String> change) throws Exception {
     this(workerCount, change, null);
   }
 
-  /** A dispatcher with these settings, or with those of {@link Stage} where they are null. */
-  SteppedServer(int workerCount, UnaryOperator<String> change, String settings) throws Exception {
+  /**
+   * A dispatcher with these settings, or with those of {@link DispatcherHarness} where they are
+   * null.
+   */
+  StepControlledServer(int workerCount, UnaryOperator<String> change, String settings)
+      throws Exception {
     super(workerCount);
     Path file = Files.createTempFile("loomreel", ".json");
     Files.writeString(
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -188,7 +188,7 @@
   /** What operators have said holds for a process that starts later, and is stored as before. */
   @Test
   void whatOperatorsHaveSaidHolds() throws Exception {
-    try (RealProgram program = RealProgram.operated(3, true)) {
+    try (DispatcherProcess program = DispatcherProcess.operated(3, true)) {
       program.started.get(0).destroyForcibly();
       program.started.get(0).onExit().get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
       copyFiles(STORED.resolve("operators"), program.directory);
--- a/src/test/java/loomreel/program/TranscriptTest.java
+++ b/src/test/java/loomreel/program/TranscriptTest.java
@@ -68,14 +68,14 @@
   }
 
   /** Has a client send a job, and the only worker take it. */
-  private void accepted(RealProgram program, Socket client, String job) throws Exception {
+  private void accepted(DispatcherProcess program, Socket client, String job) throws Exception {
     transcript.send(CLIENT, client, job);
     Http.Message post = transcript.receive("w0", program.workers.get(0).next());
     transcript.answer("w0", post, 202, "");
   }
 
   /** Sends a callback of the only worker and reads the answer to it. */
-  private void callback(RealProgram program, String id, String state, String more)
+  private void callback(DispatcherProcess program, String id, String state, String more)
       throws IOException {
     String body = "{\"id\":\"" + id + "\",\"from\":\"w0\",\"state\":\"" + state + "\"" + more + "}";
     call(program.port(), "w0", "POST /_jobs/news", body);
@@ -92,7 +92,7 @@
     }
   }
 
-  private void operate(RealProgram program, int process, String request, String body)
+  private void operate(DispatcherProcess program, int process, String request, String body)
       throws IOException {
     call(program.operators.get(process), OPERATOR, request, body);
   }
@@ -105,7 +105,7 @@
 
   @Test
   void jobsAreServed() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket client = program.connect()) {
       transcript.receive(DISCOVERY, program.discovery.next());
       call(program.port(), CLIENT, "GET /health/ready", "");
@@ -125,7 +125,7 @@
 
   @Test
   void jobsAreRejected() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket client = program.connect();
         Socket other = program.connect()) {
       transcript.send(CLIENT, client, job("/copy", FIRST_ID, 1, "", ""));
@@ -151,7 +151,7 @@
   }
 
   /** Waits until one of two workers has a request; its number. */
-  private static int firstAsked(RealProgram program) {
+  private static int firstAsked(DispatcherProcess program) {
     while (!program.workers.get(0).wasAsked() && !program.workers.get(1).wasAsked()) {
       Thread.onSpinWait();
     }
@@ -160,7 +160,7 @@
 
   @Test
   void aJobIsRetriedAtAnotherWorker() throws Exception {
-    try (RealProgram program = new RealProgram(2, false);
+    try (DispatcherProcess program = new DispatcherProcess(2, false);
         Socket client = program.connect()) {
       transcript.send(CLIENT, client, job("/issue", FIRST_ID));
       int first = firstAsked(program);
@@ -176,7 +176,7 @@
 
   @Test
   void aJobIsCancelledByItsClient() throws Exception {
-    try (RealProgram program = new RealProgram(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       try (Socket client = program.connect()) {
         accepted(program, client, job("/copy", FIRST_ID));
         // The answer to a callback shows that the worker's 202 has been read.
@@ -192,7 +192,7 @@
 
   @Test
   void aReloadMovesTheWatchToAnotherDiscovery() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket client = program.connect()) {
       Http.Message watch = transcript.receive(DISCOVERY, program.discovery.next());
       transcript.event("SIGHUP");
@@ -210,7 +210,7 @@
 
   @Test
   void aDrainAnswersWhatIsInFlight() throws Exception {
-    try (RealProgram program = new RealProgram(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket idle = program.connect();
         Socket client = program.connect()) {
       accepted(program, idle, job("/copy", FIRST_ID));
@@ -235,7 +235,8 @@
    * Records what one process says to the other, which has acted on it afterwards: of two calls that
    * follow each other, the second comes in a later turn of its loop.
    */
-  private void told(RealProgram program, Transcript.Relay tie, boolean byOld) throws Exception {
+  private void told(DispatcherProcess program, Transcript.Relay tie, boolean byOld)
+      throws Exception {
     tie.receive(transcript, byOld);
     for (int i = 0; i < 2; i++) {
       program.operate(byOld ? 1 : 0, "GET", "readiness", "");
@@ -245,7 +246,7 @@
   /** The tie between an old and a new process is heard on its way through a relay. */
   @Test
   void anUpgradeHandsOver() throws Exception {
-    try (RealProgram program = RealProgram.operated(2, true);
+    try (DispatcherProcess program = DispatcherProcess.operated(2, true);
         Transcript.Relay tie = new Transcript.Relay(program.directory.resolve("n0.tie"));
         Socket client = program.connect()) {
       operate(program, 0, "POST /ops/copy-workers/down", "w1");
@@ -288,7 +289,7 @@
 
   @Test
   void operatorsAreAnswered() throws Exception {
-    try (RealProgram program = RealProgram.operated(2, false);
+    try (DispatcherProcess program = DispatcherProcess.operated(2, false);
         Socket client = program.connect()) {
       for (String call :
           new String[] {"GET /ops/readiness", "GET /ops/stats", "GET /ops/nothing"}) {
