--- a/src/test/java/loomreel/arch/ArrowsTest.java
+++ b/src/test/java/loomreel/arch/ArrowsTest.java
@@ -1,17 +1,26 @@
 package loomreel.arch;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaAccess;
 import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 import java.util.Arrays;
+import java.util.Calendar;
+import java.util.Date;
+import java.util.Random;
+import java.util.Scanner;
 import java.util.Set;
+import java.util.Timer;
+import java.util.TimerTask;
 import java.util.stream.Collectors;
+import loomreel.decision.Action;
 
 /** Arrows between packages go one way. */
 @AnalyzeClasses(packages = "loomreel", importOptions = ImportOption.DoNotIncludeTests.class)
@@ -52,6 +61,66 @@
   @ArchTest
   static final ArchRule NO_CIRCLES = slices().matching("loomreel.(*)..").should().beFreeOfCycles();
 
+  /** Decisions are taken in one place: protocols execute actions and create none. */
+  @ArchTest
+  static final ArchRule ACTIONS_ARE_CREATED_BY_THE_DECISION_MODULE =
+      noClasses()
+          .that()
+          .resideOutsideOfPackage("loomreel.decision..")
+          .should()
+          .accessTargetWhere(
+              new DescribedPredicate<JavaAccess<?>>("constructs an Action") {
+                @Override
+                public boolean test(JavaAccess<?> access) {
+                  return access.getTargetOwner().isAssignableTo(Action.class)
+                      && access.getName().equals("<init>");
+                }
+              });
+
+  /** No I/O, no clock and no threads: everything else of the platform is forbidden. */
+  @ArchTest
+  static final ArchRule DECISION_USES_COLLECTIONS_AND_ARITHMETIC_ONLY =
+      classes()
+          .that()
+          .resideInAPackage("loomreel.decision..")
+          .should()
+          .onlyDependOnClassesThat()
+          .resideInAnyPackage(
+              "loomreel.decision..",
+              "java.lang",
+              "java.lang.invoke",
+              "java.lang.runtime",
+              "java.util",
+              "java.util.function",
+              "java.util.stream");
+
+  /**
+   * What the packages that the decision module may use offer of I/O, clocks, threads and chance.
+   */
+  @ArchTest
+  static final ArchRule DECISION_USES_NO_IO_CLOCK_OR_THREAD =
+      noClasses()
+          .that()
+          .resideInAPackage("loomreel.decision..")
+          .should()
+          .dependOnClassesThat()
+          .belongToAnyOf(
+              System.class,
+              Thread.class,
+              ThreadGroup.class,
+              ThreadLocal.class,
+              Process.class,
+              ProcessBuilder.class,
+              Runtime.class,
+              Timer.class,
+              TimerTask.class,
+              Date.class,
+              Calendar.class,
+              Scanner.class,
+              Random.class)
+          .orShould()
+          .callMethod(Math.class, "random");
+
   private static ArchRule knowsOnly(String name, String... others) {
     Set<String> allowed =
         Arrays.stream(others).map(o -> "loomreel." + o).collect(Collectors.toSet());
