--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -79,18 +79,18 @@
 
   private static Settings settings(Installation installation) {
     boolean pollsEndpoints = installation.discoveryAddress() != null;
-    return new Settings(
-        installation.dispatchers(),
-        installation.zone(),
-        requestClasses(installation.jobClasses()),
-        tenants(installation.tenants()),
-        rules(installation.workerRules(), pollsEndpoints),
-        limits(installation.limits()),
-        pollsEndpoints,
-        true,
-        loadReporting(installation.network().loadReporting()),
-        installation.network().reportsJobStart(),
-        TICK_MICROS);
+    return Settings.builder()
+        .dispatchers(installation.dispatchers())
+        .zone(installation.zone())
+        .classes(requestClasses(installation.jobClasses()))
+        .tenants(tenants(installation.tenants()))
+        .rules(rules(installation.workerRules(), pollsEndpoints))
+        .limits(limits(installation.limits()))
+        .pollsEndpoints(pollsEndpoints)
+        .loadReporting(loadReporting(installation.network().loadReporting()))
+        .reportsJobStart(installation.network().reportsJobStart())
+        .tick(TICK_MICROS)
+        .build();
   }
 
   private static List<Settings.RequestClass> requestClasses(
@@ -105,11 +105,11 @@
         name,
         jobClass.workerKind().isEmpty() ? null : jobClass.workerKind(),
         jobClass.priority(),
-        jobClass.workMultiple(),
+        jobClass.latencyObjectivePerWork(),
         jobClass.latencyObjective().micros(),
         jobClass.deadline().micros(),
         jobClass.priorityWeight(),
-        jobClass.lateWeightFraction(),
+        jobClass.latePriorityFraction(),
         idempotency(jobClass.idempotency()),
         deduplicationScope(jobClass.deduplicationScope()),
         jobClass.deduplicationWindow().micros());
@@ -127,7 +127,7 @@
     return switch (scope) {
       case ALL -> DeduplicationScope.ALL;
       case ZONE -> DeduplicationScope.ZONE;
-      case CELL -> DeduplicationScope.CELL;
+      case FAILURE_DOMAIN -> DeduplicationScope.FAILURE_DOMAIN;
     };
   }
 
@@ -161,8 +161,8 @@
   private static Settings.LoadReporting loadReporting(Installation.LoadReporting reporting) {
     return switch (reporting) {
       case NONE -> Settings.LoadReporting.NONE;
-      case WITH_RESPONSES -> Settings.LoadReporting.WITH_ANSWERS;
-      case WITH_HEALTH_CHECKS -> Settings.LoadReporting.WITH_PROBES;
+      case WITH_ANSWERS -> Settings.LoadReporting.WITH_ANSWERS;
+      case WITH_HEALTH_CHECKS -> Settings.LoadReporting.WITH_HEALTH_CHECKS;
     };
   }
 }
--- a/src/test/java/loomreel/settings/SettingsKeysTest.java
+++ b/src/test/java/loomreel/settings/SettingsKeysTest.java
@@ -57,8 +57,8 @@
       Listeners: http=httpAddress operators=adminAddress
       Worker: address=address site=zone kind=kind block=failureDomain weight=weight
       JobClass: repeat=idempotency group=deduplicationScope window=deduplicationWindow \
-      target=latencyObjective stretch=workMultiple deadline=deadline worth=priorityWeight \
-      late_worth=lateWeightFraction priority=priority kind=workerKind
+      target=latencyObjective stretch=latencyObjectivePerWork deadline=deadline worth=priorityWeight \
+      late_worth=latePriorityFraction priority=priority kind=workerKind
       Tenant: allowance=quotaPerSecond
       Limits: attempts=maxAttempts second_copies=hedging cancelling=cancellation \
       probing=healthChecks hold_off=retryAfter max_hold_off=maxRetryAfter memory=memory \
@@ -80,8 +80,8 @@
       JobType: class=jobClass
       Backlog: jobs=maxJobs bytes=maxSize
       Idempotency: free=IDEMPOTENT guarded=KEYED single_shot=NON_IDEMPOTENT
-      DeduplicationScope: all=ALL zone=ZONE cell=CELL
-      LoadReporting: none=NONE answers=WITH_RESPONSES probes=WITH_HEALTH_CHECKS
+      DeduplicationScope: all=ALL zone=ZONE cell=FAILURE_DOMAIN
+      LoadReporting: none=NONE answers=WITH_ANSWERS probes=WITH_HEALTH_CHECKS
       Durability: written=WRITTEN synced=SYNCED
       ShutdownRequest: stay=NONE quiet=QUIET terminate=TERMINATE
       """;
