--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -11,9 +11,9 @@
  * The workers that discovery lists, or the changes to such a list.
  *
  * @param sequence the version of the list, or {@link #UNVERSIONED}
- * @param complete whether a worker that is missing from it is gone; otherwise it holds changes
+ * @param complete whether a worker that is missing from it is removed; otherwise it holds changes
  * @param endpoints the workers
- * @param addresses where the workers listen, by id; those that are gone may have none
+ * @param addresses where the workers listen, by id; those that are removed may have none
  */
 public record EndpointList(
     long sequence,
@@ -23,8 +23,8 @@
   /** The sequence of a list that does not come from discovery. */
   public static final long UNVERSIONED = -1;
 
-  /** The block of a worker for which discovery names none. */
-  private static final int NO_BLOCK = -1;
+  /** The failure domain of a worker for which discovery names none. */
+  private static final int NO_FAILURE_DOMAIN = -1;
 
   private static final long MICROS_PER_MILLI = 1000;
 
@@ -36,48 +36,60 @@
    */
   public static EndpointList of(Object json) {
     if (!(json instanceof Map<?, ?> list)
-        || !(list.get("seq") instanceof Number sequence)
-        || !(list.get("whole") instanceof Boolean complete)
-        || !(list.get("hosts") instanceof List<?> hosts)) {
-      throw new IllegalArgumentException("a list without seq, whole or hosts");
+        || !(list.get(EndpointListKeys.VERSION) instanceof Number sequence)
+        || !(list.get(EndpointListKeys.COMPLETE) instanceof Boolean complete)
+        || !(list.get(EndpointListKeys.ENDPOINTS) instanceof List<?> entries)) {
+      throw new IllegalArgumentException(
+          "a list without "
+              + EndpointListKeys.VERSION
+              + ", "
+              + EndpointListKeys.COMPLETE
+              + " or "
+              + EndpointListKeys.ENDPOINTS);
     }
-    List<Endpoint> endpoints = new ArrayList<>(hosts.size());
+    List<Endpoint> endpoints = new ArrayList<>(entries.size());
     Map<String, InetSocketAddress> addresses = new HashMap<>();
-    for (Object item : hosts) {
-      if (!(item instanceof Map<?, ?> host)
-          || !(host.get("host") instanceof String id)
-          || !(host.get("health") instanceof String health)) {
-        throw new IllegalArgumentException("an entry without host or health");
+    for (Object item : entries) {
+      if (!(item instanceof Map<?, ?> entry)
+          || !(entry.get(EndpointListKeys.ID) instanceof String id)
+          || !(entry.get(EndpointListKeys.STATE) instanceof String state)) {
+        throw new IllegalArgumentException(
+            "an entry without " + EndpointListKeys.ID + " or " + EndpointListKeys.STATE);
       }
-      Endpoint endpoint = endpoint(id, state(health), host);
+      Endpoint endpoint = endpoint(id, state(state), entry);
       endpoints.add(endpoint);
-      if (host.get("dial") instanceof String address && !address.isEmpty()) {
+      if (entry.get(EndpointListKeys.ADDRESS) instanceof String address && !address.isEmpty()) {
         addresses.put(id, AddressParser.parse(address));
       } else if (endpoint.state() != Endpoint.State.REMOVED) {
-        throw new IllegalArgumentException("no dial for " + id);
+        throw new IllegalArgumentException("no " + EndpointListKeys.ADDRESS + " for " + id);
       }
     }
     return new EndpointList(sequence.longValue(), complete, endpoints, addresses);
   }
 
-  private static Endpoint.State state(String health) {
-    return switch (health) {
-      case "SERVING" -> Endpoint.State.READY;
-      case "DRAINING" -> Endpoint.State.DRAINING;
-      case "DELETED" -> Endpoint.State.REMOVED;
-      default -> throw new IllegalArgumentException("unknown health " + health);
+  private static Endpoint.State state(String name) {
+    return switch (name) {
+      case EndpointListKeys.READY -> Endpoint.State.READY;
+      case EndpointListKeys.DRAINING -> Endpoint.State.DRAINING;
+      case EndpointListKeys.REMOVED -> Endpoint.State.REMOVED;
+      default ->
+          throw new IllegalArgumentException("unknown " + EndpointListKeys.STATE + " " + name);
     };
   }
 
-  private static Endpoint endpoint(String id, Endpoint.State state, Map<?, ?> host) {
-    double weight = JsonValues.number(host.get("share"), 1);
+  private static Endpoint endpoint(String id, Endpoint.State state, Map<?, ?> entry) {
+    double weight = JsonValues.number(entry.get(EndpointListKeys.WEIGHT), 1);
     return new Endpoint(
         id,
-        JsonValues.text(host, "site"),
-        JsonValues.text(host, "class"),
-        host.get("block") instanceof Number block ? block.intValue() : NO_BLOCK,
+        JsonValues.text(entry, EndpointListKeys.ZONE),
+        JsonValues.text(entry, EndpointListKeys.WORKER_KIND),
+        entry.get(EndpointListKeys.FAILURE_DOMAIN) instanceof Number number
+            ? number.intValue()
+            : NO_FAILURE_DOMAIN,
         state,
-        host.get("born_ms") instanceof Number born ? born.longValue() * MICROS_PER_MILLI : 0,
+        entry.get(EndpointListKeys.STARTED_AT_MILLIS) instanceof Number millis
+            ? millis.longValue() * MICROS_PER_MILLI
+            : 0,
         weight > 0 ? weight : 1);
   }
 }
--- a/src/main/java/loomreel/config/ServeConfig.java
+++ b/src/main/java/loomreel/config/ServeConfig.java
@@ -118,34 +118,46 @@
 
   private static ServeConfig of(
       Object json, boolean listenerInherited, Map<String, String> environment) {
-    Settings settings = new SettingsReader(JsonValues.get(json, "settings")).read();
+    Settings settings = new SettingsReader(JsonValues.get(json, SettingsKeys.SETTINGS)).read();
     if (settings.classes().isEmpty()) {
-      throw new IllegalArgumentException("no RequestClasses");
+      throw new IllegalArgumentException("no " + SettingsKeys.REQUEST_CLASSES);
     }
     String directory = environment.getOrDefault(DIRECTORY_VARIABLE, "");
-    String admin = optional(environment, "mgmt", json);
+    String admin = optional(environment, SettingsKeys.ADMIN_ADDRESS, json);
     return new ServeConfig(
-        required(environment, "name", json),
-        AddressParser.parse(required(environment, "listen", json)),
+        required(environment, SettingsKeys.DISPATCHER_NAME, json),
+        AddressParser.parse(required(environment, SettingsKeys.LISTEN_ADDRESS, json)),
         listenerInherited,
         admin.isEmpty() ? null : AddressParser.parse(admin),
         directory.isEmpty() ? null : Path.of(directory),
-        AddressParser.parse(required(environment, "discovery", json)),
-        Long.parseUnsignedLong(String.valueOf(JsonValues.get(json, "seed")), SEED_RADIX),
-        (int) JsonValues.number(JsonValues.get(json, "limits", "sockets"), DEFAULT_DESCRIPTORS),
+        AddressParser.parse(required(environment, SettingsKeys.DISCOVERY_ADDRESS, json)),
+        Long.parseUnsignedLong(String.valueOf(JsonValues.get(json, SettingsKeys.SEED)), SEED_RADIX),
+        (int)
+            JsonValues.number(
+                JsonValues.get(json, SettingsKeys.RESOURCES, SettingsKeys.MAX_DESCRIPTORS),
+                DEFAULT_DESCRIPTORS),
         memoryBytes(json),
-        EndpointList.of(JsonValues.get(json, "known")),
+        EndpointList.of(JsonValues.get(json, SettingsKeys.INITIAL_ENDPOINTS)),
         settings,
         JsonValues.micros(
-            DEFAULT_CONNECT_TIMEOUT_SECONDS, json, "settings", "PolicyLimits", "ConnectTimeoutS"),
+            DEFAULT_CONNECT_TIMEOUT_SECONDS,
+            json,
+            SettingsKeys.SETTINGS,
+            SettingsKeys.LIMITS,
+            SettingsKeys.CONNECT_TIMEOUT_SECONDS),
         JsonValues.micros(
-            DEFAULT_IDLE_TIMEOUT_SECONDS, json, "settings", "PolicyLimits", "ConnIdleS"),
-        JsonValues.micros(0, json, "settings", "Invariants", "AnswerSlackS"),
+            DEFAULT_IDLE_TIMEOUT_SECONDS,
+            json,
+            SettingsKeys.SETTINGS,
+            SettingsKeys.LIMITS,
+            SettingsKeys.IDLE_TIMEOUT_SECONDS),
+        JsonValues.micros(
+            0, json, SettingsKeys.SETTINGS, SettingsKeys.RULES, SettingsKeys.ANSWER_SLACK_SECONDS),
         PLATFORM_SHUTDOWN_LIMIT_MICROS);
   }
 
   private static long memoryBytes(Object json) {
-    Object mebibytes = JsonValues.get(json, "limits", "memory_mb");
+    Object mebibytes = JsonValues.get(json, SettingsKeys.RESOURCES, SettingsKeys.MEMORY_MEBIBYTES);
     return (long) JsonValues.number(mebibytes, DEFAULT_MEMORY_MEBIBYTES) << MEBIBYTE_SHIFT;
   }
 
@@ -177,25 +189,25 @@
   public List<String> changesRequiringRestart(ServeConfig other) {
     List<String> changes = new ArrayList<>();
     if (!name.equals(other.name)) {
-      changes.add("name");
+      changes.add(SettingsKeys.DISPATCHER_NAME);
     }
     if (!listenAddress.equals(other.listenAddress)) {
-      changes.add("listen");
+      changes.add(SettingsKeys.LISTEN_ADDRESS);
     }
     if (!Objects.equals(adminAddress, other.adminAddress)) {
-      changes.add("mgmt");
+      changes.add(SettingsKeys.ADMIN_ADDRESS);
     }
     if (descriptorLimit != other.descriptorLimit) {
-      changes.add("limits.sockets");
+      changes.add(SettingsKeys.RESOURCES + "." + SettingsKeys.MAX_DESCRIPTORS);
     }
     if (memoryBytes != other.memoryBytes) {
-      changes.add("limits.memory_mb");
+      changes.add(SettingsKeys.RESOURCES + "." + SettingsKeys.MEMORY_MEBIBYTES);
     }
     if (!settings.equals(other.settings)
         || connectTimeoutMicros != other.connectTimeoutMicros
         || idleTimeoutMicros != other.idleTimeoutMicros
         || answerSlackMicros != other.answerSlackMicros) {
-      changes.add("settings");
+      changes.add(SettingsKeys.SETTINGS);
     }
     return changes;
   }
--- a/src/main/java/loomreel/config/SettingsReader.java
+++ b/src/main/java/loomreel/config/SettingsReader.java
@@ -20,9 +20,12 @@
  * that trusts clients and workers least.
  */
 public final class SettingsReader {
-  private static final String INVARIANTS = "Invariants";
-  private static final String POLICY_LIMITS = "PolicyLimits";
-  private static final String SPECIFICS = "Specifics";
+  private static final double DEFAULT_TICK_SECONDS = 0.001;
+  private static final double DEFAULT_POLL_INTERVAL_SECONDS = 10;
+  private static final double DEFAULT_INITIAL_CAPACITY_FRACTION = 0.1;
+  private static final double DEFAULT_SLOW_START_SECONDS = 30;
+  private static final double DEFAULT_OVERLOAD_MULTIPLE = 2;
+  private static final double DEFAULT_OVERLOAD_WINDOW_SECONDS = 1;
 
   private final Object root;
 
@@ -44,26 +47,27 @@
     if (!(root instanceof Map<?, ?>)) {
       throw new IllegalArgumentException("the settings are not an object");
     }
-    boolean pollsEndpoints = text(root, "Discovery").equals("ask");
+    boolean pollsEndpoints =
+        text(root, SettingsKeys.DISCOVERY_MODE).equals(SettingsKeys.DISCOVERY_MODE_POLL);
     return Settings.builder()
-        .dispatchers((int) number(get(root, "Balancers"), 1))
-        .zone(text(root, "Locality"))
+        .dispatchers((int) number(get(root, SettingsKeys.DISPATCHERS), 1))
+        .zone(text(root, SettingsKeys.ZONE))
         .classes(requestClasses())
         .tenants(tenants())
         .rules(rules(pollsEndpoints))
         .limits(limits())
         .pollsEndpoints(pollsEndpoints)
-        .stableWeights(!text(root, "Weights").equals("live"))
+        .stableWeights(!text(root, SettingsKeys.WEIGHTS).equals(SettingsKeys.WEIGHTS_CHANGING))
         .loadReporting(loadReporting())
-        .reportsJobStart(flag(root, SPECIFICS, "TellsStart"))
-        .tick(micros(0.001, root, "TickS"))
-        .clientsMarkRetries(flag(root, "Callers", "MarksRetry"))
+        .reportsJobStart(flag(root, SettingsKeys.EXTENSIONS, SettingsKeys.REPORTS_JOB_START))
+        .tick(micros(DEFAULT_TICK_SECONDS, root, SettingsKeys.TICK_SECONDS))
+        .clientsMarkRetries(flag(root, SettingsKeys.CLIENTS, SettingsKeys.CLIENTS_MARK_RETRIES))
         .build();
   }
 
   private List<Settings.RequestClass> requestClasses() {
     List<Settings.RequestClass> classes = new ArrayList<>();
-    for (Object requestClass : list(root, "RequestClasses")) {
+    for (Object requestClass : list(root, SettingsKeys.REQUEST_CLASSES)) {
       classes.add(requestClass(requestClass, classes.size()));
     }
     return classes;
@@ -72,86 +76,109 @@
   /**
    * One class of requests.
    *
-   * @param index its place in the list, by which {@code Specifics} has further settings of it
+   * @param index its place in the list, by which the extensions have further settings of it
    */
   private Settings.RequestClass requestClass(Object json, int index) {
     return new Settings.RequestClass(
-        text(json, "Name"),
+        text(json, SettingsKeys.CLASS_NAME),
         workerKind(index),
-        (int) number(element(list(root, SPECIFICS, "ClassPriority"), index), 0),
+        (int)
+            number(
+                element(list(root, SettingsKeys.EXTENSIONS, SettingsKeys.CLASS_PRIORITIES), index),
+                0),
         number(
-            element(list(root, SPECIFICS, "ClassStretch"), index),
-            number(get(json, "AimStretch"), 0)),
-        micros(0, json, "TargetS"),
-        micros(0, json, "DeadlineS"),
-        number(get(json, "Value"), 1),
-        number(get(json, "LateValue"), 0),
+            element(
+                list(root, SettingsKeys.EXTENSIONS, SettingsKeys.CLASS_LATENCY_OBJECTIVES_PER_WORK),
+                index),
+            number(get(json, SettingsKeys.LATENCY_OBJECTIVE_PER_WORK), 0)),
+        micros(0, json, SettingsKeys.LATENCY_OBJECTIVE_SECONDS),
+        micros(0, json, SettingsKeys.DEADLINE_SECONDS),
+        number(get(json, SettingsKeys.PRIORITY_WEIGHT), 1),
+        number(get(json, SettingsKeys.LATE_PRIORITY_FRACTION), 0),
         idempotency(json),
         deduplicationScope(json),
-        micros(0, json, "WindowS"));
+        micros(0, json, SettingsKeys.DEDUPLICATION_WINDOW_SECONDS));
   }
 
   /**
-   * The kind of worker that a class needs, which is written by name or as an index into {@code
-   * HostTypes}; null where any kind will do.
+   * The kind of worker that a class needs, which is written by name or as an index into the list of
+   * worker kinds; null where any kind will do.
    */
   private String workerKind(int classIndex) {
-    Object kind = element(list(root, SPECIFICS, "ClassKind"), classIndex);
+    Object kind =
+        element(list(root, SettingsKeys.EXTENSIONS, SettingsKeys.CLASS_WORKER_KINDS), classIndex);
     if (kind instanceof Number index) {
-      kind = element(list(root, "HostTypes"), index.intValue());
+      kind = element(list(root, SettingsKeys.WORKER_KINDS), index.intValue());
     }
     return kind instanceof String name ? name : null;
   }
 
   private static Idempotency idempotency(Object json) {
-    return switch (text(json, "Repeat")) {
-      case "free" -> Idempotency.IDEMPOTENT;
-      case "guarded" -> Idempotency.KEYED;
+    return switch (text(json, SettingsKeys.IDEMPOTENCY)) {
+      case SettingsKeys.IDEMPOTENT -> Idempotency.IDEMPOTENT;
+      case SettingsKeys.KEYED -> Idempotency.KEYED;
       default -> Idempotency.NON_IDEMPOTENT;
     };
   }
 
   private static DeduplicationScope deduplicationScope(Object json) {
-    return switch (text(json, "Group")) {
-      case "all" -> DeduplicationScope.ALL;
-      case "zone" -> DeduplicationScope.ZONE;
+    return switch (text(json, SettingsKeys.DEDUPLICATION_SCOPE)) {
+      case SettingsKeys.DEDUPLICATION_SCOPE_ALL -> DeduplicationScope.ALL;
+      case SettingsKeys.DEDUPLICATION_SCOPE_ZONE -> DeduplicationScope.ZONE;
       default -> DeduplicationScope.FAILURE_DOMAIN;
     };
   }
 
   private List<Settings.Tenant> tenants() {
     List<Settings.Tenant> tenants = new ArrayList<>();
-    for (Object tenant : list(root, "Tenants")) {
-      double allowance = number(get(tenant, "AllowancePerS"), Double.POSITIVE_INFINITY);
-      tenants.add(new Settings.Tenant(text(tenant, "Name"), allowance));
+    for (Object tenant : list(root, SettingsKeys.TENANTS)) {
+      double quotaPerSecond =
+          number(get(tenant, SettingsKeys.QUOTA_PER_SECOND), Double.POSITIVE_INFINITY);
+      tenants.add(new Settings.Tenant(text(tenant, SettingsKeys.TENANT_NAME), quotaPerSecond));
     }
     return tenants;
   }
 
   private Settings.Rules rules(boolean pollsEndpoints) {
     return new Settings.Rules(
-        micros(0, root, INVARIANTS, "StopSendingWithinS"),
-        pollsEndpoints ? micros(10, root, INVARIANTS, "AskWithinS") : 0,
-        number(get(root, INVARIANTS, "ColdFrom"), 0.1),
-        micros(30, root, INVARIANTS, "ColdS"),
-        number(get(root, INVARIANTS, "TipMultiple"), 2),
-        micros(1, root, INVARIANTS, "FallS"));
+        micros(0, root, SettingsKeys.RULES, SettingsKeys.DRAIN_GRACE_SECONDS),
+        pollsEndpoints
+            ? micros(
+                DEFAULT_POLL_INTERVAL_SECONDS,
+                root,
+                SettingsKeys.RULES,
+                SettingsKeys.POLL_INTERVAL_SECONDS)
+            : 0,
+        number(
+            get(root, SettingsKeys.RULES, SettingsKeys.INITIAL_CAPACITY_FRACTION),
+            DEFAULT_INITIAL_CAPACITY_FRACTION),
+        micros(
+            DEFAULT_SLOW_START_SECONDS, root, SettingsKeys.RULES, SettingsKeys.SLOW_START_SECONDS),
+        number(
+            get(root, SettingsKeys.RULES, SettingsKeys.OVERLOAD_MULTIPLE),
+            DEFAULT_OVERLOAD_MULTIPLE),
+        micros(
+            DEFAULT_OVERLOAD_WINDOW_SECONDS,
+            root,
+            SettingsKeys.RULES,
+            SettingsKeys.OVERLOAD_WINDOW_SECONDS));
   }
 
   private Settings.Limits limits() {
     return new Settings.Limits(
-        (int) number(get(root, POLICY_LIMITS, "MaxAttempts"), 1),
-        flag(root, POLICY_LIMITS, "SecondCopies"),
-        flag(root, POLICY_LIMITS, "Cancelling"),
-        flag(root, POLICY_LIMITS, "Probing"),
-        flag(root, POLICY_LIMITS, "RetryAfter"),
-        micros(0, root, POLICY_LIMITS, "MaxRetryAfterS"));
+        (int) number(get(root, SettingsKeys.LIMITS, SettingsKeys.MAX_ATTEMPTS), 1),
+        flag(root, SettingsKeys.LIMITS, SettingsKeys.HEDGING),
+        flag(root, SettingsKeys.LIMITS, SettingsKeys.CANCELLATION),
+        flag(root, SettingsKeys.LIMITS, SettingsKeys.HEALTH_CHECKS),
+        flag(root, SettingsKeys.LIMITS, SettingsKeys.RETRY_AFTER),
+        micros(0, root, SettingsKeys.LIMITS, SettingsKeys.MAX_RETRY_AFTER_SECONDS));
   }
 
   private Settings.LoadReporting loadReporting() {
-    return switch (text(root, "Telemetry", "How")) {
-      case "answers" -> Settings.LoadReporting.WITH_ANSWERS;
-      case "probe" -> Settings.LoadReporting.WITH_HEALTH_CHECKS;
+    return switch (text(root, SettingsKeys.LOAD_REPORTING, SettingsKeys.LOAD_REPORTING_MODE)) {
+      case SettingsKeys.LOAD_REPORTING_WITH_ANSWERS -> Settings.LoadReporting.WITH_ANSWERS;
+      case SettingsKeys.LOAD_REPORTING_WITH_HEALTH_CHECKS ->
+          Settings.LoadReporting.WITH_HEALTH_CHECKS;
       default -> Settings.LoadReporting.NONE;
     };
   }
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -37,6 +37,12 @@
   /** No version is known, so the whole list is requested; versions count from 0. */
   private static final long NO_VERSION = -1;
 
+  private static final String ENDPOINTS_PATH = "/registry/instances";
+  private static final String VERSION_PARAMETER = "from";
+  private static final String MAX_WAIT_MILLIS_PARAMETER = "hold_ms";
+
+  private static final long MICROS_PER_MILLI = 1000;
+
   private final EventLoop loop;
   private final ConnectionPool discovery;
   private final Listener listener;
@@ -95,9 +101,18 @@
 
   private Bytes request(boolean waitsForChange) {
     String query =
-        waitsForChange ? "?from=" + version + "&hold_ms=" + timeouts.maxWait() / 1000 : "";
+        waitsForChange
+            ? "?"
+                + VERSION_PARAMETER
+                + "="
+                + version
+                + "&"
+                + MAX_WAIT_MILLIS_PARAMETER
+                + "="
+                + timeouts.maxWait() / MICROS_PER_MILLI
+            : "";
     Bytes request = new Bytes(loop.pool());
-    request.append(HttpHeaders.request("GET", "/registry/instances" + query, hostAndPort(), 0));
+    request.append(HttpHeaders.request("GET", ENDPOINTS_PATH + query, hostAndPort(), 0));
     return request;
   }
 
--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -239,7 +239,7 @@
             deadline,
             this,
             ingress.dispatcher.metrics());
-    int tenant = ingress.tenants.getOrDefault(job.caller(), -1);
+    int tenant = ingress.tenants.getOrDefault(job.tenant(), -1);
     ingress.dispatcher.accept(rpc, job.toEvent(requestClass, tenant, deadline));
   }
 
--- a/src/main/java/loomreel/ingress/JobRequest.java
+++ b/src/main/java/loomreel/ingress/JobRequest.java
@@ -5,29 +5,29 @@
 import java.util.regex.Pattern;
 import loomreel.decision.Event;
 import loomreel.http.HttpMessage;
+import loomreel.http.JobHeader;
 
 /**
- * The headers of a request that submits a job. Their values are bounded, because the policy adds
- * them up: one job of cost 1e300 would drown all others in its sums.
+ * The headers of a request that submits a job; {@link JobHeader} has their names. Their values are
+ * bounded, because the policy adds them up: one job of cost 1e300 would drown all others in its
+ * sums.
  *
- * @param callId {@code X-Call-Id}: 16 hexadecimal digits
- * @param budgetMillis {@code X-Budget-Ms}: the time until the deadline
- * @param slots the field {@code slots} of {@code X-Call-Info}: the worker slots that the job
- *     occupies, 1 if absent
- * @param costHint {@code X-Call-Cost}: the client's estimate of the work, NaN if absent, as the
- *     policy expects it
- * @param routeHash {@code X-Route-Hash}: the affinity key, or null
- * @param caller {@code X-Caller}: the tenant's name, or null
- * @param isRetry {@code X-Again}: whether the client submits the job again
- * @param idempotencyKey {@code Idempotency-Key}, or null
+ * @param callId 16 hexadecimal digits
+ * @param budgetMillis the time until the deadline
+ * @param slots the worker slots that the job occupies, 1 if absent
+ * @param costHint the client's estimate of the work, NaN if absent, as the policy expects it
+ * @param affinityKey the key by which jobs are sent to the same worker, or null
+ * @param tenant the tenant's name, or null
+ * @param isRetry whether the client retries the job
+ * @param idempotencyKey the key by which repetitions are recognised, or null
  */
 record JobRequest(
     String callId,
     long budgetMillis,
     double slots,
     double costHint,
-    String routeHash,
-    String caller,
+    String affinityKey,
+    String tenant,
     boolean isRetry,
     String idempotencyKey) {
   private static final Pattern CALL_ID = Pattern.compile("[0-9a-fA-F]{16}");
@@ -37,14 +37,15 @@
   /** No machine has more slots; a job that asks for more is a mistake. */
   private static final int MAX_SLOTS = 1024;
 
+  private static final String SLOTS_FIELD = "slots";
   private static final double DEFAULT_SLOTS = 1;
 
   /** Reads the headers of a request; empty if one is missing or malformed. */
   static Optional<JobRequest> parse(HttpMessage message) {
-    String callId = message.header("x-call-id");
-    String budget = message.header("x-budget-ms");
-    OptionalDouble slots = parseSlots(message.header("x-call-info"));
-    OptionalDouble costHint = parseCostHint(message.header("x-call-cost"));
+    String callId = JobHeader.CALL_ID.valueIn(message);
+    String budget = JobHeader.BUDGET_MILLIS.valueIn(message);
+    OptionalDouble slots = parseSlots(JobHeader.JOB_FIELDS.valueIn(message));
+    OptionalDouble costHint = parseCostHint(JobHeader.COST_HINT.valueIn(message));
     if (!matches(CALL_ID, callId)
         || !matches(BUDGET_MILLIS, budget)
         || slots.isEmpty()
@@ -57,10 +58,10 @@
             Long.parseLong(budget),
             slots.getAsDouble(),
             costHint.getAsDouble(),
-            message.header("x-route-hash"),
-            message.header("x-caller"),
-            "1".equals(message.header("x-again")),
-            message.header("idempotency-key")));
+            JobHeader.AFFINITY_KEY.valueIn(message),
+            JobHeader.TENANT.valueIn(message),
+            JobHeader.IS_RETRY.isSetIn(message),
+            JobHeader.IDEMPOTENCY_KEY.valueIn(message)));
   }
 
   /**
@@ -73,7 +74,7 @@
   Event.RequestArrived toEvent(int requestClass, int tenant, long deadline) {
     return new Event.RequestArrived(
         callId,
-        routeHash,
+        affinityKey,
         Math.max(DEFAULT_SLOTS, slots),
         requestClass,
         tenant,
@@ -88,13 +89,13 @@
     return text != null && pattern.matcher(text).matches();
   }
 
-  private static OptionalDouble parseSlots(String callInfo) {
-    if (callInfo == null) {
+  private static OptionalDouble parseSlots(String jobFields) {
+    if (jobFields == null) {
       return OptionalDouble.of(DEFAULT_SLOTS);
     }
-    for (String field : callInfo.split(",", -1)) {
+    for (String field : jobFields.split(",", -1)) {
       String[] nameAndValue = field.strip().split("=", 2);
-      if (nameAndValue.length == 2 && nameAndValue[0].equals("slots")) {
+      if (nameAndValue.length == 2 && nameAndValue[0].equals(SLOTS_FIELD)) {
         OptionalDouble slots = parseDecimal(nameAndValue[1]);
         boolean excessive = slots.isPresent() && slots.getAsDouble() > MAX_SLOTS;
         return excessive ? OptionalDouble.empty() : slots;
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -15,6 +15,7 @@
 import loomreel.http.HttpHeaders;
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
+import loomreel.http.JobHeader;
 import loomreel.io.Bytes;
 import loomreel.io.RateLimitedLogger;
 
@@ -27,6 +28,9 @@
   /** The time limit of a health check or cancellation, in connect timeouts. */
   private static final int SHORT_CALL_TIMEOUT_FACTOR = 2;
 
+  private static final String JOBS_PATH = "/jobs/";
+  private static final String LOAD_PATH = "/stats";
+
   private final Dispatcher dispatcher;
   private final RateLimitedLogger log;
   private final ConnectionPool pool;
@@ -97,30 +101,30 @@
     Rpc rpc = attempt.rpc();
     long budgetMillis = Math.max(1, (attempt.deadline() - attempt.sentAt()) / 1000);
     List<String> headers = new ArrayList<>();
-    headers.add("X-Call-Id: " + rpc.id());
-    headers.add("X-Budget-Ms: " + budgetMillis);
+    headers.add(JobHeader.CALL_ID.line(rpc.id()));
+    headers.add(JobHeader.BUDGET_MILLIS.line(budgetMillis));
     if (rpc.contentType() != null) {
       headers.add("Content-Type: " + rpc.contentType());
     }
     if (rpc.idempotencyKey() != null) {
-      headers.add("Idempotency-Key: " + rpc.idempotencyKey());
+      headers.add(JobHeader.IDEMPOTENCY_KEY.line(rpc.idempotencyKey()));
     }
     return headers.toArray(String[]::new);
   }
 
   /** Requests the end of a job; the attempt has ended here, so the response does not matter. */
   void cancelJob(String callId) {
-    pool.call(request("DELETE", "/jobs/" + callId, 0), new ShortCall());
+    pool.call(request("DELETE", JOBS_PATH + callId, 0), new ShortCall());
   }
 
   @Override
   public void checkHealth() {
-    pool.call(request("GET", "/stats", 0), new HealthCheck());
+    pool.call(request("GET", LOAD_PATH, 0), new HealthCheck());
   }
 
   /** Checks whether the worker can be reached; only the reachability listener hears of it. */
   void checkReachability() {
-    pool.call(request("GET", "/stats", 0), new ReachabilityCheck());
+    pool.call(request("GET", LOAD_PATH, 0), new ReachabilityCheck());
   }
 
   /**
@@ -192,7 +196,7 @@
         dispatcher.healthChecked(endpoint.id(), AttemptOutcome.ERROR, sentAt, null);
         return;
       }
-      String header = message.header("x-load-report");
+      String header = JobHeader.LOAD_REPORT.valueIn(message);
       String load =
           header != null ? header : new String(message.body().toArray(), StandardCharsets.UTF_8);
       dispatcher.healthChecked(
--- a/src/main/java/loomreel/upstream/JobCall.java
+++ b/src/main/java/loomreel/upstream/JobCall.java
@@ -6,6 +6,7 @@
 import loomreel.http.HttpExchange;
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
+import loomreel.http.JobHeader;
 import loomreel.http.PooledConnection;
 
 /**
@@ -86,13 +87,13 @@
     int status = message.status();
     boolean isRejected =
         (status == HttpStatus.SERVICE_UNAVAILABLE || status == HttpStatus.GATEWAY_TIMEOUT)
-            && "1".equals(message.header("x-rejected"));
+            && JobHeader.IS_REJECTED.isSetIn(message);
     if (!isRejected && status != HttpStatus.INTERNAL_SERVER_ERROR) {
       subchannel.logUnexpectedStatus(status);
     }
     attempt.end(
         isRejected ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR,
-        LoadReport.parse(message.header("x-load-report")).orElse(null));
+        LoadReport.parse(JobHeader.LOAD_REPORT.valueIn(message)).orElse(null));
   }
 
   @Override
--- a/src/main/java/loomreel/upstream/JobStatusUpdate.java
+++ b/src/main/java/loomreel/upstream/JobStatusUpdate.java
@@ -23,31 +23,42 @@
   /** The state of a job at a worker. */
   public enum State {
     /** The job has started. */
-    STARTED,
+    STARTED("started"),
     /** The job is still running. */
-    RUNNING,
+    RUNNING("running"),
     /** The job was completed. */
-    DONE,
+    DONE("done"),
     /** The job has failed. */
-    FAILED,
+    FAILED("failed"),
     /** The job was returned without having started. */
-    RETURNED,
+    RETURNED("returned"),
     /** Any other state: the job may have run and will not be completed. */
-    ABORTED;
+    ABORTED(null);
+
+    /** The state's name in a callback; null for those that have no name of their own. */
+    private final String externalName;
+
+    State(String externalName) {
+      this.externalName = externalName;
+    }
 
     private static State of(String name) {
-      return switch (name) {
-        case "started" -> STARTED;
-        case "running" -> RUNNING;
-        case "done" -> DONE;
-        case "failed" -> FAILED;
-        case "returned" -> RETURNED;
-        default -> ABORTED;
-      };
+      for (State state : values()) {
+        if (name.equals(state.externalName)) {
+          return state;
+        }
+      }
+      return ABORTED;
     }
   }
 
-  /** Reads the body of a callback; empty if it is not JSON or lacks {@code id} or the like. */
+  private static final String CALL_ID_KEY = "id";
+  private static final String WORKER_ID_KEY = "from";
+  private static final String STATE_KEY = "state";
+  private static final String RESULT_KEY = "result";
+  private static final String LOAD_KEY = "load";
+
+  /** Reads the body of a callback; empty if it is not JSON or lacks an id or the state. */
   public static Optional<JobStatusUpdate> parse(byte[] body) {
     Object tree;
     try {
@@ -56,11 +67,11 @@
       return Optional.empty();
     }
     if (tree instanceof Map<?, ?> fields
-        && fields.get("id") instanceof String callId
-        && fields.get("from") instanceof String workerId
-        && fields.get("state") instanceof String state) {
-      String result = fields.get("result") instanceof String text ? text : "";
-      WorkerLoad load = LoadReport.fromJson(fields.get("load")).orElse(null);
+        && fields.get(CALL_ID_KEY) instanceof String callId
+        && fields.get(WORKER_ID_KEY) instanceof String workerId
+        && fields.get(STATE_KEY) instanceof String state) {
+      String result = fields.get(RESULT_KEY) instanceof String text ? text : "";
+      WorkerLoad load = LoadReport.fromJson(fields.get(LOAD_KEY)).orElse(null);
       return Optional.of(new JobStatusUpdate(callId, workerId, State.of(state), result, load));
     }
     return Optional.empty();
--- a/src/main/java/loomreel/upstream/LoadReport.java
+++ b/src/main/java/loomreel/upstream/LoadReport.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import loomreel.config.JsonTree;
@@ -13,6 +14,11 @@
  * Unknown fields and values that are no finite numbers are ignored.
  */
 final class LoadReport {
+  private static final List<String> QUEUED_JOBS_KEYS = List.of("queue", "depth");
+  private static final List<String> ACTIVE_JOBS_KEYS = List.of("inflight", "concurrent");
+  private static final List<String> UTILIZATION_KEYS = List.of("util", "load_share");
+  private static final List<String> FREE_SLOTS_KEYS = List.of("x0");
+
   private LoadReport() {}
 
   /**
@@ -41,10 +47,10 @@
   private static Optional<WorkerLoad> fromFields(Map<?, ?> fields) {
     WorkerLoad load =
         new WorkerLoad(
-            number(fields, "queue", "depth"),
-            number(fields, "inflight", "concurrent"),
-            number(fields, "util", "load_share"),
-            number(fields, "x0", "x0"));
+            number(fields, QUEUED_JOBS_KEYS),
+            number(fields, ACTIVE_JOBS_KEYS),
+            number(fields, UTILIZATION_KEYS),
+            number(fields, FREE_SLOTS_KEYS));
     boolean isEmpty =
         Double.isNaN(load.queuedJobs())
             && Double.isNaN(load.activeJobs())
@@ -81,11 +87,16 @@
     return fields;
   }
 
-  /** The value of a field under either of its names; NaN, which the policy expects, if absent. */
-  private static double number(Map<?, ?> fields, String name, String otherName) {
-    Object value = fields.get(name) == null ? fields.get(otherName) : fields.get(name);
-    return value instanceof Number number && Double.isFinite(number.doubleValue())
-        ? number.doubleValue()
-        : Double.NaN;
+  /** The value under the first name that the fields have; NaN, as the policy expects, if none. */
+  private static double number(Map<?, ?> fields, List<String> names) {
+    for (String name : names) {
+      Object value = fields.get(name);
+      if (value != null) {
+        return value instanceof Number number && Double.isFinite(number.doubleValue())
+            ? number.doubleValue()
+            : Double.NaN;
+      }
+    }
+    return Double.NaN;
   }
 }
--- /dev/null
+++ b/src/test/java/loomreel/http/JobHeaderTest.java
@@ -0,0 +1,49 @@
+package loomreel.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The names of the job protocol's headers. */
+class JobHeaderTest {
+  private static HttpMessage withHeaders(String... namesAndValues) {
+    return new HttpMessage(List.of(), List.of(namesAndValues), null, true);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "CALL_ID, X-Call-Id, x-call-id",
+    "BUDGET_MILLIS, X-Budget-Ms, x-budget-ms",
+    "JOB_FIELDS, X-Call-Info, x-call-info",
+    "COST_HINT, X-Call-Cost, x-call-cost",
+    "AFFINITY_KEY, X-Route-Hash, x-route-hash",
+    "TENANT, X-Caller, x-caller",
+    "IS_RETRY, X-Again, x-again",
+    "IDEMPOTENCY_KEY, Idempotency-Key, idempotency-key",
+    "IS_REJECTED, X-Rejected, x-rejected",
+    "LOAD_REPORT, X-Load-Report, x-load-report"
+  })
+  void eachHeaderHasItsName(JobHeader header, String written, String received) {
+    assertEquals(written + ": v", header.line("v"));
+    assertEquals("v", header.valueIn(withHeaders("other", "x", received, "v")));
+    assertNull(header.valueIn(withHeaders("other", "x")));
+  }
+
+  @Test
+  void thereAreNoOtherHeaders() {
+    assertEquals(10, JobHeader.values().length);
+  }
+
+  @Test
+  void aFlagIsSetByOneValueOnly() {
+    assertTrue(JobHeader.IS_RETRY.isSetIn(withHeaders("x-again", "1")));
+    assertFalse(JobHeader.IS_RETRY.isSetIn(withHeaders("x-again", "true")));
+    assertFalse(JobHeader.IS_RETRY.isSetIn(withHeaders()));
+  }
+}
