--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -105,11 +105,11 @@
         name,
         jobClass.workerKind().isEmpty() ? null : jobClass.workerKind(),
         jobClass.priority(),
-        jobClass.workMultiple(),
+        jobClass.latencyObjectivePerWork(),
         jobClass.latencyObjective().micros(),
         jobClass.deadline().micros(),
         jobClass.priorityWeight(),
-        jobClass.lateWeightFraction(),
+        jobClass.latePriorityFraction(),
         idempotency(jobClass.idempotency()),
         deduplicationScope(jobClass.deduplicationScope()),
         jobClass.deduplicationWindow().micros());
@@ -127,7 +127,7 @@
     return switch (scope) {
       case ALL -> DeduplicationScope.ALL;
       case ZONE -> DeduplicationScope.ZONE;
-      case CELL -> DeduplicationScope.FAILURE_DOMAIN;
+      case FAILURE_DOMAIN -> DeduplicationScope.FAILURE_DOMAIN;
     };
   }
 
@@ -161,7 +161,7 @@
   private static Settings.LoadReporting loadReporting(Installation.LoadReporting reporting) {
     return switch (reporting) {
       case NONE -> Settings.LoadReporting.NONE;
-      case WITH_RESPONSES -> Settings.LoadReporting.WITH_ANSWERS;
+      case WITH_ANSWERS -> Settings.LoadReporting.WITH_ANSWERS;
       case WITH_HEALTH_CHECKS -> Settings.LoadReporting.WITH_HEALTH_CHECKS;
     };
   }
--- a/src/main/java/loomreel/settings/Installation.java
+++ b/src/main/java/loomreel/settings/Installation.java
@@ -75,7 +75,7 @@
     @Key("zone")
     ZONE,
     @Key("cell")
-    CELL
+    FAILURE_DOMAIN
   }
 
   /**
@@ -84,12 +84,12 @@
    * @param idempotency whether a job may be attempted again
    * @param deduplicationScope the workers that deduplicate a keyed job together
    * @param deduplicationWindow for how long they do
-   * @param latencyObjective an answer within this time, and {@code workMultiple} times the job's
-   *     own work, has its full weight
-   * @param workMultiple see {@code latencyObjective}
+   * @param latencyObjective an answer within this time has its full weight, for a job without work
+   * @param latencyObjectivePerWork how much the objective grows for each microsecond of the job's
+   *     own work
    * @param deadline how long a client waits, over all attempts
    * @param priorityWeight the weight of an answer within the objective
-   * @param lateWeightFraction the fraction of that weight that a late answer has
+   * @param latePriorityFraction the fraction of that weight that a late answer has
    * @param priority a higher one is served first
    * @param workerKind the kind of worker that runs these jobs; empty if any does
    */
@@ -98,10 +98,10 @@
       @Key("group") DeduplicationScope deduplicationScope,
       @Key("window") Micros deduplicationWindow,
       @Key("target") Micros latencyObjective,
-      @Key("stretch") double workMultiple,
+      @Key("stretch") double latencyObjectivePerWork,
       @Key("deadline") Micros deadline,
       @Key("worth") double priorityWeight,
-      @Key("late_worth") double lateWeightFraction,
+      @Key("late_worth") double latePriorityFraction,
       @Key("priority") int priority,
       @Key("kind") String workerKind) {}
 
@@ -153,7 +153,7 @@
     @Key("none")
     NONE,
     @Key("answers")
-    WITH_RESPONSES,
+    WITH_ANSWERS,
     @Key("probes")
     WITH_HEALTH_CHECKS
   }
