--- a/src/main/java/loomreel/standin/Benchmark.java
+++ b/src/main/java/loomreel/benchmark/Benchmark.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -6,6 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
+import loomreel.standin.DaemonProcess;
+import loomreel.standin.ExecutionLog;
+import loomreel.standin.FaktoryClient;
+import loomreel.standin.HttpWorker;
 
 /**
  * Measures one daemon's HTTP and Faktory servers in one run: pushes, round trips, and HTTP's
--- a/src/main/java/loomreel/standin/BenchmarkJobs.java
+++ b/src/main/java/loomreel/benchmark/BenchmarkJobs.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
--- a/src/main/java/loomreel/standin/BenchmarkThreads.java
+++ b/src/main/java/loomreel/benchmark/BenchmarkThreads.java
@@ -1,7 +1,8 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.util.List;
+import loomreel.standin.BackgroundThreads;
 
 /** Threads of benchmarks: unlike {@link BackgroundThreads}, a failed connection is an error. */
 final class BenchmarkThreads {
--- a/src/main/java/loomreel/standin/BlockingHttpClient.java
+++ b/src/main/java/loomreel/benchmark/BlockingHttpClient.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
--- a/src/main/java/loomreel/standin/FaktoryJobMeasurement.java
+++ b/src/main/java/loomreel/benchmark/FaktoryJobMeasurement.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -7,6 +7,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
+import loomreel.standin.BackgroundThreads;
+import loomreel.standin.DaemonProcess;
+import loomreel.standin.FaktoryClient;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/loomreel/standin/JobBenchmark.java
+++ b/src/main/java/loomreel/benchmark/JobBenchmark.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -11,6 +11,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
+import loomreel.standin.BackgroundThreads;
+import loomreel.standin.DaemonProcess;
+import loomreel.standin.ExecutionLog;
+import loomreel.standin.FaktoryClient;
+import loomreel.standin.HttpWorker;
+import loomreel.standin.TemporaryDirectory;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/loomreel/standin/LatencyBenchmark.java
+++ b/src/main/java/loomreel/benchmark/LatencyBenchmark.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -8,6 +8,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
+import loomreel.standin.DaemonProcess;
+import loomreel.standin.FaktoryClient;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/loomreel/standin/NoOpFaktoryWorker.java
+++ b/src/main/java/loomreel/benchmark/NoOpFaktoryWorker.java
@@ -1,9 +1,11 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import loomreel.standin.BackgroundThreads;
+import loomreel.standin.FaktoryClient;
 
 /** A Faktory worker that acknowledges each job at once, as fast as its connections allow. */
 final class NoOpFaktoryWorker implements AutoCloseable {
--- a/src/main/java/loomreel/standin/ThroughputMeter.java
+++ b/src/main/java/loomreel/benchmark/ThroughputMeter.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/loomreel/standin/ChaosFaktoryClient.java
+++ b/src/main/java/loomreel/chaos/ChaosFaktoryClient.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -7,6 +7,8 @@
 import java.util.Collection;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicReference;
+import loomreel.standin.FaktoryClient;
+import loomreel.standin.RespReader;
 
 /**
  * A Faktory client of a chaos run: pushes its jobs on schedule, one by one and in batches, and
--- a/src/main/java/loomreel/standin/ChaosHttpClient.java
+++ b/src/main/java/loomreel/chaos/ChaosHttpClient.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,6 +12,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
+import loomreel.standin.ExecutionLog;
 
 /**
  * An HTTP client of a chaos run: submits its jobs on schedule, several at a time, and checks each
--- a/src/main/java/loomreel/standin/ChaosJobClass.java
+++ b/src/main/java/loomreel/chaos/ChaosJobClass.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 /** The two classes of jobs of a chaos run. */
 enum ChaosJobClass {
--- a/src/main/java/loomreel/standin/ChaosRun.java
+++ b/src/main/java/loomreel/chaos/ChaosRun.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -9,6 +9,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loomreel.standin.DaemonProcess;
+import loomreel.standin.ExecutionLog;
+import loomreel.standin.FaktoryClient;
+import loomreel.standin.TemporaryDirectory;
 
 /**
  * A chaos test of one daemon on loopback: clients and workers of both protocols, while workers are
--- a/src/main/java/loomreel/standin/ChaosWorkers.java
+++ b/src/main/java/loomreel/chaos/ChaosWorkers.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,6 +7,10 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicReference;
+import loomreel.standin.DaemonProcess;
+import loomreel.standin.ExecutionLog;
+import loomreel.standin.FaktoryWorker;
+import loomreel.standin.HttpWorker;
 
 /** The workers of a chaos run, of both kinds. It owns them: closing it ends all of them. */
 final class ChaosWorkers implements AutoCloseable {
--- a/src/main/java/loomreel/standin/FaktoryJobTracker.java
+++ b/src/main/java/loomreel/chaos/FaktoryJobTracker.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -7,6 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import loomreel.standin.ExecutionLog;
+import loomreel.standin.FaktoryClient;
 
 /** Waits until the Faktory jobs of a chaos run have ended, and checks their final states. */
 final class FaktoryJobTracker {
--- a/src/main/java/loomreel/standin/FaultInjector.java
+++ b/src/main/java/loomreel/chaos/FaultInjector.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,6 +8,7 @@
 import java.net.http.HttpResponse;
 import java.util.List;
 import java.util.SplittableRandom;
+import loomreel.standin.FaktoryWorker;
 
 /**
  * Injects faults into a chaos run, one after another, until its thread is interrupted: kills
--- a/src/main/java/loomreel/standin/JobSchedule.java
+++ b/src/main/java/loomreel/chaos/JobSchedule.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import java.util.concurrent.TimeUnit;
 
--- a/src/main/java/loomreel/cli/BenchmarkCommand.java
+++ b/src/main/java/loomreel/cli/BenchmarkCommand.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import loomreel.standin.Benchmark;
-import loomreel.standin.JobBenchmark;
+import loomreel.benchmark.Benchmark;
+import loomreel.benchmark.JobBenchmark;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/src/main/java/loomreel/cli/ChaosCommand.java
+++ b/src/main/java/loomreel/cli/ChaosCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import loomreel.standin.ChaosRun;
+import loomreel.chaos.ChaosRun;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/src/main/java/loomreel/cli/DemoCommand.java
+++ b/src/main/java/loomreel/cli/DemoCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import loomreel.standin.ChaosRun;
+import loomreel.chaos.ChaosRun;
 import picocli.CommandLine.Command;
 
 /** {@code demo}: shows what the program does, on free ports of this machine. */
--- a/src/main/java/loomreel/cli/TrainArchiveCommand.java
+++ b/src/main/java/loomreel/cli/TrainArchiveCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
-import loomreel.standin.ClassArchiveTraining;
+import loomreel.training.ClassArchiveTraining;
 import picocli.CommandLine.Command;
 
 /** {@code train-archive}: the training run for the JVM's archive of classes. */
--- a/src/main/java/loomreel/standin/FaktoryClient.java
+++ b/src/main/java/loomreel/standin/FaktoryClient.java
@@ -16,7 +16,9 @@
 
 /** A connection to a Faktory server, of a client or a worker. For one thread at a time. */
 public final class FaktoryClient implements Closeable {
-  static final ObjectMapper JSON = new ObjectMapper();
+  /** Reads and writes the JSON of jobs and replies. */
+  public static final ObjectMapper JSON = new ObjectMapper();
+
   private static final int TIMEOUT_MS = 30_000;
 
   private final Socket socket = new Socket();
--- a/src/main/java/loomreel/standin/Loopback.java
+++ b/src/main/java/loomreel/standin/Loopback.java
@@ -5,13 +5,13 @@
 import java.net.UnknownHostException;
 
 /** Addresses on the IPv4 loopback interface, where all stand-ins run. */
-final class Loopback {
+public final class Loopback {
   private static final byte[] ADDRESS = {127, 0, 0, 1};
 
   private Loopback() {}
 
   /** 127.0.0.1, without a lookup. */
-  static InetAddress address() {
+  public static InetAddress address() {
     try {
       return InetAddress.getByAddress(ADDRESS);
     } catch (UnknownHostException e) {
@@ -19,7 +19,8 @@
     }
   }
 
-  static InetSocketAddress address(int port) {
+  /** An address of 127.0.0.1. */
+  public static InetSocketAddress address(int port) {
     return new InetSocketAddress(address(), port);
   }
 }
--- a/src/main/java/loomreel/standin/TemporaryDirectory.java
+++ b/src/main/java/loomreel/standin/TemporaryDirectory.java
@@ -7,12 +7,14 @@
 import java.util.stream.Stream;
 
 /** A temporary directory, deleted with all that is in it when it is closed. */
-final class TemporaryDirectory implements AutoCloseable {
+public final class TemporaryDirectory implements AutoCloseable {
   private final Path path = Files.createTempDirectory("loomreel");
 
-  TemporaryDirectory() throws IOException {}
+  /** Creates the directory. */
+  public TemporaryDirectory() throws IOException {}
 
-  Path path() {
+  /** The directory; its content belongs to the caller. */
+  public Path path() {
     return path;
   }
 
--- a/src/main/java/loomreel/standin/ClassArchiveTraining.java
+++ b/src/main/java/loomreel/training/ClassArchiveTraining.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.training;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -8,6 +8,9 @@
 import java.net.URL;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import loomreel.standin.ExecutionLog;
+import loomreel.standin.HttpWorker;
+import loomreel.standin.Loopback;
 
 /**
  * The training run for an archive of classes (AppCDS): a configuration, a worker and a client with
--- a/src/test/java/loomreel/arch/ArrowsTest.java
+++ b/src/test/java/loomreel/arch/ArrowsTest.java
@@ -49,6 +49,15 @@
 
   @ArchTest static final ArchRule SETTINGS = knowsOnly("settings", "config", "decision");
 
+  /** Stubs are written from the published protocols, not with the code that they test. */
+  @ArchTest static final ArchRule STANDIN = knowsOnly("standin");
+
+  @ArchTest static final ArchRule CHAOS = knowsOnly("chaos", "standin");
+
+  @ArchTest static final ArchRule BENCHMARK = knowsOnly("benchmark", "standin");
+
+  @ArchTest static final ArchRule TRAINING = knowsOnly("training", "standin");
+
   @ArchTest
   static final ArchRule NO_CIRCLES = slices().matching("loomreel.(*)..").should().beFreeOfCycles();
 
--- a/src/test/java/loomreel/faktory/ChaosRunTest.java
+++ b/src/test/java/loomreel/chaos/ChaosRunTest.java
@@ -1,4 +1,4 @@
-package loomreel.faktory;
+package loomreel.chaos;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,8 +14,6 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicReference;
-import loomreel.standin.ChaosResult;
-import loomreel.standin.ChaosRun;
 import loomreel.standin.DaemonProcess;
 import loomreel.standin.ExecutionLog;
 import loomreel.standin.FaktoryClient;
--- a/src/test/java/loomreel/program/CommandsTest.java
+++ b/src/test/java/loomreel/program/CommandsTest.java
@@ -142,7 +142,7 @@
         if (line.contains("[class,load]")
             && line.matches(
                 ".*\\]"
-                    + " (loomreel\\.(faktory|settings|standin)|org\\.antlr|com\\.networknt|ch\\.qos|org\\.slf4j|com\\.fasterxml\\.jackson\\.databind|picocli\\.CommandLine"
+                    + " (loomreel\\.(faktory|settings|standin|chaos|benchmark|training)|org\\.antlr|com\\.networknt|ch\\.qos|org\\.slf4j|com\\.fasterxml\\.jackson\\.databind|picocli\\.CommandLine"
                     + " source).*")) {
           loaded.add(line);
         }
