--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -145,7 +145,7 @@
 
   /** The file descriptors that HTTP cannot use. */
   private static int reservedDescriptors(Optional<FaktorySettings> faktorySettings) {
-    return faktorySettings.isPresent() ? faktorySettings.get().connections() : 0;
+    return faktorySettings.isPresent() ? faktorySettings.get().maxConnections() : 0;
   }
 
   private void logListening(ServeConfig config) throws IOException {
