--- a/src/test/java/loomreel/program/ClientDisconnectTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.util.function.UnaryOperator;
+import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -36,16 +37,16 @@
     try (StepControlledServer server =
             new StepControlledServer(
                 1, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":" + cancelling));
-        StalledListener late = server.workers.get(0).lateFromNowOn()) {
-      DispatcherHarness.Job job = server.job("/issue", "");
-      assertEquals(job.id(), server.await("send").field("id"));
-      leave(job.socket(), reset);
-      StepControlledServer.Step end = server.await("end");
+        StalledListener late = server.workers.get(0).stall()) {
+      SubmittedJob job = server.submit("/issue", "");
+      assertEquals(job.id(), server.awaitStep(Step.ATTEMPT_STARTED).field("id"));
+      leave(job.connection(), reset);
+      StepControlledServer.ReachedStep end = server.awaitStep(Step.ATTEMPT_ENDED);
       assertEquals(job.id(), end.field("id"));
       assertEquals("MOOT", end.field("outcome").toString(), "it never ran");
       // Another one's connection comes up, and brings what is its own.
-      DispatcherHarness.Job next = server.job("/copy", "");
-      Http.Message first = Http.read(late.next(Http.PATIENCE_MS));
+      SubmittedJob next = server.submit("/copy", "");
+      HttpMessage first = HttpIo.read(late.nextConnection(HttpIo.TIMEOUT_MILLIS));
       assertEquals(next.id(), first.header("X-Call-Id"));
     }
   }
@@ -59,17 +60,17 @@
     try (StepControlledServer server =
         new StepControlledServer(
             2, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":false"))) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      int at = server.awaitSend();
-      Http.Message post = server.workers.get(at).next();
-      try (StalledListener late = server.workers.get(1 - at).lateFromNowOn()) {
-        post.from().close();
-        assertEquals("w" + (1 - at), server.await("send").field("worker"));
-        leave(job.socket(), false);
-        server.await("withdrawn");
-        DispatcherHarness.Job next = server.job("/copy", "");
-        Socket up = late.next(Http.PATIENCE_MS);
-        assertEquals(next.id(), Http.read(up).header("X-Call-Id"));
+      SubmittedJob job = server.submit("/copy", "");
+      int at = server.awaitAttemptWorker();
+      HttpMessage post = server.workers.get(at).nextRequest();
+      try (StalledListener late = server.workers.get(1 - at).stall()) {
+        post.connection().close();
+        assertEquals("w" + (1 - at), server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
+        leave(job.connection(), false);
+        server.awaitStep(Step.JOB_CANCELLED);
+        SubmittedJob next = server.submit("/copy", "");
+        Socket up = late.nextConnection(HttpIo.TIMEOUT_MILLIS);
+        assertEquals(next.id(), HttpIo.read(up).header("X-Call-Id"));
       }
     }
   }
@@ -82,15 +83,17 @@
   @ValueSource(ints = {20_000, 100_000, 250_000})
   void theEndIsSeenBehindMuchThatWasSentAhead(int size) throws Exception {
     try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      server.workers.get(0).next().answer(202, "");
-      server.news(job.id(), "w0", "running", ",\"share\":0.1");
-      Http.write(
-          job.socket(),
+      SubmittedJob job = server.submit("/copy", "");
+      server.workers.get(0).nextRequest().respond(202, "");
+      server.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
+      HttpIo.write(
+          job.connection(),
           ("POST /copy HTTP/1.1\r\nX-Padding: " + "x".repeat(500) + "\r\n\r\n").repeat(size / 500));
-      leave(job.socket(), false);
-      assertEquals(job.id(), server.await("withdrawn").field("id"));
-      assertEquals("DELETE /jobs/" + job.id() + " HTTP/1.1", server.workers.get(0).next().first());
+      leave(job.connection(), false);
+      assertEquals(job.id(), server.awaitStep(Step.JOB_CANCELLED).field("id"));
+      assertEquals(
+          "DELETE /jobs/" + job.id() + " HTTP/1.1",
+          server.workers.get(0).nextRequest().startLine());
     }
   }
 
@@ -101,24 +104,26 @@
   @Test
   void aFloodBehindARequestIsCutOff() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      server.workers.get(0).next().answer(202, "");
-      server.news(job.id(), "w0", "running", ",\"share\":0.1");
+      SubmittedJob job = server.submit("/copy", "");
+      server.workers.get(0).nextRequest().respond(202, "");
+      server.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
       Thread flood =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    Http.write(job.socket(), "x".repeat(8192));
+                    HttpIo.write(job.connection(), "x".repeat(8192));
                   }
                 } catch (IOException closed) {
                   // As it should be.
                 }
               });
       flood.start();
-      assertEquals(413, job.answer().status());
-      assertEquals("DELETE /jobs/" + job.id() + " HTTP/1.1", server.workers.get(0).next().first());
-      flood.join(Http.PATIENCE_MS);
+      assertEquals(413, job.response().status());
+      assertEquals(
+          "DELETE /jobs/" + job.id() + " HTTP/1.1",
+          server.workers.get(0).nextRequest().startLine());
+      flood.join(HttpIo.TIMEOUT_MILLIS);
       assertTrue(!flood.isAlive(), "it is not listened to for ever");
     }
   }
@@ -130,13 +135,13 @@
   @Test
   void aRequestIsAnsweredHoweverMuchComesBehindIt() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      Http.Message post = server.workers.get(0).next();
-      post.answer(202, "");
-      Http.write(job.socket(), "x".repeat(100_000));
-      server.settle();
-      server.news(job.id(), "w0", "done", ",\"result\":\"r\"");
-      Http.Message answer = job.answer();
+      SubmittedJob job = server.submit("/copy", "");
+      HttpMessage post = server.workers.get(0).nextRequest();
+      post.respond(202, "");
+      HttpIo.write(job.connection(), "x".repeat(100_000));
+      server.awaitPendingInputRead();
+      server.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
+      HttpMessage answer = job.response();
       assertEquals("r", answer.body());
       assertEquals("close", answer.header("Connection"));
     }
@@ -150,17 +155,17 @@
   void aRequestWhoseClientLeftBeforeItWasReadIsNotServed(boolean much) throws Exception {
     try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity());
         Socket client = server.connect()) {
-      server.settle();
-      server.taken();
-      server.between(
+      server.awaitPendingInputRead();
+      server.drainSteps();
+      server.whileLoopIsPaused(
           () -> {
-            server.job(client, "/issue", 20_000, "");
-            Http.write(client, much ? "POST /issue HTTP/1.1\r\n".repeat(2000) : "");
+            server.submit(client, "/issue", 20_000, "");
+            HttpIo.write(client, much ? "POST /issue HTTP/1.1\r\n".repeat(2000) : "");
             leave(client, false);
           });
-      DispatcherHarness.Job next = server.job("/copy", "");
-      assertEquals(next.id(), server.await("arrival").field("id"));
-      assertEquals(next.id(), server.workers.get(0).next().header("X-Call-Id"));
+      SubmittedJob next = server.submit("/copy", "");
+      assertEquals(next.id(), server.awaitStep(Step.JOB_ARRIVED).field("id"));
+      assertEquals(next.id(), server.workers.get(0).nextRequest().header("X-Call-Id"));
     }
   }
 
@@ -173,20 +178,20 @@
                 c ->
                     c.replace("\"Cancelling\":true", "\"Cancelling\":false")
                         .replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":20"));
-        StalledListener late = server.workers.get(0).lateFromNowOn()) {
-      DispatcherHarness.Job[] jobs = new DispatcherHarness.Job[4];
+        StalledListener late = server.workers.get(0).stall()) {
+      SubmittedJob[] jobs = new SubmittedJob[4];
       for (int i = 0; i < jobs.length; i++) {
-        jobs[i] = server.job("/copy/" + i, "");
+        jobs[i] = server.submit("/copy/" + i, "");
       }
-      server.settle();
+      server.awaitPendingInputRead();
       for (int i = 0; i < jobs.length; i += 2) {
-        leave(jobs[i].socket(), i % 4 == 0);
+        leave(jobs[i].connection(), i % 4 == 0);
       }
       for (int i = 0; i < jobs.length; i += 2) {
-        server.await("withdrawn");
+        server.awaitStep(Step.JOB_CANCELLED);
       }
       for (int i = 1; i < jobs.length; i += 2) {
-        String target = Http.read(late.next(Http.PATIENCE_MS)).first();
+        String target = HttpIo.read(late.nextConnection(HttpIo.TIMEOUT_MILLIS)).startLine();
         assertEquals(
             1, Integer.parseInt(target.replaceAll("POST /copy/(\\d) .*", "$1")) % 2, target);
       }
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
+import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -40,18 +41,18 @@
     Socket client = server.connect();
     resting[0] = client;
     if (why != Why.CROWD) {
-      DispatcherHarness.Job job = server.job(client, "/copy", 20_000, "");
-      server.serve(0, "first");
-      assertEquals("first", job.answer().body());
+      SubmittedJob job = server.submit(client, "/copy", 20_000, "");
+      server.serveNextJob(0, "first");
+      assertEquals("first", job.response().body());
     }
-    server.settle();
+    server.awaitPendingInputRead();
     switch (why) {
-      case STOP -> server.server.shutDown();
+      case STOP -> server.requestShutdown();
       case IDLE -> {
         for (int i = 0; i < 8; i++) {
           others.add(server.connect());
-          Http.write(others.get(i), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-          assertEquals(200, Http.read(others.get(i)).status());
+          HttpIo.write(others.get(i), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+          assertEquals(200, HttpIo.read(others.get(i)).status());
         }
       }
       default -> {
@@ -75,12 +76,14 @@
     try (StepControlledServer server = server()) {
       List<Socket> others = new ArrayList<>();
       Socket[] client = new Socket[1];
-      DispatcherHarness.Job[] crossing = new DispatcherHarness.Job[1];
-      server.at("letgo", () -> crossing[0] = server.job(client[0], "/copy", 20_000, ""));
+      SubmittedJob[] crossing = new SubmittedJob[1];
+      server.onStep(
+          Step.IDLE_CONNECTION_CLOSING,
+          () -> crossing[0] = server.submit(client[0], "/copy", 20_000, ""));
       resting(server, why, others, client);
-      server.await("letgo");
-      server.serve(0, "crossing");
-      assertEquals("crossing", crossing[0].answer().body());
+      server.awaitStep(Step.IDLE_CONNECTION_CLOSING);
+      server.serveNextJob(0, "crossing");
+      assertEquals("crossing", crossing[0].response().body());
       end(others);
     }
   }
@@ -95,13 +98,13 @@
     try (StepControlledServer server = server()) {
       List<Socket> others = new ArrayList<>();
       Socket[] client = new Socket[1];
-      server.at("shut", () -> server.job(client[0], "/copy/crossing", 20_000, ""));
+      server.onStep(Step.OUTPUT_SHUT, () -> server.submit(client[0], "/copy/crossing", 20_000, ""));
       resting(server, why, others, client);
-      server.await("shut");
-      assertNull(Http.read(client[0]), "an end, and no reset that could take an answer along");
+      server.awaitStep(Step.OUTPUT_SHUT);
+      assertNull(HttpIo.read(client[0]), "an end, and no reset that could take an answer along");
       // The client stays, for one that has gone would not be served either.
-      server.settle();
-      assertFalse(server.workers.get(0).wasAsked());
+      server.awaitPendingInputRead();
+      assertFalse(server.workers.get(0).hasPendingRequest());
       client[0].close();
       end(others);
     }
@@ -113,14 +116,15 @@
   @Test
   void theLastAnswerIsReadWhateverComesBehindIt() throws Exception {
     try (StepControlledServer server = server()) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      server.at("shut", () -> Http.write(job.socket(), "POST /copy HTTP/1.1\r\nX-Call-"));
-      server.server.shutDown();
-      server.workers.get(0).next().answer(202, "");
-      server.news(job.id(), "w0", "done", ",\"result\":\"last\"");
-      assertEquals("last", job.answer().body());
-      server.await("shut");
-      assertNull(Http.read(job.socket()));
+      SubmittedJob job = server.submit("/copy", "");
+      server.onStep(
+          Step.OUTPUT_SHUT, () -> HttpIo.write(job.connection(), "POST /copy HTTP/1.1\r\nX-Call-"));
+      server.requestShutdown();
+      server.workers.get(0).nextRequest().respond(202, "");
+      server.reportStatus(job.id(), "w0", "done", ",\"result\":\"last\"");
+      assertEquals("last", job.response().body());
+      server.awaitStep(Step.OUTPUT_SHUT);
+      assertNull(HttpIo.read(job.connection()));
     }
   }
 
@@ -131,29 +135,29 @@
     try (StepControlledServer server = server();
         Socket half = server.connect();
         Socket resting = server.connect()) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      server.workers.get(0).next().answer(202, "");
+      SubmittedJob job = server.submit("/copy", "");
+      server.workers.get(0).nextRequest().respond(202, "");
       String body =
           "{\"id\":\"" + job.id() + "\",\"from\":\"w0\",\"state\":\"done\",\"result\":\"r\"}";
       String whole =
           news
               ? "POST /_jobs/news HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body
               : "POST /copy/half HTTP/1.1\r\nX-Call-Id: 00000000000000dd\r\nX-Budget-Ms: 9000\r\nContent-Length: 0\r\n\r\n";
-      server.settle();
+      server.awaitPendingInputRead();
       // The first one that is let go is the first that came.
-      server.at("letgo", () -> Http.write(half, whole.substring(0, 30)));
-      server.server.shutDown();
-      assertNull(Http.read(resting));
-      Http.write(half, whole.substring(30));
+      server.onStep(Step.IDLE_CONNECTION_CLOSING, () -> HttpIo.write(half, whole.substring(0, 30)));
+      server.requestShutdown();
+      assertNull(HttpIo.read(resting));
+      HttpIo.write(half, whole.substring(30));
       if (news) {
-        assertEquals(200, Http.read(half).status());
+        assertEquals(200, HttpIo.read(half).status());
       } else {
-        assertEquals("POST /copy/half HTTP/1.1", server.workers.get(0).next().first());
-        server.news("00000000000000dd", "w0", "done", ",\"result\":\"half\"");
-        assertEquals("half", Http.read(half).body());
-        server.news(job.id(), "w0", "done", ",\"result\":\"r\"");
+        assertEquals("POST /copy/half HTTP/1.1", server.workers.get(0).nextRequest().startLine());
+        server.reportStatus("00000000000000dd", "w0", "done", ",\"result\":\"half\"");
+        assertEquals("half", HttpIo.read(half).body());
+        server.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
       }
-      assertEquals("r", job.answer().body());
+      assertEquals("r", job.response().body());
     }
   }
 
@@ -164,21 +168,20 @@
   @Test
   void theProcessEndsAfterItsClientsHave() throws Exception {
     try (StepControlledServer server = server()) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      server.serve(0, "r");
-      assertEquals("r", job.answer().body());
+      SubmittedJob job = server.submit("/copy", "");
+      server.serveNextJob(0, "r");
+      assertEquals("r", job.response().body());
       AtomicBoolean gone = new AtomicBoolean();
       AtomicBoolean before = new AtomicBoolean();
-      server.at("stop", () -> before.set(!gone.get()));
-      server.server.shutDown();
-      server.server.shutDown();
-      assertNull(Http.read(job.socket()));
+      server.onStep(Step.LOOP_STOPPED, () -> before.set(!gone.get()));
+      server.requestShutdown();
+      server.requestShutdown();
+      assertNull(HttpIo.read(job.connection()));
       gone.set(true);
-      job.socket().close();
-      server.await("stop");
+      job.connection().close();
+      server.awaitStep(Step.LOOP_STOPPED);
       assertFalse(before.get(), "it ended while a client had not read to the end");
-      server.thread.join(Http.PATIENCE_MS);
-      assertFalse(server.thread.isAlive());
+      assertTrue(server.awaitLoopEnd());
     }
   }
 
@@ -189,10 +192,10 @@
   @Test
   void aSecondStopChangesNothing() throws Exception {
     try (StepControlledServer server = server()) {
-      server.server.shutDown();
-      server.server.shutDown();
-      server.await("stop");
-      assertTrue(server.stepsSoFar().stream().filter(s -> s.what().equals("drain")).count() == 1);
+      server.requestShutdown();
+      server.requestShutdown();
+      server.awaitStep(Step.LOOP_STOPPED);
+      assertEquals(1, server.stepCount(Step.SHUTDOWN_REQUESTED));
     }
   }
 }
--- a/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -3,8 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import java.io.IOException;
-import java.io.UncheckedIOException;
+import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,22 +30,23 @@
             new StepControlledServer(
                 2,
                 c -> lateConnections(c).replaceFirst("SERVING(.*?)SERVING", "SERVING$1DRAINING"));
-        StalledListener late = server.workers.get(0).lateFromNowOn()) {
-      DispatcherHarness.Job job = server.job("/issue", "");
-      assertEquals("w0", server.await("send").field("worker"));
+        StalledListener late = server.workers.get(0).stall()) {
+      SubmittedJob job = server.submit("/issue", "");
+      assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
       String list =
-          server.list(
+          server.endpointList(
               43, how.equals("missing"), how.equals("missing") ? "SERVING" : how, "SERVING");
       server
           .discovery
-          .next()
-          .answer(
+          .nextRequest()
+          .respond(
               200,
               how.equals("missing") ? list.replaceFirst("\\{\"host\":\"w0\".*?\\},", "") : list);
-      assertEquals("MOOT", server.await("end").field("outcome").toString(), "it never ran");
-      server.serve(1, "elsewhere");
-      assertEquals("elsewhere", job.answer().body());
-      assertNull(late.next(100), "nothing is on its way there any more");
+      assertEquals(
+          "MOOT", server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(), "it never ran");
+      server.serveNextJob(1, "elsewhere");
+      assertEquals("elsewhere", job.response().body());
+      assertNull(late.nextConnection(100), "nothing is on its way there any more");
     }
   }
 
@@ -57,23 +57,18 @@
             new StepControlledServer(
                 2,
                 c -> lateConnections(c).replaceFirst("SERVING(.*?)SERVING", "SERVING$1DRAINING"));
-        StalledListener late = server.workers.get(0).lateFromNowOn()) {
-      DispatcherHarness.Job job = server.job("/issue", "");
-      assertEquals("w0", server.await("send").field("worker"));
-      server.discovery.next().answer(200, server.list(43, false, "SERVING", "SERVING"));
-      server.discovery.next();
-      server.server.loop().execute(() -> down(server));
-      server.serve(1, "elsewhere");
-      assertEquals("elsewhere", job.answer().body());
-      assertNull(late.next(100), "nothing is on its way there any more");
-    }
-  }
-
-  private static void down(StepControlledServer server) {
-    try {
-      server.server.setWorkerDisabled("w0", true);
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+        StalledListener late = server.workers.get(0).stall()) {
+      SubmittedJob job = server.submit("/issue", "");
+      assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
+      server
+          .discovery
+          .nextRequest()
+          .respond(200, server.endpointList(43, false, "SERVING", "SERVING"));
+      server.discovery.nextRequest();
+      server.disableWorker("w0");
+      server.serveNextJob(1, "elsewhere");
+      assertEquals("elsewhere", job.response().body());
+      assertNull(late.nextConnection(100), "nothing is on its way there any more");
     }
   }
 
@@ -89,19 +84,21 @@
             c ->
                 lateConnections(ServeTest.keyedClass(c))
                     .replace("\"WindowS\":15", "\"WindowS\":0.8"))) {
-      DispatcherHarness.Job job = server.keyed("/hold/1", "a-key");
-      StepControlledServer.Step first = server.await("send");
+      SubmittedJob job = server.submitWithKey("/hold/1", "a-key");
+      StepControlledServer.ReachedStep first = server.awaitStep(Step.ATTEMPT_STARTED);
       int at = first.field("worker").equals("w0") ? 0 : 1;
-      Http.Message post = server.workers.get(at).next();
+      HttpMessage post = server.workers.get(at).nextRequest();
       assertEquals("a-key", post.header("Idempotency-Key"));
-      try (StalledListener late = server.workers.get(1 - at).lateFromNowOn()) {
-        post.from().close();
-        assertEquals("w" + (1 - at), server.await("send").field("worker"));
+      try (StalledListener late = server.workers.get(1 - at).stall()) {
+        post.connection().close();
+        assertEquals("w" + (1 - at), server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
         assertEquals(
-            "CONNECT_FAILED", server.await("end").field("outcome").toString(), "it never ran");
-        server.await("fail");
-        assertEquals(500, job.answer().status());
-        assertNull(late.next(100), "nothing is on its way there any more");
+            "CONNECT_FAILED",
+            server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(),
+            "it never ran");
+        server.awaitStep(Step.JOB_FAILED);
+        assertEquals(500, job.response().status());
+        assertNull(late.nextConnection(100), "nothing is on its way there any more");
       }
     }
   }
--- a/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
+++ b/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
@@ -35,10 +35,10 @@
   @Test
   void anUpgradeUsesOnlyIpv4SocketsAndStartsNoProgram() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.deployed(1)) {
-      program.upgrade();
-      assertEquals(2, program.started.size());
+      program.startSuccessor();
+      assertEquals(2, program.instances.size());
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-      for (ProcessHandle process : program.started) {
+      for (ProcessHandle process : program.instances) {
         assertEquals(0, process.children().count(), "no other program is started");
         Set<String> held = sockets(process.pid());
         assertTrue(held.size() >= 3, "the listener, operators' and the tie at least: " + held);
--- a/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -6,6 +6,7 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,26 +28,27 @@
   void idleClientsDoNotKeepTheWatchFromComingBack() throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(2, c -> c.replace("\"sockets\":1024", "\"sockets\":" + ROOM))) {
-      Http.Message watch = server.discovery.next();
-      int port = server.discovery.at().getPort();
+      HttpMessage watch = server.discovery.nextRequest();
+      int port = server.discovery.socketAddress().getPort();
       server.discovery.close();
-      watch.from().close();
-      server.await("listlost");
+      watch.connection().close();
+      server.awaitStep(Step.WATCH_FAILED);
       List<Socket> idle = new ArrayList<>();
       for (int i = 0; i < 2 * ROOM; i++) {
         idle.add(server.connect());
-        Http.write(idle.get(i), i % 3 == 0 ? "" : "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        HttpIo.write(
+            idle.get(i), i % 3 == 0 ? "" : "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
       }
-      DispatcherHarness.Job job = server.job("/copy", "");
-      int to = server.awaitSend();
-      server.serve(to, "while it is down");
-      assertEquals("while it is down", job.answer().body());
-      server.discovery = new Http.Peer(port);
-      Http.Message back = server.discovery.next();
-      assertTrue(back.first().contains("?from=41&"), back.first());
-      back.answer(200, server.list(43, false, "DRAINING", "SERVING"));
-      assertTrue(server.discovery.next().first().contains("?from=43&"));
-      server.allGoTo(1, 8);
+      SubmittedJob job = server.submit("/copy", "");
+      int to = server.awaitAttemptWorker();
+      server.serveNextJob(to, "while it is down");
+      assertEquals("while it is down", job.response().body());
+      server.discovery = new StubHttpServer(port);
+      HttpMessage back = server.discovery.nextRequest();
+      assertTrue(back.startLine().contains("?from=41&"), back.startLine());
+      back.respond(200, server.endpointList(43, false, "DRAINING", "SERVING"));
+      assertTrue(server.discovery.nextRequest().startLine().contains("?from=43&"));
+      server.assertAllServedBy(1, 8);
       for (Socket client : idle) {
         client.close();
       }
@@ -63,32 +65,33 @@
     try (StepControlledServer server =
         new StepControlledServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":4"))) {
       for (int i = 0; i < 3; i++) {
-        server.discovery.next().answer(503, "");
+        server.discovery.nextRequest().respond(503, "");
       }
-      Http.Message watch = server.discovery.next();
-      server.taken();
-      String list = server.list(how.equals("older") ? 40 : 43, false, "DRAINING", "SERVING");
+      HttpMessage watch = server.discovery.nextRequest();
+      server.drainSteps();
+      String list =
+          server.endpointList(how.equals("older") ? 40 : 43, false, "DRAINING", "SERVING");
       switch (how) {
         case "cut" -> {
-          Http.write(
-              watch.from(),
+          HttpIo.write(
+              watch.connection(),
               "HTTP/1.1 200 x\r\nContent-Length: "
                   + list.length()
                   + "\r\n\r\n"
                   + list.substring(0, 50));
-          watch.from().close();
+          watch.connection().close();
         }
-        case "nonsense" -> watch.answer(200, list.substring(0, 50));
-        default -> watch.answer(200, list);
+        case "nonsense" -> watch.respond(200, list.substring(0, 50));
+        default -> watch.respond(200, list);
       }
-      Http.Message again = server.discovery.next();
+      HttpMessage again = server.discovery.nextRequest();
       assertTrue(
-          server.taken().stream().noneMatch(s -> s.what().equals("listlost")),
+          server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)),
           "the module's back-off is for outages");
-      assertEquals(how.equals("older"), !again.first().contains("?from="), again.first());
-      again.answer(200, server.list(43, true, "DRAINING", "SERVING"));
-      server.discovery.next();
-      server.allGoTo(1, 8);
+      assertEquals(how.equals("older"), !again.startLine().contains("?from="), again.startLine());
+      again.respond(200, server.endpointList(43, true, "DRAINING", "SERVING"));
+      server.discovery.nextRequest();
+      server.assertAllServedBy(1, 8);
     }
   }
 
@@ -100,19 +103,19 @@
   void aMoveIsFollowedAtOnceAlsoDuringAnOutage(boolean down) throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":60"));
-        Http.Peer next = new Http.Peer()) {
-      Http.Message watch = server.discovery.next();
+        StubHttpServer next = new StubHttpServer()) {
+      HttpMessage watch = server.discovery.nextRequest();
       if (down) {
         server.discovery.close();
-        watch.from().close();
-        server.await("listlost");
+        watch.connection().close();
+        server.awaitStep(Step.WATCH_FAILED);
       }
-      server.server.loop().execute(() -> server.server.configReloader().moveDiscovery(next.at()));
-      Http.Message whole = next.next();
-      assertEquals("GET /registry/instances HTTP/1.1", whole.first());
-      whole.answer(200, server.list(7, true, "DRAINING", "SERVING"));
-      assertTrue(next.next().first().contains("?from=7&"));
-      server.allGoTo(1, 8);
+      server.moveDiscovery(next.socketAddress());
+      HttpMessage whole = next.nextRequest();
+      assertEquals("GET /registry/instances HTTP/1.1", whole.startLine());
+      whole.respond(200, server.endpointList(7, true, "DRAINING", "SERVING"));
+      assertTrue(next.nextRequest().startLine().contains("?from=7&"));
+      server.assertAllServedBy(1, 8);
     }
   }
 }
--- a/src/test/java/loomreel/program/DispatcherHarness.java
+++ b/src/test/java/loomreel/program/DispatcherHarness.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What stands around a dispatcher in a test: discovery and copy workers that the test plays, and
- * clients.
+ * The surroundings of a dispatcher under test: stub discovery, stub workers named w0, w1 and so on,
+ * and clients.
  */
 abstract class DispatcherHarness implements AutoCloseable {
   private static final String SETTINGS =
@@ -23,18 +23,28 @@
               "MaxRetryAfterS":1.5,"ConnectTimeoutS":5,"ConnIdleS":60},"Telemetry":{"How":"%s"},
              "Invariants":{"StopSendingWithinS":3,"AskWithinS":0.5,"ColdFrom":0.2,"ColdS":20,"TipMultiple":3,
               "FallS":2,"AnswerSlackS":0.016}}""";
-  private static int ids;
 
-  Http.Peer discovery = new Http.Peer();
-  final List<Http.Peer> workers = new ArrayList<>();
+  /** The head of a readiness check, without its Content-Length. */
+  static final String READINESS_HEAD = "GET /health/ready HTTP/1.1\r\nHost: x\r\n";
+
+  /** The head of a worker's status update, without its Content-Length. */
+  static final String STATUS_UPDATE_HEAD = "POST /_jobs/news HTTP/1.1\r\nHost: x\r\n";
+
+  /** The deadline of jobs that name none of their own. */
+  static final int DEADLINE_MILLIS = 20_000;
+
+  private static final AtomicInteger JOB_IDS = new AtomicInteger();
+
+  StubHttpServer discovery = new StubHttpServer();
+  final List<StubHttpServer> workers = new ArrayList<>();
 
   DispatcherHarness(int workerCount) throws IOException {
     for (int i = 0; i < workerCount; i++) {
-      workers.add(new Http.Peer());
+      workers.add(new StubHttpServer());
     }
   }
 
-  /** Where the dispatcher listens. */
+  /** The port on which the dispatcher accepts clients. */
   abstract int port();
 
   /** What the dispatcher is configured with, before the test changes it. */
@@ -48,7 +58,7 @@
         + discovery.address()
         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
         + "\"known\":"
-        + list(41, true, "SERVING")
+        + endpointList(41, true, "SERVING")
         + ",\"settings\":"
         + settings
         + "}";
@@ -58,7 +68,7 @@
    * All copy workers, w0, w1 and so on, in the given states; where none is left the last one serves
    * on.
    */
-  String list(int seq, boolean whole, String... health) {
+  String endpointList(int seq, boolean whole, String... health) {
     StringBuilder hosts = new StringBuilder();
     for (int i = 0; i < workers.size(); i++) {
       hosts
@@ -74,102 +84,109 @@
     return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}";
   }
 
+  /** Connects as a client. */
   Socket connect() throws IOException {
-    return connect(port());
+    return HttpIo.connect(port());
   }
 
-  Socket connect(int port) throws IOException {
-    Socket socket = new Socket(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), port);
-    socket.setSoTimeout(Http.PATIENCE_MS);
-    return socket;
+  /** Sends a job on a connection of its own. */
+  SubmittedJob submit(String path, String body) throws IOException {
+    return submit(connect(), path, DEADLINE_MILLIS, body);
   }
 
-  /** A new id, and a job of that id on its way. */
-  record Job(String id, Socket socket) {
-    Http.Message answer() throws IOException {
-      return Http.read(socket);
-    }
+  /** Sends a job with a deadline on this connection. */
+  SubmittedJob submit(Socket connection, String path, int deadlineMillis, String body)
+      throws IOException {
+    return submit(connection, path, deadlineMillis, "", body);
   }
 
-  Job job(String path, String body) throws IOException {
-    return job(connect(), path, 20_000, body);
+  /** Sends a job with an idempotency key on a connection of its own. */
+  SubmittedJob submitWithKey(String path, String key) throws IOException {
+    return submit(connect(), path, DEADLINE_MILLIS, "Idempotency-Key: " + key + "\r\n", "");
   }
 
-  Job job(Socket socket, String path, int budget, String body) throws IOException {
-    return job(socket, path, budget, "", body);
+  private static SubmittedJob submit(
+      Socket connection, String path, int deadlineMillis, String headers, String body)
+      throws IOException {
+    String id = String.format("%016x", JOB_IDS.incrementAndGet());
+    HttpIo.write(connection, jobRequest(path, id, deadlineMillis, headers, body));
+    return new SubmittedJob(id, connection);
   }
 
-  /** A job that carries what copy workers tell its repeats by. */
-  Job keyed(String path, String key) throws IOException {
-    return job(connect(), path, 20_000, "Idempotency-Key: " + key + "\r\n", "");
+  /** The bytes of a job; {@code headers} are complete lines. */
+  static String jobRequest(
+      String path, String id, int deadlineMillis, String headers, String body) {
+    String head = "POST " + path + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\n";
+    return HttpIo.withBody(head + "X-Budget-Ms: " + deadlineMillis + "\r\n" + headers, body);
   }
 
-  private static Job job(Socket socket, String path, int budget, String more, String body)
-      throws IOException {
-    String id = String.format("%016x", ++ids);
-    Http.write(
-        socket,
-        "POST "
-            + path
-            + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: "
-            + id
-            + "\r\nX-Budget-Ms: "
-            + budget
-            + "\r\n"
-            + more
-            + "Content-Length: "
-            + body.length()
-            + "\r\n\r\n"
-            + body);
-    return new Job(id, socket);
-  }
-
-  /** A copy worker's call-back; the status of the answer. */
-  int news(String id, String from, String state, String more) throws IOException {
-    return request(
-            "POST /_jobs/news HTTP/1.1\r\nHost: x\r\n",
-            "{\"id\":\""
-                + id
-                + "\",\"from\":\""
-                + from
-                + "\",\"state\":\""
-                + state
-                + "\""
-                + more
-                + "}")
-        .status();
-  }
-
-  Http.Message request(String head, String body) throws IOException {
-    try (Socket socket = connect()) {
-      Http.write(socket, head + "Content-Length: " + body.length() + "\r\n\r\n" + body);
-      return Http.read(socket);
+  /** The body of a worker's status update; {@code members} are further JSON members. */
+  static String statusUpdate(String jobId, String worker, String state, String members) {
+    return "{\"id\":\"%s\",\"from\":\"%s\",\"state\":\"%s\"%s}"
+        .formatted(jobId, worker, state, members);
+  }
+
+  /** The JSON member with the result of a job that is done. */
+  static String result(String result) {
+    return ",\"result\":\"" + result + "\"";
+  }
+
+  /** Sends a worker's status update; the status of the response. */
+  int reportStatus(String jobId, String worker, String state, String members) throws IOException {
+    return request(STATUS_UPDATE_HEAD, statusUpdate(jobId, worker, state, members)).status();
+  }
+
+  /** Sends a status update that the job is done; the status of the response. */
+  int reportDone(String jobId, String worker, String result) throws IOException {
+    return reportStatus(jobId, worker, "done", result(result));
+  }
+
+  /** Sends a request on a connection of its own; {@code head} lacks its Content-Length. */
+  HttpMessage request(String head, String body) throws IOException {
+    try (Socket connection = connect()) {
+      HttpIo.write(connection, HttpIo.withBody(head, body));
+      return HttpIo.read(connection);
     }
   }
 
-  /** Lets a copy worker take the job that comes next and serve it. */
-  void serve(int worker, String result) throws Exception {
-    Http.Message post = workers.get(worker).next();
-    post.answer(202, "");
-    assertEquals(
-        200,
-        news(post.header("X-Call-Id"), "w" + worker, "done", ",\"result\":\"" + result + "\""));
+  /** The status of the readiness check for clients. */
+  int readinessStatus() throws IOException {
+    return request(READINESS_HEAD, "").status();
+  }
+
+  /** Waits for the next job at a worker, and has the worker accept and complete it. */
+  void serveNextJob(int worker, String result) throws Exception {
+    HttpMessage post = workers.get(worker).nextRequest();
+    post.respond(202, "");
+    assertEquals(200, reportDone(post.header("X-Call-Id"), "w" + worker, result));
   }
 
-  /** Has so many jobs served, all of them by this one of two copy workers. */
-  void allGoTo(int worker, int jobs) throws Exception {
+  /** Submits jobs one after the other, and checks that this one of two workers gets them all. */
+  void assertAllServedBy(int worker, int jobs) throws Exception {
     for (int i = 0; i < jobs; i++) {
-      Job job = job("/copy", "");
-      serve(worker, "r");
-      assertEquals("r", job.answer().body());
+      SubmittedJob job = submit("/copy", "");
+      serveNextJob(worker, "r");
+      assertEquals("r", job.response().body());
+    }
+    assertFalse(workers.get(1 - worker).hasPendingRequest());
+  }
+
+  /** Waits until a worker has a request that the test has not taken; the worker's index. */
+  int awaitWorkerWithRequest() throws InterruptedException {
+    while (true) {
+      for (int i = 0; i < workers.size(); i++) {
+        if (workers.get(i).hasPendingRequest()) {
+          return i;
+        }
+      }
+      Thread.sleep(1);
     }
-    assertFalse(workers.get(1 - worker).wasAsked());
   }
 
   @Override
   public void close() throws IOException {
     discovery.close();
-    for (Http.Peer worker : workers) {
+    for (StubHttpServer worker : workers) {
       worker.close();
     }
   }
--- a/src/test/java/loomreel/program/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/DispatcherProcess.java
@@ -10,206 +10,198 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** The program as a process of its own, with discovery and copy workers that the test plays. */
+/**
+ * The program as a process of its own, with {@code serve}.
+ *
+ * <p>Under a supervisor the process can be replaced: {@link #instances} are the dispatchers that
+ * were started one after the other, {@link #managementPorts} their management addresses, and {@link
+ * #process} is the supervisor.
+ */
 final class DispatcherProcess extends DispatcherHarness {
-  /** The JVM's flags of the tests' own processes: they start quicker so. */
-  private static final List<String> FLAGS = List.of("-XX:TieredStopAtLevel=1");
+  /** The process that the test has started. */
+  final Process process;
 
-  /** Gives a configuration an address for operators. */
-  private static String withOperators(String configuration) {
-    return configuration.replace("{\"name\"", "{\"mgmt\":\"127.0.0.1:0\",\"name\"");
-  }
+  /** Where the dispatcher stores its files. */
+  final Path temporaryDirectory = Files.createTempDirectory("loomreel");
 
-  final Process process;
+  /** The dispatchers that the supervisor has started; empty without a supervisor. */
+  final List<ProcessHandle> instances = new ArrayList<>();
+
+  /** The ports of the management API, one for each dispatcher. */
+  final List<Integer> managementPorts = new ArrayList<>();
+
+  private final Path configurationFile = Files.createTempFile("loomreel", ".json");
   private final BufferedReader log;
   private final int port;
-  private final Path file = Files.createTempFile("loomreel", ".json");
-  final Path directory = Files.createTempDirectory("loomreel");
-
-  /** The processes that the platform has started, and where each hears operators. */
-  final List<ProcessHandle> started = new ArrayList<>();
 
-  final List<Integer> operators = new ArrayList<>();
+  /** Whether a supervisor owns the listening socket. */
+  private enum Listener {
+    OWNED,
+    SUPERVISED
+  }
 
+  /** A dispatcher with the standard configuration. */
   DispatcherProcess(int workerCount, boolean probing) throws IOException {
     this(workerCount, probing, settings -> settings);
   }
 
+  /** A dispatcher with a changed configuration. */
   DispatcherProcess(int workerCount, boolean probing, UnaryOperator<String> change)
       throws IOException {
-    this(workerCount, probing, change, false);
-  }
-
-  /**
-   * One that operators look after; where the platform holds the listener, it can be started beside
-   * itself.
-   */
-  static DispatcherProcess operated(int workerCount, boolean platform) throws IOException {
-    return new DispatcherProcess(workerCount, false, DispatcherProcess::withOperators, platform);
-  }
-
-  /**
-   * One started as the platform starts it: descriptor 0, operators, and the JVM's flags of {@code
-   * run}.
-   */
-  static DispatcherProcess deployed(int workerCount) throws IOException {
-    return new DispatcherProcess(
-        workerCount, false, DispatcherProcess::withOperators, true, runFlags());
-  }
-
-  /**
-   * The JVM's flags in {@code run} of {@code deploy/balancer.toml}: what stands between {@code
-   * java} and {@code -jar}.
-   */
-  static List<String> runFlags() throws IOException {
-    Matcher run =
-        Pattern.compile("(?m)^run = \"exec java (.*?) -jar ")
-            .matcher(Files.readString(Path.of("deploy", "balancer.toml")));
-    assertTrue(run.find(), "run starts java by exec");
-    return List.of(run.group(1).split(" +"));
-  }
-
-  private DispatcherProcess(
-      int workerCount, boolean probing, UnaryOperator<String> change, boolean platform)
-      throws IOException {
-    this(workerCount, probing, change, platform, FLAGS);
+    this(workerCount, probing, change, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
   }
 
   private DispatcherProcess(
       int workerCount,
       boolean probing,
       UnaryOperator<String> change,
-      boolean platform,
+      Listener listener,
       List<String> flags)
       throws IOException {
     super(workerCount);
-    Files.writeString(file, change.apply(configuration(probing)));
-    ProcessBuilder builder = builder(file, "serve", discovery.address(), flags);
-    builder.environment().put("TMPDIR", directory.toString());
-    if (platform) {
-      builder.environment().put("BALANCER_LISTEN_FD", "0");
-      List<String> child =
-          new ArrayList<>(List.of(ListenerSupervisor.class.getName(), builder.command().get(0)));
-      child.addAll(flags);
-      child.addAll(List.of("-cp", System.getProperty("java.class.path")));
-      builder.command().addAll(builder.command().indexOf("loomreel.cli.Main"), child);
-    }
+    configure(change.apply(configuration(probing)));
+    ProcessBuilder builder =
+        listener == Listener.SUPERVISED
+            ? ProgramCommand.superviseServe(configurationFile, discovery.address(), flags)
+            : ProgramCommand.serve(configurationFile, discovery.address(), flags);
+    builder.environment().put("TMPDIR", temporaryDirectory.toString());
     process = builder.start();
     log = process.errorReader();
-    if (platform) {
-      startAnother();
+    if (listener == Listener.SUPERVISED) {
+      startInstance();
     }
-    port = port("listening for clients address");
+    port = awaitLoggedPort("listening for clients address");
     if (change.apply("{\"name\"").contains("mgmt")) {
-      operators.add(port("admin server listening address"));
+      managementPorts.add(awaitLoggedPort("admin server listening address"));
     }
   }
 
-  private void startAnother() throws IOException {
+  /** A dispatcher with a management API. */
+  static DispatcherProcess managed(int workerCount) throws IOException {
+    return new DispatcherProcess(
+        workerCount,
+        false,
+        DispatcherProcess::withOperators,
+        Listener.OWNED,
+        ProgramCommand.FAST_START_FLAGS);
+  }
+
+  /** A dispatcher with a management API under a supervisor. */
+  static DispatcherProcess supervised(int workerCount) throws IOException {
+    return new DispatcherProcess(
+        workerCount,
+        false,
+        DispatcherProcess::withOperators,
+        Listener.SUPERVISED,
+        ProgramCommand.FAST_START_FLAGS);
+  }
+
+  /** The same with the JVM flags of {@code deploy/balancer.toml}. */
+  static DispatcherProcess deployed(int workerCount) throws IOException {
+    return new DispatcherProcess(
+        workerCount,
+        false,
+        DispatcherProcess::withOperators,
+        Listener.SUPERVISED,
+        ProgramCommand.deployedFlags());
+  }
+
+  private static String withOperators(String configuration) {
+    return configuration.replace("{\"name\"", "{\"mgmt\":\"127.0.0.1:0\",\"name\"");
+  }
+
+  private void startInstance() throws IOException {
     process.outputWriter().append('\n').flush();
-    started.add(ProcessHandle.of(Long.parseLong(process.inputReader().readLine())).orElseThrow());
-  }
-
-  /** Starts the program beside itself, as an upgrade does, and waits until it is ready. */
-  void upgrade() throws IOException {
-    startAnother();
-    operators.add(port("admin server listening address"));
-    assertEquals(200, operate(started.size() - 1, "GET", "readiness", "").status());
-  }
-
-  private int port(String where) throws IOException {
-    Matcher port = Pattern.compile(where + "[ =]/127.0.0.1:(\\d+)").matcher(awaitLog(where));
-    assertTrue(port.find());
-    return Integer.parseInt(port.group(1));
-  }
-
-  /** An operator's call to one of the processes. */
-  Http.Message operate(int process, String method, String call, String body) throws IOException {
-    try (Socket socket = connect(operators.get(process))) {
-      Http.write(
-          socket,
-          method
-              + " /ops/"
-              + call
-              + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
-              + body.length()
-              + "\r\n\r\n"
-              + body);
-      return Http.read(socket);
-    }
+    long pid = Long.parseLong(process.inputReader().readLine());
+    instances.add(ProcessHandle.of(pid).orElseThrow());
   }
 
-  /**
-   * What the figures say, where {@code name} is followed by a number, or by a class and a number.
-   */
-  int figure(int process, String name) throws IOException {
-    String all = operate(process, "GET", "stats", "").body();
-    Matcher figure =
-        Pattern.compile("\"" + name.replace(".", "\":\\{[^}]*\"") + "\":(\\d+)").matcher(all);
-    assertTrue(figure.find(), name + " in " + all);
-    return Integer.parseInt(figure.group(1));
+  /** Has the supervisor start one more dispatcher, and waits until it is ready. */
+  void startSuccessor() throws IOException {
+    startInstance();
+    managementPorts.add(awaitLoggedPort("admin server listening address"));
+    assertEquals(200, callManagement(instances.size() - 1, "GET", "readiness", "").status());
   }
 
-  /**
-   * Replaces discovery by another one that the configuration now names, and says so to the program.
-   */
-  Http.Peer moveDiscovery() throws Exception {
-    Http.Peer before = discovery;
-    discovery = new Http.Peer();
-    configure(Files.readString(file).replace(before.address(), discovery.address()));
-    signal("HUP");
-    return before;
+  /** Kills a dispatcher under the supervisor, and waits for its end. */
+  void killInstance(int instance) throws Exception {
+    instances.get(instance).destroyForcibly();
+    awaitExit(instance);
   }
 
-  String configured() throws IOException {
-    return Files.readString(file);
+  /** Waits for the end of a dispatcher under the supervisor. */
+  void awaitExit(int instance) throws Exception {
+    instances.get(instance).onExit().get(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  void configure(String text) throws IOException {
-    Files.writeString(file, text);
+  /** Sends a request to the management API of a dispatcher; {@code path} follows {@code /ops/}. */
+  HttpMessage callManagement(int instance, String method, String path, String body)
+      throws IOException {
+    try (Socket connection = HttpIo.connect(managementPorts.get(instance))) {
+      String head = method + " /ops/" + path + " HTTP/1.1\r\nHost: x\r\n";
+      HttpIo.write(connection, HttpIo.withBody(head, body));
+      return HttpIo.read(connection);
+    }
   }
 
-  void signal(String name) throws Exception {
-    assertEquals(
-        0, new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor());
+  /**
+   * A number in the statistics of a dispatcher: {@code name}, or {@code name.class} for one of a
+   * request class.
+   */
+  int statistic(int instance, String name) throws IOException {
+    String statistics = callManagement(instance, "GET", "stats", "").body();
+    String pattern = "\"" + name.replace(".", "\":\\{[^}]*\"") + "\":(\\d+)";
+    Matcher number = Pattern.compile(pattern).matcher(statistics);
+    assertTrue(number.find(), name + " in " + statistics);
+    return Integer.parseInt(number.group(1));
+  }
+
+  /** Replaces discovery, and has the dispatcher reload; the previous discovery. */
+  StubHttpServer moveDiscovery() throws Exception {
+    StubHttpServer previous = discovery;
+    discovery = new StubHttpServer();
+    configure(configured().replace(previous.address(), discovery.address()));
+    signal("HUP");
+    return previous;
   }
 
-  static Process start(Path config, String command, String discovery) throws IOException {
-    return builder(config, command, discovery).start();
+  String configured() throws IOException {
+    return Files.readString(configurationFile);
   }
 
-  static ProcessBuilder builder(Path config, String command, String discovery) {
-    return builder(config, command, discovery, FLAGS);
+  /** Replaces the text of the configuration file; the dispatcher reads it at SIGHUP. */
+  void configure(String text) throws IOException {
+    Files.writeString(configurationFile, text);
   }
 
-  static ProcessBuilder builder(Path config, String command, String discovery, List<String> flags) {
-    List<String> line =
-        new ArrayList<>(
-            List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-    line.addAll(flags);
-    line.addAll(
-        List.of("-cp", System.getProperty("java.class.path"), "loomreel.cli.Main", command));
-    ProcessBuilder builder = new ProcessBuilder(line);
-    builder.environment().keySet().removeIf(name -> name.startsWith("BALANCER_"));
-    builder.environment().put("BALANCER_CONFIG", config.toString());
-    builder.environment().put("BALANCER_DISCOVERY", discovery);
-    return builder;
+  /** Sends a signal, by its name without SIG, to the process that the test has started. */
+  void signal(String name) throws Exception {
+    String command = "kill -" + name + " " + process.pid();
+    assertEquals(0, new ProcessBuilder("sh", "-c", command).start().waitFor());
   }
 
-  String awaitLog(String part) throws IOException {
-    StringBuilder seen = new StringBuilder();
+  /** Reads the log until a line contains this text; that line. */
+  String awaitLog(String text) throws IOException {
+    StringBuilder skipped = new StringBuilder();
     for (String line = log.readLine(); line != null; line = log.readLine()) {
-      if (line.contains(part)) {
+      if (line.contains(text)) {
         return line;
       }
-      seen.append(line).append('\n');
+      skipped.append(line).append('\n');
     }
-    throw new AssertionError("never logged: " + part + "\n" + seen);
+    throw new AssertionError("never logged: " + text + "\n" + skipped);
+  }
+
+  private int awaitLoggedPort(String text) throws IOException {
+    Matcher logged = Pattern.compile(text + "[ =]/127.0.0.1:(\\d+)").matcher(awaitLog(text));
+    assertTrue(logged.find());
+    return Integer.parseInt(logged.group(1));
   }
 
   @Override
@@ -219,19 +211,19 @@
 
   @Override
   public void close() throws IOException {
-    if (started.isEmpty()) {
+    if (instances.isEmpty()) {
       process.destroyForcibly();
     } else {
       process.outputWriter().close();
     }
     process.onExit().join();
-    try (Stream<Path> left = Files.list(directory)) {
-      for (Path path : left.toList()) {
-        Files.delete(path);
+    try (Stream<Path> files = Files.list(temporaryDirectory)) {
+      for (Path file : files.toList()) {
+        Files.delete(file);
       }
     }
-    Files.delete(directory);
-    Files.delete(file);
+    Files.delete(temporaryDirectory);
+    Files.delete(configurationFile);
     super.close();
   }
 }
--- a/src/test/java/loomreel/program/ListenerSupervisor.java
+++ b/src/test/java/loomreel/program/ListenerSupervisor.java
@@ -9,14 +9,25 @@
 import java.util.List;
 
 /**
- * Holds the clients' listening socket as the platform does: every process that it starts inherits
- * it as descriptor 0. Each line on its standard input starts its arguments as a process, whose
- * number it prints; it ends with its input, and all of them with it. Java cannot hand over a socket
- * by itself, hence the calls of the C library.
+ * A supervisor process that owns the clients' listening socket, as the platform does: every process
+ * that it starts inherits the socket as descriptor 0, so that it outlives each of them.
+ *
+ * <p>Each line on its standard input starts its arguments as a command and prints the pid. At the
+ * end of the input it kills what it has started, and exits. Java cannot pass on a socket, hence the
+ * calls of the C library.
  */
 final class ListenerSupervisor {
-  /** The calls that are needed. */
-  public interface C extends Library {
+  private static final int AF_INET = 2;
+  private static final int SOCK_STREAM = 1;
+  private static final int BACKLOG = 64;
+
+  /** A {@code sockaddr_in}: IPv4, any port, 127.0.0.1. */
+  private static final byte[] ANY_LOOPBACK_PORT = {
+    AF_INET, 0, 0, 0, 127, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0
+  };
+
+  /** The functions of the C library that are called. */
+  public interface CLibrary extends Library {
     int dup(int descriptor);
 
     int dup2(int descriptor, int as);
@@ -31,21 +42,21 @@
   private ListenerSupervisor() {}
 
   public static void main(String[] command) throws Exception {
-    C c = Native.load("c", C.class);
-    int orders = c.dup(0);
-    int socket = c.socket(2, 1, 0);
-    byte[] anyPort = {2, 0, 0, 0, 127, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0};
-    if (c.bind(socket, anyPort, anyPort.length) != 0
-        || c.listen(socket, 64) != 0
+    CLibrary c = Native.load("c", CLibrary.class);
+    int input = c.dup(0);
+    int socket = c.socket(AF_INET, SOCK_STREAM, 0);
+    if (c.bind(socket, ANY_LOOPBACK_PORT, ANY_LOOPBACK_PORT.length) != 0
+        || c.listen(socket, BACKLOG) != 0
         || c.dup2(socket, 0) != 0) {
-      throw new IllegalStateException("no socket");
+      throw new IllegalStateException("cannot listen on descriptor 0");
     }
     List<Process> started = new ArrayList<>();
     try (BufferedReader lines =
-        new BufferedReader(new FileReader("/dev/fd/" + orders, StandardCharsets.UTF_8))) {
+        new BufferedReader(new FileReader("/dev/fd/" + input, StandardCharsets.UTF_8))) {
       while (lines.readLine() != null) {
-        started.add(new ProcessBuilder(command).inheritIO().start());
-        System.out.println(started.get(started.size() - 1).pid());
+        Process process = new ProcessBuilder(command).inheritIO().start();
+        started.add(process);
+        System.out.println(process.pid());
       }
     }
     for (Process process : started) {
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -35,17 +36,19 @@
   @EnumSource(Rest.class)
   void aJobIsTakenOnceTheHeadSaysSo(Rest rest) throws Exception {
     try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
-      DispatcherHarness.Job job = server.job("/issue", "");
-      int at = server.awaitSend();
-      Http.Message post = server.workers.get(at).next();
-      Http.write(post.from(), "HTTP/1.1 202 x\r\n" + rest.bytes);
+      SubmittedJob job = server.submit("/issue", "");
+      int at = server.awaitAttemptWorker();
+      HttpMessage post = server.workers.get(at).nextRequest();
+      HttpIo.write(post.connection(), "HTTP/1.1 202 x\r\n" + rest.bytes);
       if (rest.ends) {
-        post.from().shutdownOutput();
+        post.connection().shutdownOutput();
       }
-      server.workers.get(at).awaitEnd(post.from());
-      server.news(job.id(), "w" + at, "done", ",\"result\":\"once\"");
-      assertEquals("once", job.answer().body());
-      assertFalse(server.workers.get(1 - at).wasAsked(), "it was not lost, so nobody else gets it");
+      server.workers.get(at).awaitClosed(post.connection());
+      server.reportStatus(job.id(), "w" + at, "done", ",\"result\":\"once\"");
+      assertEquals("once", job.response().body());
+      assertFalse(
+          server.workers.get(1 - at).hasPendingRequest(),
+          "it was not lost, so nobody else gets it");
     }
   }
 
@@ -58,12 +61,12 @@
     try (StepControlledServer server =
         new StepControlledServer(
             1, c -> c.replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":0.25"))) {
-      DispatcherHarness.Job job = server.job("/issue", "");
-      Http.Message post = server.workers.get(0).next();
-      Http.write(post.from(), "HTTP/1.1 202 x\r\nTransfer-Encoding: chunked\r\n\r\n");
-      server.workers.get(0).awaitEnd(post.from());
-      server.news(job.id(), "w0", "done", ",\"result\":\"r\"");
-      assertEquals("r", job.answer().body());
+      SubmittedJob job = server.submit("/issue", "");
+      HttpMessage post = server.workers.get(0).nextRequest();
+      HttpIo.write(post.connection(), "HTTP/1.1 202 x\r\nTransfer-Encoding: chunked\r\n\r\n");
+      server.workers.get(0).awaitClosed(post.connection());
+      server.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
+      assertEquals("r", job.response().body());
     }
   }
 
@@ -71,13 +74,14 @@
   @Test
   void aRefusalThatIsCutIsNoProof() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
-      DispatcherHarness.Job job = server.job("/issue", "");
-      int at = server.awaitSend();
-      Http.Message post = server.workers.get(at).next();
-      Http.write(post.from(), "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 10\r\n\r\nabc");
-      post.from().close();
-      assertEquals(500, job.answer().status());
-      assertFalse(server.workers.get(1 - at).wasAsked());
+      SubmittedJob job = server.submit("/issue", "");
+      int at = server.awaitAttemptWorker();
+      HttpMessage post = server.workers.get(at).nextRequest();
+      HttpIo.write(
+          post.connection(), "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 10\r\n\r\nabc");
+      post.connection().close();
+      assertEquals(500, job.response().status());
+      assertFalse(server.workers.get(1 - at).hasPendingRequest());
     }
   }
 
@@ -88,11 +92,13 @@
   @Test
   void aCancelThatCrossesThe202IsSaidAfterIt() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1, c -> c)) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      Http.Message post = server.workers.get(0).next();
-      server.at("cancel", () -> post.answer(202, ""));
-      job.socket().close();
-      assertEquals("DELETE /jobs/" + job.id() + " HTTP/1.1", server.workers.get(0).next().first());
+      SubmittedJob job = server.submit("/copy", "");
+      HttpMessage post = server.workers.get(0).nextRequest();
+      server.onStep(Step.CANCELLATION_SENT, () -> post.respond(202, ""));
+      job.connection().close();
+      assertEquals(
+          "DELETE /jobs/" + job.id() + " HTTP/1.1",
+          server.workers.get(0).nextRequest().startLine());
     }
   }
 
@@ -100,19 +106,22 @@
   @Test
   void doneThatCrossesALostAttemptIsActedOnOnce() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
-      DispatcherHarness.Job job = server.job("/copy", "");
-      int at = server.awaitSend();
-      Http.Message first = server.workers.get(at).next();
-      first.answer(202, "");
-      server.news(job.id(), "w" + at, "lost", "");
-      Http.Message second = server.workers.get(1 - at).next();
-      assertEquals(200, server.news(job.id(), "w" + at, "done", ",\"result\":\"of the lost one\""));
-      assertEquals(200, server.news(job.id(), "w" + at, "returned", ""));
-      second.answer(202, "");
+      SubmittedJob job = server.submit("/copy", "");
+      int at = server.awaitAttemptWorker();
+      HttpMessage first = server.workers.get(at).nextRequest();
+      first.respond(202, "");
+      server.reportStatus(job.id(), "w" + at, "lost", "");
+      HttpMessage second = server.workers.get(1 - at).nextRequest();
+      assertEquals(
+          200, server.reportStatus(job.id(), "w" + at, "done", ",\"result\":\"of the lost one\""));
+      assertEquals(200, server.reportStatus(job.id(), "w" + at, "returned", ""));
+      second.respond(202, "");
+      assertEquals(
+          200,
+          server.reportStatus(job.id(), "w" + (1 - at), "done", ",\"result\":\"of the second\""));
       assertEquals(
-          200, server.news(job.id(), "w" + (1 - at), "done", ",\"result\":\"of the second\""));
-      assertEquals(200, server.news(job.id(), "w" + (1 - at), "done", ",\"result\":\"once more\""));
-      assertEquals("of the second", job.answer().body());
+          200, server.reportStatus(job.id(), "w" + (1 - at), "done", ",\"result\":\"once more\""));
+      assertEquals("of the second", job.response().body());
     }
   }
 }
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -15,7 +15,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -26,22 +25,23 @@
 
   @Test
   void everyAnswerIsCountedOnceUnderItsClass() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(2, false)) {
-      assertEquals(200, program.operate(0, "GET", "readiness", "").status());
-      assertEquals(0, program.figure(0, "failure.issue"), "what has not happened is there as well");
-      DispatcherHarness.Job job = program.job("/copy", "");
-      Http.Message post = next(program);
-      assertEquals(1, program.figure(0, "inflight"));
-      assertEquals(1, program.figure(0, "backend_calls"));
-      post.from().close();
-      next(program).answer(202, "");
-      program.news(job.id(), "w0", "done", ",\"result\":\"r\"");
-      program.news(job.id(), "w1", "done", ",\"result\":\"r\"");
-      assertEquals(200, job.answer().status());
-      job = program.job("/issue", "");
-      next(program).answer(500, "");
-      assertEquals(500, job.answer().status());
-      assertEquals(503, program.job(program.connect(), "/copy", 1, "").answer().status());
+    try (DispatcherProcess program = DispatcherProcess.managed(2)) {
+      assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
+      assertEquals(
+          0, program.statistic(0, "failure.issue"), "what has not happened is there as well");
+      SubmittedJob job = program.submit("/copy", "");
+      HttpMessage post = program.workers.get(program.awaitWorkerWithRequest()).nextRequest();
+      assertEquals(1, program.statistic(0, "inflight"));
+      assertEquals(1, program.statistic(0, "backend_calls"));
+      post.connection().close();
+      program.workers.get(program.awaitWorkerWithRequest()).nextRequest().respond(202, "");
+      program.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
+      program.reportStatus(job.id(), "w1", "done", ",\"result\":\"r\"");
+      assertEquals(200, job.response().status());
+      job = program.submit("/issue", "");
+      program.workers.get(program.awaitWorkerWithRequest()).nextRequest().respond(500, "");
+      assertEquals(500, job.response().status());
+      assertEquals(503, program.submit(program.connect(), "/copy", 1, "").response().status());
       program.configure("{");
       program.signal("HUP");
       program.awaitLog("configuration reload rejected");
@@ -60,30 +60,22 @@
         "reconfig_failed"
       };
       for (int i = 0; i < names.length; i++) {
-        assertEquals(figures[i], program.figure(0, names[i]), names[i]);
+        assertEquals(figures[i], program.statistic(0, names[i]), names[i]);
       }
     }
   }
 
-  /** The next request to either copy worker. */
-  private static Http.Message next(DispatcherProcess program) throws Exception {
-    while (!program.workers.get(0).wasAsked() && !program.workers.get(1).wasAsked()) {
-      Thread.sleep(1);
-    }
-    return program.workers.get(program.workers.get(0).wasAsked() ? 0 : 1).next();
-  }
-
   @Test
   void operatorsAreHeardWhateverElseCalls() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(1, false)) {
-      assertEquals(404, program.operate(0, "GET", "nothing", "").status());
-      assertEquals(405, program.operate(0, "GET", "drain/start", "").status());
-      assertEquals(405, program.operate(0, "POST", "stats", "").status());
+    try (DispatcherProcess program = DispatcherProcess.managed(1)) {
+      assertEquals(404, program.callManagement(0, "GET", "nothing", "").status());
+      assertEquals(405, program.callManagement(0, "GET", "drain/start", "").status());
+      assertEquals(405, program.callManagement(0, "POST", "stats", "").status());
       List<Socket> silent = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        silent.add(program.connect(program.operators.get(0)));
-        Http.write(silent.get(i), i % 2 == 0 ? "" : "GET /ops/sta");
-        assertEquals(200, program.operate(0, "GET", "readiness", "").status());
+        silent.add(HttpIo.connect(program.managementPorts.get(0)));
+        HttpIo.write(silent.get(i), i % 2 == 0 ? "" : "GET /ops/sta");
+        assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
       }
       assertTrue(silent.get(0).getInputStream().read() < 0, "the oldest has made room");
     }
@@ -92,43 +84,43 @@
   /** Clients are sent away and come back; copy workers' news comes in throughout. */
   @Test
   void aDrainSendsClientsAwayUntilItIsStopped() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(1, false);
+    try (DispatcherProcess program = DispatcherProcess.managed(1);
         Socket news = program.connect()) {
-      DispatcherHarness.Job idle = program.job("/copy", "");
-      program.serve(0, "before");
-      assertEquals("before", idle.answer().body());
-      DispatcherHarness.Job held = program.job("/copy", "");
-      Http.Message post = program.workers.get(0).next();
-      post.answer(202, "");
+      SubmittedJob idle = program.submit("/copy", "");
+      program.serveNextJob(0, "before");
+      assertEquals("before", idle.response().body());
+      SubmittedJob held = program.submit("/copy", "");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      post.respond(202, "");
       report(news, held.id(), "running");
-      assertEquals(200, program.operate(0, "POST", "drain/start", "").status());
-      Http.Message no = program.request(READY, "");
+      assertEquals(200, program.callManagement(0, "POST", "drain/start", "").status());
+      HttpMessage no = program.request(READY, "");
       assertEquals(503, no.status());
-      assertNull(Http.read(idle.socket()), "it is not kept");
-      assertEquals(503, program.job("/copy", "").answer().status(), "nothing more is taken");
+      assertNull(HttpIo.read(idle.connection()), "it is not kept");
+      assertEquals(503, program.submit("/copy", "").response().status(), "nothing more is taken");
       report(news, held.id(), "done");
-      Http.Message answer = held.answer();
+      HttpMessage answer = held.response();
       assertEquals("r", answer.body());
       assertEquals("close", answer.header("Connection"));
-      assertEquals(200, program.operate(0, "GET", "readiness", "").status());
-      assertEquals(200, program.operate(0, "POST", "drain/stop", "").status());
+      assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
+      assertEquals(200, program.callManagement(0, "POST", "drain/stop", "").status());
       assertEquals(200, program.request(READY, "").status());
-      DispatcherHarness.Job after = program.job("/copy", "");
-      program.serve(0, "after");
-      assertNull(after.answer().header("Connection"));
+      SubmittedJob after = program.submit("/copy", "");
+      program.serveNextJob(0, "after");
+      assertNull(after.response().header("Connection"));
     }
   }
 
   private static void report(Socket on, String id, String state) throws Exception {
     String body =
         "{\"id\":\"" + id + "\",\"from\":\"w0\",\"state\":\"" + state + "\",\"result\":\"r\"}";
-    Http.write(
+    HttpIo.write(
         on,
         "POST /_jobs/news HTTP/1.1\r\nHost: x\r\nContent-Length: "
             + body.length()
             + "\r\n\r\n"
             + body);
-    Http.Message answer = Http.read(on);
+    HttpMessage answer = HttpIo.read(on);
     assertEquals(200, answer.status());
     assertNull(answer.header("Connection"), "copy workers keep their connections");
   }
@@ -139,21 +131,24 @@
    */
   @Test
   void aCopyWorkerThatIsDownGetsNothing() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(2, false)) {
-      assertEquals(404, program.operate(0, "POST", "copy-workers/down", "w2").status());
-      assertEquals(404, program.operate(0, "POST", "copy-workers/up", "").status());
-      assertEquals(200, program.operate(0, "POST", "copy-workers/down", "w0").status());
-      assertEquals(200, program.operate(0, "POST", "copy-workers/down", "w0").status());
-      assertEquals(1, program.figure(0, "hosts_down"));
-      program.discovery.next().answer(200, program.list(43, false, "DELETED", "SERVING"));
-      program.discovery.next().answer(200, program.list(44, false, "SERVING"));
-      program.discovery.next();
-      program.allGoTo(1, 8);
-      assertEquals(200, program.operate(0, "POST", "copy-workers/up", "w0").status());
-      assertEquals(0, program.figure(0, "hosts_down"));
-      assertEquals(200, program.operate(0, "POST", "copy-workers/down", "w1").status());
+    try (DispatcherProcess program = DispatcherProcess.managed(2)) {
+      assertEquals(404, program.callManagement(0, "POST", "copy-workers/down", "w2").status());
+      assertEquals(404, program.callManagement(0, "POST", "copy-workers/up", "").status());
+      assertEquals(200, program.callManagement(0, "POST", "copy-workers/down", "w0").status());
+      assertEquals(200, program.callManagement(0, "POST", "copy-workers/down", "w0").status());
+      assertEquals(1, program.statistic(0, "hosts_down"));
+      program
+          .discovery
+          .nextRequest()
+          .respond(200, program.endpointList(43, false, "DELETED", "SERVING"));
+      program.discovery.nextRequest().respond(200, program.endpointList(44, false, "SERVING"));
+      program.discovery.nextRequest();
+      program.assertAllServedBy(1, 8);
+      assertEquals(200, program.callManagement(0, "POST", "copy-workers/up", "w0").status());
+      assertEquals(0, program.statistic(0, "hosts_down"));
+      assertEquals(200, program.callManagement(0, "POST", "copy-workers/down", "w1").status());
       // Cold, but one may go there at once.
-      program.allGoTo(0, 1);
+      program.assertAllServedBy(0, 1);
     }
   }
 
@@ -165,37 +160,37 @@
   // Not split yet; listed in docs/ROADMAP.md.
   @SuppressWarnings("checkstyle:MethodLength")
   void anUpgradeLosesNothingAndForgetsNothing() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(2, true)) {
-      assertEquals(200, program.operate(0, "POST", "copy-workers/down", "w0").status());
-      DispatcherHarness.Job held = program.job("/issue", "");
-      program.workers.get(1).next().answer(202, "");
-      DispatcherHarness.Job late = program.job("/issue", "");
-      program.workers.get(1).next().answer(202, "");
-      DispatcherHarness.Job idle = program.job("/copy", "");
-      program.serve(1, "r");
-      assertEquals("r", idle.answer().body());
-      program.upgrade();
-      assertEquals(200, program.operate(1, "POST", "copy-workers/down", "w1").status());
-      assertEquals(200, program.operate(1, "POST", "copy-workers/up", "w0").status());
-      while (program.figure(0, "hosts_down") != 1) {
+    try (DispatcherProcess program = DispatcherProcess.supervised(2)) {
+      assertEquals(200, program.callManagement(0, "POST", "copy-workers/down", "w0").status());
+      SubmittedJob held = program.submit("/issue", "");
+      program.workers.get(1).nextRequest().respond(202, "");
+      SubmittedJob late = program.submit("/issue", "");
+      program.workers.get(1).nextRequest().respond(202, "");
+      SubmittedJob idle = program.submit("/copy", "");
+      program.serveNextJob(1, "r");
+      assertEquals("r", idle.response().body());
+      program.startSuccessor();
+      assertEquals(200, program.callManagement(1, "POST", "copy-workers/down", "w1").status());
+      assertEquals(200, program.callManagement(1, "POST", "copy-workers/up", "w0").status());
+      while (program.statistic(0, "hosts_down") != 1) {
         Thread.sleep(1);
       }
-      assertEquals(200, program.operate(1, "POST", "copy-workers/up", "w1").status());
-      assertEquals(200, program.operate(1, "POST", "copy-workers/down", "w0").status());
-      program.started.get(0).destroy();
+      assertEquals(200, program.callManagement(1, "POST", "copy-workers/up", "w1").status());
+      assertEquals(200, program.callManagement(1, "POST", "copy-workers/down", "w0").status());
+      program.instances.get(0).destroy();
       program.awaitLog("graceful shutdown started successor=true");
-      idle = program.job(idle.socket(), "/copy", 20_000, "");
-      program.serve(1, "kept");
-      Http.Message answer = idle.answer();
+      idle = program.submit(idle.connection(), "/copy", 20_000, "");
+      program.serveNextJob(1, "kept");
+      HttpMessage answer = idle.response();
       assertEquals("kept", answer.body());
       assertEquals("close", answer.header("Connection"));
       // From here on new connections come to the new process alone, and so does this news of the
       // old one's job.
-      DispatcherHarness.Job fresh = program.job("/copy", "");
-      program.serve(1, "new");
-      assertNull(fresh.answer().header("Connection"));
-      assertEquals(200, program.news(held.id(), "w1", "done", ",\"result\":\"passed on\""));
-      answer = held.answer();
+      SubmittedJob fresh = program.submit("/copy", "");
+      program.serveNextJob(1, "new");
+      assertNull(fresh.response().header("Connection"));
+      assertEquals(200, program.reportStatus(held.id(), "w1", "done", ",\"result\":\"passed on\""));
+      answer = held.response();
       assertEquals("passed on", answer.body());
       assertEquals("close", answer.header("Connection"));
       assertEquals(
@@ -208,14 +203,14 @@
                   "")
               .status(),
           "the old process holds this id");
-      assertEquals(200, program.news(late.id(), "w1", "done", ",\"result\":\"\""));
-      assertEquals(200, late.answer().status());
-      program.started.get(0).onExit().get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
-      assertEquals(200, program.operate(1, "POST", "drain/start", "").status());
-      program.upgrade();
-      assertEquals(1, program.figure(2, "hosts_down"));
+      assertEquals(200, program.reportStatus(late.id(), "w1", "done", ",\"result\":\"\""));
+      assertEquals(200, late.response().status());
+      program.awaitExit(0);
+      assertEquals(200, program.callManagement(1, "POST", "drain/start", "").status());
+      program.startSuccessor();
+      assertEquals(1, program.statistic(2, "hosts_down"));
       assertEquals(503, program.request(READY, "").status());
-      assertEquals(200, program.operate(2, "POST", "drain/stop", "").status());
+      assertEquals(200, program.callManagement(2, "POST", "drain/stop", "").status());
       // Either process may answer this, and the older one is told a moment later.
       while (program.request(READY, "").status() != 200) {
         Thread.sleep(1);
@@ -229,33 +224,32 @@
    */
   @Test
   void whoWaitsAtTheDoorOverAKillIsServed() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(1, true)) {
-      DispatcherHarness.Job cut = program.job("/copy", "");
-      program.workers.get(0).next().answer(202, "");
-      program.started.get(0).destroyForcibly();
-      program.started.get(0).onExit().get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    try (DispatcherProcess program = DispatcherProcess.supervised(1)) {
+      SubmittedJob cut = program.submit("/copy", "");
+      program.workers.get(0).nextRequest().respond(202, "");
+      program.killInstance(0);
       assertThrows(
           IOException.class,
           () -> {
-            if (cut.answer() == null) {
+            if (cut.response() == null) {
               throw new EOFException();
             }
           });
-      List<DispatcherHarness.Job> waiting = new ArrayList<>();
+      List<SubmittedJob> waiting = new ArrayList<>();
       for (int i = 0; i < 24; i++) {
-        waiting.add(program.job(i % 2 == 0 ? "/copy" : "/issue", ""));
+        waiting.add(program.submit(i % 2 == 0 ? "/copy" : "/issue", ""));
       }
-      program.upgrade();
+      program.startSuccessor();
       Set<String> served = new HashSet<>();
       for (int i = 0; i < waiting.size(); i++) {
-        Http.Message post = program.workers.get(0).next();
-        post.answer(202, "");
+        HttpMessage post = program.workers.get(0).nextRequest();
+        post.respond(202, "");
         String id = post.header("X-Call-Id");
         assertTrue(served.add(id), id + " is sent twice");
-        assertEquals(200, program.news(id, "w0", "done", ",\"result\":\"" + id + "\""));
+        assertEquals(200, program.reportStatus(id, "w0", "done", ",\"result\":\"" + id + "\""));
       }
-      for (DispatcherHarness.Job job : waiting) {
-        assertEquals(job.id(), job.answer().body());
+      for (SubmittedJob job : waiting) {
+        assertEquals(job.id(), job.response().body());
       }
     }
   }
@@ -263,7 +257,7 @@
   @Test
   void onlyDescriptor0CanBeHandedOver() throws Exception {
     Path file = Files.createTempFile("loomreel", ".json");
-    ProcessBuilder builder = DispatcherProcess.builder(file, "serve", "");
+    ProcessBuilder builder = ProgramCommand.of(file, "serve", "");
     builder.environment().put("BALANCER_LISTEN_FD", "3");
     Process process = builder.start();
     assertTrue(
--- a/src/test/java/loomreel/program/SampleDeploymentsTest.java
+++ b/src/test/java/loomreel/program/SampleDeploymentsTest.java
@@ -103,16 +103,16 @@
   }
 
   /** What a copy worker is handed next; where it is only asked for its load, it has room. */
-  private static Http.Message nextJob(DispatcherHarness stage, int[] at) throws Exception {
+  private static HttpMessage nextJob(DispatcherHarness stage, int[] at) throws Exception {
     while (true) {
       for (int i = 0; i < stage.workers.size(); i++) {
-        if (stage.workers.get(i).wasAsked()) {
-          Http.Message next = stage.workers.get(i).next();
-          if (next.first().startsWith("POST")) {
+        if (stage.workers.get(i).hasPendingRequest()) {
+          HttpMessage next = stage.workers.get(i).nextRequest();
+          if (next.startLine().startsWith("POST")) {
             at[0] = i;
             return next;
           }
-          next.answer(200, "TEXT inflight=0, queue=0, util=0.1, x0=4");
+          next.respond(200, "TEXT inflight=0, queue=0, util=0.1, x0=4");
         }
       }
       Thread.onSpinWait();
@@ -132,32 +132,33 @@
     int[] at = new int[1];
     try (StepControlledServer server = new StepControlledServer(3, c -> c, settings(site))) {
       for (boolean reset : new boolean[] {false, true}) {
-        DispatcherHarness.Job job =
-            server.keyed("/" + type.get("name").asText() + "/1", "key-" + reset);
-        Http.Message post = nextJob(server, at);
+        SubmittedJob job =
+            server.submitWithKey("/" + type.get("name").asText() + "/1", "key-" + reset);
+        HttpMessage post = nextJob(server, at);
         assertEquals("key-" + reset, post.header("Idempotency-Key"));
         if (reset) {
           int first = at[0];
-          post.from().close();
+          post.connection().close();
           if (effect.equals("unsafe")) {
-            assertEquals(500, job.answer().status());
+            assertEquals(500, job.response().status());
             continue;
           }
           post = nextJob(server, at);
           assertTrue(at[0] != first, "not to the same one again");
         }
         assertEquals(job.id(), post.header("X-Call-Id"));
-        post.answer(202, "");
+        post.respond(202, "");
         assertEquals(
             200,
-            server.news(job.id(), "w" + at[0], "done", ",\"result\":\"" + name + reset + "\""));
-        assertEquals(name + reset, job.answer().body());
+            server.reportStatus(
+                job.id(), "w" + at[0], "done", ",\"result\":\"" + name + reset + "\""));
+        assertEquals(name + reset, job.response().body());
       }
       assertEquals(
           404,
-          server.job("/copy", "").answer().status(),
+          server.submit("/copy", "").response().status(),
           "a class of another deployment is none here");
-      assertFalse(server.workers.stream().anyMatch(w -> w.posted()));
+      assertFalse(server.workers.stream().anyMatch(w -> w.hasPendingJob()));
     }
   }
 }
--- a/src/test/java/loomreel/program/ServeTest.java
+++ b/src/test/java/loomreel/program/ServeTest.java
@@ -32,17 +32,18 @@
   void aJobGoesOutUnchangedAndItsResultComesBack() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
-      DispatcherHarness.Job job = program.job("/copy/page?n=1", "the body");
-      Http.Message post = program.workers.get(0).next();
-      assertEquals("POST /copy/page?n=1 HTTP/1.1", post.first());
+      SubmittedJob job = program.submit("/copy/page?n=1", "the body");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      assertEquals("POST /copy/page?n=1 HTTP/1.1", post.startLine());
       assertEquals("the body", post.body());
       assertEquals(job.id(), post.header("X-Call-Id"));
       int budget = Integer.parseInt(post.header("X-Budget-Ms"));
       assertTrue(budget > 0 && budget <= 20_000, "budget " + budget);
-      post.answer(202, "");
-      assertEquals(200, program.news(job.id(), "w0", "running", ",\"share\":0.4"));
-      assertEquals(200, program.news(job.id(), "w0", "done", ",\"result\":\"r\\u00e9sultat\""));
-      Http.Message answer = job.answer();
+      post.respond(202, "");
+      assertEquals(200, program.reportStatus(job.id(), "w0", "running", ",\"share\":0.4"));
+      assertEquals(
+          200, program.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\\u00e9sultat\""));
+      HttpMessage answer = job.response();
       assertEquals(200, answer.status());
       assertEquals("résultat", answer.body());
     }
@@ -65,25 +66,25 @@
     try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::keyedClass);
         Socket client = program.connect()) {
       String key = "5c0f6e1a-2b3d, \"x\"; ~";
-      Http.write(
+      HttpIo.write(
           client,
           "POST /hold/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: 00000000000000cc\r\nX-Budget-Ms: 20000\r\n"
               + (keyed ? "idempotency-KEY: " + key + "\r\n" : "")
               + "Content-Length: 4\r\n\r\nbody");
-      int at = asked(program);
-      Http.Message first = program.workers.get(at).next();
+      int at = program.awaitWorkerWithRequest();
+      HttpMessage first = program.workers.get(at).nextRequest();
       assertEquals(keyed ? key : null, first.header("Idempotency-Key"));
-      first.from().close();
+      first.connection().close();
       if (keyed) {
-        Http.Message second = program.workers.get(1 - at).next();
+        HttpMessage second = program.workers.get(1 - at).nextRequest();
         assertEquals(key, second.header("Idempotency-Key"));
         assertEquals("body", second.body());
-        second.answer(202, "");
-        program.news("00000000000000cc", "w" + (1 - at), "done", ",\"result\":\"held\"");
-        assertEquals("held", Http.read(client).body());
+        second.respond(202, "");
+        program.reportStatus("00000000000000cc", "w" + (1 - at), "done", ",\"result\":\"held\"");
+        assertEquals("held", HttpIo.read(client).body());
       } else {
-        assertEquals(500, Http.read(client).status());
-        assertFalse(program.workers.get(1 - at).wasAsked());
+        assertEquals(500, HttpIo.read(client).status());
+        assertFalse(program.workers.get(1 - at).hasPendingRequest());
       }
     }
   }
@@ -97,12 +98,12 @@
   /**
    * Answers with a list until the program goes on from it: it asks again when this machine is slow.
    */
-  private static Http.Message untilItHas(DispatcherProcess program, int seq, String list)
+  private static HttpMessage untilItHas(DispatcherProcess program, int seq, String list)
       throws Exception {
-    Http.Message call = program.discovery.next();
-    while (!call.first().contains("?from=" + seq + "&")) {
-      call.answer(200, list);
-      call = program.discovery.next();
+    HttpMessage call = program.discovery.nextRequest();
+    while (!call.startLine().contains("?from=" + seq + "&")) {
+      call.respond(200, list);
+      call = program.discovery.nextRequest();
     }
     return call;
   }
@@ -114,22 +115,22 @@
   @Test
   void aPushedListIsTakenBeforeTheFirstJobGoesOut() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
-      Http.Message whole = program.discovery.next();
-      assertEquals("GET /registry/instances HTTP/1.1", whole.first());
-      List<DispatcherHarness.Job> jobs = new ArrayList<>();
+      HttpMessage whole = program.discovery.nextRequest();
+      assertEquals("GET /registry/instances HTTP/1.1", whole.startLine());
+      List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
-        jobs.add(program.job("/copy/" + i, ""));
+        jobs.add(program.submit("/copy/" + i, ""));
       }
-      String list = program.list(7, true, "DRAINING", "SERVING").replace(",", ",\n  ");
-      whole.answer(200, list);
+      String list = program.endpointList(7, true, "DRAINING", "SERVING").replace(",", ",\n  ");
+      whole.respond(200, list);
       untilItHas(program, 7, list);
       for (int i = 0; i < jobs.size(); i++) {
-        program.serve(1, "served");
+        program.serveNextJob(1, "served");
       }
-      for (DispatcherHarness.Job job : jobs) {
-        assertEquals("served", job.answer().body());
+      for (SubmittedJob job : jobs) {
+        assertEquals("served", job.response().body());
       }
-      assertFalse(program.workers.get(0).wasAsked());
+      assertFalse(program.workers.get(0).hasPendingRequest());
     }
   }
 
@@ -141,21 +142,22 @@
   @ValueSource(strings = {"silent", "503", "closed", "cut"})
   void aPushedListIsAskedForAgainOnANewConnectionWithinTheGrace(String how) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
-      Http.Message watch = untilItHas(program, 41, program.list(41, true, "SERVING"));
+      HttpMessage watch = untilItHas(program, 41, program.endpointList(41, true, "SERVING"));
       for (int i = 0; i < 3; i++) {
-        int hold = Integer.parseInt(watch.first().replaceAll(".*hold_ms=(\\d+).*", "$1"));
-        assertTrue(watch.first().contains("?from=41&") && hold <= 2500, watch.first());
+        int hold = Integer.parseInt(watch.startLine().replaceAll(".*hold_ms=(\\d+).*", "$1"));
+        assertTrue(watch.startLine().contains("?from=41&") && hold <= 2500, watch.startLine());
         switch (how) {
-          case "503" -> watch.answer(503, "");
-          case "cut" -> watch.answer(200, program.list(44, true, "DRAINING").substring(0, 40));
-          case "closed" -> watch.from().close();
-          default -> program.discovery.awaitEnd(watch.from());
+          case "503" -> watch.respond(503, "");
+          case "cut" ->
+              watch.respond(200, program.endpointList(44, true, "DRAINING").substring(0, 40));
+          case "closed" -> watch.connection().close();
+          default -> program.discovery.awaitClosed(watch.connection());
         }
-        watch = program.discovery.next();
+        watch = program.discovery.nextRequest();
       }
-      watch.answer(200, program.list(43, false, "DRAINING", "SERVING"));
-      untilItHas(program, 43, program.list(43, false, "DRAINING", "SERVING"));
-      program.allGoTo(1, 8);
+      watch.respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
+      untilItHas(program, 43, program.endpointList(43, false, "DRAINING", "SERVING"));
+      program.assertAllServedBy(1, 8);
     }
   }
 
@@ -165,11 +167,11 @@
   @Test
   void aSilentAgentIsNotWaitedForForEver() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false, ServeTest::pushed)) {
-      program.discovery.next();
-      DispatcherHarness.Job job = program.job("/copy", "");
+      program.discovery.nextRequest();
+      SubmittedJob job = program.submit("/copy", "");
       assertTrue(program.awaitLog("discovery agent silent").contains("last known endpoint list"));
-      program.serve(0, "held");
-      assertEquals("held", job.answer().body());
+      program.serveNextJob(0, "held");
+      assertEquals("held", job.response().body());
     }
   }
 
@@ -180,16 +182,19 @@
   @Test
   void aListThatComesLateOnASilentWatchIsNotTaken() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
-      Http.Message silent = untilItHas(program, 41, program.list(41, true, "SERVING"));
-      program.discovery.awaitEnd(silent.from());
+      HttpMessage silent = untilItHas(program, 41, program.endpointList(41, true, "SERVING"));
+      program.discovery.awaitClosed(silent.connection());
       try {
-        silent.answer(200, program.list(50, true, "SERVING", "DRAINING"));
+        silent.respond(200, program.endpointList(50, true, "SERVING", "DRAINING"));
       } catch (SocketException gone) {
         // That is as good as not being read.
       }
-      program.discovery.next().answer(200, program.list(43, false, "DRAINING", "SERVING"));
-      untilItHas(program, 43, program.list(43, false, "DRAINING", "SERVING"));
-      program.allGoTo(1, 8);
+      program
+          .discovery
+          .nextRequest()
+          .respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
+      untilItHas(program, 43, program.endpointList(43, false, "DRAINING", "SERVING"));
+      program.assertAllServedBy(1, 8);
     }
   }
 
@@ -200,11 +205,11 @@
   @Test
   void aListThatIsAnsweredTwiceCountsOnce() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false)) {
-      Http.Message watch = program.discovery.next();
-      String first = program.list(43, false, "DRAINING", "SERVING");
-      String second = program.list(44, false, "SERVING", "DRAINING");
-      Http.write(
-          watch.from(),
+      HttpMessage watch = program.discovery.nextRequest();
+      String first = program.endpointList(43, false, "DRAINING", "SERVING");
+      String second = program.endpointList(44, false, "SERVING", "DRAINING");
+      HttpIo.write(
+          watch.connection(),
           "HTTP/1.1 200 x\r\nContent-Length: "
               + first.length()
               + "\r\n\r\n"
@@ -213,10 +218,10 @@
               + second.length()
               + "\r\n\r\n"
               + second);
-      Http.Message next = program.discovery.next();
-      assertTrue(next.first().contains("?from=43&"), next.first());
-      assertNotSame(watch.from(), next.from());
-      program.allGoTo(1, 8);
+      HttpMessage next = program.discovery.nextRequest();
+      assertTrue(next.startLine().contains("?from=43&"), next.startLine());
+      assertNotSame(watch.connection(), next.connection());
+      program.assertAllServedBy(1, 8);
     }
   }
 
@@ -228,18 +233,18 @@
   void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       for (int i = 0; i < 4; i++) {
-        DispatcherHarness.Job job = program.job("/issue", "");
-        Http.Message post = program.workers.get(0).next();
-        Http.write(
-            post.from(),
+        SubmittedJob job = program.submit("/issue", "");
+        HttpMessage post = program.workers.get(0).nextRequest();
+        HttpIo.write(
+            post.connection(),
             "HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"
                 + "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
-        program.workers.get(0).awaitEnd(post.from());
-        program.news(job.id(), "w0", "done", ",\"result\":\"once\"");
-        assertEquals("once", job.answer().body());
+        program.workers.get(0).awaitClosed(post.connection());
+        program.reportStatus(job.id(), "w0", "done", ",\"result\":\"once\"");
+        assertEquals("once", job.response().body());
       }
-      assertEquals(4, program.workers.get(0).connections(), "none of them was used again");
-      assertFalse(program.workers.get(0).wasAsked());
+      assertEquals(4, program.workers.get(0).connectionCount(), "none of them was used again");
+      assertFalse(program.workers.get(0).hasPendingRequest());
     }
   }
 
@@ -247,21 +252,22 @@
   @Test
   void newsIsActedOnOnceAndAlwaysAnswered() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      DispatcherHarness.Job first = program.job("/copy", "");
-      Http.Message post = program.workers.get(0).next();
-      assertEquals(200, program.news(first.id(), "w7", "done", ",\"result\":\"not from there\""));
-      assertEquals(200, program.news(first.id(), "w0", "done", ",\"result\":\"early\""));
-      assertEquals("early", first.answer().body());
-      post.answer(202, "");
-      assertEquals(200, program.news(first.id(), "w0", "done", ",\"result\":\"again\""));
-      assertEquals(200, program.news("00000000000000ff", "w0", "failed", ""));
+      SubmittedJob first = program.submit("/copy", "");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      assertEquals(
+          200, program.reportStatus(first.id(), "w7", "done", ",\"result\":\"not from there\""));
+      assertEquals(200, program.reportStatus(first.id(), "w0", "done", ",\"result\":\"early\""));
+      assertEquals("early", first.response().body());
+      post.respond(202, "");
+      assertEquals(200, program.reportStatus(first.id(), "w0", "done", ",\"result\":\"again\""));
+      assertEquals(200, program.reportStatus("00000000000000ff", "w0", "failed", ""));
       assertEquals(400, program.request("POST /_jobs/news HTTP/1.1\r\nHost: x\r\n", "[1").status());
-      DispatcherHarness.Job second = program.job(first.socket(), "/copy", 20_000, "");
-      Http.Message next = program.workers.get(0).next();
-      assertSame(post.from(), next.from(), "the connection is used again");
-      next.answer(202, "");
-      program.news(second.id(), "w0", "done", ",\"result\":\"second\"");
-      assertEquals("second", second.answer().body());
+      SubmittedJob second = program.submit(first.connection(), "/copy", 20_000, "");
+      HttpMessage next = program.workers.get(0).nextRequest();
+      assertSame(post.connection(), next.connection(), "the connection is used again");
+      next.respond(202, "");
+      program.reportStatus(second.id(), "w0", "done", ",\"result\":\"second\"");
+      assertEquals("second", second.response().body());
     }
   }
 
@@ -284,24 +290,25 @@
   void anotherAttemptIsMadeAsClassAndOutcomeAllow(String requestClass, String outcome, int status)
       throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false)) {
-      DispatcherHarness.Job job = program.job("/" + requestClass, "b");
-      int at = asked(program);
-      Http.Message post = program.workers.get(at).next();
+      SubmittedJob job = program.submit("/" + requestClass, "b");
+      int at = program.awaitWorkerWithRequest();
+      HttpMessage post = program.workers.get(at).nextRequest();
       switch (outcome) {
-        case "reset" -> post.from().close();
-        case "500" -> post.answer(500, "");
-        case "turned away" -> post.answer(503, "", "X-Rejected: 1");
-        case "garbage" -> Http.write(post.from(), "\0\1 what?\r\n\r\n");
+        case "reset" -> post.connection().close();
+        case "500" -> post.respond(500, "");
+        case "turned away" -> post.respond(503, "", "X-Rejected: 1");
+        case "garbage" -> HttpIo.write(post.connection(), "\0\1 what?\r\n\r\n");
         default -> {
-          post.answer(202, "");
-          program.news(job.id(), "w" + at, outcome, "");
+          post.respond(202, "");
+          program.reportStatus(job.id(), "w" + at, outcome, "");
         }
       }
       if (status == 200) {
-        program.serve(1 - at, "elsewhere");
+        program.serveNextJob(1 - at, "elsewhere");
       }
-      assertEquals(status, job.answer().status());
-      assertFalse(program.workers.get(0).wasAsked() || program.workers.get(1).wasAsked());
+      assertEquals(status, job.response().status());
+      assertFalse(
+          program.workers.get(0).hasPendingRequest() || program.workers.get(1).hasPendingRequest());
     }
   }
 
@@ -315,24 +322,13 @@
     try (DispatcherProcess program =
         new DispatcherProcess(
             1, false, s -> s.replace("\"TargetS\":20", "\"TargetS\":0.1,\"AimStretch\":1000"))) {
-      DispatcherHarness.Job job = program.job("/issue", "");
-      program.workers.get(0).next().answer(202, "");
-      program.news(job.id(), "w0", "returned", "");
-      program.workers.get(0).next().answer(202, "");
-      program.news(job.id(), "w0", "returned", "");
-      assertEquals(500, job.answer().status());
-      assertFalse(program.workers.get(0).wasAsked());
-    }
-  }
-
-  private static int asked(DispatcherProcess program) throws InterruptedException {
-    while (true) {
-      for (int i = 0; i < program.workers.size(); i++) {
-        if (program.workers.get(i).wasAsked()) {
-          return i;
-        }
-      }
-      Thread.sleep(1);
+      SubmittedJob job = program.submit("/issue", "");
+      program.workers.get(0).nextRequest().respond(202, "");
+      program.reportStatus(job.id(), "w0", "returned", "");
+      program.workers.get(0).nextRequest().respond(202, "");
+      program.reportStatus(job.id(), "w0", "returned", "");
+      assertEquals(500, job.response().status());
+      assertFalse(program.workers.get(0).hasPendingRequest());
     }
   }
 
@@ -341,9 +337,9 @@
     try (DispatcherProcess program = new DispatcherProcess(2, false)) {
       program.workers.get(0).close();
       for (int i = 0; i < 6; i++) {
-        DispatcherHarness.Job job = program.job("/issue", "");
-        program.serve(1, "there");
-        assertEquals("there", job.answer().body());
+        SubmittedJob job = program.submit("/issue", "");
+        program.serveNextJob(1, "there");
+        assertEquals("there", job.response().body());
       }
     }
   }
@@ -356,28 +352,30 @@
   @ValueSource(booleans = {false, true})
   void aSilentCopyWorkerCostsNoMoreThanTheDeadline(boolean accepts) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      DispatcherHarness.Job job = program.job(program.connect(), "/copy", 2000, "");
-      Http.Message post = program.workers.get(0).next();
+      SubmittedJob job = program.submit(program.connect(), "/copy", 2000, "");
+      HttpMessage post = program.workers.get(0).nextRequest();
       if (accepts) {
-        post.answer(202, "");
+        post.respond(202, "");
       }
-      Http.Message answer = job.answer();
+      HttpMessage answer = job.response();
       assertEquals(503, answer.status(), "a copy may be asked for again");
       assertEquals("1.500", answer.header("Retry-After"));
-      DispatcherHarness.Job late = program.job(job.socket(), "/copy", 1, "");
-      assertNotEquals(200, late.answer().status());
+      SubmittedJob late = program.submit(job.connection(), "/copy", 1, "");
+      assertNotEquals(200, late.response().status());
     }
   }
 
   @Test
   void aClientThatLeavesEndsItsJob() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      DispatcherHarness.Job job = program.job("/copy", "");
-      program.workers.get(0).next().answer(202, "");
+      SubmittedJob job = program.submit("/copy", "");
+      program.workers.get(0).nextRequest().respond(202, "");
       // Only after a call-back of its own is it sure that the 202 has been read.
-      program.news(job.id(), "w0", "running", ",\"share\":0.1");
-      job.socket().close();
-      assertEquals("DELETE /jobs/" + job.id() + " HTTP/1.1", program.workers.get(0).next().first());
+      program.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
+      job.connection().close();
+      assertEquals(
+          "DELETE /jobs/" + job.id() + " HTTP/1.1",
+          program.workers.get(0).nextRequest().startLine());
     }
   }
 
@@ -388,15 +386,15 @@
         Socket socket = program.connect()) {
       String[] ids = new String[3];
       for (int i = 0; i < ids.length; i++) {
-        ids[i] = program.job(socket, "/copy/" + i, 20_000, "").id();
+        ids[i] = program.submit(socket, "/copy/" + i, 20_000, "").id();
       }
       for (int i = 0; i < ids.length; i++) {
-        Http.Message post = program.workers.get(0).next();
-        assertEquals("POST /copy/" + i + " HTTP/1.1", post.first());
-        assertFalse(program.workers.get(0).wasAsked());
-        post.answer(202, "");
-        program.news(ids[i], "w0", "done", ",\"result\":\"r" + i + "\"");
-        assertEquals("r" + i, Http.read(socket).body());
+        HttpMessage post = program.workers.get(0).nextRequest();
+        assertEquals("POST /copy/" + i + " HTTP/1.1", post.startLine());
+        assertFalse(program.workers.get(0).hasPendingRequest());
+        post.respond(202, "");
+        program.reportStatus(ids[i], "w0", "done", ",\"result\":\"r" + i + "\"");
+        assertEquals("r" + i, HttpIo.read(socket).body());
       }
     }
   }
@@ -408,12 +406,12 @@
   void idleConnectionsAreClosedBeforeTheOtherSideDoes() throws Exception {
     try (DispatcherProcess program =
         new DispatcherProcess(1, false, s -> s.replace("\"ConnIdleS\":60", "\"ConnIdleS\":1"))) {
-      DispatcherHarness.Job job = program.job("/copy", "");
-      Http.Message post = program.workers.get(0).next();
-      post.answer(202, "");
-      program.news(job.id(), "w0", "done", ",\"result\":\"r\"");
-      assertEquals("r", job.answer().body());
-      program.workers.get(0).awaitEnd(post.from());
+      SubmittedJob job = program.submit("/copy", "");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      post.respond(202, "");
+      program.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
+      assertEquals("r", job.response().body());
+      program.workers.get(0).awaitClosed(post.connection());
     }
   }
 
@@ -424,37 +422,37 @@
   @Test
   void connectionsThatAreResetWhenUsedAgainAreKeptForLess() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      DispatcherHarness.Job job = program.job("/copy", "");
-      program.serve(0, "first");
-      assertEquals("first", job.answer().body());
+      SubmittedJob job = program.submit("/copy", "");
+      program.serveNextJob(0, "first");
+      assertEquals("first", job.response().body());
       for (int i = 0; i < 3; i++) {
         Thread.sleep(200);
-        job = program.job(job.socket(), "/issue", 20_000, "");
-        program.workers.get(0).next().from().close();
-        assertEquals(500, job.answer().status());
-        job = program.job(job.socket(), "/copy", 20_000, "");
-        program.serve(0, "next");
-        assertEquals("next", job.answer().body());
+        job = program.submit(job.connection(), "/issue", 20_000, "");
+        program.workers.get(0).nextRequest().connection().close();
+        assertEquals(500, job.response().status());
+        job = program.submit(job.connection(), "/copy", 20_000, "");
+        program.serveNextJob(0, "next");
+        assertEquals("next", job.response().body());
       }
       Thread.sleep(400);
-      program.workers.get(0).forget();
-      job = program.job(job.socket(), "/issue", 20_000, "");
-      program.serve(0, "on a new connection");
-      assertEquals("on a new connection", job.answer().body());
-      assertEquals(1, program.workers.get(0).connections());
+      program.workers.get(0).resetConnectionCount();
+      job = program.submit(job.connection(), "/issue", 20_000, "");
+      program.serveNextJob(0, "on a new connection");
+      assertEquals("on a new connection", job.response().body());
+      assertEquals(1, program.workers.get(0).connectionCount());
     }
   }
 
   @Test
   void aCopyWorkerThatMovesIsCalledWhereItIsNow() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      Http.Peer before = program.workers.set(0, new Http.Peer());
-      program.discovery.next().answer(200, program.list(42, true, "SERVING"));
-      program.discovery.next();
-      DispatcherHarness.Job job = program.job("/copy", "");
-      program.serve(0, "moved");
-      assertEquals("moved", job.answer().body());
-      assertFalse(before.wasAsked());
+      StubHttpServer before = program.workers.set(0, new StubHttpServer());
+      program.discovery.nextRequest().respond(200, program.endpointList(42, true, "SERVING"));
+      program.discovery.nextRequest();
+      SubmittedJob job = program.submit("/copy", "");
+      program.serveNextJob(0, "moved");
+      assertEquals("moved", job.response().body());
+      assertFalse(before.hasPendingRequest());
       before.close();
     }
   }
@@ -468,15 +466,15 @@
               + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0a\r\n0123456789\r\n0\r\nT: v\r\n\r\n";
       socket.setTcpNoDelay(true);
       for (int i = 0; i < request.length(); i++) {
-        Http.write(socket, request.substring(i, i + 1));
+        HttpIo.write(socket, request.substring(i, i + 1));
       }
-      Http.Message post = program.workers.get(0).next();
+      HttpMessage post = program.workers.get(0).nextRequest();
       assertEquals("abc0123456789", post.body());
       String large = "x".repeat(64 * 1024);
-      DispatcherHarness.Job job = program.job("/copy", large);
-      assertEquals(large, program.workers.get(0).next().body());
-      program.news(job.id(), "w0", "done", ",\"result\":\"" + large.substring(100) + "\"");
-      assertEquals(large.substring(100), job.answer().body());
+      SubmittedJob job = program.submit("/copy", large);
+      assertEquals(large, program.workers.get(0).nextRequest().body());
+      program.reportStatus(job.id(), "w0", "done", ",\"result\":\"" + large.substring(100) + "\"");
+      assertEquals(large.substring(100), job.response().body());
     }
   }
 
@@ -516,38 +514,39 @@
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
       for (String[] c : cases) {
         try (Socket socket = program.connect()) {
-          Http.write(socket, c[1]);
-          assertEquals(Integer.parseInt(c[0]), Http.read(socket).status(), c[1]);
+          HttpIo.write(socket, c[1]);
+          assertEquals(Integer.parseInt(c[0]), HttpIo.read(socket).status(), c[1]);
         }
       }
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
-      assertFalse(program.workers.get(0).wasAsked());
+      assertFalse(program.workers.get(0).hasPendingRequest());
     }
   }
 
   @Test
   void theListIsWatchedAndADrainingCopyWorkerGetsNothingNew() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false)) {
-      Http.Message watch = program.discovery.next();
+      HttpMessage watch = program.discovery.nextRequest();
       assertTrue(
-          watch.first().startsWith("GET /registry/instances?from=41&hold_ms="), watch.first());
-      watch.answer(200, program.list(43, false, "DRAINING", "SERVING"));
-      Http.Message next = program.discovery.next();
-      assertTrue(next.first().contains("from=43&"), next.first());
-      assertSame(watch.from(), next.from());
-      program.allGoTo(1, 8);
+          watch.startLine().startsWith("GET /registry/instances?from=41&hold_ms="),
+          watch.startLine());
+      watch.respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
+      HttpMessage next = program.discovery.nextRequest();
+      assertTrue(next.startLine().contains("from=43&"), next.startLine());
+      assertSame(watch.connection(), next.connection());
+      program.assertAllServedBy(1, 8);
     }
   }
 
   @Test
   void aListThatNamesACopyWorkerTwiceHoldsByItsLastWord() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false)) {
-      String draining = program.list(43, true, "DRAINING", "SERVING");
-      String serving = program.list(43, true, "SERVING", "SERVING");
+      String draining = program.endpointList(43, true, "DRAINING", "SERVING");
+      String serving = program.endpointList(43, true, "SERVING", "SERVING");
       String first = serving.substring(serving.indexOf('[') + 1, serving.lastIndexOf(']'));
-      program.discovery.next().answer(200, draining.replace("[", "[" + first + ","));
-      assertTrue(program.discovery.next().first().contains("from=43&"));
-      program.allGoTo(1, 8);
+      program.discovery.nextRequest().respond(200, draining.replace("[", "[" + first + ","));
+      assertTrue(program.discovery.nextRequest().startLine().contains("from=43&"));
+      program.assertAllServedBy(1, 8);
     }
   }
 
@@ -558,18 +557,24 @@
   @Test
   void anOlderListIsNotTakenAndTheWholeOneIsAskedFor() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false)) {
-      program.discovery.next().answer(200, program.list(43, false, "DRAINING", "SERVING"));
-      program.discovery.next().answer(200, program.list(42, true, "SERVING", "DRAINING"));
-      Http.Message whole = program.discovery.next();
-      assertTrue(whole.first().startsWith("GET /registry/instances HTTP"), whole.first());
-      program.allGoTo(1, 8);
-      whole.answer(200, program.list(7, true, "SERVING", "DRAINING"));
+      program
+          .discovery
+          .nextRequest()
+          .respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
+      program
+          .discovery
+          .nextRequest()
+          .respond(200, program.endpointList(42, true, "SERVING", "DRAINING"));
+      HttpMessage whole = program.discovery.nextRequest();
+      assertTrue(whole.startLine().startsWith("GET /registry/instances HTTP"), whole.startLine());
+      program.assertAllServedBy(1, 8);
+      whole.respond(200, program.endpointList(7, true, "SERVING", "DRAINING"));
       assertTrue(
-          program.discovery.next().first().contains("from=7&"),
+          program.discovery.nextRequest().startLine().contains("from=7&"),
           "its count is the one that holds now");
-      DispatcherHarness.Job job = program.job("/copy", "");
-      program.serve(0, "back");
-      assertEquals("back", job.answer().body());
+      SubmittedJob job = program.submit("/copy", "");
+      program.serveNextJob(0, "back");
+      assertEquals("back", job.response().body());
     }
   }
 
@@ -581,18 +586,19 @@
   @ValueSource(strings = {"503", "nonsense", "cut", "closed", "silent"})
   void aLostWatchIsStartedAgain(String how) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      Http.Message watch = program.discovery.next();
+      HttpMessage watch = program.discovery.nextRequest();
       switch (how) {
-        case "503" -> watch.answer(503, "");
+        case "503" -> watch.respond(503, "");
         case "silent" -> {}
-        case "nonsense" -> watch.answer(200, "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}");
-        case "cut" -> watch.answer(200, program.list(44, true, "DRAINING").substring(0, 40));
-        default -> watch.from().close();
+        case "nonsense" -> watch.respond(200, "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}");
+        case "cut" ->
+            watch.respond(200, program.endpointList(44, true, "DRAINING").substring(0, 40));
+        default -> watch.connection().close();
       }
-      assertTrue(program.discovery.next().first().contains("from=41&"));
-      DispatcherHarness.Job job = program.job("/copy", "");
-      program.serve(0, "held");
-      assertEquals("held", job.answer().body());
+      assertTrue(program.discovery.nextRequest().startLine().contains("from=41&"));
+      SubmittedJob job = program.submit("/copy", "");
+      program.serveNextJob(0, "held");
+      assertEquals("held", job.response().body());
     }
   }
 
@@ -603,25 +609,26 @@
   @Test
   void aNewConfigurationMovesTheWatchAtOnce() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false)) {
-      DispatcherHarness.Job job = program.job("/copy", "");
-      Http.Message old = program.discovery.next();
+      SubmittedJob job = program.submit("/copy", "");
+      HttpMessage old = program.discovery.nextRequest();
       for (int seq : new int[] {7, 3}) {
-        try (Http.Peer before = program.moveDiscovery()) {
-          before.awaitEnd(old.from());
-          Http.Message whole = program.discovery.next();
-          assertEquals("GET /registry/instances HTTP/1.1", whole.first());
-          whole.answer(200, program.list(seq, true, seq == 7 ? "SERVING" : "DRAINING", "SERVING"));
-          old = program.discovery.next();
-          assertTrue(old.first().contains("?from=" + seq + "&"), old.first());
-          assertFalse(before.wasAsked());
+        try (StubHttpServer before = program.moveDiscovery()) {
+          before.awaitClosed(old.connection());
+          HttpMessage whole = program.discovery.nextRequest();
+          assertEquals("GET /registry/instances HTTP/1.1", whole.startLine());
+          whole.respond(
+              200, program.endpointList(seq, true, seq == 7 ? "SERVING" : "DRAINING", "SERVING"));
+          old = program.discovery.nextRequest();
+          assertTrue(old.startLine().contains("?from=" + seq + "&"), old.startLine());
+          assertFalse(before.hasPendingRequest());
         }
       }
-      program.workers.get(asked(program)).next().from().close();
-      program.serve(1, "kept");
-      assertEquals("kept", job.answer().body());
+      program.workers.get(program.awaitWorkerWithRequest()).nextRequest().connection().close();
+      program.serveNextJob(1, "kept");
+      assertEquals("kept", job.response().body());
       program.signal("HUP");
       program.signal("TERM");
-      assertTrue(program.process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertTrue(program.process.waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
       assertEquals(143, program.process.exitValue());
     }
   }
@@ -637,8 +644,8 @@
   void aNewConfigurationThatChangesMoreThanItMayKeepsTheOldWhole(
       String from, String to, String field) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false);
-        Http.Peer other = new Http.Peer()) {
-      Http.Message watch = program.discovery.next();
+        StubHttpServer other = new StubHttpServer()) {
+      HttpMessage watch = program.discovery.nextRequest();
       program.configure(
           program
               .configured()
@@ -649,30 +656,30 @@
       assertTrue(
           said.endsWith("the old configuration stays reason=restart required to change " + field),
           said);
-      watch.answer(200, program.list(42, true, "SERVING"));
-      assertTrue(program.discovery.next().first().contains("?from=42&"));
-      DispatcherHarness.Job job = program.job("/issue", "");
-      program.serve(0, "as before");
-      assertEquals("as before", job.answer().body());
-      assertFalse(other.wasAsked());
+      watch.respond(200, program.endpointList(42, true, "SERVING"));
+      assertTrue(program.discovery.nextRequest().startLine().contains("?from=42&"));
+      SubmittedJob job = program.submit("/issue", "");
+      program.serveNextJob(0, "as before");
+      assertEquals("as before", job.response().body());
+      assertFalse(other.hasPendingRequest());
     }
   }
 
   @Test
   void aBadNewConfigurationChangesNothing() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      Http.Message watch = program.discovery.next();
+      HttpMessage watch = program.discovery.nextRequest();
       program.configure("{\"name\":");
       program.signal("HUP");
       assertTrue(
           program
               .awaitLog("configuration reload rejected")
               .contains("the old configuration stays"));
-      watch.answer(200, program.list(42, true, "SERVING"));
-      assertTrue(program.discovery.next().first().contains("?from=42&"));
-      DispatcherHarness.Job job = program.job("/copy", "");
-      program.serve(0, "as before");
-      assertEquals("as before", job.answer().body());
+      watch.respond(200, program.endpointList(42, true, "SERVING"));
+      assertTrue(program.discovery.nextRequest().startLine().contains("?from=42&"));
+      SubmittedJob job = program.submit("/copy", "");
+      program.serveNextJob(0, "as before");
+      assertEquals("as before", job.response().body());
     }
   }
 
@@ -683,21 +690,22 @@
   void clientsThatTakeAllTheRoomDoNotShutTheNewsOut() throws Exception {
     try (DispatcherProcess program =
         new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":52"))) {
-      List<DispatcherHarness.Job> jobs = new ArrayList<>();
+      List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 11; i++) {
-        jobs.add(program.job("/copy", ""));
+        jobs.add(program.submit("/copy", ""));
       }
       // Once a later request is answered, all of these have been read, in whatever order.
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\n", "").status());
-      assertEquals(503, program.job("/copy", "").answer().status(), "there is no room for another");
+      assertEquals(
+          503, program.submit("/copy", "").response().status(), "there is no room for another");
       for (int i = 0; i < jobs.size(); i++) {
-        program.serve(0, "served");
+        program.serveNextJob(0, "served");
       }
-      for (DispatcherHarness.Job job : jobs) {
-        assertEquals(200, program.news(job.id(), "w0", "done", ",\"result\":\"served\""));
+      for (SubmittedJob job : jobs) {
+        assertEquals(200, program.reportStatus(job.id(), "w0", "done", ",\"result\":\"served\""));
       }
-      for (DispatcherHarness.Job job : jobs) {
-        assertEquals("served", job.answer().body());
+      for (SubmittedJob job : jobs) {
+        assertEquals("served", job.response().body());
       }
     }
   }
@@ -710,17 +718,17 @@
   void connectionsThatSayNothingDoNotPushOthersOut() throws Exception {
     try (DispatcherProcess program =
         new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
-      DispatcherHarness.Job first = program.job("/copy", "");
-      program.serve(0, "first");
-      assertEquals("first", first.answer().body());
+      SubmittedJob first = program.submit("/copy", "");
+      program.serveNextJob(0, "first");
+      assertEquals("first", first.response().body());
       List<Socket> silent = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
         silent.add(program.connect());
-        Http.write(silent.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
+        HttpIo.write(silent.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
       }
-      DispatcherHarness.Job kept = program.job(first.socket(), "/copy", 20_000, "");
-      program.serve(0, "kept");
-      assertEquals("kept", kept.answer().body());
+      SubmittedJob kept = program.submit(first.connection(), "/copy", 20_000, "");
+      program.serveNextJob(0, "kept");
+      assertEquals("kept", kept.response().body());
       for (Socket socket : silent) {
         assertTrue(isLetGo(socket), "it is closed or told so");
       }
@@ -735,23 +743,23 @@
   void connectionsThatAskOnceAndStayAreNotKeptForLong() throws Exception {
     try (DispatcherProcess program =
         new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
-      List<DispatcherHarness.Job> jobs = new ArrayList<>();
+      List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
-        jobs.add(program.job("/copy", ""));
-        program.serve(0, "served");
-        assertEquals("served", jobs.get(i).answer().body());
+        jobs.add(program.submit("/copy", ""));
+        program.serveNextJob(0, "served");
+        assertEquals("served", jobs.get(i).response().body());
       }
-      assertNull(Http.read(jobs.get(0).socket()));
-      assertNull(Http.read(jobs.get(1).socket()));
-      DispatcherHarness.Job next = program.job(jobs.get(5).socket(), "/copy", 20_000, "");
-      program.serve(0, "kept");
-      assertEquals("kept", next.answer().body());
+      assertNull(HttpIo.read(jobs.get(0).connection()));
+      assertNull(HttpIo.read(jobs.get(1).connection()));
+      SubmittedJob next = program.submit(jobs.get(5).connection(), "/copy", 20_000, "");
+      program.serveNextJob(0, "kept");
+      assertEquals("kept", next.response().body());
     }
   }
 
   private static boolean isLetGo(Socket socket) throws IOException {
     try (socket) {
-      Http.Message answer = Http.read(socket);
+      HttpMessage answer = HttpIo.read(socket);
       return answer == null || answer.status() == 408;
     } catch (SocketException reset) {
       return true;
@@ -764,9 +772,9 @@
     try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket socket = program.connect()) {
       long start = System.nanoTime();
-      Http.write(socket, "GET /nowhere HTTP/1.1\r\n\r\n".repeat(5));
+      HttpIo.write(socket, "GET /nowhere HTTP/1.1\r\n\r\n".repeat(5));
       for (int i = 0; i < 5; i++) {
-        assertEquals(404, Http.read(socket).status());
+        assertEquals(404, HttpIo.read(socket).status());
       }
       assertTrue(System.nanoTime() - start >= 400_000_000, "four pauses of 0.1 s at least");
     }
@@ -775,12 +783,12 @@
   @Test
   void loadIsAskedForWhereProbesAreAllowed() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, true)) {
-      DispatcherHarness.Job job = program.job("/copy", "");
-      Http.Message probe = program.workers.get(0).next();
-      assertEquals("GET /stats HTTP/1.1", probe.first());
-      probe.answer(200, "TEXT inflight=1, queue=0, x0=3");
-      program.serve(0, "served");
-      assertEquals("served", job.answer().body());
+      SubmittedJob job = program.submit("/copy", "");
+      HttpMessage probe = program.workers.get(0).nextRequest();
+      assertEquals("GET /stats HTTP/1.1", probe.startLine());
+      probe.respond(200, "TEXT inflight=1, queue=0, x0=3");
+      program.serveNextJob(0, "served");
+      assertEquals("served", job.response().body());
     }
   }
 
@@ -791,24 +799,24 @@
   @Test
   void aStopServesWhatWasTakenAndThenEnds() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false)) {
-      DispatcherHarness.Job before = program.job("/copy", "");
-      program.serve(0, "first");
-      assertEquals("first", before.answer().body());
+      SubmittedJob before = program.submit("/copy", "");
+      program.serveNextJob(0, "first");
+      assertEquals("first", before.response().body());
       program.process.toHandle().destroy();
       program.awaitLog("graceful shutdown started successor=false");
-      DispatcherHarness.Job kept = program.job(before.socket(), "/copy", 20_000, "");
-      program.serve(0, "kept");
-      Http.Message answer = kept.answer();
+      SubmittedJob kept = program.submit(before.connection(), "/copy", 20_000, "");
+      program.serveNextJob(0, "kept");
+      HttpMessage answer = kept.response();
       assertEquals("kept", answer.body());
       assertNull(answer.header("Connection"));
-      DispatcherHarness.Job fresh = program.job("/copy", "");
-      program.serve(0, "taken");
-      assertEquals("taken", fresh.answer().body());
-      DispatcherHarness.Job endless = program.job(kept.socket(), "/issue", 20_000, "");
-      program.workers.get(0).next().answer(202, "");
-      assertEquals(500, endless.answer().status());
-      assertNull(Http.read(endless.socket()));
-      assertTrue(program.process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+      SubmittedJob fresh = program.submit("/copy", "");
+      program.serveNextJob(0, "taken");
+      assertEquals("taken", fresh.response().body());
+      SubmittedJob endless = program.submit(kept.connection(), "/issue", 20_000, "");
+      program.workers.get(0).nextRequest().respond(202, "");
+      assertEquals(500, endless.response().status());
+      assertNull(HttpIo.read(endless.connection()));
+      assertTrue(program.process.waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
@@ -819,25 +827,25 @@
   void aStopAnswersWhatWasSentAheadOnOneConnection() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket ahead = program.connect()) {
-      DispatcherHarness.Job idle = program.job("/copy", "");
-      program.serve(0, "idle");
-      assertEquals("idle", idle.answer().body());
-      DispatcherHarness.Job first = program.job(ahead, "/copy/1", 20_000, "");
-      DispatcherHarness.Job second = program.job(ahead, "/copy/2", 20_000, "");
-      Http.Message post = program.workers.get(0).next();
-      post.answer(202, "");
+      SubmittedJob idle = program.submit("/copy", "");
+      program.serveNextJob(0, "idle");
+      assertEquals("idle", idle.response().body());
+      SubmittedJob first = program.submit(ahead, "/copy/1", 20_000, "");
+      SubmittedJob second = program.submit(ahead, "/copy/2", 20_000, "");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      post.respond(202, "");
       program.process.toHandle().destroy();
-      assertNull(Http.read(idle.socket()), "from here on connections are closed");
-      program.news(first.id(), "w0", "done", ",\"result\":\"1\"");
-      Http.Message answer = Http.read(ahead);
+      assertNull(HttpIo.read(idle.connection()), "from here on connections are closed");
+      program.reportStatus(first.id(), "w0", "done", ",\"result\":\"1\"");
+      HttpMessage answer = HttpIo.read(ahead);
       assertEquals("1", answer.body());
       assertNull(answer.header("Connection"));
-      assertEquals("POST /copy/2 HTTP/1.1", program.workers.get(0).next().first());
-      program.news(second.id(), "w0", "done", ",\"result\":\"2\"");
-      answer = Http.read(ahead);
+      assertEquals("POST /copy/2 HTTP/1.1", program.workers.get(0).nextRequest().startLine());
+      program.reportStatus(second.id(), "w0", "done", ",\"result\":\"2\"");
+      answer = HttpIo.read(ahead);
       assertEquals("2", answer.body());
       assertEquals("close", answer.header("Connection"));
-      assertTrue(program.process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertTrue(program.process.waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
@@ -853,7 +861,7 @@
     Path file = Files.createTempFile("loomreel", ".json");
     Files.writeString(file, config);
     for (String command : new String[] {"serve", "check-config"}) {
-      Process process = DispatcherProcess.start(file, command, "");
+      Process process = ProgramCommand.of(file, command, "").start();
       String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
       assertEquals(2, process.waitFor(), said);
       assertEquals(1, said.lines().count(), said);
--- a/src/test/java/loomreel/program/StalledListener.java
+++ b/src/test/java/loomreel/program/StalledListener.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.net.BindException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -11,23 +10,24 @@
 import java.util.List;
 
 /**
- * A place to which no connection comes up before the test lets it: its queue of connections is kept
- * full until then.
+ * A listener whose backlog is full, so that no connection to it completes until the test accepts
+ * one.
  */
 final class StalledListener implements AutoCloseable {
+  /** A connection that has not completed after this time waits for a place in the backlog. */
+  private static final int BACKLOG_FULL_AFTER_MILLIS = 500;
+
   private final ServerSocket listener;
   private final List<Socket> fillers = new ArrayList<>();
 
-  /** Takes the place of a listener that was there, at its address. */
-  StalledListener(InetSocketAddress at) throws IOException {
-    listener = bound(at, 1);
+  /** Listens at an address whose listener was closed before, and fills the backlog. */
+  StalledListener(InetSocketAddress address) throws IOException {
+    listener = bind(address, 1);
     while (true) {
       Socket filler = new Socket();
       try {
         filler.connect(
-            new InetSocketAddress(
-                InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), at.getPort()),
-            500);
+            new InetSocketAddress(HttpIo.loopback(), address.getPort()), BACKLOG_FULL_AFTER_MILLIS);
         fillers.add(filler);
       } catch (SocketTimeoutException full) {
         filler.close();
@@ -36,19 +36,19 @@
     }
   }
 
-  /** The address is free once whoever accepted there has noticed the end. */
-  static ServerSocket bound(InetSocketAddress at, int backlog) throws IOException {
-    long until = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+  /** Binds a listener; waits while the previous one at the address is still being closed. */
+  static ServerSocket bind(InetSocketAddress address, int backlog) throws IOException {
+    long deadline = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
-      ServerSocket next = new ServerSocket();
+      ServerSocket listener = new ServerSocket();
       try {
-        next.setReuseAddress(true);
-        next.bind(at, backlog);
-        return next;
-      } catch (BindException held) {
-        next.close();
-        if (System.nanoTime() > until) {
-          throw held;
+        listener.setReuseAddress(true);
+        listener.bind(address, backlog);
+        return listener;
+      } catch (BindException inUse) {
+        listener.close();
+        if (System.nanoTime() > deadline) {
+          throw inUse;
         }
         Thread.onSpinWait();
       }
@@ -56,17 +56,17 @@
   }
 
   /**
-   * From now on connections come up; the next one that is not ours, as it comes, or null if none
-   * does in this time.
+   * Lets connections complete from now on; the next one that does not fill the backlog, or null
+   * after a timeout without one.
    */
-  Socket next(int withinMs) throws IOException {
-    listener.setSoTimeout(withinMs);
+  Socket nextConnection(int timeoutMillis) throws IOException {
+    listener.setSoTimeout(timeoutMillis);
     try {
       while (true) {
-        Socket next = listener.accept();
-        if (fillers.stream().noneMatch(f -> f.getLocalPort() == next.getPort())) {
-          next.setSoTimeout(Http.PATIENCE_MS);
-          return next;
+        Socket connection = listener.accept();
+        if (!isFiller(connection)) {
+          connection.setSoTimeout(HttpIo.TIMEOUT_MILLIS);
+          return connection;
         }
       }
     } catch (SocketTimeoutException none) {
@@ -74,6 +74,10 @@
     }
   }
 
+  private boolean isFiller(Socket connection) {
+    return fillers.stream().anyMatch(filler -> filler.getLocalPort() == connection.getPort());
+  }
+
   @Override
   public void close() throws IOException {
     for (Socket filler : fillers) {
--- a/src/test/java/loomreel/program/StepControlledServer.java
+++ b/src/test/java/loomreel/program/StepControlledServer.java
@@ -2,6 +2,8 @@
 
 import java.io.IOException;
 import java.io.OutputStream;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,42 +21,72 @@
 import loomreel.server.Server;
 
 /**
- * A dispatcher in this process, on real sockets, that can be held between two named steps: every
- * line that it would trace is one. What a test puts there happens on the loop's own thread, so that
- * nothing else does meanwhile.
+ * A dispatcher in the test's process, on real sockets, that the test controls at its steps. A step
+ * is an event that the dispatcher traces. An action of the test at a step runs on the thread of the
+ * event loop, which does nothing else meanwhile.
  */
 final class StepControlledServer extends DispatcherHarness {
-  /** Something that a test does between two steps of the dispatcher. */
-  interface Crossing {
-    void happen() throws Exception;
+  /** More requests than the loop can have iterations left for reading what was sent before. */
+  private static final int REQUESTS_AFTER_PENDING_INPUT = 20;
+
+  /** What a test does at a step. */
+  interface StepAction {
+    void run() throws Exception;
+  }
+
+  /** The steps that tests wait for, with the names that they have in the trace. */
+  enum Step {
+    JOB_ARRIVED("arrival"),
+    JOB_CANCELLED("withdrawn"),
+    JOB_FAILED("fail"),
+    ATTEMPT_STARTED("send"),
+    ATTEMPT_ENDED("end"),
+    /** A cancellation goes out to the worker of an attempt. */
+    CANCELLATION_SENT("cancel"),
+    WATCH_FAILED("listlost"),
+    SHUTDOWN_REQUESTED("drain"),
+    LOOP_STOPPED("stop"),
+    /** An idle client connection is about to be closed; input is still read and served. */
+    IDLE_CONNECTION_CLOSING("letgo"),
+    /** The output side of a client connection is shut; input is discarded from now on. */
+    OUTPUT_SHUT("shut");
+
+    private final String traceName;
+
+    Step(String traceName) {
+      this.traceName = traceName;
+    }
   }
 
-  /** A step that was taken, as the trace words it. */
-  record Step(String what, List<Object> fields) {
+  /** A step that was reached, with its traced fields: alternating names and values. */
+  record ReachedStep(String traceName, List<Object> fields) {
+    boolean is(Step step) {
+      return traceName.equals(step.traceName);
+    }
+
+    /** The value of a field; null without it. */
     Object field(String name) {
-      int at = fields.indexOf(name);
-      return at < 0 ? null : fields.get(at + 1);
+      int index = fields.indexOf(name);
+      return index < 0 ? null : fields.get(index + 1);
     }
   }
 
-  private record Planned(String what, Crossing crossing) {}
+  private record PlannedAction(Step step, StepAction action) {}
 
-  final Server server;
-  final Thread thread;
-  private final BlockingQueue<Step> steps = new LinkedBlockingQueue<>();
-  private final List<Step> all = Collections.synchronizedList(new ArrayList<>());
-  private final BlockingQueue<Planned> planned = new LinkedBlockingQueue<>();
-  private final BlockingQueue<Throwable> faults = new LinkedBlockingQueue<>();
+  private final Server server;
+  private final Thread loopThread;
+  private final BlockingQueue<ReachedStep> unreadSteps = new LinkedBlockingQueue<>();
+  private final List<ReachedStep> allSteps = Collections.synchronizedList(new ArrayList<>());
+  private final BlockingQueue<PlannedAction> plannedActions = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
   private final int port;
 
+  /** A dispatcher with a changed configuration. */
   StepControlledServer(int workerCount, UnaryOperator<String> change) throws Exception {
     this(workerCount, change, null);
   }
 
-  /**
-   * A dispatcher with these settings, or with those of {@link DispatcherHarness} where they are
-   * null.
-   */
+  /** The same with other settings; null for those of {@link DispatcherHarness}. */
   StepControlledServer(int workerCount, UnaryOperator<String> change, String settings)
       throws Exception {
     super(workerCount);
@@ -63,116 +95,148 @@
         file, change.apply(settings == null ? configuration(false) : configuration(settings)));
     ServeConfig config = ServeConfig.read(Map.of("BALANCER_CONFIG", file.toString()));
     Files.delete(file);
-    server = new Server(config, null, new Steps());
+    server = new Server(config, null, new StepRecorder());
     port = server.port();
-    thread =
-        new Thread(
-            () -> {
-              try {
-                server.run();
-              } catch (IOException e) {
-                faults.add(e);
-              }
-            },
-            "stepped");
-    thread.setDaemon(true);
-    thread.start();
-  }
-
-  private final class Steps extends TraceWriter {
-    Steps() {
+    loopThread = new Thread(this::runLoop, "step-controlled server");
+    loopThread.setDaemon(true);
+    loopThread.start();
+  }
+
+  private void runLoop() {
+    try {
+      server.run();
+    } catch (IOException e) {
+      failures.add(e);
+    }
+  }
+
+  private final class StepRecorder extends TraceWriter {
+    StepRecorder() {
       super(OutputStream.nullOutputStream());
     }
 
     @Override
-    public void line(long at, String what, Object... fields) {
-      Step step = new Step(what, Arrays.asList(fields));
-      all.add(step);
-      Planned next = planned.peek();
-      if (next != null && next.what.equals(what)) {
-        planned.remove();
-        try {
-          next.crossing.happen();
-        } catch (Exception | AssertionError e) {
-          faults.add(e);
-        }
+    public void line(long atMicros, String event, Object... fields) {
+      ReachedStep step = new ReachedStep(event, Arrays.asList(fields));
+      allSteps.add(step);
+      PlannedAction planned = plannedActions.peek();
+      if (planned != null && step.is(planned.step)) {
+        plannedActions.remove();
+        runAction(planned.action);
       }
-      steps.add(step);
+      unreadSteps.add(step);
+    }
+  }
+
+  private void runAction(StepAction action) {
+    try {
+      action.run();
+    } catch (Exception | AssertionError e) {
+      failures.add(e);
     }
   }
 
   /**
-   * Has something happen as soon as this step is taken, and before it has any effect; one after the
-   * other.
+   * Plans an action for the next time that a step is reached, before the step takes effect. Planned
+   * actions run in their order.
    */
-  void at(String what, Crossing crossing) {
-    planned.add(new Planned(what, crossing));
+  void onStep(Step step, StepAction action) {
+    plannedActions.add(new PlannedAction(step, action));
   }
 
-  /** Waits for the next step of that name; those before it are passed over. */
-  Step await(String what) throws Exception {
-    long until = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+  /** Waits until a step is reached, and skips the unread ones before it. */
+  ReachedStep awaitStep(Step step) throws Exception {
+    long deadline = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
-      Step step = steps.poll(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS);
-      if (!faults.isEmpty()) {
-        throw new AssertionError(faults.peek());
+      long remaining = Math.max(0, deadline - System.nanoTime());
+      ReachedStep reached = unreadSteps.poll(remaining, TimeUnit.NANOSECONDS);
+      if (!failures.isEmpty()) {
+        throw new AssertionError(failures.peek());
       }
-      if (step == null) {
-        throw new AssertionError("no step " + what);
+      if (reached == null) {
+        throw new AssertionError("never reached: " + step);
       }
-      if (step.what.equals(what)) {
-        return step;
+      if (reached.is(step)) {
+        return reached;
       }
     }
   }
 
-  /** Waits for the next attempt; the number of the copy worker that it is for. */
-  int awaitSend() throws Exception {
-    return Integer.parseInt(((String) await("send").field("worker")).substring(1));
+  /** Waits until an attempt is started; the index of its worker. */
+  int awaitAttemptWorker() throws Exception {
+    String worker = (String) awaitStep(Step.ATTEMPT_STARTED).field("worker");
+    return Integer.parseInt(worker.substring(1));
   }
 
-  /** The steps that were taken since the last one awaited. */
-  List<Step> taken() {
-    List<Step> all = new ArrayList<>();
-    steps.drainTo(all);
-    return all;
+  /** Takes the unread steps. */
+  List<ReachedStep> drainSteps() {
+    List<ReachedStep> steps = new ArrayList<>();
+    unreadSteps.drainTo(steps);
+    return steps;
   }
 
-  /** Every step from the start on. */
-  List<Step> stepsSoFar() {
-    return List.copyOf(all);
+  /** How often a step was reached since the start. */
+  long stepCount(Step step) {
+    return List.copyOf(allSteps).stream().filter(reached -> reached.is(step)).count();
   }
 
   /**
-   * Stops the loop between two turns while something happens outside, as where the process gets no
-   * processor.
+   * Pauses the event loop between two iterations for an action, like a process without CPU time.
    */
-  void between(Crossing crossing) throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    server
-        .loop()
-        .execute(
-            () -> {
-              held.countDown();
-              try {
-                go.await();
-              } catch (InterruptedException e) {
-                faults.add(e);
-              }
-            });
-    held.await();
-    crossing.happen();
-    go.countDown();
+  void whileLoopIsPaused(StepAction action) throws Exception {
+    CountDownLatch paused = new CountDownLatch(1);
+    CountDownLatch resumed = new CountDownLatch(1);
+    server.loop().execute(() -> pauseLoop(paused, resumed));
+    paused.await();
+    action.run();
+    resumed.countDown();
+  }
+
+  private void pauseLoop(CountDownLatch paused, CountDownLatch resumed) {
+    paused.countDown();
+    try {
+      resumed.await();
+    } catch (InterruptedException e) {
+      failures.add(e);
+    }
   }
 
   /**
-   * What has come up to now has been read, one buffer a turn: those who asked later have been
-   * answered, one by one.
+   * Waits until all bytes that were sent before have been read. The loop reads one buffer of each
+   * connection in an iteration, and later requests are answered in later iterations.
    */
-  void settle() throws Exception {
-    for (int i = 0; i < 20; i++) {
-      request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "");
+  void awaitPendingInputRead() throws Exception {
+    for (int i = 0; i < REQUESTS_AFTER_PENDING_INPUT; i++) {
+      request(READINESS_HEAD, "");
+    }
+  }
+
+  /** Requests a graceful shutdown, as SIGTERM does. */
+  void requestShutdown() {
+    server.shutDown();
+  }
+
+  /** Waits for the end of the event loop; whether it has ended. */
+  boolean awaitLoopEnd() throws InterruptedException {
+    loopThread.join(HttpIo.TIMEOUT_MILLIS);
+    return !loopThread.isAlive();
+  }
+
+  /** Has the dispatcher watch the discovery at another address, as a configuration reload does. */
+  void moveDiscovery(InetSocketAddress address) {
+    server.loop().execute(() -> server.configReloader().moveDiscovery(address));
+  }
+
+  /** Takes a worker out of use, as an operator does. */
+  void disableWorker(String worker) {
+    server.loop().execute(() -> setDisabled(worker));
+  }
+
+  private void setDisabled(String worker) {
+    try {
+      server.setWorkerDisabled(worker, true);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 
@@ -185,7 +249,7 @@
   public void close() throws IOException {
     server.loop().execute(server.loop()::stop);
     try {
-      thread.join(Http.PATIENCE_MS);
+      loopThread.join(HttpIo.TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -13,7 +13,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import loomreel.standin.DaemonProcess;
 import loomreel.standin.FaktoryClient;
@@ -188,22 +187,21 @@
   /** What operators have said holds for a process that starts later, and is stored as before. */
   @Test
   void whatOperatorsHaveSaidHolds() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(3, true)) {
-      program.started.get(0).destroyForcibly();
-      program.started.get(0).onExit().get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
-      copyFiles(STORED.resolve("operators"), program.directory);
-      Path stored = program.directory.resolve("n0.state");
-      program.upgrade();
-      assertEquals(2, program.figure(1, "hosts_down"));
+    try (DispatcherProcess program = DispatcherProcess.supervised(3)) {
+      program.killInstance(0);
+      copyFiles(STORED.resolve("operators"), program.temporaryDirectory);
+      Path stored = program.temporaryDirectory.resolve("n0.state");
+      program.startSuccessor();
+      assertEquals(2, program.statistic(1, "hosts_down"));
       assertEquals(503, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
       for (String worker : List.of("w0", "w2")) {
         String before = Files.readString(stored);
-        assertEquals(200, program.operate(1, "POST", "copy-workers/up", worker).status());
+        assertEquals(200, program.callManagement(1, "POST", "copy-workers/up", worker).status());
         assertEquals(before.replace("down " + worker + "\n", ""), Files.readString(stored));
       }
-      assertEquals(0, program.figure(1, "hosts_down"));
+      assertEquals(0, program.statistic(1, "hosts_down"));
       assertEquals("drained\n", Files.readString(stored));
-      assertEquals(200, program.operate(1, "POST", "drain/stop", "").status());
+      assertEquals(200, program.callManagement(1, "POST", "drain/stop", "").status());
       assertEquals("", Files.readString(stored));
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
     }
--- a/src/test/java/loomreel/program/TranscriptTest.java
+++ b/src/test/java/loomreel/program/TranscriptTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loomreel.program.HotRestartRelay.Sender;
 import loomreel.standin.DaemonProcess;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -48,30 +49,15 @@
 
   private final Transcript transcript = new Transcript();
 
-  private static String job(String path, String id, int budget, String headers, String body) {
-    return "POST "
-        + path
-        + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: "
-        + id
-        + "\r\nX-Budget-Ms: "
-        + budget
-        + "\r\n"
-        + headers
-        + "Content-Length: "
-        + body.length()
-        + "\r\n\r\n"
-        + body;
-  }
-
   private static String job(String path, String id) {
-    return job(path, id, 20_000, "", "body");
+    return DispatcherHarness.jobRequest(path, id, DispatcherHarness.DEADLINE_MILLIS, "", "body");
   }
 
   /** Has a client send a job, and the only worker take it. */
   private void accepted(DispatcherProcess program, Socket client, String job) throws Exception {
     transcript.send(CLIENT, client, job);
-    Http.Message post = transcript.receive("w0", program.workers.get(0).next());
-    transcript.answer("w0", post, 202, "");
+    HttpMessage post = transcript.receive("w0", program.workers.get(0).nextRequest());
+    transcript.respond("w0", post, 202, "");
   }
 
   /** Sends a callback of the only worker and reads the answer to it. */
@@ -82,10 +68,10 @@
   }
 
   /** Sends one request on a connection of its own and reads the answer. */
-  private Http.Message call(int port, String sender, String request, String body)
+  private HttpMessage call(int port, String sender, String request, String body)
       throws IOException {
     try (Socket socket = new Socket(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), port)) {
-      socket.setSoTimeout(Http.PATIENCE_MS);
+      socket.setSoTimeout(HttpIo.TIMEOUT_MILLIS);
       String head = request + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length();
       transcript.send(sender, socket, head + "\r\n\r\n" + body);
       return transcript.receive(sender, socket);
@@ -94,26 +80,29 @@
 
   private void operate(DispatcherProcess program, int process, String request, String body)
       throws IOException {
-    call(program.operators.get(process), OPERATOR, request, body);
+    call(program.managementPorts.get(process), OPERATOR, request, body);
   }
 
   /** Discovery answers a call with a list; its own bytes are not recorded, as they hold ports. */
-  private void list(Http.Message call, String list) throws IOException {
+  private void list(HttpMessage call, String list) throws IOException {
     transcript.event("discovery answers with a list");
-    call.answer(200, list);
+    call.respond(200, list);
   }
 
   @Test
   void jobsAreServed() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket client = program.connect()) {
-      transcript.receive(DISCOVERY, program.discovery.next());
+      transcript.receive(DISCOVERY, program.discovery.nextRequest());
       call(program.port(), CLIENT, "GET /health/ready", "");
       accepted(program, client, job("/copy/path?q=1", FIRST_ID));
       callback(program, FIRST_ID, "running", ",\"share\":0.5");
       callback(program, FIRST_ID, "done", ",\"result\":\"served\"");
       transcript.receive(CLIENT, client);
-      accepted(program, client, job("/issue", SECOND_ID, 9000, "Idempotency-Key: k\r\n", ""));
+      accepted(
+          program,
+          client,
+          DispatcherHarness.jobRequest("/issue", SECOND_ID, 9000, "Idempotency-Key: k\r\n", ""));
       callback(program, SECOND_ID, "done", ",\"result\":\"\"");
       transcript.receive(CLIENT, client);
       transcript.send(CLIENT, client, "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -128,17 +117,17 @@
     try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket client = program.connect();
         Socket other = program.connect()) {
-      transcript.send(CLIENT, client, job("/copy", FIRST_ID, 1, "", ""));
+      transcript.send(CLIENT, client, DispatcherHarness.jobRequest("/copy", FIRST_ID, 1, "", ""));
       transcript.receive(CLIENT, client);
       transcript.send(CLIENT, client, job("/nothing", FIRST_ID));
       transcript.receive(CLIENT, client);
       call(program.port(), CLIENT, "POST /copy", "");
       call(program.port(), CLIENT, "DELETE /copy", "");
       transcript.send(CLIENT, client, job("/issue", FIRST_ID));
-      Http.Message post = transcript.receive("w0", program.workers.get(0).next());
+      HttpMessage post = transcript.receive("w0", program.workers.get(0).nextRequest());
       transcript.send("another client", other, job("/issue", FIRST_ID));
       transcript.receive("another client", other);
-      transcript.answer("w0", post, 500, "");
+      transcript.respond("w0", post, 500, "");
       transcript.receive(CLIENT, client);
       call(program.port(), "w0", "POST /_jobs/news", "[1");
       try (Socket malformed = program.connect()) {
@@ -150,25 +139,17 @@
     transcript.check("rejected");
   }
 
-  /** Waits until one of two workers has a request; its number. */
-  private static int firstAsked(DispatcherProcess program) {
-    while (!program.workers.get(0).wasAsked() && !program.workers.get(1).wasAsked()) {
-      Thread.onSpinWait();
-    }
-    return program.workers.get(0).wasAsked() ? 0 : 1;
-  }
-
   @Test
   void aJobIsRetriedAtAnotherWorker() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, false);
         Socket client = program.connect()) {
       transcript.send(CLIENT, client, job("/issue", FIRST_ID));
-      int first = firstAsked(program);
-      Http.Message post = transcript.receive("w" + first, program.workers.get(first).next());
-      transcript.answer("w" + first, post, 503, "", "X-Rejected: 1");
+      int first = program.awaitWorkerWithRequest();
+      HttpMessage post = transcript.receive("w" + first, program.workers.get(first).nextRequest());
+      transcript.respond("w" + first, post, 503, "", "X-Rejected: 1");
       int second = 1 - first;
-      post = transcript.receive("w" + second, program.workers.get(second).next());
-      transcript.answer("w" + second, post, 500, "");
+      post = transcript.receive("w" + second, program.workers.get(second).nextRequest());
+      transcript.respond("w" + second, post, 500, "");
       transcript.receive(CLIENT, client);
     }
     transcript.check("retried");
@@ -183,8 +164,8 @@
         callback(program, FIRST_ID, "running", ",\"share\":0.1");
       }
       transcript.event("client closes its connection");
-      Http.Message delete = transcript.receive("w0", program.workers.get(0).next());
-      transcript.answer("w0", delete, 200, "");
+      HttpMessage delete = transcript.receive("w0", program.workers.get(0).nextRequest());
+      transcript.respond("w0", delete, 200, "");
       callback(program, FIRST_ID, "done", ",\"result\":\"too late\"");
     }
     transcript.check("cancelled");
@@ -194,13 +175,13 @@
   void aReloadMovesTheWatchToAnotherDiscovery() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, false);
         Socket client = program.connect()) {
-      Http.Message watch = transcript.receive(DISCOVERY, program.discovery.next());
+      HttpMessage watch = transcript.receive(DISCOVERY, program.discovery.nextRequest());
       transcript.event("SIGHUP");
-      program.moveDiscovery().awaitEnd(watch.from());
+      program.moveDiscovery().awaitClosed(watch.connection());
       transcript.event(Transcript.PROGRAM + " closes the connection of discovery");
-      Http.Message whole = transcript.receive("new discovery", program.discovery.next());
-      list(whole, program.list(7, true, "SERVING"));
-      transcript.receive("new discovery", program.discovery.next());
+      HttpMessage whole = transcript.receive("new discovery", program.discovery.nextRequest());
+      list(whole, program.endpointList(7, true, "SERVING"));
+      transcript.receive("new discovery", program.discovery.nextRequest());
       accepted(program, client, job("/copy", FIRST_ID));
       callback(program, FIRST_ID, "done", ",\"result\":\"after\"");
       transcript.receive(CLIENT, client);
@@ -225,71 +206,71 @@
       callback(program, SECOND_ID, "done", ",\"result\":\"drained\"");
       transcript.receive(CLIENT, client);
       transcript.receive(CLIENT, client);
-      assertTrue(program.process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertTrue(program.process.waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
       transcript.event("exit code " + program.process.exitValue());
     }
     transcript.check("drain");
   }
 
   /**
-   * Records what one process says to the other, which has acted on it afterwards: of two calls that
-   * follow each other, the second comes in a later turn of its loop.
+   * Records the next message on the hot-restart link, and waits until its receiver has acted on it:
+   * of two requests that follow each other, the second is served in a later iteration of its loop.
    */
-  private void told(DispatcherProcess program, Transcript.Relay tie, boolean byOld)
+  private void receiveOverLink(DispatcherProcess program, HotRestartRelay relay, Sender sender)
       throws Exception {
-    tie.receive(transcript, byOld);
+    relay.receive(transcript, sender);
     for (int i = 0; i < 2; i++) {
-      program.operate(byOld ? 1 : 0, "GET", "readiness", "");
+      program.callManagement(sender == Sender.OLD ? 1 : 0, "GET", "readiness", "");
     }
   }
 
   /** The tie between an old and a new process is heard on its way through a relay. */
   @Test
   void anUpgradeHandsOver() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(2, true);
-        Transcript.Relay tie = new Transcript.Relay(program.directory.resolve("n0.tie"));
+    try (DispatcherProcess program = DispatcherProcess.supervised(2);
+        HotRestartRelay relay = new HotRestartRelay(program.temporaryDirectory.resolve("n0.tie"));
         Socket client = program.connect()) {
       operate(program, 0, "POST /ops/copy-workers/down", "w1");
       accepted(program, client, job("/issue", FIRST_ID));
       callback(program, FIRST_ID, "running", ",\"share\":0.1");
       transcript.event("the new process starts");
-      program.upgrade();
-      told(program, tie, true);
-      told(program, tie, true);
+      program.startSuccessor();
+      receiveOverLink(program, relay, Sender.OLD);
+      receiveOverLink(program, relay, Sender.OLD);
       operate(program, 1, "POST /ops/copy-workers/down", "w0");
-      told(program, tie, false);
+      receiveOverLink(program, relay, Sender.NEW);
       operate(program, 1, "POST /ops/copy-workers/up", "w0");
-      told(program, tie, false);
+      receiveOverLink(program, relay, Sender.NEW);
       operate(program, 0, "POST /ops/drain/start", "");
-      told(program, tie, true);
+      receiveOverLink(program, relay, Sender.OLD);
       operate(program, 0, "POST /ops/drain/stop", "");
-      told(program, tie, true);
+      receiveOverLink(program, relay, Sender.OLD);
       transcript.event("SIGTERM to the old process");
-      program.started.get(0).destroy();
-      told(program, tie, true);
+      program.instances.get(0).destroy();
+      receiveOverLink(program, relay, Sender.OLD);
       try (Socket late = program.connect()) {
         transcript.send(CLIENT, late, job("/copy", FIRST_ID));
         transcript.receive(CLIENT, late);
         accepted(program, late, job("/copy", SECOND_ID));
-        tie.receive(transcript, false);
+        relay.receive(transcript, Sender.NEW);
         callback(program, SECOND_ID, "done", ",\"result\":\"by the new process\"");
         transcript.receive(CLIENT, late);
-        tie.receive(transcript, false);
+        relay.receive(transcript, Sender.NEW);
       }
       callback(program, FIRST_ID, "done", ",\"result\":\"by the old process\"");
-      tie.receive(transcript, false);
+      relay.receive(transcript, Sender.NEW);
       transcript.receive(CLIENT, client);
       transcript.receive(CLIENT, client);
-      program.started.get(0).onExit().get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
-      tie.receive(transcript, true);
-      tie.receive(transcript, true);
+      program.awaitExit(0);
+      relay.receive(transcript, Sender.OLD);
+      relay.receive(transcript, Sender.OLD);
     }
     transcript.check("upgrade");
   }
 
   @Test
   void operatorsAreAnswered() throws Exception {
-    try (DispatcherProcess program = DispatcherProcess.operated(2, false);
+    try (DispatcherProcess program = DispatcherProcess.managed(2);
         Socket client = program.connect()) {
       for (String call :
           new String[] {"GET /ops/readiness", "GET /ops/stats", "GET /ops/nothing"}) {
@@ -323,10 +304,9 @@
   }
 
   /** Connects and says HELLO with the password that the greeting asks for. */
-  private Transcript.FaktoryClient hello(DaemonProcess daemon, String name, String more)
+  private RecordedFaktoryClient hello(DaemonProcess daemon, String name, String more)
       throws Exception {
-    Transcript.FaktoryClient client =
-        new Transcript.FaktoryClient(transcript, name, daemon.faktory());
+    RecordedFaktoryClient client = new RecordedFaktoryClient(transcript, name, daemon.faktory());
     Matcher salt = Pattern.compile("\"s\":\"([^\"]+)\"").matcher(client.receive());
     assertTrue(salt.find());
     byte[] hash = ("secret" + salt.group(1)).getBytes(StandardCharsets.UTF_8);
@@ -339,7 +319,7 @@
   }
 
   /** Fetches a job; the id under which the worker has it. */
-  private static String fetch(Transcript.FaktoryClient worker, String queue) throws IOException {
+  private static String fetch(RecordedFaktoryClient worker, String queue) throws IOException {
     Matcher jid = Pattern.compile("\"jid\":\"([0-9a-f]+)\"").matcher(worker.call("FETCH " + queue));
     assertTrue(jid.find());
     return jid.group(1);
@@ -348,8 +328,8 @@
   @Test
   void faktoryIsSpoken() throws Exception {
     try (DaemonProcess daemon = new DaemonProcess(DaemonProcess.writeSettings(FAKTORY_SETTINGS))) {
-      try (Transcript.FaktoryClient client = hello(daemon, "client", "");
-          Transcript.FaktoryClient worker = hello(daemon, "worker", ",\"wid\":\"f0\"")) {
+      try (RecordedFaktoryClient client = hello(daemon, "client", "");
+          RecordedFaktoryClient worker = hello(daemon, "worker", ",\"wid\":\"f0\"")) {
         client.call("INFO");
         client.call(push("copy-0001", "copies"));
         client.call(push("copy-0001", "copies"));
@@ -369,8 +349,8 @@
         client.call("END");
         client.receive();
       }
-      try (Transcript.FaktoryClient stranger =
-          new Transcript.FaktoryClient(transcript, "stranger", daemon.faktory())) {
+      try (RecordedFaktoryClient stranger =
+          new RecordedFaktoryClient(transcript, "stranger", daemon.faktory())) {
         stranger.receive();
         stranger.call("HELLO {\"v\":2}");
         stranger.receive();
