--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -85,9 +85,11 @@
             recentAttempts,
             new AttemptOutcomes(loop, queue, limiter, classes, log),
             random);
-    challenges = new PasswordChallenges(loop, settings.password(), settings.iterations());
+    challenges =
+        new PasswordChallenges(loop, settings.password(), settings.passwordHashIterations());
     listener =
-        new FaktoryListener(loop, settings.listen(), settings.connections(), this::connect, log);
+        new FaktoryListener(
+            loop, settings.listenAddress(), settings.maxConnections(), this::connect, log);
     report = new IngressReport(loop, queue, workers, listener, settings.queues().keySet());
     commands = commands(classes, payloads, recentAttempts);
     // Restored jobs must not wait until something else happens.
@@ -104,11 +106,11 @@
 
   private static QueueLimits queueLimits(FaktorySettings settings) {
     return new QueueLimits(
-        settings.backlog().jobs(),
-        settings.backlog().bytes().bytes(),
-        settings.backoff().micros(),
-        settings.remember().micros(),
-        settings.rememberMost());
+        settings.backlog().maxJobs(),
+        settings.backlog().maxSize().bytes(),
+        settings.initialBackoff().micros(),
+        settings.endedJobRetention().micros(),
+        settings.maxRetainedJobs());
   }
 
   private static QueueWeights queueWeights(FaktorySettings settings) {
@@ -119,7 +121,7 @@
 
   private JobPersistence openPersistence(JobClasses classes, PayloadValidator payloads)
       throws IOException {
-    if (settings.spool().equals(FaktorySettings.NO_SPOOL)) {
+    if (settings.spoolDirectory().equals(FaktorySettings.NO_SPOOL)) {
       log.warn("spool disabled: waiting jobs are lost when this process ends");
       return JobPersistence.NONE;
     }
@@ -136,7 +138,7 @@
         new ConsumerCommands(workers, settings.workers(), scheduler, persistence),
         new TrackCommands(attempts, workers),
         new AdminCommands(
-            loop, queue.administration(), classes, scheduler, report, settings.mayMutate()),
+            loop, queue.administration(), classes, scheduler, report, settings.allowsMutation()),
         report,
         log);
   }
@@ -146,7 +148,8 @@
         loop,
         channel,
         challenges.next(),
-        new FaktoryConnection.Context(commands, workers, listener, settings.iterations(), log));
+        new FaktoryConnection.Context(
+            commands, workers, listener, settings.passwordHashIterations(), log));
   }
 
   /** The workers that fetch jobs here. */
@@ -160,7 +163,7 @@
    * @param openRpcs of all clients; the settings say which share of them may be Faktory jobs
    */
   public void setCapacity(int openRpcs) {
-    limiter.setCapacity((int) (openRpcs * settings.share()));
+    limiter.setCapacity((int) (openRpcs * settings.maxCapacityFraction()));
   }
 
   @Override
--- a/src/test/java/loomreel/program/GoneClientTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.util.function.UnaryOperator;
+import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,7 +18,7 @@
  * it any more.
  */
 @Timeout(120)
-class GoneClientTest {
+class ClientDisconnectTest {
   private static void leave(Socket client, boolean reset) throws Exception {
     if (reset) {
       client.setSoLinger(true, 0);
@@ -33,19 +34,19 @@
   @CsvSource({"false,false", "true,false", "false,true", "true,true"})
   void aJobIsNotSentOnAConnectionThatComesUpAfterItsClientLeft(boolean reset, boolean cancelling)
       throws Exception {
-    try (SteppedServer server =
-            new SteppedServer(
+    try (StepControlledServer server =
+            new StepControlledServer(
                 1, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":" + cancelling));
-        LatePeer late = server.workers.get(0).lateFromNowOn()) {
-      Stage.Job job = server.job("/issue", "");
-      assertEquals(job.id(), server.await("send").field("id"));
-      leave(job.socket(), reset);
-      SteppedServer.Step end = server.await("end");
+        StalledListener late = server.workers.get(0).stall()) {
+      SubmittedJob job = server.submit("/issue", "");
+      assertEquals(job.id(), server.awaitStep(Step.ATTEMPT_STARTED).field("id"));
+      leave(job.connection(), reset);
+      StepControlledServer.ReachedStep end = server.awaitStep(Step.ATTEMPT_ENDED);
       assertEquals(job.id(), end.field("id"));
       assertEquals("MOOT", end.field("outcome").toString(), "it never ran");
       // Another one's connection comes up, and brings what is its own.
-      Stage.Job next = server.job("/copy", "");
-      Http.Message first = Http.read(late.next(Http.PATIENCE_MS));
+      SubmittedJob next = server.submit("/copy", "");
+      HttpMessage first = HttpIo.read(late.nextConnection(HttpIo.TIMEOUT_MILLIS));
       assertEquals(next.id(), first.header("X-Call-Id"));
     }
   }
@@ -56,19 +57,20 @@
    */
   @Test
   void aFurtherAttemptIsTakenBackAsWell() throws Exception {
-    try (SteppedServer server =
-        new SteppedServer(2, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":false"))) {
-      Stage.Job job = server.job("/copy", "");
-      int at = server.awaitSend();
-      Http.Message post = server.workers.get(at).next();
-      try (LatePeer late = server.workers.get(1 - at).lateFromNowOn()) {
-        post.from().close();
-        assertEquals("w" + (1 - at), server.await("send").field("worker"));
-        leave(job.socket(), false);
-        server.await("withdrawn");
-        Stage.Job next = server.job("/copy", "");
-        Socket up = late.next(Http.PATIENCE_MS);
-        assertEquals(next.id(), Http.read(up).header("X-Call-Id"));
+    try (StepControlledServer server =
+        new StepControlledServer(
+            2, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":false"))) {
+      SubmittedJob job = server.submit("/copy", "");
+      int at = server.awaitAttemptWorker();
+      HttpMessage post = server.workers.get(at).nextRequest();
+      try (StalledListener late = server.workers.get(1 - at).stall()) {
+        post.connection().close();
+        assertEquals("w" + (1 - at), server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
+        leave(job.connection(), false);
+        server.awaitStep(Step.JOB_CANCELLED);
+        SubmittedJob next = server.submit("/copy", "");
+        Socket up = late.nextConnection(HttpIo.TIMEOUT_MILLIS);
+        assertEquals(next.id(), HttpIo.read(up).header("X-Call-Id"));
       }
     }
   }
@@ -80,16 +82,18 @@
   @ParameterizedTest
   @ValueSource(ints = {20_000, 100_000, 250_000})
   void theEndIsSeenBehindMuchThatWasSentAhead(int size) throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity())) {
-      Stage.Job job = server.job("/copy", "");
-      server.workers.get(0).next().answer(202, "");
-      server.news(job.id(), "w0", "running", ",\"share\":0.1");
-      Http.write(
-          job.socket(),
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+      SubmittedJob job = server.submit("/copy", "");
+      server.workers.get(0).nextRequest().respond(202, "");
+      server.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
+      HttpIo.write(
+          job.connection(),
           ("POST /copy HTTP/1.1\r\nX-Padding: " + "x".repeat(500) + "\r\n\r\n").repeat(size / 500));
-      leave(job.socket(), false);
-      assertEquals(job.id(), server.await("withdrawn").field("id"));
-      assertEquals("DELETE /jobs/" + job.id() + " HTTP/1.1", server.workers.get(0).next().first());
+      leave(job.connection(), false);
+      assertEquals(job.id(), server.awaitStep(Step.JOB_CANCELLED).field("id"));
+      assertEquals(
+          "DELETE /jobs/" + job.id() + " HTTP/1.1",
+          server.workers.get(0).nextRequest().startLine());
     }
   }
 
@@ -99,25 +103,27 @@
    */
   @Test
   void aFloodBehindARequestIsCutOff() throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity())) {
-      Stage.Job job = server.job("/copy", "");
-      server.workers.get(0).next().answer(202, "");
-      server.news(job.id(), "w0", "running", ",\"share\":0.1");
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+      SubmittedJob job = server.submit("/copy", "");
+      server.workers.get(0).nextRequest().respond(202, "");
+      server.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
       Thread flood =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    Http.write(job.socket(), "x".repeat(8192));
+                    HttpIo.write(job.connection(), "x".repeat(8192));
                   }
                 } catch (IOException closed) {
                   // As it should be.
                 }
               });
       flood.start();
-      assertEquals(413, job.answer().status());
-      assertEquals("DELETE /jobs/" + job.id() + " HTTP/1.1", server.workers.get(0).next().first());
-      flood.join(Http.PATIENCE_MS);
+      assertEquals(413, job.response().status());
+      assertEquals(
+          "DELETE /jobs/" + job.id() + " HTTP/1.1",
+          server.workers.get(0).nextRequest().startLine());
+      flood.join(HttpIo.TIMEOUT_MILLIS);
       assertTrue(!flood.isAlive(), "it is not listened to for ever");
     }
   }
@@ -128,14 +134,14 @@
    */
   @Test
   void aRequestIsAnsweredHoweverMuchComesBehindIt() throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity())) {
-      Stage.Job job = server.job("/copy", "");
-      Http.Message post = server.workers.get(0).next();
-      post.answer(202, "");
-      Http.write(job.socket(), "x".repeat(100_000));
-      server.settle();
-      server.news(job.id(), "w0", "done", ",\"result\":\"r\"");
-      Http.Message answer = job.answer();
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+      SubmittedJob job = server.submit("/copy", "");
+      HttpMessage post = server.workers.get(0).nextRequest();
+      post.respond(202, "");
+      HttpIo.write(job.connection(), "x".repeat(100_000));
+      server.awaitPendingInputRead();
+      server.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
+      HttpMessage answer = job.response();
       assertEquals("r", answer.body());
       assertEquals("close", answer.header("Connection"));
     }
@@ -147,45 +153,45 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aRequestWhoseClientLeftBeforeItWasReadIsNotServed(boolean much) throws Exception {
-    try (SteppedServer server = new SteppedServer(1, UnaryOperator.identity());
+    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity());
         Socket client = server.connect()) {
-      server.settle();
-      server.taken();
-      server.between(
+      server.awaitPendingInputRead();
+      server.drainSteps();
+      server.whileLoopIsPaused(
           () -> {
-            server.job(client, "/issue", 20_000, "");
-            Http.write(client, much ? "POST /issue HTTP/1.1\r\n".repeat(2000) : "");
+            server.submit(client, "/issue", 20_000, "");
+            HttpIo.write(client, much ? "POST /issue HTTP/1.1\r\n".repeat(2000) : "");
             leave(client, false);
           });
-      Stage.Job next = server.job("/copy", "");
-      assertEquals(next.id(), server.await("arrival").field("id"));
-      assertEquals(next.id(), server.workers.get(0).next().header("X-Call-Id"));
+      SubmittedJob next = server.submit("/copy", "");
+      assertEquals(next.id(), server.awaitStep(Step.JOB_ARRIVED).field("id"));
+      assertEquals(next.id(), server.workers.get(0).nextRequest().header("X-Call-Id"));
     }
   }
 
   /** Half a burst of clients leave while all of their jobs wait; the others are served. */
   @Test
   void ofABurstOnlyThoseAreSentOnWhoseClientsAreThere() throws Exception {
-    try (SteppedServer server =
-            new SteppedServer(
+    try (StepControlledServer server =
+            new StepControlledServer(
                 1,
                 c ->
                     c.replace("\"Cancelling\":true", "\"Cancelling\":false")
                         .replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":20"));
-        LatePeer late = server.workers.get(0).lateFromNowOn()) {
-      Stage.Job[] jobs = new Stage.Job[4];
+        StalledListener late = server.workers.get(0).stall()) {
+      SubmittedJob[] jobs = new SubmittedJob[4];
       for (int i = 0; i < jobs.length; i++) {
-        jobs[i] = server.job("/copy/" + i, "");
+        jobs[i] = server.submit("/copy/" + i, "");
       }
-      server.settle();
+      server.awaitPendingInputRead();
       for (int i = 0; i < jobs.length; i += 2) {
-        leave(jobs[i].socket(), i % 4 == 0);
+        leave(jobs[i].connection(), i % 4 == 0);
       }
       for (int i = 0; i < jobs.length; i += 2) {
-        server.await("withdrawn");
+        server.awaitStep(Step.JOB_CANCELLED);
       }
       for (int i = 1; i < jobs.length; i += 2) {
-        String target = Http.read(late.next(Http.PATIENCE_MS)).first();
+        String target = HttpIo.read(late.nextConnection(HttpIo.TIMEOUT_MILLIS)).startLine();
         assertEquals(
             1, Integer.parseInt(target.replaceAll("POST /copy/(\\d) .*", "$1")) % 2, target);
       }
