--- a/src/main/java/loomreel/core/Subchannel.java
+++ b/src/main/java/loomreel/core/Subchannel.java
@@ -1,5 +1,7 @@
 package loomreel.core;
 
+import loomreel.decision.Endpoint;
+
 /** The connection to one listed worker, whatever protocol it uses. */
 public interface Subchannel {
   /** Carries an attempt until that ends. */
@@ -29,6 +31,9 @@
    */
   ActiveCall start(CallAttempt attempt);
 
+  /** The worker's endpoint in the state that its pool reported last, or is to report first. */
+  Endpoint endpoint();
+
   /** Requests the worker's load; the result goes to {@link Dispatcher#healthChecked}. */
   void checkHealth();
 }
--- /dev/null
+++ b/src/main/java/loomreel/core/SubchannelPool.java
@@ -0,0 +1,44 @@
+package loomreel.core;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import loomreel.decision.Endpoint;
+
+/**
+ * A {@link WorkerPool} that holds one subchannel for each worker that it lists. Used on the event
+ * loop's thread only.
+ *
+ * @param <S> the type of its subchannels
+ */
+public abstract class SubchannelPool<S extends Subchannel> implements WorkerPool {
+  protected final Dispatcher dispatcher;
+
+  /** By endpoint id. */
+  protected final Map<String, S> subchannels = new HashMap<>();
+
+  /** Creates a pool that lists no workers to a dispatcher. */
+  protected SubchannelPool(Dispatcher dispatcher) {
+    this.dispatcher = dispatcher;
+  }
+
+  /** Reports the change of one endpoint to the dispatcher. */
+  protected final void publish(Endpoint endpoint) {
+    dispatcher.endpointsChanged(this, false, List.of(endpoint));
+  }
+
+  @Override
+  public final Subchannel find(String id) {
+    return subchannels.get(id);
+  }
+
+  @Override
+  public final int size() {
+    return subchannels.size();
+  }
+
+  @Override
+  public final List<Endpoint> endpoints() {
+    return subchannels.values().stream().map(Subchannel::endpoint).toList();
+  }
+}
--- a/src/main/java/loomreel/faktory/CommandDispatcher.java
+++ b/src/main/java/loomreel/faktory/CommandDispatcher.java
@@ -43,7 +43,7 @@
     int space = line.indexOf(' ');
     String verb = space < 0 ? line : line.substring(0, space);
     String arguments = space < 0 ? "" : line.substring(space + 1).strip();
-    if (connection.state() == ConnectionState.AWAITING_HELLO) {
+    if (connection.state() == FaktoryConnectionState.AWAITING_HELLO) {
       authenticate(connection, verb, arguments);
       return;
     }
--- a/src/main/java/loomreel/faktory/ConsumerCommands.java
+++ b/src/main/java/loomreel/faktory/ConsumerCommands.java
@@ -8,6 +8,7 @@
 import loomreel.faktory.protocol.Reply;
 import loomreel.faktory.scheduling.JobScheduler;
 import loomreel.faktory.storage.JobPersistence;
+import loomreel.faktory.worker.AttemptReports;
 import loomreel.faktory.worker.FaktoryWorkerPool;
 import loomreel.faktory.worker.WorkerRegistry;
 import loomreel.settings.FaktorySettings;
@@ -17,16 +18,19 @@
   private static final String DEFAULT_QUEUE = "default";
 
   private final FaktoryWorkerPool workers;
+  private final AttemptReports reports;
   private final FaktorySettings.Workers settings;
   private final JobScheduler scheduler;
   private final JobPersistence persistence;
 
   ConsumerCommands(
       FaktoryWorkerPool workers,
+      AttemptReports reports,
       FaktorySettings.Workers settings,
       JobScheduler scheduler,
       JobPersistence persistence) {
     this.workers = workers;
+    this.reports = reports;
     this.settings = settings;
     this.scheduler = scheduler;
     this.persistence = persistence;
@@ -40,7 +44,7 @@
     }
     List<String> queues =
         arguments.isEmpty() ? List.of(DEFAULT_QUEUE) : List.of(arguments.split("\\s+"));
-    byte[] job = workers.fetch(connection.worker(), connection, queues);
+    byte[] job = connection.fetch(queues);
     if (job != null) {
       connection.sendJob(job);
     } else {
@@ -48,9 +52,9 @@
     }
   }
 
-  /** ACK: as the protocol has it, one for a job that nobody waits for is no error. */
+  /** ACK: as the protocol requires, one for an attempt that has ended is no error. */
   Reply acknowledge(FaktoryConnection connection, JsonNode ack) {
-    workers.acknowledge(
+    reports.acknowledged(
         connection.worker(), ack.path("jid").asText(""), resultBytes(ack.path("result")));
     persistence.write();
     return Reply.OK;
@@ -69,7 +73,7 @@
   Reply fail(FaktoryConnection connection, JsonNode fail) {
     String id = fail.path("jid").asText("");
     String reason = fail.path("errtype").asText("") + " " + fail.path("message").asText("");
-    boolean isKnown = workers.fail(connection.worker(), id, Reply.truncate(reason).strip());
+    boolean isKnown = reports.failed(connection.worker(), id, Reply.truncate(reason).strip());
     persistence.write();
     return isKnown ? Reply.OK : jobNotFound(id);
   }
@@ -82,7 +86,7 @@
   /** BEAT: the reply asks the worker to drain while this process does. */
   Reply beat(FaktoryConnection connection, JsonNode beat) {
     WorkerRegistry.Worker worker = connection.worker();
-    if (worker == null || !worker.wid.equals(beat.path("wid").asText(worker.wid))) {
+    if (worker == null || !worker.wid().equals(beat.path("wid").asText(worker.wid()))) {
       return Reply.error("unknown worker");
     }
     JsonNode state = beat.path("current_state");
--- a/src/main/java/loomreel/faktory/FaktoryConnection.java
+++ b/src/main/java/loomreel/faktory/FaktoryConnection.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
-import java.util.Arrays;
 import java.util.List;
 import java.util.Optional;
 import loomreel.faktory.protocol.Handshake;
@@ -14,37 +13,36 @@
 import loomreel.faktory.worker.WorkerConnection;
 import loomreel.faktory.worker.WorkerRegistry;
 import loomreel.io.ByteConnection;
-import loomreel.io.Bytes;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
 /**
  * One connection of a Faktory client or worker: frames commands, one a line, passes them to the
  * {@link CommandDispatcher}, and writes RESP replies in order. Owned by the {@link
- * FaktoryListener}; {@link ConnectionState} has its states and their transitions.
+ * FaktoryListener}; {@link FaktoryConnectionState} has its states and their transitions.
  */
 final class FaktoryConnection extends ByteConnection implements WorkerConnection {
-  /** How long HELLO may take, the reading of replies, and the client's close after ours. */
+  /**
+   * How long HELLO may take, the reading of replies, and the client's close after ours, in
+   * microseconds.
+   */
   private static final long TIMEOUT_MICROS = 5_000_000;
 
-  /** How long a command may take from its first byte to its last. */
+  /** How long a command may take from its first byte to its last, in microseconds. */
   private static final long COMMAND_TIMEOUT_MICROS = 6 * TIMEOUT_MICROS;
 
   private static final int MAX_HELLO_BYTES = 4 * 1024;
 
-  /** What a client may leave unread before its commands are read no more. */
+  /** The client's input is not read while more bytes of replies than this are unread. */
   private static final int MAX_UNREAD_REPLY_BYTES = 256 * 1024;
 
-  /** What may be buffered behind a command that is not answered yet. */
-  private static final int MAX_PIPELINED_BYTES = 64 * 1024;
-
   /**
-   * What a connection works with.
+   * What all connections use.
    *
    * @param commands carries out what the client sends
-   * @param workers is told what is fetched and written here
-   * @param listener is told when the connection authenticates and closes
-   * @param passwordIterations how often the client hashes its password
+   * @param workers is notified of what is fetched and written here
+   * @param listener is notified when the connection authenticates and closes
+   * @param passwordIterations how many times the client hashes its password
    */
   record Context(
       CommandDispatcher commands,
@@ -58,23 +56,18 @@
   private final LineReader lines;
 
   /** Commands that arrived while another was under way. */
-  private final Bytes pipelined;
+  private final PipelinedCommands pipelined;
 
-  private ConnectionState state = ConnectionState.AWAITING_HELLO;
+  /** For HELLO, for the rest of a command, and for the client's close. */
+  private final Timeout inputTimeout;
 
-  /** For HELLO, for the rest of a command, and for the client's close; or null. */
-  private EventLoop.Timer inputTimer;
+  /** Started while replies wait to be read by the client. */
+  private final Timeout unreadReplyTimeout;
 
-  /** Runs while replies wait to be read by the client, else null. */
-  private EventLoop.Timer unreadReplyTimer;
+  private FaktoryConnectionState state = FaktoryConnectionState.AWAITING_HELLO;
 
-  /** The worker process at the other side, or null for a client that only pushes. */
-  private WorkerRegistry.Worker worker;
-
-  /** The queues of the FETCH that waits; only valid in {@link ConnectionState#AWAITING_JOB}. */
-  private List<String> fetchQueues = List.of();
-
-  private EventLoop.Timer fetchTimer;
+  /** Null for a client that only pushes, and after the close. */
+  private WorkerSession workerSession;
 
   /** All bytes that were ever appended to the output. */
   private long appendedBytes;
@@ -89,12 +82,14 @@
     this.context = context;
     this.challenge = challenge;
     lines = new LineReader(loop.pool(), MAX_HELLO_BYTES);
-    pipelined = new Bytes(loop.pool());
-    inputTimer = closeWithErrorAfter(TIMEOUT_MICROS, "HELLO took too long");
+    pipelined = new PipelinedCommands(loop.pool());
+    unreadReplyTimeout = new Timeout(loop);
+    inputTimeout = new Timeout(loop);
+    closeWithErrorAfter(TIMEOUT_MICROS, "HELLO took too long");
   }
 
-  private EventLoop.Timer closeWithErrorAfter(long micros, String message) {
-    return loop.schedule(loop.now() + micros, () -> replyAndClose(Reply.error(message)));
+  private void closeWithErrorAfter(long micros, String message) {
+    inputTimeout.start(micros, () -> replyAndClose(Reply.error(message)));
   }
 
   /** Sends the server's greeting, with the challenge where a password is required. */
@@ -106,52 +101,44 @@
     reply(new Reply.SimpleString("HI {\"v\":" + Handshake.VERSION + password + "}"));
   }
 
-  /** What the client has to prove in its HELLO. */
+  /** The challenge that the client has to answer in its HELLO. */
   PasswordChallenges.Challenge challenge() {
     return challenge;
   }
 
-  ConnectionState state() {
+  FaktoryConnectionState state() {
     return state;
   }
 
   /** Whether a worker process is at the other side. */
   boolean isWorker() {
-    return worker != null;
+    return workerSession != null;
   }
 
   /** The worker process at the other side, or null for a client that only pushes. */
   WorkerRegistry.Worker worker() {
-    return worker;
+    return workerSession == null ? null : workerSession.worker();
   }
 
   /** HELLO was accepted: commands of up to so many bytes follow. */
   void authenticated(int maxCommandBytes) {
-    state = state.become(ConnectionState.READY);
-    cancelInputTimer();
+    state = state.become(FaktoryConnectionState.READY);
+    inputTimeout.stop();
     lines.maxLineBytes(maxCommandBytes);
     context.listener().authenticated(this);
   }
 
   /** The client is a connection of that worker process. */
   void joinedAs(WorkerRegistry.Worker process) {
-    worker = process;
-  }
-
-  private void cancelInputTimer() {
-    if (inputTimer != null) {
-      inputTimer.cancel();
-      inputTimer = null;
-    }
+    workerSession = new WorkerSession(loop, context.workers(), process, this);
   }
 
   @Override
   protected void bytesReceived(ByteBuffer in) {
     while (state.acceptsInput() && in.hasRemaining()) {
       if (state.isBusy() || out.length() > MAX_UNREAD_REPLY_BYTES) {
-        pipelined.append(in, in.remaining());
-        pauseReading(
-            pipelined.length() > MAX_PIPELINED_BYTES || out.length() > MAX_UNREAD_REPLY_BYTES);
+        pipelined.add(in);
+        pauseReading(pipelined.isFull() || out.length() > MAX_UNREAD_REPLY_BYTES);
         return;
       }
       Optional<String> line;
@@ -166,58 +153,61 @@
         awaitRestOfCommand();
         return;
       }
-      if (state != ConnectionState.AWAITING_HELLO) {
-        cancelInputTimer();
+      if (state != FaktoryConnectionState.AWAITING_HELLO) {
+        inputTimeout.stop();
       }
       context.commands().dispatch(this, line.get());
     }
   }
 
   private void awaitRestOfCommand() {
-    if (state != ConnectionState.AWAITING_HELLO && inputTimer == null && !lines.atStart()) {
-      inputTimer = closeWithErrorAfter(COMMAND_TIMEOUT_MICROS, "a command took too long");
+    if (state != FaktoryConnectionState.AWAITING_HELLO
+        && !inputTimeout.isStarted()
+        && !lines.atStart()) {
+      closeWithErrorAfter(COMMAND_TIMEOUT_MICROS, "a command took too long");
     }
   }
 
-  /** Carries out what arrived meanwhile. */
+  /** Carries out the commands that arrived while another was under way. */
   private void resume() {
-    if (!isClosed() && pipelined.length() > 0) {
-      byte[] more = pipelined.toArray();
-      pipelined.release();
-      bytesReceived(ByteBuffer.wrap(more));
+    if (!isClosed() && !pipelined.isEmpty()) {
+      bytesReceived(pipelined.takeAll());
     }
-    if (state.acceptsInput() && pipelined.length() <= MAX_PIPELINED_BYTES) {
+    if (state.acceptsInput() && !pipelined.isFull()) {
       pauseReading(false);
     }
   }
 
   /** A command is under way whose reply follows with {@link #completeCommand}. */
-  void beginCommand(ConnectionState busy) {
+  void beginCommand(FaktoryConnectionState busy) {
     state = state.become(busy);
   }
 
   /** The command that was under way is done; a connection that has closed meanwhile stays so. */
   void completeCommand(Reply reply) {
     if (!isClosed()) {
-      state = state.become(ConnectionState.READY);
+      state = state.become(FaktoryConnectionState.READY);
       reply(reply);
       resume();
     }
   }
 
+  /** The payload of a job of these queues for the worker, or null where none is waiting. */
+  byte[] fetch(List<String> queues) {
+    return workerSession.fetch(queues);
+  }
+
   /** A FETCH waits for a job of these queues, for so long at most. */
   void awaitJob(List<String> queues, long micros) {
-    state = state.become(ConnectionState.AWAITING_JOB);
-    fetchQueues = queues;
-    context.workers().addWaitingFetches(worker, 1);
-    fetchTimer = loop.schedule(loop.now() + micros, this::answerFetchWithoutJob);
+    state = state.become(FaktoryConnectionState.AWAITING_JOB);
+    workerSession.startFetchWait(queues, micros);
   }
 
   @Override
   public void offer() {
-    if (state == ConnectionState.AWAITING_JOB) {
-      byte[] job = context.workers().fetch(worker, this, fetchQueues);
-      if (job != null && state == ConnectionState.AWAITING_JOB) {
+    if (state == FaktoryConnectionState.AWAITING_JOB) {
+      byte[] job = workerSession.fetchForWaiting();
+      if (job != null && state == FaktoryConnectionState.AWAITING_JOB) {
         endFetchWait();
         sendJob(job);
         resume();
@@ -227,7 +217,7 @@
 
   @Override
   public void answerFetchWithoutJob() {
-    if (state == ConnectionState.AWAITING_JOB) {
+    if (state == FaktoryConnectionState.AWAITING_JOB) {
       endFetchWait();
       reply(Reply.NIL);
       resume();
@@ -235,10 +225,9 @@
   }
 
   private void endFetchWait() {
-    if (state == ConnectionState.AWAITING_JOB) {
-      state = state.become(ConnectionState.READY);
-      fetchTimer.cancel();
-      context.workers().addWaitingFetches(worker, -1);
+    if (state == FaktoryConnectionState.AWAITING_JOB) {
+      state = state.become(FaktoryConnectionState.READY);
+      workerSession.endFetchWait();
     }
   }
 
@@ -248,10 +237,10 @@
     send();
   }
 
-  /** A job goes out; it may run once its last byte has, whatever else is written behind it. */
+  /** Sends a job; it may run once its last byte is written, whatever follows on the connection. */
   void sendJob(byte[] job) {
     append(new Reply.BulkString(job));
-    context.workers().setEndOffset(worker, this, appendedBytes);
+    workerSession.jobAppended(appendedBytes);
     send();
   }
 
@@ -261,7 +250,7 @@
       reply(reply);
     }
     if (!isClosed()) {
-      state = state.become(ConnectionState.CLOSING);
+      state = state.become(FaktoryConnectionState.CLOSING);
       if (out.length() == 0) {
         shutdownOutput();
       }
@@ -276,36 +265,32 @@
 
   private void send() {
     flush();
-    if (!isClosed() && worker != null) {
-      context.workers().bytesWritten(worker, this, appendedBytes - out.length());
+    if (!isClosed() && workerSession != null) {
+      workerSession.bytesWritten(appendedBytes - out.length());
     }
-    if (!isClosed() && out.length() > 0 && unreadReplyTimer == null) {
-      unreadReplyTimer = loop.schedule(loop.now() + TIMEOUT_MICROS, this::close);
+    if (!isClosed() && out.length() > 0 && !unreadReplyTimeout.isStarted()) {
+      unreadReplyTimeout.start(TIMEOUT_MICROS, this::close);
     }
   }
 
   /**
-   * Closing at once would reset the connection if anything has come unread, and the last reply
-   * could be lost.
+   * Closing at once would reset the connection if there is unread input, and the last reply could
+   * be lost.
    */
   private void shutdownOutput() {
-    cancelInputTimer();
-    inputTimer = loop.schedule(loop.now() + TIMEOUT_MICROS, this::close);
+    inputTimeout.start(TIMEOUT_MICROS, this::close);
     endOutput();
   }
 
   @Override
   protected void flushed() {
-    if (unreadReplyTimer != null) {
-      unreadReplyTimer.cancel();
-      unreadReplyTimer = null;
+    unreadReplyTimeout.stop();
+    if (workerSession != null) {
+      workerSession.bytesWritten(appendedBytes);
     }
-    if (worker != null) {
-      context.workers().bytesWritten(worker, this, appendedBytes);
-    }
-    if (state == ConnectionState.CLOSING) {
+    if (state == FaktoryConnectionState.CLOSING) {
       shutdownOutput();
-    } else if (!state.isBusy() && pipelined.length() > 0) {
+    } else if (!state.isBusy() && !pipelined.isEmpty()) {
       loop.schedule(loop.now(), this::resume);
     }
   }
@@ -318,29 +303,26 @@
     if (isClosed()) {
       return;
     }
-    if (worker != null) {
-      // Before what is left unwritten is thrown away: what has gone out may run.
-      context.workers().bytesWritten(worker, this, appendedBytes - out.length());
+    if (workerSession != null) {
+      // Before unwritten output is discarded: a job whose last byte has been written may run.
+      workerSession.bytesWritten(appendedBytes - out.length());
     }
     endFetchWait();
-    state = state.become(ConnectionState.CLOSED);
+    state = state.become(FaktoryConnectionState.CLOSED);
     super.close();
     releaseResources();
     context.listener().closed(this);
-    if (worker != null) {
-      WorkerRegistry.Worker left = worker;
-      worker = null;
-      context.workers().disconnect(left, this);
+    if (workerSession != null) {
+      WorkerSession ended = workerSession;
+      workerSession = null;
+      ended.disconnect();
     }
   }
 
   private void releaseResources() {
     lines.release();
     pipelined.release();
-    for (EventLoop.Timer timer : Arrays.asList(inputTimer, unreadReplyTimer, fetchTimer)) {
-      if (timer != null) {
-        timer.cancel();
-      }
-    }
+    inputTimeout.stop();
+    unreadReplyTimeout.stop();
   }
 }
--- a/src/main/java/loomreel/faktory/FaktoryConnectionState.java
+++ b/src/main/java/loomreel/faktory/FaktoryConnectionState.java
@@ -23,7 +23,7 @@
  * <tr><td>any</td><td>the connection is closed from either side</td><td>CLOSED</td></tr>
  * </table>
  */
-enum ConnectionState {
+enum FaktoryConnectionState {
   /** Connected; nothing but HELLO is accepted. */
   AWAITING_HELLO,
   /** Authenticated, with no command under way. */
@@ -39,7 +39,7 @@
   /** The channel is closed. */
   CLOSED;
 
-  private Set<ConnectionState> successors() {
+  private Set<FaktoryConnectionState> successors() {
     return switch (this) {
       case AWAITING_HELLO -> EnumSet.of(READY, CLOSING, CLOSED);
       case READY -> EnumSet.of(PERSISTING_PUSH, IN_BATCH, AWAITING_JOB, CLOSING, CLOSED);
@@ -50,7 +50,7 @@
   }
 
   /** Whether the table of transitions leads from here to {@code next}. */
-  boolean canBecome(ConnectionState next) {
+  boolean canBecome(FaktoryConnectionState next) {
     return successors().contains(next);
   }
 
@@ -60,7 +60,7 @@
    * @return {@code next}
    * @throws IllegalStateException if the table of transitions does not have it
    */
-  ConnectionState become(ConnectionState next) {
+  FaktoryConnectionState become(FaktoryConnectionState next) {
     if (!canBecome(next)) {
       throw new IllegalStateException("a connection cannot go from " + this + " to " + next);
     }
--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -22,6 +22,7 @@
 import loomreel.faktory.scheduling.RecentAttempts;
 import loomreel.faktory.storage.JobPersistence;
 import loomreel.faktory.storage.SpoolPersistence;
+import loomreel.faktory.worker.AttemptReports;
 import loomreel.faktory.worker.FaktoryWorkerPool;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
@@ -67,12 +68,7 @@
     RecentAttempts recentAttempts = new RecentAttempts(loop, queue, log);
     workers =
         new FaktoryWorkerPool(
-            dispatcher,
-            settings.workers(),
-            payloads,
-            model.classes(),
-            model.zone(),
-            recentAttempts::lateReport);
+            dispatcher, settings.workers(), payloads, model.classes(), model.zone());
     persistence = openPersistence(classes, payloads);
     scheduler =
         new JobScheduler(
@@ -130,13 +126,14 @@
 
   private CommandDispatcher commands(
       JobClasses classes, PayloadValidator payloads, RecentAttempts attempts) {
+    AttemptReports reports = new AttemptReports(workers, attempts::recordEvidence);
     JobIntake intake = new JobIntake(loop, queue, persistence, payloads, scheduler, log);
     return new CommandDispatcher(
         settings,
         workers,
         new ProducerCommands(loop, intake),
-        new ConsumerCommands(workers, settings.workers(), scheduler, persistence),
-        new TrackCommands(attempts, workers),
+        new ConsumerCommands(workers, reports, settings.workers(), scheduler, persistence),
+        new TrackCommands(attempts, reports),
         new AdminCommands(
             loop, queue.administration(), classes, scheduler, report, settings.allowsMutation()),
         report,
--- a/src/main/java/loomreel/faktory/IngressReport.java
+++ b/src/main/java/loomreel/faktory/IngressReport.java
@@ -15,10 +15,17 @@
 
 /** Counts of jobs, workers and connections: for INFO, and for the periodic log line. */
 final class IngressReport {
-  /** What dashboards show as the server's version: the one whose INFO this follows. */
+  /** The server version for dashboards: that of the Faktory release whose INFO this follows. */
   private static final String FAKTORY_VERSION = "1.9.0";
 
   private static final String ANY_QUEUE = "*";
+  private static final long BYTES_PER_MEBIBYTE = 1 << 20;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+
+  /** In the order of the report. */
+  private static final List<State> FINAL_STATES =
+      List.of(State.DONE, State.DEAD, State.EXPIRED, State.CANCELLED);
+
   private static final DateTimeFormatter UTC_TIME =
       DateTimeFormatter.ofPattern("HH:mm:ss 'UTC'").withZone(ZoneOffset.UTC);
 
@@ -59,7 +66,7 @@
     ObjectNode info = Json.MAPPER.createObjectNode();
     putQueues(info.putObject("faktory"));
     putServer(info.putObject("server"));
-    Instant now = Instant.ofEpochSecond(loop.now() / 1_000_000);
+    Instant now = Instant.ofEpochSecond(loop.now() / MICROS_PER_SECOND);
     info.put("server_utc_time", UTC_TIME.format(now));
     info.put("now", now.toString());
     return info;
@@ -85,8 +92,8 @@
     tasks.putObject("Dead").put("size", queue.size(State.DEAD));
     tasks.putObject("Working").put("size", queue.size(State.ACTIVE));
     ObjectNode ended = tasks.putObject("Ended");
-    for (State state : List.of(State.DONE, State.DEAD, State.EXPIRED, State.CANCELLED)) {
-      ended.put(state.name().toLowerCase(Locale.ROOT), queue.ended(state));
+    for (State state : FINAL_STATES) {
+      ended.put(nameOf(state), queue.ended(state));
     }
     tasks.putObject("Workers").put("size", workers.size());
   }
@@ -94,42 +101,37 @@
   private void putServer(ObjectNode server) {
     server.put("description", "loomreel");
     server.put("faktory_version", FAKTORY_VERSION);
-    server.put("uptime", (loop.now() - startedAt) / 1_000_000);
+    server.put("uptime", (loop.now() - startedAt) / MICROS_PER_SECOND);
     server.put("connections", listener.openConnections());
     server.put("command_count", commandCount);
     long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    server.put("used_memory_mb", usedBytes >> 20);
+    server.put("used_memory_mb", usedBytes / BYTES_PER_MEBIBYTE);
   }
 
   /** One line for the log. */
   String summary() {
-    return "faktory connections="
-        + listener.openConnections()
-        + " workers="
-        + workers.size()
-        + " pushed="
-        + queue.pushed()
-        + " scheduled="
-        + queue.size(State.SCHEDULED)
-        + " enqueued="
-        + queue.size(State.ENQUEUED)
-        + " active="
-        + queue.size(State.ACTIVE)
-        + " retries="
-        + queue.size(State.RETRY)
-        + " payload_bytes="
-        + queue.liveBytes()
-        + " done="
-        + queue.ended(State.DONE)
-        + " dead="
-        + queue.ended(State.DEAD)
-        + " expired="
-        + queue.ended(State.EXPIRED)
-        + " cancelled="
-        + queue.ended(State.CANCELLED)
-        + " accepted="
-        + listener.acceptedConnections()
-        + " over_limit="
-        + listener.connectionsOverLimit();
+    StringBuilder line = new StringBuilder("faktory");
+    append(line, "connections", listener.openConnections());
+    append(line, "workers", workers.size());
+    append(line, "pushed", queue.pushed());
+    append(line, "scheduled", queue.size(State.SCHEDULED));
+    append(line, "enqueued", queue.size(State.ENQUEUED));
+    append(line, "active", queue.size(State.ACTIVE));
+    append(line, "retries", queue.size(State.RETRY));
+    append(line, "payload_bytes", queue.liveBytes());
+    for (State state : FINAL_STATES) {
+      append(line, nameOf(state), queue.ended(state));
+    }
+    append(line, "accepted", listener.acceptedConnections());
+    append(line, "over_limit", listener.connectionsOverLimit());
+    return line.toString();
+  }
+
+  private static void append(StringBuilder line, String name, long value) {
+    line.append(' ').append(name).append('=').append(value);
+  }
+
+  private static String nameOf(State state) {
+    return state.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/src/main/java/loomreel/faktory/ProducerCommands.java
+++ b/src/main/java/loomreel/faktory/ProducerCommands.java
@@ -22,13 +22,13 @@
       connection.reply(rejected.error());
       return;
     }
-    connection.beginCommand(ConnectionState.PERSISTING_PUSH);
+    connection.beginCommand(FaktoryConnectionState.PERSISTING_PUSH);
     intake.whenDurable(result.isSynced(), () -> connection.completeCommand(Reply.OK));
   }
 
   /** PUSHB: the reply names the jobs that were rejected. */
   void pushBatch(FaktoryConnection connection, String text) {
-    connection.beginCommand(ConnectionState.IN_BATCH);
+    connection.beginCommand(FaktoryConnectionState.IN_BATCH);
     batches.submit(
         () -> {
           if (connection.isClosed()) {
--- a/src/main/java/loomreel/faktory/TrackCommands.java
+++ b/src/main/java/loomreel/faktory/TrackCommands.java
@@ -10,7 +10,7 @@
 import loomreel.faktory.protocol.Reply;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.scheduling.RecentAttempts;
-import loomreel.faktory.worker.FaktoryWorkerPool;
+import loomreel.faktory.worker.AttemptReports;
 
 /** TRACK: clients read the state of a job, workers report its progress. */
 final class TrackCommands {
@@ -18,11 +18,11 @@
   private static final String SET = "SET ";
 
   private final RecentAttempts jobs;
-  private final FaktoryWorkerPool workers;
+  private final AttemptReports reports;
 
-  TrackCommands(RecentAttempts jobs, FaktoryWorkerPool workers) {
+  TrackCommands(RecentAttempts jobs, AttemptReports reports) {
     this.jobs = jobs;
-    this.workers = workers;
+    this.reports = reports;
   }
 
   /**
@@ -42,7 +42,7 @@
 
   private Reply recordProgress(FaktoryConnection connection, JsonNode progress) {
     String id = progress.path("jid").asText("");
-    workers.progress(connection.worker(), id);
+    reports.progressed(connection.worker(), id);
     Optional<Job> job = jobs.findJob(id);
     if (job.isEmpty()) {
       return ConsumerCommands.jobNotFound(id);
--- a/src/main/java/loomreel/faktory/scheduling/RecentAttempts.java
+++ b/src/main/java/loomreel/faktory/scheduling/RecentAttempts.java
@@ -10,18 +10,20 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The jobs of recent attempts by the attempt's id, so that what a worker reports late, twice or
- * from elsewhere is noted as evidence on the right job.
+ * The jobs of recent attempts by the attempt's id, so that a report that is late, repeated or of
+ * another worker is recorded as evidence on the right job.
  */
 public final class RecentAttempts {
   /** Bounds the memory; a worker that reports after so many further attempts is only logged. */
   private static final int MAX_ATTEMPTS = 100_000;
 
+  private static final long MICROS_PER_SECOND = 1_000_000;
+
   private final EventLoop loop;
   private final JobQueue queue;
   private final RateLimitedLogger log;
 
-  /** In order of their start, so that the oldest is forgotten first. */
+  /** In order of their start, so that the oldest is removed first. */
   private final Map<String, Job> jobs =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
@@ -39,12 +41,12 @@
     this.log = log;
   }
 
-  /** Remembers the job of an attempt that starts. */
+  /** Records the job of an attempt that starts. */
   void add(String attemptId, Job job) {
     jobs.put(attemptId, job);
   }
 
-  /** Whether an attempt of that id is remembered. */
+  /** Whether an attempt of that id is recorded. */
   boolean contains(String attemptId) {
     return jobs.containsKey(attemptId);
   }
@@ -59,15 +61,16 @@
    * Records a report of a worker that does not change an attempt's end, as evidence on its job.
    *
    * @param id the attempt's id as the worker gave it
-   * @param what the report
+   * @param report the text of the report
    */
-  public void lateReport(String id, String what) {
+  public void recordEvidence(String id, String report) {
     Job job = jobs.get(id);
     if (job != null) {
       queue.addEvidence(
-          job, Instant.ofEpochSecond(loop.now() / 1_000_000) + " try " + id + ": " + what);
+          job,
+          Instant.ofEpochSecond(loop.now() / MICROS_PER_SECOND) + " try " + id + ": " + report);
     } else {
-      log.info("report on an unknown attempt id=" + id + " report=" + what);
+      log.info("report on an unknown attempt id=" + id + " report=" + report);
     }
   }
 }
--- a/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
+++ b/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
@@ -23,17 +23,17 @@
   /** Attempts that may wait for each slot; more are rejected, as a full worker does. */
   private static final int MAX_WAITING_PER_SLOT = 4;
 
-  /** How long after its time an attempt of which the worker says nothing still takes a slot. */
+  /** How long after its time an attempt without a report still takes a slot, in microseconds. */
   private static final long SLOT_GRACE_MICROS = 5_000_000;
 
   /** Cell of an endpoint that belongs to none. */
   private static final int NO_CELL = -1;
 
   /**
-   * What all subchannels of a pool share.
+   * What all subchannels of a pool use.
    *
    * @param classes the request classes of the settings, in their order
-   * @param defaultZone zone of a worker whose labels do not say
+   * @param defaultZone zone of a worker without a label for it
    */
   record Context(
       Dispatcher dispatcher,
@@ -58,7 +58,7 @@
     Map<String, String> labels = worker.handshake.labels();
     endpoint =
         new Endpoint(
-            FaktoryWorkerPool.PREFIX + worker.wid,
+            FaktoryWorkerPool.PREFIX + worker.wid(),
             labels.getOrDefault("site", context.defaultZone()),
             labels.getOrDefault("kind", ""),
             NO_CELL,
@@ -68,8 +68,8 @@
             Set.copyOf(worker.queues));
   }
 
-  /** The endpoint as it was published last, or is to be published first. */
-  Endpoint endpoint() {
+  @Override
+  public Endpoint endpoint() {
     return endpoint;
   }
 
@@ -113,7 +113,7 @@
     if (fetches.withdraw(item)) {
       item.value().end(AttemptOutcome.CONNECT_FAILED, null);
     } else if (item.state() == FetchDispatcher.State.WRITING) {
-      // Part of it is written. Closed, the connection never delivers the rest, so it cannot run.
+      // Part of it is written. Closing the connection discards the rest, so it cannot run.
       item.connection().close();
     }
   }
@@ -217,12 +217,12 @@
     return item == null ? null : item.value();
   }
 
-  /** Rejects all attempts that wait, as the worker gets nothing new. */
+  /** Rejects all attempts that wait for a FETCH. */
   void withdrawAll() {
     fetches.withdrawAll().forEach(item -> item.value().end(AttemptOutcome.REJECTED, load()));
   }
 
-  /** Gives the slots of attempts free of which the worker has said nothing in their time. */
+  /** Frees the slots of attempts that the worker has not reported on in their time. */
   void removeExpired() {
     fetches.removeExpired(loop.now());
   }
@@ -233,7 +233,7 @@
   }
 
   /**
-   * Returns the slots that were logged before, and notes those that are logged now.
+   * Records the slots that are logged now, and returns those that were logged before.
    *
    * @return 0 where none were logged
    */
@@ -249,13 +249,13 @@
    */
   WorkerLoad load() {
     int running = fetches.inProgressCount();
-    int held = running + fetches.waitingCount();
+    int outstanding = running + fetches.waitingCount();
     int slots = slots();
     return new WorkerLoad(
-        Math.max(0, held - slots),
-        held,
+        Math.max(0, outstanding - slots),
+        outstanding,
         Math.min(1, running / (double) slots),
-        Math.max(0, slots - held));
+        Math.max(0, slots - outstanding));
   }
 
   /** The worker that this leads to. */
--- a/src/main/java/loomreel/faktory/worker/FetchDispatcher.java
+++ b/src/main/java/loomreel/faktory/worker/FetchDispatcher.java
@@ -51,7 +51,7 @@
     /** Offset of its last byte in all that is written on its connection. */
     private long endOffset = NOT_KNOWN_YET;
 
-    /** When it stops to count as in progress, whatever the worker says. */
+    /** When it no longer counts as in progress, even without a report of the worker. */
     private long expiresAt = Long.MAX_VALUE;
 
     private Item(String id, String queue, T value) {
@@ -187,7 +187,7 @@
     return lost;
   }
 
-  /** Removes items whose time is over without a word of the worker. */
+  /** Removes items whose time is over although the worker has not reported on them. */
   void removeExpired(long now) {
     inProgress.values().removeIf(item -> item.expiresAt <= now);
   }
--- a/src/main/java/loomreel/faktory/worker/SlotEstimator.java
+++ b/src/main/java/loomreel/faktory/worker/SlotEstimator.java
@@ -1,8 +1,8 @@
 package loomreel.faktory.worker;
 
 /**
- * How many jobs a worker takes at a time: what its labels say, else the most FETCHes that waited
- * and jobs that ran at once of late. A process whose threads each FETCH, run and FETCH again has as
+ * How many jobs a worker runs at a time: as its labels give it, else the recent maximum of waiting
+ * FETCHes and running jobs together. A process whose threads each FETCH, run and FETCH again has as
  * many slots as threads.
  */
 final class SlotEstimator {
@@ -18,10 +18,10 @@
   /**
    * Creates an estimator.
    *
-   * @param labelledSlots what the worker's labels say, or 0 where it is to be learned
-   * @param minSlots the least that is learned
-   * @param windowMicros a worker that takes fewer jobs than before is believed after one to two
-   *     times this
+   * @param labelledSlots the number that the worker's labels give, or 0 where it is estimated
+   * @param minSlots the least estimate
+   * @param windowMicros the estimate follows a worker that takes fewer jobs than before after one
+   *     to two times this
    */
   SlotEstimator(int labelledSlots, int minSlots, long windowMicros) {
     this.labelledSlots = labelledSlots;
@@ -37,7 +37,7 @@
   /**
    * Returns the slots at a time, which must not go back.
    *
-   * @param running jobs that the worker has now
+   * @param running jobs that the worker runs now
    */
   int slots(int running, long now) {
     if (labelledSlots > 0) {
--- a/src/main/java/loomreel/faktory/worker/WorkerRegistry.java
+++ b/src/main/java/loomreel/faktory/worker/WorkerRegistry.java
@@ -17,8 +17,8 @@
   /**
    * Settings that hold for each worker.
    *
-   * @param heartbeatTimeoutMicros without a BEAT for so long a worker counts as gone
-   * @param minSlots slots of a worker that has not fetched yet and whose labels do not say
+   * @param heartbeatTimeoutMicros without a BEAT for so long a worker counts as disconnected
+   * @param minSlots slots of a worker that has not fetched yet and has no label for them
    * @param startsWarmingUp whether a worker that has just connected is warming up
    * @param slotWindowMicros see {@link SlotEstimator}
    */
@@ -26,39 +26,39 @@
       long heartbeatTimeoutMicros, int minSlots, boolean startsWarmingUp, long slotWindowMicros) {}
 
   /**
-   * The life of a worker.
+   * The lifecycle of a worker.
    *
    * <table>
    *   <caption>Transitions</caption>
    *   <tr><th>from</th><th>to</th><th>when</th></tr>
    *   <tr><td>CONNECTED</td><td>SERVING</td><td>its first FETCH</td></tr>
-   *   <tr><td>CONNECTED, SERVING</td><td>DRAINING</td><td>its BEAT says quiet or terminate</td></tr>
-   *   <tr><td>CONNECTED, SERVING, DRAINING</td><td>GONE</td>
+   *   <tr><td>CONNECTED, SERVING</td><td>DRAINING</td><td>its BEAT reports quiet or terminate</td></tr>
+   *   <tr><td>CONNECTED, SERVING, DRAINING</td><td>DISCONNECTED</td>
    *       <td>its last connection is closed, or its BEAT is overdue</td></tr>
    * </table>
    *
-   * Nothing leads back from DRAINING: a process that was told to stop stops.
+   * Nothing leads back from DRAINING: a process that was asked to stop stops.
    */
   enum Phase {
     CONNECTED,
     SERVING,
     DRAINING,
-    GONE;
+    DISCONNECTED;
 
     /** Whether a worker may go from this phase to another, by the table above. */
     boolean canBecome(Phase next) {
       return switch (this) {
         case CONNECTED -> next != CONNECTED;
-        case SERVING -> next == DRAINING || next == GONE;
-        case DRAINING -> next == GONE;
-        case GONE -> false;
+        case SERVING -> next == DRAINING || next == DISCONNECTED;
+        case DRAINING -> next == DISCONNECTED;
+        case DISCONNECTED -> false;
       };
     }
   }
 
   /** One process. */
   public static final class Worker {
-    public final String wid;
+    private final String wid;
     final Handshake handshake;
 
     /** When it connected; 0 where it does not have to warm up. */
@@ -73,7 +73,7 @@
     private long lastHeartbeatMicros;
     private Phase phase = Phase.CONNECTED;
 
-    /** Whether operators have taken it out of use. */
+    /** Whether operators have disabled it. */
     private boolean isDisabled;
 
     Worker(Handshake handshake, Limits limits, boolean isDisabled, long now) {
@@ -85,7 +85,12 @@
       lastHeartbeatMicros = now;
     }
 
-    /** Whether anything new may be handed to it. */
+    /** The id of the process. */
+    public String wid() {
+      return wid;
+    }
+
+    /** Whether it may be given another job. */
     boolean mayTake() {
       return phase == Phase.SERVING && !isDisabled;
     }
@@ -100,7 +105,7 @@
   private final Limits limits;
   private final Map<String, Worker> workers = new HashMap<>();
 
-  /** Wids that operators have taken out of use, whether they are connected or not. */
+  /** Wids that operators have disabled, whether they are connected or not. */
   private final Set<String> disabledWids = new HashSet<>();
 
   WorkerRegistry(Limits limits) {
@@ -125,7 +130,7 @@
   /**
    * Records a BEAT.
    *
-   * @param state what the worker says that it is: null, "quiet" or "terminate"
+   * @param state the state that the worker reports: null, "quiet" or "terminate"
    * @return whether it is draining from now on and was not before
    */
   boolean recordHeartbeat(Worker worker, String state, long now) {
@@ -134,18 +139,18 @@
     return isStopping && worker.moveTo(Phase.DRAINING);
   }
 
-  /** Removes a connection; returns whether the worker is gone with it and was not before. */
+  /** Removes a connection; returns whether it was the last one of a connected worker. */
   boolean disconnect(Worker worker, WorkerConnection connection) {
     worker.connections.remove(connection);
     return worker.connections.isEmpty() && remove(worker);
   }
 
   private boolean remove(Worker worker) {
-    boolean wasThere = worker.moveTo(Phase.GONE);
-    if (wasThere) {
+    boolean wasConnected = worker.moveTo(Phase.DISCONNECTED);
+    if (wasConnected) {
       workers.remove(worker.wid, worker);
     }
-    return wasThere;
+    return wasConnected;
   }
 
   /** Removes and returns the workers whose last BEAT is too long ago. */
@@ -159,8 +164,7 @@
   }
 
   /**
-   * Takes a worker out of use for operators, or back into use; also holds for a worker of this wid
-   * that connects later.
+   * Disables a worker or enables it again; also holds for a worker of this wid that connects later.
    *
    * @return the worker, or null where none of this wid is connected
    */
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -64,7 +64,8 @@
   }
 
   /** The latest entry of the endpoint list. */
-  Endpoint endpoint() {
+  @Override
+  public Endpoint endpoint() {
     return endpoint;
   }
 
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -3,13 +3,11 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import loomreel.config.EndpointList;
 import loomreel.core.Dispatcher;
-import loomreel.core.Subchannel;
-import loomreel.core.WorkerPool;
+import loomreel.core.SubchannelPool;
 import loomreel.decision.Endpoint;
 import loomreel.decision.Settings;
 import loomreel.discovery.EndpointWatcher;
@@ -25,7 +23,8 @@
  *
  * <p>Used on the event loop's thread only. It owns the subchannels and the endpoint watch.
  */
-public final class HttpWorkerPool implements WorkerPool, EndpointWatcher.Listener {
+public final class HttpWorkerPool extends SubchannelPool<HttpSubchannel>
+    implements EndpointWatcher.Listener {
   /** After this time an idle connection to discovery is closed. */
   private static final long DISCOVERY_IDLE_TIMEOUT_MICROS = 1_000_000;
 
@@ -41,7 +40,6 @@
    */
   private static final double IDLE_SHARE = 0.7;
 
-  private final Dispatcher dispatcher;
   private final long connectTimeoutMicros;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.upstream");
   private final RateLimitedLogger peerLog = new RateLimitedLogger("loomreel.http.pool");
@@ -58,8 +56,6 @@
   /** Called when the first list has come, while that is awaited. */
   private Optional<Runnable> onFirstList = Optional.empty();
 
-  private final Map<String, HttpSubchannel> subchannels = new HashMap<>();
-
   /** By worker; empty unless the endpoint list is static. */
   private final Map<String, OutlierDetector> outlierDetectors = new HashMap<>();
 
@@ -80,7 +76,7 @@
       Settings settings,
       long connectTimeoutMicros,
       long workerIdleTimeoutMicros) {
-    this.dispatcher = dispatcher;
+    super(dispatcher);
     this.initialEndpoints = initialEndpoints;
     this.connectTimeoutMicros = connectTimeoutMicros;
     idleTimeout = new IdleTimeoutEstimator((long) (workerIdleTimeoutMicros * IDLE_SHARE));
@@ -157,21 +153,6 @@
     watcher.ifPresent(endpointWatcher -> endpointWatcher.moveTo(address));
   }
 
-  @Override
-  public Subchannel find(String id) {
-    return subchannels.get(id);
-  }
-
-  @Override
-  public int size() {
-    return subchannels.size();
-  }
-
-  @Override
-  public List<Endpoint> endpoints() {
-    return subchannels.values().stream().map(HttpSubchannel::endpoint).toList();
-  }
-
   @Override
   public void pollEndpoints() {
     watcher.ifPresent(EndpointWatcher::watch);
@@ -269,7 +250,7 @@
         log.info("worker recovered worker=" + id);
         // Whatever the cause, it has been away: it warms up as if it had just started.
         Endpoint known = subchannels.get(id).endpoint();
-        publish(
+        replace(
             new Endpoint(
                 id,
                 known.zone(),
@@ -286,13 +267,13 @@
       long now = dispatcher.loop().now();
       if (detector.recordFailure(now) == OutlierDetector.Change.EJECTED) {
         log.warn("worker ejected, it cannot be reached worker=" + id);
-        publish(subchannels.get(id).endpoint().withState(Endpoint.State.REMOVED));
+        replace(subchannels.get(id).endpoint().withState(Endpoint.State.REMOVED));
       }
     }
 
-    private void publish(Endpoint endpoint) {
+    private void replace(Endpoint endpoint) {
       subchannels.get(id).update(initialEndpoints.addresses().get(id), endpoint);
-      dispatcher.endpointsChanged(HttpWorkerPool.this, false, List.of(endpoint));
+      publish(endpoint);
     }
   }
 }
--- a/src/test/java/loomreel/faktory/FaktoryConnectionStateTest.java
+++ b/src/test/java/loomreel/faktory/FaktoryConnectionStateTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The states of a connection and the table of their transitions. */
-class ConnectionStateTest {
-  private static Set<ConnectionState> parse(String names) {
+class FaktoryConnectionStateTest {
+  private static Set<FaktoryConnectionState> parse(String names) {
     return Arrays.stream(names.split(" "))
-        .map(ConnectionState::valueOf)
-        .collect(Collectors.toCollection(() -> EnumSet.noneOf(ConnectionState.class)));
+        .map(FaktoryConnectionState::valueOf)
+        .collect(Collectors.toCollection(() -> EnumSet.noneOf(FaktoryConnectionState.class)));
   }
 
   @ParameterizedTest
@@ -32,9 +32,9 @@
     "CLOSING, CLOSING CLOSED",
     "CLOSED, CLOSED"
   })
-  void transitionsAreThoseOfTheTable(ConnectionState from, String successors) {
-    Set<ConnectionState> allowed = parse(successors);
-    for (ConnectionState next : ConnectionState.values()) {
+  void transitionsAreThoseOfTheTable(FaktoryConnectionState from, String successors) {
+    Set<FaktoryConnectionState> allowed = parse(successors);
+    for (FaktoryConnectionState next : FaktoryConnectionState.values()) {
       assertEquals(allowed.contains(next), from.canBecome(next), from + " to " + next);
       if (allowed.contains(next)) {
         assertEquals(next, from.become(next));
@@ -46,15 +46,15 @@
 
   @ParameterizedTest
   @EnumSource
-  void aCommandIsUnderWayInThreeStates(ConnectionState state) {
+  void aCommandIsUnderWayInThreeStates(FaktoryConnectionState state) {
     assertEquals(parse("PERSISTING_PUSH IN_BATCH AWAITING_JOB").contains(state), state.isBusy());
   }
 
   @Test
   void inputIsIgnoredOnceTheConnectionCloses() {
-    assertFalse(ConnectionState.CLOSING.acceptsInput());
-    assertFalse(ConnectionState.CLOSED.acceptsInput());
-    assertTrue(ConnectionState.AWAITING_HELLO.acceptsInput());
-    assertTrue(ConnectionState.AWAITING_JOB.acceptsInput());
+    assertFalse(FaktoryConnectionState.CLOSING.acceptsInput());
+    assertFalse(FaktoryConnectionState.CLOSED.acceptsInput());
+    assertTrue(FaktoryConnectionState.AWAITING_HELLO.acceptsInput());
+    assertTrue(FaktoryConnectionState.AWAITING_JOB.acceptsInput());
   }
 }
--- a/src/test/java/loomreel/faktory/worker/WorkerRegistryTest.java
+++ b/src/test/java/loomreel/faktory/worker/WorkerRegistryTest.java
@@ -22,10 +22,10 @@
   /** The table in the Javadoc of {@link Phase}, by the phase before. */
   private static final Map<Phase, Set<Phase>> TRANSITIONS =
       Map.of(
-          Phase.CONNECTED, EnumSet.of(Phase.SERVING, Phase.DRAINING, Phase.GONE),
-          Phase.SERVING, EnumSet.of(Phase.DRAINING, Phase.GONE),
-          Phase.DRAINING, EnumSet.of(Phase.GONE),
-          Phase.GONE, EnumSet.noneOf(Phase.class));
+          Phase.CONNECTED, EnumSet.of(Phase.SERVING, Phase.DRAINING, Phase.DISCONNECTED),
+          Phase.SERVING, EnumSet.of(Phase.DRAINING, Phase.DISCONNECTED),
+          Phase.DRAINING, EnumSet.of(Phase.DISCONNECTED),
+          Phase.DISCONNECTED, EnumSet.noneOf(Phase.class));
 
   private final WorkerRegistry registry =
       new WorkerRegistry(new WorkerRegistry.Limits(100, 2, true, 50));
@@ -90,7 +90,7 @@
 
     assertFalse(worker.mayTake());
     assertNull(registry.find("w"));
-    assertFalse(registry.disconnect(worker, one), "it is gone already");
+    assertFalse(registry.disconnect(worker, one), "it is disconnected already");
   }
 
   @Test
