--- a/src/main/java/loomreel/faktory/FaktoryConnection.java
+++ b/src/main/java/loomreel/faktory/FaktoryConnection.java
@@ -231,7 +231,7 @@
     }
   }
 
-  /** Appends a reply, and writes as much as the channel takes. */
+  /** Appends a reply, and writes as much as the channel accepts. */
   void reply(Reply reply) {
     append(reply);
     send();
--- a/src/main/java/loomreel/faktory/FaktoryConnectionState.java
+++ b/src/main/java/loomreel/faktory/FaktoryConnectionState.java
@@ -15,7 +15,7 @@
  * <tr><td>READY</td><td>PUSH accepted</td><td>PERSISTING_PUSH</td></tr>
  * <tr><td>READY</td><td>PUSHB</td><td>IN_BATCH</td></tr>
  * <tr><td>READY</td><td>FETCH, and no job is waiting</td><td>AWAITING_JOB</td></tr>
- * <tr><td>READY</td><td>END, a malformed line, or a command that takes too long</td><td>CLOSING</td></tr>
+ * <tr><td>READY</td><td>END, a malformed line, or a command that times out</td><td>CLOSING</td></tr>
  * <tr><td>PERSISTING_PUSH</td><td>the job is durable</td><td>READY</td></tr>
  * <tr><td>IN_BATCH</td><td>all jobs are durable, or the batch is malformed</td><td>READY</td></tr>
  * <tr><td>AWAITING_JOB</td><td>a job, the fetch timeout, or the worker drains</td><td>READY</td></tr>
--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -9,7 +9,8 @@
 import loomreel.core.Ingress;
 import loomreel.core.WorkerPool;
 import loomreel.decision.Settings;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.JobPayloadReader;
+import loomreel.faktory.payload.WorkerPayloads;
 import loomreel.faktory.protocol.PasswordChallenges;
 import loomreel.faktory.queue.ConcurrencyLimiter;
 import loomreel.faktory.queue.JobQueue;
@@ -61,14 +62,18 @@
     loop = dispatcher.loop();
     SplittableRandom random = new SplittableRandom(seed);
     JobClasses classes = new JobClasses(model.classes(), settings);
-    PayloadValidator payloads = payloadValidator(settings, model);
+    JobPayloadReader payloads = payloadReader(settings, model);
     queue = new JobQueue(queueLimits(settings), random);
     QueueWeights weights = queueWeights(settings);
     limiter = new ConcurrencyLimiter(weights);
     RecentAttempts recentAttempts = new RecentAttempts(loop, queue, log);
     workers =
         new FaktoryWorkerPool(
-            dispatcher, settings.workers(), payloads, model.classes(), model.zone());
+            dispatcher,
+            settings.workers(),
+            new WorkerPayloads(settings.queues()),
+            model.classes(),
+            model.zone());
     persistence = openPersistence(classes, payloads);
     scheduler =
         new JobScheduler(
@@ -92,12 +97,12 @@
     scheduler.wakeUp();
   }
 
-  private static PayloadValidator payloadValidator(FaktorySettings settings, Settings model) {
+  private static JobPayloadReader payloadReader(FaktorySettings settings, Settings model) {
     Map<String, Integer> classes = new HashMap<>();
     model.classes().forEach(requestClass -> classes.put(requestClass.name(), classes.size()));
     Map<String, Integer> tenants = new HashMap<>();
     model.tenants().forEach(tenant -> tenants.put(tenant.name(), tenants.size()));
-    return new PayloadValidator(settings, classes, tenants);
+    return new JobPayloadReader(settings, classes, tenants);
   }
 
   private static QueueLimits queueLimits(FaktorySettings settings) {
@@ -115,7 +120,7 @@
     return new QueueWeights(weights);
   }
 
-  private JobPersistence openPersistence(JobClasses classes, PayloadValidator payloads)
+  private JobPersistence openPersistence(JobClasses classes, JobPayloadReader payloads)
       throws IOException {
     if (settings.spoolDirectory().equals(FaktorySettings.NO_SPOOL)) {
       log.warn("spool disabled: waiting jobs are lost when this process ends");
@@ -125,7 +130,7 @@
   }
 
   private CommandDispatcher commands(
-      JobClasses classes, PayloadValidator payloads, RecentAttempts attempts) {
+      JobClasses classes, JobPayloadReader payloads, RecentAttempts attempts) {
     AttemptReports reports = new AttemptReports(workers, attempts::recordEvidence);
     JobIntake intake = new JobIntake(loop, queue, persistence, payloads, scheduler, log);
     return new CommandDispatcher(
@@ -157,7 +162,8 @@
   /**
    * Sets how many RPCs the dispatcher may hold.
    *
-   * @param openRpcs of all clients; the settings say which share of them may be Faktory jobs
+   * @param openRpcs of all clients; the settings limit the fraction of them that may be Faktory
+   *     jobs
    */
   public void setCapacity(int openRpcs) {
     limiter.setCapacity((int) (openRpcs * settings.maxCapacityFraction()));
--- a/src/main/java/loomreel/faktory/FaktoryListener.java
+++ b/src/main/java/loomreel/faktory/FaktoryListener.java
@@ -14,10 +14,10 @@
 
 /**
  * Accepts connections up to a limit, and owns them until they close. Where the limit is reached,
- * the oldest connection that has not said HELLO makes room for a new one.
+ * the oldest connection that has not sent HELLO is closed for a new one.
  */
 final class FaktoryListener {
-  /** Connections that the system holds until they are accepted. */
+  /** Length of the system's queue of connections to accept. */
   private static final int ACCEPT_BACKLOG = 1024;
 
   private static final int MAX_ACCEPTS_PER_TURN = 64;
@@ -37,7 +37,7 @@
   private final Acceptor acceptor;
   private final Set<FaktoryConnection> connections = new LinkedHashSet<>();
 
-  /** Those that have not said HELLO, the oldest first. */
+  /** Those that have not sent HELLO, the oldest first. */
   private final Set<FaktoryConnection> unauthenticated = new LinkedHashSet<>();
 
   private int accepted;
@@ -82,7 +82,7 @@
     connection.greet();
   }
 
-  /** The client has said HELLO, and proved that it knows the password. */
+  /** The client has sent HELLO, with the password where one is required. */
   void authenticated(FaktoryConnection connection) {
     unauthenticated.remove(connection);
   }
@@ -103,7 +103,7 @@
     return accepted;
   }
 
-  /** Connections that came when the limit was reached. */
+  /** Connections that arrived while the limit was reached. */
   int connectionsOverLimit() {
     return overLimit;
   }
--- a/src/main/java/loomreel/faktory/JobIntake.java
+++ b/src/main/java/loomreel/faktory/JobIntake.java
@@ -2,7 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.InvalidPayloadException;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.protocol.Reply;
 import loomreel.faktory.queue.Job;
@@ -18,7 +19,7 @@
   private final EventLoop loop;
   private final JobQueue queue;
   private final JobPersistence persistence;
-  private final PayloadValidator payloads;
+  private final JobPayloadReader payloads;
   private final JobScheduler scheduler;
   private final RateLimitedLogger log;
 
@@ -26,7 +27,7 @@
       EventLoop loop,
       JobQueue queue,
       JobPersistence persistence,
-      PayloadValidator payloads,
+      JobPayloadReader payloads,
       JobScheduler scheduler,
       RateLimitedLogger log) {
     this.loop = loop;
@@ -48,13 +49,13 @@
       return rejected(full.get());
     }
     try {
-      Job.Spec spec = payloads.spec(job);
+      Job.Spec spec = payloads.validate(job);
       byte[] payload = Json.toBytes(job);
-      if (payload.length > PayloadValidator.MAX_PAYLOAD_BYTES) {
-        return rejected("a job of over " + PayloadValidator.MAX_PAYLOAD_BYTES + " bytes");
+      if (payload.length > JobPayloadReader.MAX_PAYLOAD_BYTES) {
+        return rejected("a job of over " + JobPayloadReader.MAX_PAYLOAD_BYTES + " bytes");
       }
       return enqueue(spec, payload);
-    } catch (PayloadValidator.BadPayloadException e) {
+    } catch (InvalidPayloadException e) {
       return rejected(e.getMessage());
     }
   }
--- a/src/main/java/loomreel/faktory/PushBatch.java
+++ b/src/main/java/loomreel/faktory/PushBatch.java
@@ -15,11 +15,11 @@
 import loomreel.io.EventLoop;
 
 /**
- * One PUSHB. The whole array is read before any job of it is pushed; both are done in slices, one
- * for each turn of the loop, so that a batch never blocks the loop for long.
+ * One PUSHB. The complete array is read before any job of it is pushed; both are done in slices,
+ * one for each turn of the loop, so that a batch never blocks the loop for long.
  */
 final class PushBatch {
-  /** Jobs of a slice: HTTP clients wait no longer than these take. */
+  /** Jobs of a slice, which delays HTTP clients for as long. */
   private static final int MAX_JOBS_PER_TURN = 8;
 
   private static final Reply MALFORMED = Reply.error("malformed JSON");
@@ -41,7 +41,7 @@
   /**
    * A batch that has not started.
    *
-   * @param onDone gets the reply, once, when all jobs that were taken are durable
+   * @param onDone gets the reply, once, when all accepted jobs are durable
    */
   PushBatch(EventLoop loop, JobIntake intake, Consumer<Reply> onDone) {
     this.loop = loop;
--- a/src/main/java/loomreel/faktory/PushResult.java
+++ b/src/main/java/loomreel/faktory/PushResult.java
@@ -2,7 +2,7 @@
 
 import loomreel.faktory.protocol.Reply;
 
-/** What became of a job that a client pushed. */
+/** The result of a push. */
 sealed interface PushResult {
   /** Whether a reply must wait until what was recorded of the job's class survives a power loss. */
   boolean isSynced();
@@ -11,9 +11,9 @@
   record Accepted(boolean isSynced) implements PushResult {}
 
   /**
-   * The job is not taken.
+   * The job is rejected.
    *
-   * @param isSynced a batch waits for the disk also where a job of it is a duplicate: its first
+   * @param isSynced a batch waits for the disk also where a job of it is a duplicate, whose first
    *     push may not be durable yet
    */
   record Rejected(Reply.ErrorReply error, boolean isSynced) implements PushResult {}
--- a/src/main/java/loomreel/faktory/protocol/Handshake.java
+++ b/src/main/java/loomreel/faktory/protocol/Handshake.java
@@ -10,7 +10,7 @@
 import java.util.regex.Pattern;
 
 /**
- * What a client says of itself in HELLO (protocol specification, "Initial Handshake").
+ * The argument of HELLO (protocol specification, "Initial Handshake").
  *
  * @param wid the id of a worker's process, or null for a client that only pushes
  * @param labels of the form name=value
@@ -54,7 +54,7 @@
     return new Handshake(wid, labels(hello.path("labels")));
   }
 
-  /** How much of a guess was right must not show in the time that the answer takes. */
+  /** The duration must not depend on how much of a guess is right. */
   private static boolean equalInConstantTime(String expected, String given) {
     return MessageDigest.isEqual(
         expected.getBytes(StandardCharsets.US_ASCII), given.getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/loomreel/faktory/protocol/Reply.java
+++ b/src/main/java/loomreel/faktory/protocol/Reply.java
@@ -6,7 +6,7 @@
 
 /** A reply to a command, as RESP (the Redis serialization protocol) frames it. */
 public sealed interface Reply {
-  /** The command has been carried out, and there is nothing to say. */
+  /** The command has been carried out, and there is no value to return. */
   Reply OK = new SimpleString("OK");
 
   /** There is no value: a FETCH without a job. */
--- a/src/main/java/loomreel/faktory/queue/EndedJobs.java
+++ b/src/main/java/loomreel/faktory/queue/EndedJobs.java
@@ -102,7 +102,7 @@
     deadJobDropped.accept(job);
   }
 
-  /** Takes a dead job out so that it can run again. */
+  /** Removes a dead job so that it can run again. */
   void removeForRequeue(Job job) {
     dead.remove(job.spec.jid());
     deadBytes -= job.payloadBytes();
--- a/src/main/java/loomreel/faktory/queue/Job.java
+++ b/src/main/java/loomreel/faktory/queue/Job.java
@@ -75,7 +75,7 @@
    * @param requestClass position of its class in the settings
    * @param tenant position of its tenant in the settings, or -1 for none
    * @param key the data that a worker needs for it, which it may have cached; null for none
-   * @param slots how many slots of a worker it takes
+   * @param slots how many slots of a worker it occupies
    * @param work its cost in microseconds at speed 1, or NaN where it is not known
    * @param priority 1 to 9, the highest first
    * @param retry how many failures are followed by a retry; with 0 a dead job is not retained
@@ -205,7 +205,7 @@
         updatedAt);
   }
 
-  /** What the payload says. */
+  /** The specification that the payload contains. */
   public Spec spec() {
     return spec;
   }
@@ -240,7 +240,7 @@
     return failures;
   }
 
-  /** Why it is in its state, for people; empty where there is nothing to say. */
+  /** Why it is in its state, for people; empty where it needs no explanation. */
   public String reason() {
     return reason;
   }
@@ -307,12 +307,12 @@
     return logRecordBytes;
   }
 
-  /** Records whether the log says that the attempt under way was handed out to a worker. */
+  /** Sets whether the log has a record that the attempt in flight was handed out to a worker. */
   public void setHandedOut(boolean isHandedOut) {
     handedOut = isHandedOut;
   }
 
-  /** Whether the log says that the attempt under way was handed out to a worker. */
+  /** Whether the log has a record that the attempt in flight was handed out to a worker. */
   public boolean isHandedOut() {
     return handedOut;
   }
--- a/src/main/java/loomreel/faktory/queue/JobTable.java
+++ b/src/main/java/loomreel/faktory/queue/JobTable.java
@@ -35,7 +35,7 @@
     listener = newListener;
   }
 
-  /** The orders in which jobs that have not ended are taken. */
+  /** The indexes of jobs that have not ended. */
   PendingJobs pending() {
     return pending;
   }
@@ -95,7 +95,7 @@
 
   /**
    * Cancels all jobs that are not active, and drops the dead ones. The indexes are emptied first in
-   * one step each: removing the jobs one by one would take long for a long backlog.
+   * one step each: removing the jobs one by one is slow for a long backlog.
    */
   void flush(String reason, long now) {
     List<Job> cancelled =
--- a/src/main/java/loomreel/faktory/queue/PendingJobs.java
+++ b/src/main/java/loomreel/faktory/queue/PendingJobs.java
@@ -10,8 +10,8 @@
 import loomreel.faktory.queue.Job.State;
 
 /**
- * The orders in which jobs that have not ended are taken: by due time, by priority within a queue,
- * and by deadline. Owned by {@link JobQueue}; holds no state of its own beyond these indexes.
+ * The order of jobs that have not ended: by due time, by priority within a queue, and by deadline.
+ * Owned by {@link JobQueue}; holds no state of its own beyond these indexes.
  */
 final class PendingJobs {
   private static final Comparator<Job> BY_DUE_TIME =
@@ -134,7 +134,7 @@
     return readyByQueue.keySet();
   }
 
-  /** The job of a queue that is taken first; there must be one. */
+  /** The next job of a queue; there must be one. */
   Job firstReady(String queue) {
     return readyByQueue.get(queue).first();
   }
--- a/src/main/java/loomreel/faktory/queue/StateReasons.java
+++ b/src/main/java/loomreel/faktory/queue/StateReasons.java
@@ -11,7 +11,7 @@
   /** A job whose attempt was under way when an earlier process ended. */
   public static final String INTERRUPTED = "the process ended while it was tried";
 
-  /** A job with nothing to say about its state. */
+  /** A state that needs no explanation. */
   static final String NONE = "";
 
   static final String DEADLINE_PASSED = "its own deadline passed";
--- a/src/main/java/loomreel/faktory/queue/WeightedRoundRobin.java
+++ b/src/main/java/loomreel/faktory/queue/WeightedRoundRobin.java
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Chooses a queue; the others come closer to their turn.
+   * Chooses a queue, and raises the current weight of the other eligible ones.
    *
-   * @param queues where two are equally close, the one that comes first here is chosen
+   * @param queues of two with equal current weights, the first in this order is chosen
    * @param isEligible called once for each of them, in their order
    * @return empty where none is eligible
    */
--- a/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
@@ -10,7 +10,7 @@
 import loomreel.core.Rpc;
 import loomreel.decision.Event;
 import loomreel.decision.Settings;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.queue.ConcurrencyLimiter;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
@@ -25,7 +25,7 @@
  * up. Times are microseconds of the loop's clock.
  */
 public final class JobScheduler {
-  /** Attempts started in one turn of the loop: HTTP clients wait no longer than these take. */
+  /** Attempts started in one turn of the loop, which delays HTTP clients for as long. */
   private static final int MAX_STARTS_PER_TURN = 16;
 
   /** The delay after which a dispatcher without capacity is checked again, in microseconds. */
@@ -167,7 +167,7 @@
             id,
             spec.requestClass(),
             "/" + requestClass.name() + "/" + spec.type() + "?jid=" + spec.jid(),
-            PayloadValidator.JOB_CONTENT_TYPE,
+            JobPayloadReader.JOB_CONTENT_TYPE,
             spec.jid(),
             body,
             deadline,
--- a/src/main/java/loomreel/faktory/storage/DurableJobStore.java
+++ b/src/main/java/loomreel/faktory/storage/DurableJobStore.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Optional;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
 import loomreel.faktory.queue.JobListener;
@@ -66,12 +66,12 @@
    * @return how many jobs wait or are dead
    * @throws IOException if the log cannot be read
    */
-  int restore(JobQueue queue, PayloadValidator payloads, UnusableJobListener unusable, long now)
+  int restore(JobQueue queue, JobPayloadReader payloads, UnusableJobListener unusable, long now)
       throws IOException {
     JobReplay replay = new JobReplay(codec);
     log.open(replay);
     List<StoredJob> storedJobs = replay.inArrivalOrder();
-    // On all cores, as nothing else runs yet: it is most of what a start with a long backlog takes.
+    // On all cores, since parsing dominates the duration of a start with a long backlog.
     storedJobs.parallelStream()
         .filter(StoredJob::hasPayload)
         .forEach(stored -> stored.parsePayload(payloads));
@@ -107,13 +107,15 @@
     }
   }
 
-  /** Why no further job can be stored, as the protocol's error says it; null where one can. */
-  String rejectionReason() {
+  /** Why no further job can be stored, for the client that pushes it; empty where one can. */
+  Optional<String> rejectionReason() {
     Optional<String> fault = log.fault();
     if (fault.isPresent()) {
-      return "jobs cannot be kept: " + fault.get();
+      return Optional.of("jobs cannot be kept: " + fault.get());
     }
-    return log.bytes() > maxBytes ? "the spool is full: " + maxBytes + " bytes" : null;
+    return log.bytes() > maxBytes
+        ? Optional.of("the spool is full: " + maxBytes + " bytes")
+        : Optional.empty();
   }
 
   /** Whether jobs of a class must survive a loss of power. */
--- a/src/main/java/loomreel/faktory/storage/JobRecord.java
+++ b/src/main/java/loomreel/faktory/storage/JobRecord.java
@@ -14,7 +14,7 @@
     private final long arrivalOrder;
     private final byte[] payload;
 
-    /** Takes over the payload; it is not copied. */
+    /** Takes ownership of the payload, which is not copied. */
     FullJob(String jid, Job.Snapshot snapshot, long arrivalOrder, byte[] payload) {
       this.jid = jid;
       this.snapshot = snapshot;
--- a/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
+++ b/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
 import loomreel.io.EventLoop;
@@ -38,7 +38,7 @@
       FaktorySettings settings,
       DurableJobStore.RequestClasses classes,
       JobQueue queue,
-      PayloadValidator payloads,
+      JobPayloadReader payloads,
       RateLimitedLogger log)
       throws IOException {
     Path directory = Path.of(settings.spoolDirectory());
@@ -86,7 +86,7 @@
 
   @Override
   public Optional<String> rejectionReason() {
-    return Optional.ofNullable(store.rejectionReason());
+    return store.rejectionReason();
   }
 
   @Override
--- a/src/main/java/loomreel/faktory/storage/StoredJob.java
+++ b/src/main/java/loomreel/faktory/storage/StoredJob.java
@@ -1,7 +1,8 @@
 package loomreel.faktory.storage;
 
 import java.io.IOException;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.InvalidPayloadException;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
@@ -35,7 +36,7 @@
   /** Whether its attempt was handed out to a worker. */
   private boolean handedOut;
 
-  /** What the payload says under these settings; null where it cannot be used. */
+  /** The specification of the payload under these settings; null where it cannot be used. */
   private Job.Spec spec;
 
   /** Why these settings cannot use the payload, where spec is null. */
@@ -88,10 +89,10 @@
   }
 
   /** Reads the payload under the settings of this process. */
-  void parsePayload(PayloadValidator payloads) {
+  void parsePayload(JobPayloadReader payloads) {
     try {
-      spec = payloads.known(Json.MAPPER.readTree(payload));
-    } catch (PayloadValidator.BadPayloadException | IOException e) {
+      spec = payloads.read(Json.MAPPER.readTree(payload));
+    } catch (InvalidPayloadException | IOException e) {
       unusableReason = e.getMessage();
     }
   }
@@ -156,7 +157,7 @@
     return unusableReason;
   }
 
-  /** What the usable payload says. */
+  /** The specification of a usable payload. */
   Job.Spec spec() {
     return spec;
   }
--- a/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
+++ b/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
@@ -12,18 +12,18 @@
 import loomreel.decision.Endpoint;
 import loomreel.decision.Settings;
 import loomreel.decision.WorkerLoad;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.WorkerPayloads;
 import loomreel.io.EventLoop;
 
 /**
- * One Faktory worker as the dispatcher sees it: attempts that are started wait here until a FETCH
- * of the worker takes them. Owned by {@link FaktoryWorkerPool}.
+ * One Faktory worker as the dispatcher sees it: attempts that are started wait here until the
+ * worker fetches them. Owned by {@link FaktoryWorkerPool}.
  */
 final class FaktorySubchannel implements Subchannel {
   /** Attempts that may wait for each slot; more are rejected, as a full worker does. */
   private static final int MAX_WAITING_PER_SLOT = 4;
 
-  /** How long after its time an attempt without a report still takes a slot, in microseconds. */
+  /** How long after its time an attempt without a report still occupies a slot, in microseconds. */
   private static final long SLOT_GRACE_MICROS = 5_000_000;
 
   /** Cell of an endpoint that belongs to none. */
@@ -38,7 +38,7 @@
   record Context(
       Dispatcher dispatcher,
       WorkerPool pool,
-      PayloadValidator payloads,
+      WorkerPayloads payloads,
       List<Settings.RequestClass> classes,
       String defaultZone) {}
 
@@ -153,7 +153,7 @@
     }
   }
 
-  /** The payload of the first attempt that a FETCH of these queues takes, or null for none. */
+  /** The payload of the first attempt of these queues, for a FETCH; null for none. */
   byte[] fetch(WorkerConnection connection, List<String> queues) {
     FetchDispatcher.Item<CallAttempt, WorkerConnection> item =
         fetches.fetch(queues::contains, connection);
@@ -166,15 +166,15 @@
       attempt.end(AttemptOutcome.REJECTED, load());
       return null;
     }
-    long reservedUntil = loop.now() + context.payloads().reserveFor(attempt.rpc());
+    long reservedUntil = loop.now() + context.payloads().reservationMicros(attempt.rpc());
     if (reservedUntil < attempt.deadline()) {
       loop.schedule(reservedUntil, () -> reservationPassed(item));
     }
-    // The worker may still run it when the attempt has ended: it takes a slot until then.
+    // The worker may still run it when the attempt has ended: it occupies a slot until then.
     item.setExpiry(Math.max(reservedUntil, attempt.deadline()) + SLOT_GRACE_MICROS);
     return context
         .payloads()
-        .forWorker(attempt.rpc(), className(attempt.rpc()), attempt.deadline() - loop.now());
+        .encode(attempt.rpc(), className(attempt.rpc()), attempt.deadline() - loop.now());
   }
 
   private void reservationPassed(FetchDispatcher.Item<CallAttempt, WorkerConnection> item) {
@@ -227,7 +227,7 @@
     fetches.removeExpired(loop.now());
   }
 
-  /** How many jobs the worker takes at a time. */
+  /** How many jobs the worker runs at a time. */
   int slots() {
     return worker.slots.slots(fetches.inProgressCount(), loop.now());
   }
--- a/src/main/java/loomreel/faktory/worker/FaktoryWorkerPool.java
+++ b/src/main/java/loomreel/faktory/worker/FaktoryWorkerPool.java
@@ -5,7 +5,7 @@
 import loomreel.core.SubchannelPool;
 import loomreel.decision.Endpoint;
 import loomreel.decision.Settings;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.WorkerPayloads;
 import loomreel.faktory.protocol.Handshake;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
@@ -39,12 +39,12 @@
    * Creates a pool without workers, and starts its heartbeat checks.
    *
    * @param classes the request classes of the settings, in their order
-   * @param defaultZone zone of a worker whose labels do not say
+   * @param defaultZone zone of a worker without a label for it
    */
   public FaktoryWorkerPool(
       Dispatcher dispatcher,
       FaktorySettings.Workers settings,
-      PayloadValidator payloads,
+      WorkerPayloads payloads,
       List<Settings.RequestClass> classes,
       String defaultZone) {
     super(dispatcher);
@@ -134,7 +134,7 @@
   /**
    * Handles a FETCH.
    *
-   * @return the payload of the job that it takes, or null for none; the FETCH may wait then
+   * @return the payload of the job, or null for none; the FETCH may wait then
    */
   public byte[] fetch(
       WorkerRegistry.Worker worker, WorkerConnection connection, List<String> queues) {
--- a/src/main/java/loomreel/faktory/worker/FetchDispatcher.java
+++ b/src/main/java/loomreel/faktory/worker/FetchDispatcher.java
@@ -11,7 +11,7 @@
 /**
  * Hands what the dispatcher sends to one Faktory worker over to that worker's FETCH commands.
  *
- * <p>An item waits here until a FETCH takes it. An item that waits has not run; one that is being
+ * <p>An item waits here until it is fetched. An item that waits has not run; one that is being
  * written has not run unless its last byte is out; one that is sent may run. Does no I/O and reads
  * no clock; times are microseconds.
  *
@@ -25,7 +25,7 @@
    * <table>
    *   <caption>Transitions</caption>
    *   <tr><th>from</th><th>to</th><th>when</th></tr>
-   *   <tr><td>WAITING</td><td>WRITING</td><td>a FETCH takes it</td></tr>
+   *   <tr><td>WAITING</td><td>WRITING</td><td>it is fetched</td></tr>
    *   <tr><td>WRITING</td><td>SENT</td><td>its last byte has been written</td></tr>
    * </table>
    *
@@ -116,9 +116,7 @@
     return item;
   }
 
-  /**
-   * Takes the first waiting item whose queue is accepted, for a FETCH; null where there is none.
-   */
+  /** Hands the first waiting item over to a FETCH of its queue; null where there is none. */
   Item<T, C> fetch(Predicate<String> acceptsQueue, C connection) {
     for (Iterator<Item<T, C>> items = waiting.iterator(); items.hasNext(); ) {
       Item<T, C> item = items.next();
--- a/src/main/java/loomreel/faktory/worker/SlotEstimator.java
+++ b/src/main/java/loomreel/faktory/worker/SlotEstimator.java
@@ -20,8 +20,8 @@
    *
    * @param labelledSlots the number that the worker's labels give, or 0 where it is estimated
    * @param minSlots the least estimate
-   * @param windowMicros the estimate follows a worker that takes fewer jobs than before after one
-   *     to two times this
+   * @param windowMicros the estimate follows a worker that runs fewer jobs than before after one to
+   *     two times this
    */
   SlotEstimator(int labelledSlots, int minSlots, long windowMicros) {
     this.labelledSlots = labelledSlots;
--- /dev/null
+++ b/src/test/java/loomreel/faktory/JobLifecycleTest.java
@@ -0,0 +1,167 @@
+package loomreel.faktory;
+
+import static loomreel.faktory.ProtocolHarness.ack;
+import static loomreel.faktory.ProtocolHarness.attemptId;
+import static loomreel.faktory.ProtocolHarness.awaitState;
+import static loomreel.faktory.ProtocolHarness.clientJid;
+import static loomreel.faktory.ProtocolHarness.fetch;
+import static loomreel.faktory.ProtocolHarness.job;
+import static loomreel.faktory.ProtocolHarness.jobWith;
+import static loomreel.faktory.ProtocolHarness.newJid;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import loomreel.standin.FaktoryClient;
+import loomreel.standin.RespReader;
+import org.junit.jupiter.api.AfterAll;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** A job from its push to its final state, also where its worker or its ACK is lost. */
+@Timeout(120)
+class JobLifecycleTest {
+  private static ProtocolHarness harness;
+
+  @BeforeAll
+  static void start() throws IOException {
+    harness = new ProtocolHarness();
+  }
+
+  @AfterAll
+  static void stop() throws InterruptedException {
+    harness.stop();
+  }
+
+  @Test
+  void aBatchIsAcceptedExceptForInvalidJobs() throws Exception {
+    StringBuilder batch = new StringBuilder("[");
+    String first = null;
+    for (int i = 0; i < 1000; i++) {
+      String jid = newJid();
+      first = first == null ? jid : first;
+      batch
+          .append(i == 0 ? "" : ",")
+          .append(i % 10 == 3 ? "{\"jid\":\"" + jid + "\",\"args\":7}" : job(jid, "parked"));
+    }
+    try (FaktoryClient link = harness.client()) {
+      JsonNode rejected = link.callForJson("PUSHB " + batch + "]");
+      assertEquals(100, rejected.size());
+      rejected.forEach(error -> assertTrue(error.asText().startsWith("ERR "), error.toString()));
+      assertTrue(
+          link.callForJson("PUSHB [" + job(first, "parked") + "]")
+              .path(first)
+              .asText()
+              .startsWith("NOTUNIQUE"));
+      assertTrue(
+          List.of("enqueued", "working", "retrying")
+              .contains(link.callForJson("TRACK GET " + first).path("state").asText()));
+      link.callExpectingOk("FLUSH");
+      assertEquals("{}", link.callForJson("PUSHB []").toString());
+    }
+  }
+
+  @Test
+  void aJobIsFetchedAcknowledgedAndTracked() throws Exception {
+    String jid = newJid();
+    try (FaktoryClient client = harness.client();
+        FaktoryClient worker = harness.worker("round-trip")) {
+      assertNull(worker.call("FETCH copies"), "no job within the wait");
+      client.callExpectingOk(
+          "PUSH " + jobWith(jid, "copies", ",\"custom\":{\"key\":\"k\",\"mine\":[1]}"));
+      JsonNode job = fetch(worker, "copies");
+      assertEquals(jid, clientJid(job));
+      assertEquals("[1]", job.path("custom").path("mine").toString());
+      assertEquals(jid, job.path("args").path(0).asText());
+      worker.callExpectingOk(
+          "TRACK SET {\"jid\":\"" + attemptId(job) + "\",\"percent\":\"40\",\"desc\":\"half\"}");
+      assertEquals("40", client.callForJson("TRACK GET " + jid).path("percent").asText());
+      worker.callExpectingOk("BEAT {\"wid\":\"round-trip\"}");
+      worker.callExpectingOk(ack(job));
+      assertEquals("done", awaitState(client, jid, "success").path("result").asText());
+      // Repeated and contradicting reports: answered, and of no effect.
+      worker.callExpectingOk(ack(job));
+      assertTrue(
+          worker.call("FAIL {\"jid\":\"" + attemptId(job) + "\"}")
+              instanceof RespReader.ErrorReply);
+      assertEquals("success", client.callForJson("TRACK GET " + jid).path("state").asText());
+      assertTrue(
+          client.call("PUSH " + job(jid, "copies")).toString().contains("NOTUNIQUE"),
+          "it has ended recently");
+    }
+  }
+
+  /** The connection is cut before the ACK, within it and right after it. */
+  @ParameterizedTest
+  @CsvSource({"before,dead", "within,dead", "after,success"})
+  void aJobThatMustNotRepeatIsNeverHandedOutAgainWhenItsAckIsLost(String cut, String end)
+      throws Exception {
+    String jid = newJid();
+    try (FaktoryClient client = harness.client();
+        FaktoryClient other = harness.worker("other-" + cut)) {
+      String id;
+      try (FaktoryClient worker = harness.worker("cut-" + cut)) {
+        assertNull(worker.call("FETCH renewals"));
+        client.callExpectingOk("PUSH " + job(jid, "renewals"));
+        JsonNode job = fetch(worker, "renewals");
+        id = attemptId(job);
+        if (cut.equals("within")) {
+          String ack = ack(job);
+          worker
+              .socket()
+              .getOutputStream()
+              .write(ack.substring(0, ack.length() - 4).getBytes(StandardCharsets.UTF_8));
+        } else if (cut.equals("after")) {
+          worker.send(ack(job));
+          worker.read();
+        }
+      }
+      JsonNode state = awaitState(client, jid, end);
+      if (end.equals("dead")) {
+        assertEquals("may have run", state.path("reason").asText());
+        assertTrue(state.path("may_have_run").asBoolean());
+        assertTrue(
+            client.call(
+                    "MUTATE {\"cmd\":\"requeue\",\"target\":\"dead\",\"filter\":{\"jids\":[\""
+                        + jid
+                        + "\"]}}")
+                instanceof RespReader.ErrorReply,
+            "not even by an operator");
+      }
+      // The process reconnects and acknowledges: that is evidence, and changes no final state.
+      try (FaktoryClient again = harness.worker("cut-" + cut)) {
+        assertNull(again.call("FETCH renewals"));
+        again.callExpectingOk("ACK {\"jid\":\"" + id + "\"}");
+      }
+      state = client.callForJson("TRACK GET " + jid);
+      assertEquals(end, state.path("state").asText());
+      assertTrue(state.path("evidence").asText().contains("ACK from cut-" + cut), state.toString());
+      assertNull(other.call("FETCH renewals"), "no other worker gets it");
+    }
+  }
+
+  /** The worker dies between its FETCH and its first BEAT. */
+  @Test
+  void anIdempotentJobIsHandedToAnotherWorkerWhenItsWorkerDies() throws Exception {
+    String jid = newJid();
+    try (FaktoryClient client = harness.client();
+        FaktoryClient second = harness.worker("second")) {
+      try (FaktoryClient first = harness.worker("first")) {
+        assertNull(first.call("FETCH copies"));
+        client.callExpectingOk("PUSH " + job(jid, "copies"));
+        fetch(first, "copies");
+      }
+      JsonNode job = fetch(second, "copies");
+      assertEquals(jid, clientJid(job));
+      second.callExpectingOk(ack(job));
+      awaitState(client, jid, "success");
+    }
+  }
+}
--- a/src/test/java/loomreel/faktory/SpoolTest.java
+++ b/src/test/java/loomreel/faktory/SpoolTest.java
@@ -25,34 +25,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The daemon as client libraries use it, stopped and killed: what waits is there again, and nothing
- * runs that must not.
- */
+/** The jobs of a daemon that is stopped, killed and started again with the same spool. */
 @Timeout(120)
 class SpoolTest {
   private static final ObjectMapper JSON = new ObjectMapper();
   @TempDir private Path directory;
 
-  private DaemonProcess daemon(String more) throws IOException {
-    return new DaemonProcess(
-        DaemonProcess.writeSettings(
-            """
-            name: "t"
-            listen: {http: "127.0.0.1:0", operators: "127.0.0.1:0"}
-            classes: {
-            	copy: {repeat: "free", target: "20s", deadline: "20s"}
-            	issue: {repeat: "single_shot", target: "20s", deadline: "20s"}
-            }
-            %s
-            faktory: {
-            	listen: "127.0.0.1:0"
-            	queues: {copies: class: "copy", renewals: class: "issue"}
-            	workers: {fetch_wait: "200ms"}
-            	spool: "%s"
-            }
-            """
-                .formatted(more, directory.resolve("spool"))));
+  private DaemonSettings settings() {
+    return new DaemonSettings()
+        .withClass("copy", "free")
+        .withClass("issue", "single_shot")
+        .withQueue("copies", "copy")
+        .withQueue("renewals", "issue")
+        .withFaktory("workers", "{fetch_wait: \"200ms\"}")
+        .withFaktoryText("spool", directory.resolve("spool").toString());
+  }
+
+  private DaemonProcess startDaemon() throws IOException {
+    return new DaemonProcess(settings().write());
   }
 
   private static String job(String jid, String queue) {
@@ -78,7 +68,7 @@
     worker.callExpectingOk("ACK {\"jid\":\"" + job.path("jid").asText() + "\"}");
   }
 
-  /** The next job, however long it takes to come. */
+  /** Fetches until there is a job. */
   private static JsonNode fetch(FaktoryClient worker, String queues) throws IOException {
     Object job = null;
     while (job == null) {
@@ -91,24 +81,20 @@
     return link.callForJson("INFO").path("faktory").path("tasks").path(set).path("size").asInt();
   }
 
-  /**
-   * A library's worker: one wid, a connection for each of its threads, no labels; and the file's
-   * HTTP workers are away.
-   */
+  /** One wid, a connection for each thread, no labels; the HTTP workers cannot be reached. */
   @Test
-  void aProcessWithTenThreadsRunsTenJobsAtATimeWhileOthersAreAway() throws Exception {
+  void aWorkerWithTenConnectionsRunsTenJobsAtATimeWhileOthersAreUnreachable() throws Exception {
     int port;
-    try (ServerSocket nobody =
+    try (ServerSocket unused =
         new ServerSocket(0, 1, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
-      port = nobody.getLocalPort();
+      port = unused.getLocalPort();
     }
     try (DaemonProcess daemon =
-            daemon(
-                "workers: {w1: address: \"127.0.0.1:"
-                    + port
-                    + "\", w2: address: \"127.0.0.1:"
-                    + port
-                    + "\"}");
+            new DaemonProcess(
+                settings()
+                    .withHttpWorker("w1", "127.0.0.1:" + port)
+                    .withHttpWorker("w2", "127.0.0.1:" + port)
+                    .write());
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
       push(client, "ten", "copies", 200);
       CountDownLatch atOnce = new CountDownLatch(10);
@@ -129,7 +115,7 @@
               }
             });
       }
-      assertTrue(done.await(100, TimeUnit.SECONDS), done.getCount() + " jobs are left");
+      assertTrue(done.await(100, TimeUnit.SECONDS), done.getCount() + " jobs remain");
       assertEquals(200, seen.size());
       assertEquals(0, size(client, "Dead"));
       daemon.awaitLog("worker slots changed wid=library slots=10 ");
@@ -137,10 +123,10 @@
   }
 
   @Test
-  void aKillLosesNoWaitingJobAndRunsNoneTwiceThatMustNotRepeat() throws Exception {
+  void aKillLosesNoWaitingJobAndRepeatsNoneThatMustNotRepeat() throws Exception {
     Set<String> expected = killWithJobsAtWorkers();
     List<String> found;
-    try (DaemonProcess daemon = daemon("");
+    try (DaemonProcess daemon = startDaemon();
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null);
         FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w2")) {
       assertEquals(1, size(client, "Dead"));
@@ -151,19 +137,21 @@
       assertEquals(143, daemon.shutDown());
     }
     assertEquals(new ArrayList<>(expected), found.stream().sorted().toList());
-    try (DaemonProcess daemon = daemon("");
+    try (DaemonProcess daemon = startDaemon();
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
-      assertEquals(1, size(client, "Dead"), "for people to look at, whatever is restarted");
+      assertEquals(1, size(client, "Dead"), "a dead job stays for operators to inspect");
       assertEquals(0, size(client, "Retries") + size(client, "Scheduled"));
       assertTrue(
           client.callForJson("TRACK GET copy-1050").path("state").asText().equals("success"));
     }
   }
 
-  /** Kills a daemon that has a copy and an issue at workers; returns the jids that have to wait. */
+  /**
+   * Kills a daemon while a job of each class is at a worker; returns the jids that must wait then.
+   */
   private Set<String> killWithJobsAtWorkers() throws IOException {
     Set<String> waiting = new TreeSet<>();
-    try (DaemonProcess daemon = daemon("");
+    try (DaemonProcess daemon = startDaemon();
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null);
         FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w1");
         FaktoryClient other = new FaktoryClient(daemon.faktory(), null, "w0")) {
@@ -189,7 +177,7 @@
     return waiting;
   }
 
-  /** Fetches and acknowledges a number of jobs; returns their jids as they came. */
+  /** Fetches and acknowledges a number of jobs; returns their jids in this order. */
   private static List<String> fetchAndAck(FaktoryClient worker, int jobs) throws IOException {
     List<String> jids = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
@@ -201,9 +189,9 @@
   }
 
   @Test
-  void aStopStartsNothingMoreAndWaitsForWhatIsSent() throws Exception {
+  void aGracefulShutdownStartsNoJobAndAwaitsThoseAtWorkers() throws Exception {
     Set<String> served = new HashSet<>();
-    try (DaemonProcess daemon = daemon("");
+    try (DaemonProcess daemon = startDaemon();
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null);
         FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w1");
         FaktoryClient beat = new FaktoryClient(daemon.faktory(), null, "w1");
@@ -224,24 +212,21 @@
       daemon.awaitLog("spool closed waiting_jobs=53");
     }
     Set<String> found = new HashSet<>(served);
-    try (DaemonProcess daemon = daemon("");
+    try (DaemonProcess daemon = startDaemon();
         FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w2")) {
       for (int i = 0; i < 53; i++) {
         JsonNode job = fetch(worker, "copies renewals");
-        assertTrue(found.add(clientJid(job)), "it was served before");
+        assertTrue(found.add(clientJid(job)), "a job ran twice");
         ack(worker, job);
       }
       assertNull(worker.call("FETCH copies renewals"));
     }
   }
 
-  /**
-   * The worker was given a second and took longer: nobody knows whether it ran, and its late word
-   * changes nothing.
-   */
+  /** Whether the job ran is unknown once its reservation of 1 s has ended. */
   @Test
-  void anAckAfterTheReservationBecomesEvidenceAlone() throws Exception {
-    try (DaemonProcess daemon = daemon("");
+  void anAckAfterTheReservationIsOnlyEvidence() throws Exception {
+    try (DaemonProcess daemon = startDaemon();
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null);
         FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w1")) {
       client.callExpectingOk(
@@ -261,11 +246,11 @@
   }
 
   @Test
-  void twoDaemonsDoNotShareASpool() throws Exception {
-    try (DaemonProcess daemon = daemon("")) {
+  void aSecondDaemonCannotOpenTheSpool() throws Exception {
+    try (DaemonProcess daemon = startDaemon()) {
       IOException e = null;
       try {
-        daemon("").close();
+        startDaemon().close();
       } catch (IOException refused) {
         e = refused;
       }
--- a/src/test/java/loomreel/faktory/storage/DurableJobStoreTest.java
+++ b/src/test/java/loomreel/faktory/storage/DurableJobStoreTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Function;
 import java.util.stream.Stream;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
@@ -54,7 +54,7 @@
           return requestClass != FREE;
         }
       };
-  private final PayloadValidator payloads = payloads(Map.of("free", "copy", "single", "issue"));
+  private final JobPayloadReader payloads = payloads(Map.of("free", "copy", "single", "issue"));
   private final List<String> unusable = new ArrayList<>();
   private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
   @TempDir private Path directory;
@@ -63,11 +63,11 @@
   private DurableJobStore store;
   private int segmentBytes = 1 << 20;
 
-  /** A validator under settings with these queues, each with its class. */
-  private static PayloadValidator payloads(Map<String, String> classes) {
+  /** A reader under settings with these queues, each with its class. */
+  private static JobPayloadReader payloads(Map<String, String> classes) {
     Map<String, FaktorySettings.Queue> queues = new HashMap<>();
     classes.forEach((queue, name) -> queues.put(queue, new FaktorySettings.Queue(name, 1, null)));
-    return new PayloadValidator(
+    return new JobPayloadReader(
         new FaktorySettings(
             null, null, 1, null, queues, Map.of(), 0.5, null, 1, null, 25, null, null, 0, false, "",
             null, Map.of()),
@@ -114,7 +114,7 @@
   private Job push(String jid, String queueName, long at) throws Exception {
     String text =
         "{\"jid\":\"" + jid + "\",\"jobtype\":\"T\",\"queue\":\"" + queueName + "\",\"args\":[1]}";
-    Job.Spec known = payloads.known(Json.read(text));
+    Job.Spec known = payloads.read(Json.read(text));
     Job.Spec spec =
         new Job.Spec(
             jid,
@@ -252,12 +252,12 @@
         new JobQueue(new QueueLimits(1000, 1 << 20, SECOND, SECOND, 10), new SplittableRandom(1));
     of.setListener(small);
     small.restore(of, payloads, (jid, why) -> {}, now);
-    assertNull(small.rejectionReason());
+    assertEquals(Optional.empty(), small.rejectionReason());
     queue = of;
     push("a", "free", 0);
     push("b", "free", 0);
     push("c", "free", 0);
-    assertEquals("the spool is full: 300 bytes", small.rejectionReason());
+    assertEquals(Optional.of("the spool is full: 300 bytes"), small.rejectionReason());
     small.close();
   }
 
