--- a/src/main/java/loomreel/faktory/FaktoryConnection.java
+++ b/src/main/java/loomreel/faktory/FaktoryConnection.java
@@ -94,11 +94,7 @@
 
   /** Sends the server's greeting, with the challenge where a password is required. */
   void greet() {
-    String password =
-        challenge.isRequired()
-            ? ",\"i\":" + context.passwordIterations() + ",\"s\":\"" + challenge.salt() + "\""
-            : "";
-    reply(new Reply.SimpleString("HI {\"v\":" + Handshake.VERSION + password + "}"));
+    reply(Handshake.greeting(challenge, context.passwordIterations()));
   }
 
   /** The challenge that the client has to answer in its HELLO. */
--- a/src/main/java/loomreel/faktory/TrackCommands.java
+++ b/src/main/java/loomreel/faktory/TrackCommands.java
@@ -16,6 +16,7 @@
 final class TrackCommands {
   private static final String GET = "GET ";
   private static final String SET = "SET ";
+  private static final long MICROS_PER_MILLI = 1_000;
 
   private final RecentAttempts jobs;
   private final AttemptReports reports;
@@ -66,7 +67,7 @@
         .put("percent", job.percent())
         .put("desc", job.description())
         .put("failures", job.failures())
-        .put("updated_at", Instant.ofEpochMilli(job.updatedAt() / 1000).toString());
+        .put("updated_at", Instant.ofEpochMilli(job.updatedAt() / MICROS_PER_MILLI).toString());
     if (!job.reason().isEmpty()) {
       status.put("reason", job.reason());
     }
--- a/src/main/java/loomreel/faktory/protocol/Handshake.java
+++ b/src/main/java/loomreel/faktory/protocol/Handshake.java
@@ -17,7 +17,7 @@
  */
 public record Handshake(String wid, Map<String, String> labels) {
   /** The version of the protocol. */
-  public static final int VERSION = 2;
+  private static final int VERSION = 2;
 
   private static final int MAX_LABELS = 64;
   private static final Pattern WID = Pattern.compile("[A-Za-z0-9_.:-]{1,64}");
@@ -33,6 +33,19 @@
     }
   }
 
+  /**
+   * The server's greeting, with the challenge where a password is required.
+   *
+   * @param iterations how many times the client has to hash the password
+   */
+  public static Reply greeting(PasswordChallenges.Challenge challenge, int iterations) {
+    String password =
+        challenge.isRequired()
+            ? ",\"i\":" + iterations + ",\"s\":\"" + challenge.salt() + "\""
+            : "";
+    return new Reply.SimpleString("HI {\"v\":" + VERSION + password + "}");
+  }
+
   /**
    * Reads and checks the argument of HELLO.
    *
@@ -72,8 +85,8 @@
   }
 
   /**
-   * The hash that a client sends: SHA-256 of password and salt, hashed again until there were so
-   * many iterations, in hexadecimal.
+   * The hash that a client sends, in hexadecimal: SHA-256 of password and salt, and then of the
+   * result until the number of iterations is reached.
    */
   public static String hash(String password, String salt, int iterations) {
     try {
--- a/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
+++ b/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
@@ -19,6 +19,8 @@
   /** How often changes are synced that need not be durable at once, in microseconds. */
   private static final long SYNC_INTERVAL_MICROS = 100_000;
 
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   private final EventLoop loop;
   private final DurableJobStore store;
 
@@ -60,7 +62,7 @@
         "spool restored jobs="
             + jobs
             + " duration_ms="
-            + (System.nanoTime() - startedNanos) / 1_000_000
+            + (System.nanoTime() - startedNanos) / NANOS_PER_MILLI
             + " truncated_bytes="
             + store.truncatedBytes()
             + " directory="
--- a/src/test/java/loomreel/faktory/HandshakeRejectionTest.java
+++ b/src/test/java/loomreel/faktory/HandshakeRejectionTest.java
@@ -10,29 +10,18 @@
 import java.nio.charset.StandardCharsets;
 import loomreel.standin.FaktoryClient;
 import loomreel.standin.RespReader;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Only clients that prove to know the password and speak the version are admitted. */
+/** Only clients with the password and the version of the protocol are admitted. */
 @Timeout(120)
 class HandshakeRejectionTest {
-  private static ProtocolHarness harness;
-
-  @BeforeAll
-  static void start() throws IOException {
-    harness = new ProtocolHarness();
-  }
-
-  @AfterAll
-  static void stop() throws InterruptedException {
-    harness.stop();
-  }
+  @RegisterExtension private static final ProtocolHarness HARNESS = new ProtocolHarness();
 
   @Test
   void onlyThePasswordAndTheVersionAdmitAClient() throws Exception {
-    assertThrows(IOException.class, () -> new FaktoryClient(harness.faktory(), "wrong", null));
+    assertThrows(IOException.class, () -> new FaktoryClient(HARNESS.faktory(), "wrong", null));
     for (String hello :
         new String[] {
           "HELLO {\"v\":2}",
@@ -45,7 +34,7 @@
           "HELLO {\"v\":2,\"pwdhash\":\"\"}",
           "HELLO [2]"
         }) {
-      try (Socket socket = harness.connect()) {
+      try (Socket socket = HARNESS.connect()) {
         socket.setSoTimeout(30_000);
         InputStream in = socket.getInputStream();
         assertTrue(
@@ -57,7 +46,7 @@
         assertEquals(-1, in.read(), "the connection is closed");
       }
     }
-    try (FaktoryClient link = harness.client()) {
+    try (FaktoryClient link = HARNESS.client()) {
       assertEquals("OK", link.call("END"));
     }
   }
--- a/src/test/java/loomreel/faktory/InvalidCommandTest.java
+++ b/src/test/java/loomreel/faktory/InvalidCommandTest.java
@@ -9,27 +9,16 @@
 import java.nio.charset.StandardCharsets;
 import loomreel.standin.FaktoryClient;
 import loomreel.standin.RespReader;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Malformed and wrong commands are answered with errors, and affect no other connection. */
 @Timeout(120)
 class InvalidCommandTest {
-  private static ProtocolHarness harness;
-
-  @BeforeAll
-  static void start() throws IOException {
-    harness = new ProtocolHarness();
-  }
-
-  @AfterAll
-  static void stop() throws InterruptedException {
-    harness.stop();
-  }
+  @RegisterExtension private static final ProtocolHarness HARNESS = new ProtocolHarness();
 
   /** What follows cannot be parsed, so that the connection is closed; others are not affected. */
   @ParameterizedTest
@@ -42,12 +31,12 @@
         "*1\r\n*1\r\n*1\r\n$4\r\nINFO\r\n"
       })
   void respFramingIsAnErrorAndClosesTheConnection(String bytes) throws Exception {
-    try (FaktoryClient link = harness.client()) {
+    try (FaktoryClient link = HARNESS.client()) {
       link.socket().getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
       assertTrue(link.read() instanceof RespReader.ErrorReply);
       assertThrows(IOException.class, link::read);
     }
-    try (FaktoryClient link = harness.client()) {
+    try (FaktoryClient link = HARNESS.client()) {
       link.callForJson("INFO");
     }
   }
@@ -78,7 +67,7 @@
         "PUSH {\"jid\":\"12345678\",\"jobtype\":\"a\",\"queue\":\"copies\",\"args\":[],\"custom\":{\"cost_us\":1e300}}"
       })
   void aWrongCommandIsAnErrorAndTheConnectionStaysOpen(String command) throws Exception {
-    try (FaktoryClient link = harness.client()) {
+    try (FaktoryClient link = HARNESS.client()) {
       assertTrue(link.call(command) instanceof RespReader.ErrorReply, command);
       link.callForJson("INFO");
     }
@@ -86,7 +75,7 @@
 
   @Test
   void aLineThatIsTooLongClosesItsConnection() throws Exception {
-    try (FaktoryClient link = harness.client()) {
+    try (FaktoryClient link = HARNESS.client()) {
       link.socket()
           .getOutputStream()
           .write(("PUSH \"" + "x".repeat(300_000)).getBytes(StandardCharsets.UTF_8));
@@ -94,7 +83,7 @@
     } catch (java.net.SocketException e) {
       // The close reset the connection before the rest was sent; the daemon still serves others.
     }
-    try (FaktoryClient link = harness.client()) {
+    try (FaktoryClient link = HARNESS.client()) {
       Object answer =
           link.call(
               "PUSH "
--- a/src/test/java/loomreel/faktory/JobLifecycleTest.java
+++ b/src/test/java/loomreel/faktory/JobLifecycleTest.java
@@ -13,32 +13,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import loomreel.standin.FaktoryClient;
 import loomreel.standin.RespReader;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A job from its push to its final state, also where its worker or its ACK is lost. */
 @Timeout(120)
 class JobLifecycleTest {
-  private static ProtocolHarness harness;
-
-  @BeforeAll
-  static void start() throws IOException {
-    harness = new ProtocolHarness();
-  }
-
-  @AfterAll
-  static void stop() throws InterruptedException {
-    harness.stop();
-  }
+  @RegisterExtension private static final ProtocolHarness HARNESS = new ProtocolHarness();
 
   @Test
   void aBatchIsAcceptedExceptForInvalidJobs() throws Exception {
@@ -51,7 +39,7 @@
           .append(i == 0 ? "" : ",")
           .append(i % 10 == 3 ? "{\"jid\":\"" + jid + "\",\"args\":7}" : job(jid, "parked"));
     }
-    try (FaktoryClient link = harness.client()) {
+    try (FaktoryClient link = HARNESS.client()) {
       JsonNode rejected = link.callForJson("PUSHB " + batch + "]");
       assertEquals(100, rejected.size());
       rejected.forEach(error -> assertTrue(error.asText().startsWith("ERR "), error.toString()));
@@ -71,8 +59,8 @@
   @Test
   void aJobIsFetchedAcknowledgedAndTracked() throws Exception {
     String jid = newJid();
-    try (FaktoryClient client = harness.client();
-        FaktoryClient worker = harness.worker("round-trip")) {
+    try (FaktoryClient client = HARNESS.client();
+        FaktoryClient worker = HARNESS.worker("round-trip")) {
       assertNull(worker.call("FETCH copies"), "no job within the wait");
       client.callExpectingOk(
           "PUSH " + jobWith(jid, "copies", ",\"custom\":{\"key\":\"k\",\"mine\":[1]}"));
@@ -104,10 +92,10 @@
   void aJobThatMustNotRepeatIsNeverHandedOutAgainWhenItsAckIsLost(String cut, String end)
       throws Exception {
     String jid = newJid();
-    try (FaktoryClient client = harness.client();
-        FaktoryClient other = harness.worker("other-" + cut)) {
+    try (FaktoryClient client = HARNESS.client();
+        FaktoryClient other = HARNESS.worker("other-" + cut)) {
       String id;
-      try (FaktoryClient worker = harness.worker("cut-" + cut)) {
+      try (FaktoryClient worker = HARNESS.worker("cut-" + cut)) {
         assertNull(worker.call("FETCH renewals"));
         client.callExpectingOk("PUSH " + job(jid, "renewals"));
         JsonNode job = fetch(worker, "renewals");
@@ -136,7 +124,7 @@
             "not even by an operator");
       }
       // The process reconnects and acknowledges: that is evidence, and changes no final state.
-      try (FaktoryClient again = harness.worker("cut-" + cut)) {
+      try (FaktoryClient again = HARNESS.worker("cut-" + cut)) {
         assertNull(again.call("FETCH renewals"));
         again.callExpectingOk("ACK {\"jid\":\"" + id + "\"}");
       }
@@ -151,9 +139,9 @@
   @Test
   void anIdempotentJobIsHandedToAnotherWorkerWhenItsWorkerDies() throws Exception {
     String jid = newJid();
-    try (FaktoryClient client = harness.client();
-        FaktoryClient second = harness.worker("second")) {
-      try (FaktoryClient first = harness.worker("first")) {
+    try (FaktoryClient client = HARNESS.client();
+        FaktoryClient second = HARNESS.worker("second")) {
+      try (FaktoryClient first = HARNESS.worker("first")) {
         assertNull(first.call("FETCH copies"));
         client.callExpectingOk("PUSH " + job(jid, "copies"));
         fetch(first, "copies");
--- a/src/test/java/loomreel/faktory/ProtocolHarness.java
+++ b/src/test/java/loomreel/faktory/ProtocolHarness.java
@@ -10,12 +10,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import loomreel.standin.DaemonProcess;
 import loomreel.standin.FaktoryClient;
+import org.junit.jupiter.api.extension.AfterAllCallback;
+import org.junit.jupiter.api.extension.BeforeAllCallback;
+import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * A daemon process with a password, two queues that can be served ({@code copies} of idempotent
- * jobs, {@code renewals} of others) and one that no worker can serve ({@code parked}).
+ * A daemon process for the tests of one class, with a password, two queues that can be served
+ * ({@code copies} of idempotent jobs, {@code renewals} of others) and one that no worker can serve
+ * ({@code parked}).
  */
-final class ProtocolHarness {
+final class ProtocolHarness implements BeforeAllCallback, AfterAllCallback {
   static final String PASSWORD = "secret";
   static final int HASH_ITERATIONS = 7;
   static final int MAX_CONNECTIONS = 64;
@@ -24,10 +28,10 @@
   private static final int EXIT_CODE_AFTER_SIGTERM = 143;
   private static final AtomicInteger LAST_JID = new AtomicInteger(10_000_000);
 
-  private final DaemonProcess daemon;
+  private DaemonProcess daemon;
 
-  /** Starts the daemon. */
-  ProtocolHarness() throws IOException {
+  @Override
+  public void beforeAll(ExtensionContext context) throws IOException {
     daemon =
         new DaemonProcess(
             new DaemonSettings()
@@ -50,7 +54,8 @@
   }
 
   /** Stops the daemon gracefully, which must succeed. */
-  void stop() throws InterruptedException {
+  @Override
+  public void afterAll(ExtensionContext context) throws InterruptedException {
     assertEquals(EXIT_CODE_AFTER_SIGTERM, daemon.shutDown());
     daemon.close();
   }
--- a/src/test/java/loomreel/faktory/UnreadRepliesTest.java
+++ b/src/test/java/loomreel/faktory/UnreadRepliesTest.java
@@ -24,37 +24,26 @@
 import loomreel.faktory.protocol.Handshake;
 import loomreel.standin.FaktoryClient;
 import loomreel.standin.RespReader;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** Clients and workers that do not read what the daemon sends. */
 @Timeout(120)
 class UnreadRepliesTest {
-  private static ProtocolHarness harness;
+  @RegisterExtension private static final ProtocolHarness HARNESS = new ProtocolHarness();
   private static final int JOBS = 120;
   private static final byte[] FETCH_LINE = "FETCH renewals\r\n".getBytes(StandardCharsets.UTF_8);
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final HttpClient HTTP =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-  @BeforeAll
-  static void start() throws IOException {
-    harness = new ProtocolHarness();
-  }
-
-  @AfterAll
-  static void stop() throws InterruptedException {
-    harness.stop();
-  }
-
   /** A job whose last byte has been written may have run; the others run elsewhere. */
   @Test
   void jobsThatAreNotWrittenCompletelyRunOnAnotherWorker() throws Exception {
     List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
     Socket unread = new Socket();
-    try (FaktoryClient other = harness.worker("reads")) {
+    try (FaktoryClient other = HARNESS.worker("reads")) {
       connectWithSmallBuffer(unread);
       for (int i = 0; i < JOBS; i++) {
         responses.add(sendRequest(i));
@@ -77,10 +66,10 @@
     }
   }
 
-  /** Says HELLO as a worker with many slots, and has fetched once so that it is listed. */
+  /** Sends HELLO as a worker with many slots, and one FETCH, which lists the worker. */
   private static void connectWithSmallBuffer(Socket socket) throws IOException {
     socket.setReceiveBufferSize(4096);
-    socket.connect(harness.faktory());
+    socket.connect(HARNESS.faktory());
     InputStream in = socket.getInputStream();
     JsonNode hi = JSON.readTree(RespReader.read(in).toString().substring("HI ".length()));
     String hash =
@@ -97,7 +86,7 @@
   private static CompletableFuture<HttpResponse<String>> sendRequest(int number) {
     return HTTP.sendAsync(
         HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + harness.http().getPort() + "/issue/x"))
+                URI.create("http://127.0.0.1:" + HARNESS.http().getPort() + "/issue/x"))
             .header("X-Call-Id", String.format("%016x", 0xabc000 + number))
             .header("X-Budget-Ms", "20000")
             .POST(HttpRequest.BodyPublishers.ofString("x".repeat(60_000)))
@@ -107,7 +96,7 @@
 
   /** Until the buffers of the sockets are full, and the daemon reads no more commands there. */
   private static void awaitNoFurtherCommands() throws Exception {
-    try (FaktoryClient client = harness.client()) {
+    try (FaktoryClient client = HARNESS.client()) {
       int before = -1;
       for (int unchanged = 0; unchanged < 30; ) {
         int now = client.callForJson("INFO").path("server").path("command_count").asInt();
@@ -141,10 +130,10 @@
     List<Socket> silent = new ArrayList<>();
     try {
       for (int i = 0; i < 300; i++) {
-        silent.add(harness.connect());
+        silent.add(HARNESS.connect());
       }
-      try (FaktoryClient flooding = harness.client();
-          FaktoryClient link = harness.client()) {
+      try (FaktoryClient flooding = HARNESS.client();
+          FaktoryClient link = HARNESS.client()) {
         flooding.socket().setSoTimeout(100);
         CompletableFuture<Void> flood =
             CompletableFuture.runAsync(
@@ -162,7 +151,7 @@
         }
         HttpURLConnection ready =
             (HttpURLConnection)
-                new URL("http", "127.0.0.1", harness.http().getPort(), "/health/ready")
+                new URL("http", "127.0.0.1", HARNESS.http().getPort(), "/health/ready")
                     .openConnection();
         assertEquals(200, ready.getResponseCode());
         flood.join();
--- a/src/test/java/loomreel/faktory/WorkerLifecycleTest.java
+++ b/src/test/java/loomreel/faktory/WorkerLifecycleTest.java
@@ -15,33 +15,22 @@
 import java.net.URL;
 import java.nio.charset.StandardCharsets;
 import loomreel.standin.FaktoryClient;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** Which jobs a worker gets while it drains, is disabled, or loses one of its connections. */
 @Timeout(120)
 class WorkerLifecycleTest {
-  private static ProtocolHarness harness;
-
-  @BeforeAll
-  static void start() throws IOException {
-    harness = new ProtocolHarness();
-  }
-
-  @AfterAll
-  static void stop() throws InterruptedException {
-    harness.stop();
-  }
+  @RegisterExtension private static final ProtocolHarness HARNESS = new ProtocolHarness();
 
   @Test
   void aQuietWorkerGetsNoNewJobAndMayFinishItsJobs() throws Exception {
     String firstJid = newJid();
     String secondJid = newJid();
-    try (FaktoryClient client = harness.client();
-        FaktoryClient worker = harness.worker("quiet");
-        FaktoryClient beat = harness.worker("quiet")) {
+    try (FaktoryClient client = HARNESS.client();
+        FaktoryClient worker = HARNESS.worker("quiet");
+        FaktoryClient beat = HARNESS.worker("quiet")) {
       assertNull(worker.call("FETCH copies"));
       client.callExpectingOk("PUSH " + job(firstJid, "copies"));
       JsonNode job = fetch(worker, "copies");
@@ -53,7 +42,7 @@
       assertNull(worker.call("FETCH copies"));
       worker.callExpectingOk(ack(job));
       awaitState(client, firstJid, "success");
-      try (FaktoryClient next = harness.worker("next")) {
+      try (FaktoryClient next = HARNESS.worker("next")) {
         JsonNode other = fetch(next, "copies");
         assertEquals(secondJid, clientJid(other));
         next.callExpectingOk(ack(other));
@@ -65,23 +54,27 @@
   @Test
   void aDisabledWorkerGetsNoJobUntilItIsEnabled() throws Exception {
     String jid = newJid();
-    try (FaktoryClient client = harness.client();
-        FaktoryClient worker = harness.worker("disabled")) {
+    try (FaktoryClient client = HARNESS.client();
+        FaktoryClient worker = HARNESS.worker("disabled")) {
       assertNull(worker.call("FETCH copies"));
-      assertEquals(200, operate("down", "f:disabled"));
+      assertEquals(200, setWorkerState("down", "f:disabled"));
       client.callExpectingOk("PUSH " + job(jid, "copies"));
       assertNull(worker.call("FETCH copies"));
-      assertEquals(200, operate("up", "f:disabled"));
+      assertEquals(200, setWorkerState("up", "f:disabled"));
       JsonNode job = fetch(worker, "copies");
       worker.callExpectingOk(ack(job));
       awaitState(client, jid, "success");
     }
   }
 
-  private static int operate(String what, String worker) throws IOException {
+  private static int setWorkerState(String downOrUp, String worker) throws IOException {
     HttpURLConnection call =
         (HttpURLConnection)
-            new URL("http", "127.0.0.1", harness.operators().getPort(), "/ops/copy-workers/" + what)
+            new URL(
+                    "http",
+                    "127.0.0.1",
+                    HARNESS.operators().getPort(),
+                    "/ops/copy-workers/" + downOrUp)
                 .openConnection();
     call.setDoOutput(true);
     call.getOutputStream().write(worker.getBytes(StandardCharsets.UTF_8));
@@ -93,10 +86,10 @@
   void aLostConnectionEndsOnlyTheJobsThatItFetched() throws Exception {
     String lost = newJid();
     String retained = newJid();
-    try (FaktoryClient client = harness.client();
-        FaktoryClient second = harness.worker("pair")) {
+    try (FaktoryClient client = HARNESS.client();
+        FaktoryClient second = HARNESS.worker("pair")) {
       JsonNode retainedJob;
-      try (FaktoryClient first = harness.worker("pair")) {
+      try (FaktoryClient first = HARNESS.worker("pair")) {
         assertNull(first.call("FETCH renewals"));
         client.callExpectingOk("PUSH " + job(lost, "renewals"));
         fetch(first, "renewals");
--- a/src/test/java/loomreel/faktory/queue/QueueSelectionTest.java
+++ b/src/test/java/loomreel/faktory/queue/QueueSelectionTest.java
@@ -71,7 +71,8 @@
   }
 
   /**
-   * A saturated fleet is tried at growing intervals, never in a busy loop; other queues continue.
+   * Attempts on a saturated fleet start at growing intervals, never in a busy loop; other queues
+   * continue.
    */
   @Test
   void aRejectedQueuePausesLongerEachTime() {
--- a/src/test/java/loomreel/faktory/worker/WorkerRegistryTest.java
+++ b/src/test/java/loomreel/faktory/worker/WorkerRegistryTest.java
@@ -68,7 +68,7 @@
     WorkerRegistry.Worker worker =
         registry.connect(new Handshake("w", Map.of("slots", "7")), one, 0);
     assertEquals(worker, registry.connect(handshake("w"), two, 50));
-    assertEquals(7, worker.slots.slots(20, 50), "its labels say so");
+    assertEquals(7, worker.slots.slots(20, 50), "the number in its labels");
     assertFalse(worker.mayTake(), "it has not fetched");
     assertTrue(registry.recordFetch(worker, List.of("q")));
     assertFalse(registry.recordFetch(worker, List.of("r")));
