--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -4,19 +4,28 @@
 import loomreel.decision.Settings.Tenant;
 
 /**
- * Decides until when an answer to a request is worth something, whether its tenant is within its
- * quota, and how a request that is given up is answered.
+ * Decides until when an answer to a request has a value, whether its tenant is within its quota,
+ * and how a request that is given up is answered.
  */
 final class AdmissionController {
-  /** Load threshold of a tenant beyond its quota: its requests go to workers this idle. */
+  /** Load threshold of a tenant beyond its quota: its requests need workers that are this idle. */
   private static final double OVER_QUOTA_THRESHOLD = 0.5;
 
-  /** A tenant's bucket fills by an equal share of its quota times this: zones differ. */
+  /** Factor on a dispatcher's equal part of a quota, since traffic differs between zones. */
   private static final double QUOTA_HEADROOM = 1.3;
 
-  /** Part of the mean work of a class that must still be in time, if a job announces none. */
+  /** The burst that a tenant may send: its quota over this time, and a few requests more. */
+  private static final double BURST_SECONDS = 2;
+
+  private static final double MIN_BURST = 3;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** The work of a job that announces none, as a fraction of the mean run time of its class. */
   private static final double TYPICAL_WORK = 0.4;
 
+  /** Ticks before the client's deadline at which the answer is due. */
+  private static final int ANSWER_MARGIN_TICKS = 2;
+
   private final PolicyContext context;
   private final WorkerTable workers;
   private final ServiceTimeEstimator times;
@@ -31,30 +40,37 @@
     loads = state.loads;
     Settings settings = context.settings();
     firstAttempts =
-        new FirstAttemptEstimator(settings.clientsMarkRetries(), Time.RATE_TIME_CONSTANT);
+        new FirstAttemptEstimator(
+            settings.clientsMarkRetries(), DecayingSum.RATE_TIME_CONSTANT_MICROS);
     tenantBuckets =
         settings.tenants().stream().map(tenant -> new TokenBucket()).toArray(TokenBucket[]::new);
   }
 
-  /** Sets the times after which an answer to a new request is worth less, and nothing. */
+  /** Sets the times after which an answer to a new request has less value, and none. */
   void setDeadlines(PendingRequest request) {
     RequestClass requestClass = request.requestClass;
     long deadline = request.arrival.deadline();
-    double announced = request.arrival.expectedWork();
-    double meanRunTime = times.meanRunTime(request.arrival.classIndex());
-    double work = Double.isNaN(announced) ? TYPICAL_WORK * meanRunTime : announced;
-    long slack =
-        requestClass.latencyObjective()
-            + (long) (work * Math.max(0, requestClass.latencyObjectivePerWork() - 1));
     long firstAttemptAt =
         firstAttempts.firstAttemptAt(request.arrival, requestClass, context.now());
-    request.fullValueUntil = Math.min(deadline, firstAttemptAt + slack);
+    long fullValueUntil = Math.min(deadline, firstAttemptAt + maxStartDelay(request));
     boolean hasLateValue = requestClass.latePriorityFraction() > 0;
-    request.giveUpAt = hasLateValue ? deadline : request.fullValueUntil;
-    request.answerDeadline = deadline - 2 * context.settings().tick();
+    long giveUpAt = hasLateValue ? deadline : fullValueUntil;
+    long answerDeadline = deadline - ANSWER_MARGIN_TICKS * context.settings().tick();
+    request.setDeadlines(new RequestDeadlines(fullValueUntil, giveUpAt, answerDeadline));
+  }
+
+  /** How long after the client's first attempt a job may start and still meet its objective. */
+  private long maxStartDelay(PendingRequest request) {
+    RequestClass requestClass = request.requestClass;
+    double announced = request.arrival.expectedWork();
+    double meanRunTime = times.meanRunTime(request.arrival.classIndex());
+    double work = Double.isNaN(announced) ? TYPICAL_WORK * meanRunTime : announced;
+    // Of the objective per work, 1 is for the run itself.
+    double slackPerWork = Math.max(0, requestClass.latencyObjectivePerWork() - 1);
+    return requestClass.latencyObjective() + (long) (work * slackPerWork);
   }
 
-  /** Takes a request from its tenant's quota; beyond it, only idle workers will do. */
+  /** Counts a request against its tenant's quota; beyond it, only idle workers are used. */
   void applyQuota(PendingRequest request) {
     int tenantIndex = request.arrival.tenantIndex();
     if (tenantIndex < 0) {
@@ -62,15 +78,17 @@
     }
     Settings settings = context.settings();
     Tenant tenant = settings.tenants().get(tenantIndex);
-    double equalShare = tenant.quotaPerSecond() / settings.dispatchers();
-    double rate = equalShare * QUOTA_HEADROOM * loads.equalShares();
-    boolean within = tenantBuckets[tenantIndex].tryAcquire(rate / 1e6, 2 * rate + 3, context.now());
-    request.loadThreshold = within ? WorkerSelector.FULL_THRESHOLD : OVER_QUOTA_THRESHOLD;
+    double equalPart = tenant.quotaPerSecond() / settings.dispatchers();
+    double rate = equalPart * QUOTA_HEADROOM * loads.trafficFactor();
+    double capacity = BURST_SECONDS * rate + MIN_BURST;
+    boolean isWithinQuota =
+        tenantBuckets[tenantIndex].tryAcquire(rate / MICROS_PER_SECOND, capacity, context.now());
+    request.setLoadThreshold(isWithinQuota ? WorkerSelector.FULL_THRESHOLD : OVER_QUOTA_THRESHOLD);
   }
 
   /** Why a request that no worker can take at the moment is given up. */
-  RejectionReason reasonWhenWorthless(PendingRequest request) {
-    if (!request.attempts.isEmpty()) {
+  RejectionReason reasonWhenExpired(PendingRequest request) {
+    if (!request.attempts().isEmpty()) {
       return RejectionReason.NOT_STARTED_IN_TIME;
     }
     boolean anyWorker = workers.pool(request).length > 0;
@@ -78,19 +96,19 @@
   }
 
   boolean isOverQuota(PendingRequest request) {
-    return request.loadThreshold < WorkerSelector.FULL_THRESHOLD;
+    return request.loadThreshold() < WorkerSelector.FULL_THRESHOLD;
   }
 
   /**
    * The answer to a request that is given up. Where a repetition does no harm it is a rejection
-   * that says when to retry, for a client that retries at once meets the same load; what may have
-   * run has failed.
+   * that says when to retry, since an immediate retry would meet the same load; a request that may
+   * have run fails.
    */
   Action giveUp(PendingRequest request, RejectionReason reason) {
     firstAttempts.recordRejection(reason, context.now());
     boolean harmless =
         request.idempotency == Idempotency.IDEMPOTENT
-            || request.attempts.stream().allMatch(AttemptState::neverRan);
+            || request.attempts().stream().allMatch(AttemptState::neverRan);
     if (!harmless) {
       return new Action.Fail(request.id(), reason);
     }
--- a/src/main/java/loomreel/decision/AttemptCanceller.java
+++ b/src/main/java/loomreel/decision/AttemptCanceller.java
@@ -24,8 +24,8 @@
     if (!context.settings().limits().cancellation()) {
       return;
     }
-    for (int number = 0; number < request.attempts.size(); number++) {
-      AttemptState attempt = request.attempts.get(number);
+    for (int number = 0; number < request.attempts().size(); number++) {
+      AttemptState attempt = request.attempts().get(number);
       if ((includeStarted || !attempt.hasStarted()) && attempt.markCancelled()) {
         context.emit(new CancelAttempt(request.id(), number));
       }
--- a/src/main/java/loomreel/decision/DecayingSum.java
+++ b/src/main/java/loomreel/decision/DecayingSum.java
@@ -2,18 +2,21 @@
 
 /** A sum that decays exponentially with time. Times are microseconds. */
 final class DecayingSum {
+  /** Time constant of rates and means: long against one job, short against a day. */
+  static final double RATE_TIME_CONSTANT_MICROS = 10e6;
+
   private final double timeConstant;
   private double sum;
-  private long updatedAt = Time.NEVER;
+  private long updatedAt = Timestamp.NEVER;
 
   /**
-   * @param timeConstant the time after which 1/e of an amount is left, in microseconds
+   * @param timeConstant the time after which 1/e of an amount remains, in microseconds
    */
   DecayingSum(double timeConstant) {
     this.timeConstant = timeConstant;
   }
 
-  /** What is left of everything that was added. */
+  /** What remains of everything that was added. */
   double valueAt(long now) {
     return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstant);
   }
--- a/src/main/java/loomreel/decision/DeduplicationScope.java
+++ b/src/main/java/loomreel/decision/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package loomreel.decision;
 
-/** Which workers together recognise the repetitions of a keyed request. */
+/** Which workers together deduplicate the attempts of a keyed request. */
 public enum DeduplicationScope {
   /** All of them. */
   ALL,
@@ -9,7 +9,7 @@
   /** Those of one failure domain of a zone. */
   FAILURE_DOMAIN;
 
-  /** Whether two workers recognise each other's keyed requests. */
+  /** Whether two workers deduplicate each other's keyed requests. */
   public boolean sharedBy(Endpoint first, Endpoint second) {
     return switch (this) {
       case ALL -> true;
--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -10,7 +10,7 @@
  *
  * <p>{@link RequestScheduler} places requests, {@link WorkerSelector} chooses workers, {@link
  * RetryPolicy} says what may be repeated, {@link AdmissionController} what is rejected and {@link
- * HealthCheckPolicy} whose load is asked for.
+ * HealthCheckPolicy} whose load is queried.
  */
 public final class DispatchPolicy {
   private PolicyState state;
--- a/src/main/java/loomreel/decision/EndpointUpdater.java
+++ b/src/main/java/loomreel/decision/EndpointUpdater.java
@@ -4,7 +4,7 @@
 import loomreel.decision.Action.PollEndpoints;
 import loomreel.decision.Action.SetTimer;
 
-/** Keeps the table of workers in line with the endpoint list and with what operators say. */
+/** Applies the endpoint list and the commands of operators to the table of workers. */
 final class EndpointUpdater {
   private final PolicyState state;
   private final PolicyContext context;
@@ -21,7 +21,7 @@
     schedulePoll(pollBackoff.firstPollAt(context.now(), context.random()));
   }
 
-  /** Polls the list, since the timer for that has fired. */
+  /** Polls the list; called when the timer for that has fired. */
   void poll() {
     pollBackoff.pollStarted(context.now());
     context.emit(new PollEndpoints());
@@ -38,17 +38,19 @@
     }
   }
 
-  /** From here on nothing new goes to a worker that drains or is gone; a restarted one is new. */
+  /**
+   * Applies changes of the list: a worker that drains or was removed gets no new attempts from here
+   * on, and a restarted one counts as new.
+   */
   void update(List<Endpoint> endpoints) {
     for (Endpoint endpoint : endpoints) {
       WorkerState worker = state.workers.getOrAdd(endpoint.id());
-      if (worker.endpoint == null || endpoint.startedAt() > worker.endpoint.startedAt()) {
-        // Dispatchers hear of it together: their first sends must not come together.
+      if (worker.isReplacedBy(endpoint)) {
+        // Dispatchers are notified together: jitter keeps their first attempts apart.
         double allowance = context.random().nextDouble() * state.slowStart.meanLightCost();
         worker.restart(context.now(), allowance);
-        worker.enabledAt = 0;
       }
-      worker.endpoint = endpoint;
+      worker.update(endpoint);
     }
     pollBackoff.pollSucceeded();
     state.workers.dropRemoved();
@@ -56,8 +58,8 @@
   }
 
   /**
-   * Operators restart what they disable, so the worker warms up: from now on, unless the list has
-   * told of a start since it was disabled. One job of any class may go there at once.
+   * Enables a worker. Operators restart what they disable, so it warms up: from now on, unless the
+   * list has reported a start since it was disabled. One job of any class may go there at once.
    */
   void enable(String workerId) {
     if (!state.workers.isDisabled(workerId)) {
@@ -67,8 +69,10 @@
     WorkerState worker = state.workers.get(workerId);
     if (worker != null) {
       worker.restart(context.now(), state.times.largestMeanWork());
-      boolean hasRestarted = worker.endpoint.startedAt() > disabledSince;
-      worker.enabledAt = hasRestarted ? 0 : context.now();
+      boolean hasRestarted = worker.endpoint().startedAt() > disabledSince;
+      if (!hasRestarted) {
+        worker.warmUpFrom(context.now());
+      }
     }
     state.workers.rebuildPools();
   }
--- a/src/main/java/loomreel/decision/FirstAttemptEstimator.java
+++ b/src/main/java/loomreel/decision/FirstAttemptEstimator.java
@@ -9,13 +9,19 @@
  * used up part of the deadline, or the first attempt of a client that gives up early. Where clients
  * mark their retries, the mark decides.
  *
- * <p>Where they do not, a request with half of the deadline or more left counts as a retry. One
- * with less left would be the retry of a client that has tried for long, which is less likely than
- * a client that gives up early; unless this dispatcher has lately rejected at least half as many
- * requests as came with so little time. Requests that were rejected as too late do not count as
- * rejected here: they would confirm the estimate that rejected them. Times are microseconds.
+ * <p>Where they do not, a request with half of the deadline or more remaining counts as a retry.
+ * One with less remaining would be a late retry, which is less likely than a client that gives up
+ * early; unless this dispatcher has lately rejected at least half as many requests as arrived with
+ * so little time. Requests that were rejected as too late do not count as rejected here: they would
+ * confirm the estimate that rejected them. Times are microseconds.
  */
 final class FirstAttemptEstimator {
+  /** Less than the class's deadline divided by this is a short time budget. */
+  private static final int SHORT_BUDGET_DIVISOR = 2;
+
+  /** How many requests with short budgets one rejection explains as retries. */
+  private static final double REJECTION_WEIGHT = 2;
+
   private final boolean retriesAreMarked;
   private final DecayingSum shortBudgets;
   private final DecayingSum rejections;
@@ -32,13 +38,13 @@
 
   /** When the client of a request that arrives now made its first attempt. */
   long firstAttemptAt(RequestArrived arrival, RequestClass requestClass, long now) {
-    long left = arrival.deadline() - now;
-    if (left >= requestClass.deadline() || (retriesAreMarked && !arrival.clientRetry())) {
+    long remaining = arrival.deadline() - now;
+    if (remaining >= requestClass.deadline() || (retriesAreMarked && !arrival.clientRetry())) {
       return now;
     }
-    if (!arrival.clientRetry() && left < requestClass.deadline() / 2) {
+    if (!arrival.clientRetry() && remaining < requestClass.deadline() / SHORT_BUDGET_DIVISOR) {
       shortBudgets.add(1, now);
-      if (2 * rejections.valueAt(now) < shortBudgets.valueAt(now)) {
+      if (REJECTION_WEIGHT * rejections.valueAt(now) < shortBudgets.valueAt(now)) {
         return now;
       }
     }
--- a/src/main/java/loomreel/decision/Hashing.java
+++ b/src/main/java/loomreel/decision/Hashing.java
@@ -17,7 +17,7 @@
     return ((mix(hash) >>> 11) + 1) * 0x1.0p-53;
   }
 
-  /** The same number for the same text at every node (FNV-1a). */
+  /** The FNV-1a hash of a text, mixed; the same at every dispatcher. */
   static long stringHash(String text) {
     long h = 0xcbf29ce484222325L;
     for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/loomreel/decision/HealthCheckPolicy.java
+++ b/src/main/java/loomreel/decision/HealthCheckPolicy.java
@@ -2,15 +2,13 @@
 
 import loomreel.decision.Settings.LoadReporting;
 
-/** Decides which workers are asked for their load before a request is placed. */
+/** Decides which workers have their load queried before a request is placed. */
 final class HealthCheckPolicy {
-  /** A report younger than this is not asked for again, in microseconds. */
-  private static final long FRESH = 400_000;
+  /** A worker whose last report is younger than this is not checked. */
+  private static final long MAX_REPORT_AGE_MICROS = 400_000;
 
-  /** The fallback looks for room alone, not for the least load: older reports will do. */
-  private static final long FRESH_FOR_FALLBACK = 4 * FRESH;
-
-  private static final int MAX_CHECKS_PER_REQUEST = 4 * WorkerSelector.SAMPLE_WITH_HEALTH_CHECKS;
+  /** The fallback needs any capacity, not the least load, so older reports suffice. */
+  private static final long MAX_REPORT_AGE_FOR_FALLBACK_MICROS = 4 * MAX_REPORT_AGE_MICROS;
 
   private final PolicyContext context;
   private final WorkerSelector selector;
@@ -38,14 +36,14 @@
     if (!enabled) {
       return false;
     }
-    while (request.healthCheckRound <= WorkerSelector.FALLBACK) {
-      int round = request.healthCheckRound;
-      if (selector.select(request, round - 1) != null) {
+    while (request.healthCheckRound() != null) {
+      CandidateRound round = request.healthCheckRound();
+      if (selector.selectBefore(round, request) != null) {
         return false;
       }
       checkRound(request, round);
-      request.healthCheckRound++;
-      if (request.pendingHealthChecks > 0) {
+      request.advanceHealthCheckRound();
+      if (request.awaitsHealthCheck()) {
         long timeout = times.healthCheckTimeout(request);
         context.setTimer(request, context.now() + timeout + context.settings().tick());
         return true;
@@ -54,8 +52,9 @@
     return false;
   }
 
-  private void checkRound(PendingRequest request, int round) {
-    boolean isFallback = round == WorkerSelector.FALLBACK && request.workersNeeded <= 2;
+  private void checkRound(PendingRequest request, CandidateRound round) {
+    boolean isFallback =
+        round == CandidateRound.FALLBACK && !request.candidates().exceedsHashedWorkers();
     for (WorkerState worker : selector.candidates(request, round)) {
       if (isWorthChecking(request, worker, isFallback)) {
         check(request, worker);
@@ -66,8 +65,9 @@
   /** Not if its load is known, or if the request would not go there whatever the answer. */
   private boolean isWorthChecking(PendingRequest request, WorkerState worker, boolean isFallback) {
     long now = context.now();
-    boolean isKnown = now - worker.reportedAt < (isFallback ? FRESH_FOR_FALLBACK : FRESH);
-    // What a warming worker has room for is its slow-start allowance.
+    long maxAge = isFallback ? MAX_REPORT_AGE_FOR_FALLBACK_MICROS : MAX_REPORT_AGE_MICROS;
+    boolean isKnown = now - worker.load.sampledAt() < maxAge;
+    // The capacity of a warming worker is its slow-start allowance.
     boolean isWarming = isFallback && !slowStart.isWarm(worker, now);
     return !isKnown
         && !isWarming
@@ -77,17 +77,15 @@
   }
 
   private void check(PendingRequest request, WorkerState worker) {
-    if (!worker.isHealthCheckPending()
-        && request.healthChecksRequested++ < MAX_CHECKS_PER_REQUEST) {
+    if (!worker.isHealthCheckPending() && request.takeHealthCheck()) {
       worker.healthCheckSent(context.now());
       context.emit(new Action.CheckHealth(worker.id));
     }
-    boolean awaited =
+    boolean isAwaited =
         worker.isHealthCheckPending()
             && !worker.isHealthCheckOverdue(times.healthCheckTimeout(request), context.now());
-    if (awaited && !worker.healthCheckWaiters.contains(request)) {
-      worker.healthCheckWaiters.add(request);
-      request.pendingHealthChecks++;
+    if (isAwaited) {
+      worker.addHealthCheckWaiter(request);
     }
   }
 }
--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -4,8 +4,7 @@
 final class KeyAffinity {
   private static final long NOT_RANKED = -1;
 
-  /** Slots that jobs with this key have held, over the time constant of rates. */
-  final DecayingSum demand = new DecayingSum(Time.RATE_TIME_CONSTANT);
+  private final DecayingSum demand = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
   private long listVersion = NOT_RANKED;
   private WorkerState[] ranking;
@@ -21,10 +20,15 @@
     return secondChoice;
   }
 
-  /** A request with this key has come. */
+  /** Slots that jobs with this key have taken on average, over the time constant of rates. */
+  double demandAt(long now) {
+    return demand.valueAt(now);
+  }
+
+  /** A request with this key has arrived. */
   void recordDemand(PendingRequest request, ServiceTimeEstimator times, long now) {
     double slotTime = times.expectedWork(request);
-    demand.add(slotTime / Time.RATE_TIME_CONSTANT, now);
+    demand.add(slotTime / DecayingSum.RATE_TIME_CONSTANT_MICROS, now);
   }
 
   /** Ranks the workers for this key, unless that was done since the list last changed. */
--- a/src/main/java/loomreel/decision/KeyAffinityTable.java
+++ b/src/main/java/loomreel/decision/KeyAffinityTable.java
@@ -2,15 +2,19 @@
 
 import java.util.LinkedHashMap;
 
-/** The keys that were used last, each with its ranking of the workers. */
+/** A cache of the most recently used keys, each with its ranking of the workers. */
 final class KeyAffinityTable {
-  /** How many keys are kept; the least recently used is dropped. */
+  /** How many keys are cached; the least recently used is evicted. */
   private static final int MAX_KEYS = 4096;
 
-  /** How many places of a key's ranking are kept. */
+  /** How many places of a key's ranking are cached. */
   static final int MAX_RANKED_WORKERS = 64;
 
-  private final LinkedHashMap<String, KeyAffinity> keys = new LinkedHashMap<>(64, 0.75f, true);
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
+
+  private final LinkedHashMap<String, KeyAffinity> keys =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
   private final WorkerTable workers;
   private final RendezvousRanking ranking;
 
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -3,61 +3,62 @@
 import loomreel.decision.Settings.LoadReporting;
 
 /**
- * Estimates how loaded workers are, as a share of their slots, from their load reports and from
+ * Estimates how loaded workers are, as a fraction of their slots, from their load reports and from
  * what this dispatcher has sent them since. What is known of one worker decays into what is known
  * of all. Times are microseconds.
  */
 final class LoadEstimator {
-  /** Slots of a worker while no report has told any. */
+  /** Slots of a worker before the first report. */
   private static final double DEFAULT_SLOTS = 4;
 
+  /** The mean load before the first report, where workers report any. */
+  private static final double INITIAL_MEAN_LOAD = 0.5;
+
   /** Time constant with which a worker's own load decays into the usual one. */
-  private static final double DECAY_TO_USUAL = 0.8e6;
+  private static final double DECAY_TO_USUAL_MICROS = 0.8e6;
+
+  /** After this many mean run times, 1/e of a report still holds. */
+  private static final double REPORT_DECAY_JOBS = 2;
 
   /** A worker whose jobs take this many times as long as everywhere gets a load penalty. */
   private static final double PENALIZED_LATENCY_RATIO = 1.25;
 
-  /** Mean jobs that a latency ratio starts from, so that a few jobs do not decide it. */
-  private static final double LATENCY_PRIOR_JOBS = 3;
-
-  /** A dispatcher counts as hot above this many equal shares of all traffic: zones explain less. */
-  private static final double HOT_DISPATCHER = 1.6;
+  /** The fraction of a worker that one key may fill before it is spread over more workers. */
+  private static final double MAX_KEY_FRACTION = 0.25;
 
-  /** Among this few dispatchers one may be the only one of a zone, so shares say little. */
-  private static final int FEW_DISPATCHERS = 10;
+  /** Demand within this many standard deviations of zero may be due to chance. */
+  private static final double CHANCE_DEVIATIONS = 1.5;
 
-  /** Reported jobs that weigh as much as the prior that all dispatchers have an equal share. */
-  private static final int EQUAL_SHARE_PRIOR_JOBS = 50;
+  /** The class whose mean run time stands for that of a key's jobs. */
+  private static final int FIRST_CLASS = 0;
 
-  /** The share of a worker that one key may fill before it is spread over more workers. */
-  private static final double MAX_KEY_SHARE = 0.25;
-
-  private static final double WORKER_SLOTS_WEIGHT = 0.2;
   private static final double MEAN_WEIGHT = 0.02;
-  private static final double MIN_SAMPLE_WEIGHT = 0.1;
+
+  /** The most that one sample counts for in the mean load. */
+  private static final double MAX_LOAD_IN_MEAN = 2;
 
   /** A worker that reports less than this many free slots is full. */
   private static final double NO_FREE_SLOT = 0.5;
 
+  private static final double FULL_LOAD = 1;
+
   private final PolicyContext context;
-  private final WorkerTable workers;
   private final ServiceTimeEstimator times;
+  private final LatencyEstimator latencies;
+  private final TrafficEstimator traffic;
   private final long startedAt;
-  private final ServiceRate serviceRate = new ServiceRate(Time.RATE_TIME_CONSTANT);
-
-  /** Jobs that reports said workers held, and how many of them this dispatcher had sent. */
-  private final DecayingSum reportedJobs = new DecayingSum(Time.RATE_TIME_CONSTANT);
-
-  private final DecayingSum ownJobs = new DecayingSum(Time.RATE_TIME_CONSTANT);
   private double meanLoad;
+
+  /** Mean slots of all workers; 0 before the first report. */
   private double meanSlots;
 
   LoadEstimator(PolicyContext context, WorkerTable workers, ServiceTimeEstimator times) {
     this.context = context;
-    this.workers = workers;
     this.times = times;
+    latencies = new LatencyEstimator(times);
+    traffic = new TrafficEstimator(context.settings().dispatchers(), workers);
     startedAt = context.now();
-    meanLoad = reportsLoad() ? 0.5 : 0;
+    meanLoad = reportsLoad() ? INITIAL_MEAN_LOAD : 0;
   }
 
   private boolean reportsLoad() {
@@ -71,133 +72,111 @@
 
   /** A worker's slots, or those of a typical one while they are not known. */
   double slots(WorkerState worker) {
-    return worker.slots > 0 ? worker.slots : typicalSlots();
+    return worker.load.hasSlots() ? worker.load.slots() : typicalSlots();
   }
 
   private double typicalSlots() {
     return meanSlots > 0 ? meanSlots : DEFAULT_SLOTS;
   }
 
-  /** The part of the time constant of rates that this dispatcher has been up for. */
+  /** The fraction of the time constant of rates that this dispatcher has been up for. */
   double observedFraction() {
-    return 1 - Math.exp((startedAt - context.now() - 1) / Time.RATE_TIME_CONSTANT);
+    double age = startedAt - context.now() - 1;
+    return 1 - Math.exp(age / DecayingSum.RATE_TIME_CONSTANT_MICROS);
   }
 
   /**
    * How many workers a key needs, from this dispatcher's traffic times the number of dispatchers: a
    * hot key fills both of its candidates while each dispatcher's own count is still low. Traffic
-   * that may be due to chance is left out.
+   * that may be due to chance does not count.
    */
   int workersNeeded(KeyAffinity key) {
-    double seen = key.demand.valueAt(context.now());
-    double chance = Math.sqrt(seen * times.meanRunTime(0) / Time.RATE_TIME_CONSTANT);
-    double demand = Math.max(0, seen - 1.5 * chance);
-    double keyCapacity = typicalSlots() * MAX_KEY_SHARE;
+    double observed = key.demandAt(context.now());
+    double deviation =
+        Math.sqrt(
+            observed * times.meanRunTime(FIRST_CLASS) / DecayingSum.RATE_TIME_CONSTANT_MICROS);
+    double demand = Math.max(0, observed - CHANCE_DEVIATIONS * deviation);
+    double keyCapacity = typicalSlots() * MAX_KEY_FRACTION;
     int dispatchers = context.settings().dispatchers();
     return (int) Math.ceil(demand / observedFraction() * dispatchers / keyCapacity);
   }
 
-  /** How many equal shares of all traffic this dispatcher gets: one, unless it is a hot one. */
-  double equalShares() {
-    int dispatchers = context.settings().dispatchers();
-    double equalShares = dispatchers > FEW_DISPATCHERS ? trafficShare() * dispatchers : 1;
-    return equalShares > HOT_DISPATCHER ? equalShares : 1;
+  /** This dispatcher's traffic relative to the mean of all: 1, unless it is a hot one. */
+  double trafficFactor() {
+    return traffic.factor(context.now());
   }
 
-  /**
-   * This dispatcher's share of the traffic of all: an equal one while little is known, then that of
-   * its own jobs among those that workers say they hold.
-   */
-  private double trafficShare() {
-    long now = context.now();
-    double prior = (double) EQUAL_SHARE_PRIOR_JOBS / context.settings().dispatchers();
-    return Math.min(
-        1, (ownJobs.valueAt(now) + prior) / (reportedJobs.valueAt(now) + EQUAL_SHARE_PRIOR_JOBS));
-  }
-
-  /** A job has been served; {@code time} is from its start if that was told, else from its send. */
+  /** A job has been served; the time counts from its start, or its send if none was reported. */
   void recordServed(AttemptState attempt, double time) {
-    double work = attempt.request.arrival.expectedWork();
-    if (!Double.isNaN(work)) {
-      attempt.worker.serviceRate.add(time, work, context.now());
-      serviceRate.add(time, work, context.now());
-    }
+    latencies.recordServed(attempt, time, context.now());
   }
 
-  /** A worker has reported its load; null or a report without free slots tells nothing. */
+  /** A worker has reported its load; null and a report without free slots are ignored. */
   void recordReport(WorkerState worker, WorkerLoad report) {
     if (report == null || Double.isNaN(report.freeSlots())) {
       return;
     }
-    long now = context.now();
-    double free = Math.max(0, report.freeSlots());
-    double waiting = Double.isNaN(report.queuedJobs()) ? 0 : Math.max(0, report.queuedJobs());
     if (!Double.isNaN(report.activeJobs())) {
-      reportedJobs.add(report.activeJobs(), now);
-      // Of a mean worker, not this one: it is asked when it has been sent nothing for a while.
-      ownJobs.add(totalOpenAttempts() / (double) workers.size(), now);
+      traffic.recordReportedJobs(report.activeJobs(), context.now());
     }
-    learnSlots(worker, report, free, waiting);
-    double load = Math.max(0, worker.slots - free + waiting) / worker.slots;
-    if (worker.reportedAt == Time.NEVER) {
-      worker.meanLoad = meanLoad;
-      worker.reportedAt = now;
-      worker.samples = 1;
-    }
-    recordSample(worker, free < NO_FREE_SLOT ? Math.max(1, load) : load);
-    meanLoad += MEAN_WEIGHT * (Math.min(2, worker.load) - meanLoad);
-  }
-
-  private int totalOpenAttempts() {
-    return workers.all().stream().mapToInt(worker -> worker.openAttempts.size()).sum();
+    double free = Math.max(0, report.freeSlots());
+    double queued = Double.isNaN(report.queuedJobs()) ? 0 : Math.max(0, report.queuedJobs());
+    learnSlots(worker.load, report, free, queued);
+    double slots = worker.load.slots();
+    double load = Math.max(0, slots - free + queued) / slots;
+    worker.load.startFrom(meanLoad, context.now());
+    recordSample(worker, free < NO_FREE_SLOT ? Math.max(FULL_LOAD, load) : load);
+    meanLoad += MEAN_WEIGHT * (Math.min(MAX_LOAD_IN_MEAN, worker.load.lastLoad()) - meanLoad);
   }
 
-  private void learnSlots(WorkerState worker, WorkerLoad report, double free, double waiting) {
+  private void learnSlots(WorkerLoadHistory load, WorkerLoad report, double free, double queued) {
     if (Double.isNaN(report.activeJobs())) {
-      worker.slots = Math.max(Math.max(1, free), worker.slots);
+      load.learnMinimumSlots(free);
     } else {
-      double slots = Math.max(1, report.activeJobs() - waiting + free);
-      boolean isFirst = worker.slots == 0;
-      worker.slots = isFirst ? slots : worker.slots + WORKER_SLOTS_WEIGHT * (slots - worker.slots);
+      load.learnSlots(Math.max(1, report.activeJobs() - queued + free));
     }
-    meanSlots =
-        meanSlots == 0 ? worker.slots : meanSlots + MEAN_WEIGHT * (worker.slots - meanSlots);
+    boolean isFirst = meanSlots == 0;
+    meanSlots = isFirst ? load.slots() : meanSlots + MEAN_WEIGHT * (load.slots() - meanSlots);
   }
 
-  /** A worker's load has been seen. */
+  /** A worker's load has been observed. */
   void recordSample(WorkerState worker, double load) {
-    long now = context.now();
-    worker.samples++;
-    // The first samples count equally: a peak in one of them must not pass for the usual load.
-    double byAge = 1 - Math.exp((worker.reportedAt - now) / Time.RATE_TIME_CONSTANT * 2);
-    double weight = Math.max(1.0 / worker.samples, Math.max(MIN_SAMPLE_WEIGHT, byAge));
-    worker.load = load;
-    worker.meanLoad += weight * (load - worker.meanLoad);
-    worker.reportedAt = now;
+    worker.load.addSample(load, context.now());
   }
 
   /**
-   * A worker's load as a share of its slots; infinite while a job there has not been started in
-   * time.
+   * A worker's load as a fraction of its slots; infinite while the start of a job there is overdue.
    */
   double estimate(WorkerState worker) {
     long now = context.now();
     double ownSlots = 0;
-    for (AttemptState attempt : worker.openAttempts) {
+    for (AttemptState attempt : worker.openAttempts()) {
       if (isStartOverdue(attempt)) {
         return Double.POSITIVE_INFINITY;
       }
       ownSlots += attempt.request.arrival.slots();
     }
-    double penalty = Math.max(0, latencyRatio(worker) - PENALIZED_LATENCY_RATIO);
-    double age = now - worker.reportedAt;
-    double usual = meanLoad + (worker.meanLoad - meanLoad) * Math.exp(-age / DECAY_TO_USUAL);
+    double penalty = Math.max(0, latencies.latencyRatio(worker, now) - PENALIZED_LATENCY_RATIO);
+    double age = now - worker.load.sampledAt();
+    double usual = usualLoad(worker.load, age);
     if (!reportsLoad()) {
       return usual + ownSlots / slots(worker) + penalty;
     }
-    double trust = Math.exp(-(age + WorkerTable.REPORT_DELAY) / (2 * times.meanRunTime()));
+    double trust = trustInReport(age);
     double unreported = worker.unreportedSlots.valueAt(now) / slots(worker);
-    return trust * worker.load + (1 - trust) * usual + unreported + penalty;
+    return trust * worker.load.lastLoad() + (1 - trust) * usual + unreported + penalty;
+  }
+
+  /** The mean load of a worker, which decays into that of all with the age of the last sample. */
+  private double usualLoad(WorkerLoadHistory load, double age) {
+    double decay = Math.exp(-age / DECAY_TO_USUAL_MICROS);
+    return meanLoad + (load.meanLoad() - meanLoad) * decay;
+  }
+
+  /** How far the last report still holds, from 0 to 1. */
+  private double trustInReport(double age) {
+    double timeConstant = REPORT_DECAY_JOBS * times.meanRunTime();
+    return Math.exp(-(age + WorkerTable.REPORT_DELAY_MICROS) / timeConstant);
   }
 
   private boolean isStartOverdue(AttemptState attempt) {
@@ -205,29 +184,4 @@
         && !attempt.hasStarted()
         && context.now() - attempt.sentAt > times.startTimeout();
   }
-
-  /**
-   * How many times as long jobs take at this worker as at all of them, for the work that they
-   * announce; about 1 while little is known. An open job counts once it has taken longer than
-   * usual, but no more than a mean job: its answer may be lost, and one job says little.
-   */
-  private double latencyRatio(WorkerState worker) {
-    long now = context.now();
-    if (serviceRate.workDone(now) <= 0) {
-      return 1;
-    }
-    double usual = serviceRate.timeSpent(now) / serviceRate.workDone(now);
-    double prior = LATENCY_PRIOR_JOBS * times.meanRunTime();
-    double work = prior + worker.serviceRate.workDone(now);
-    double time = prior * usual + worker.serviceRate.timeSpent(now);
-    for (AttemptState attempt : worker.openAttempts) {
-      double announced = attempt.request.arrival.expectedWork();
-      long elapsed = now - attempt.startedOrSentAt();
-      if (elapsed > usual * announced) {
-        work += announced;
-        time += Math.min((double) elapsed, usual * (announced + times.meanRunTime()));
-      }
-    }
-    return time / work / usual;
-  }
 }
--- a/src/main/java/loomreel/decision/MovingAverage.java
+++ b/src/main/java/loomreel/decision/MovingAverage.java
@@ -1,7 +1,7 @@
 package loomreel.decision;
 
 /**
- * A mean that starts from a guess: an even mean of the first {@value #WINDOW} values, and an
+ * A mean that starts from a guess: an arithmetic mean of the first {@value #WINDOW} values, and an
  * exponentially weighted one from then on.
  */
 final class MovingAverage {
--- a/src/main/java/loomreel/decision/OutcomeRecorder.java
+++ b/src/main/java/loomreel/decision/OutcomeRecorder.java
@@ -4,11 +4,14 @@
 import loomreel.decision.Event.HealthChecked;
 import loomreel.decision.Settings.LoadReporting;
 
-/** Updates the estimates and the state of workers by how attempts and health checks went. */
+/** Updates estimates and workers from the outcomes of attempts and health checks. */
 final class OutcomeRecorder {
-  /** The load that a worker counts with after it has rejected an attempt as full. */
+  /** The load that is assumed of a worker that has rejected an attempt as full. */
   private static final double LOAD_WHEN_FULL = 2;
 
+  /** A start that takes longer than this part of the start timeout shows a loaded worker. */
+  private static final double SLOW_START_DIVISOR = 2;
+
   private final PolicyState state;
   private final PolicyContext context;
   private final OutlierEjector ejector;
@@ -24,7 +27,7 @@
     attempt.start(context.now());
     double startDelay = (double) (context.now() - attempt.sentAt);
     if (context.settings().loadReporting() == LoadReporting.NONE) {
-      boolean isSlow = startDelay > state.times.startTimeout() / 2;
+      boolean isSlow = startDelay > state.times.startTimeout() / SLOW_START_DIVISOR;
       state.loads.recordSample(attempt.worker, isSlow ? 1 : 0);
     }
     state.times.recordStartDelay(startDelay);
@@ -34,14 +37,13 @@
   void recordEnd(AttemptState attempt, AttemptEnded event) {
     WorkerState worker = attempt.worker;
     attempt.end(event.outcome());
-    worker.openAttempts.remove(attempt);
-    worker.unreportedSlots.add(-attempt.request.arrival.slots(), context.now());
+    worker.removeAttempt(attempt, context.now());
     state.loads.recordReport(worker, event.load());
     switch (event.outcome()) {
       case OK -> recordServed(attempt, event.duration());
-      case ERROR, RESET -> worker.heard(context.now());
+      case ERROR, RESET -> worker.recordReachable(context.now());
       case REJECTED -> {
-        worker.heard(context.now());
+        worker.recordReachable(context.now());
         state.loads.recordSample(worker, LOAD_WHEN_FULL);
         ejector.ejectFull(worker);
       }
@@ -51,7 +53,7 @@
   }
 
   private void recordServed(AttemptState attempt, long duration) {
-    attempt.worker.heard(context.now());
+    attempt.worker.recordReachable(context.now());
     long elapsed = context.now() - attempt.startedOrSentAt();
     double time = (double) (attempt.hasStarted() ? elapsed : duration);
     state.times.recordRunTime(attempt.request, time);
@@ -65,8 +67,8 @@
     }
     double waited = (double) (context.now() - attempt.sentAt);
     state.times.recordStartDelay(waited);
-    // A client that leaves at once says nothing of the worker.
-    boolean isSilent = attempt.worker.lastHeardAt < attempt.sentAt;
+    // A client that disconnects at once is no evidence against the worker.
+    boolean isSilent = attempt.worker.lastResponseAt() < attempt.sentAt;
     if (isSilent && waited > state.times.meanRunTime()) {
       ejector.ejectSilent(attempt.worker, outcome);
     }
@@ -75,11 +77,11 @@
   /** A health check has ended. */
   void recordHealthCheck(WorkerState worker, HealthChecked event) {
     if (event.outcome() == AttemptOutcome.OK) {
-      worker.lastHeardAt = context.now();
+      worker.recordResponse(context.now());
       state.loads.recordReport(worker, event.load());
       state.times.recordHealthCheck(event.duration());
     } else if (event.outcome() != AttemptOutcome.RESET) {
-      // A reset comes from a machine that is up; if its process were gone, the next attempt tells.
+      // A machine that is up has sent the reset; if its process is down, the next attempt fails.
       ejector.ejectSilent(worker, event.outcome());
     }
   }
--- a/src/main/java/loomreel/decision/OutlierEjector.java
+++ b/src/main/java/loomreel/decision/OutlierEjector.java
@@ -1,18 +1,22 @@
 package loomreel.decision;
 
-/** Ejects workers that do not answer, for a time that grows while they stay silent. */
+/** Ejects workers that do not answer, with exponential backoff. */
 final class OutlierEjector {
-  /** A worker that was heard less than this long ago is not silent yet, in microseconds. */
-  private static final long RECENTLY_HEARD = 400_000;
+  /** A worker whose last response is younger than this is not silent yet. */
+  private static final long RECENT_RESPONSE_MICROS = 400_000;
 
   /** At most one worker in this many is ejected at a time, or the others would be overloaded. */
   private static final int MAX_EJECTED_DIVISOR = 3;
 
-  /** First backoffs, in mean jobs: of a silent worker, and of one that was heard recently. */
+  /** The first backoff of a silent worker, in mean run times. */
   private static final double SILENT_BACKOFF_JOBS = 8;
 
+  /** The first backoff of a worker that has responded recently, in mean run times. */
   private static final double LOST_CONNECTION_BACKOFF_JOBS = 0.5;
 
+  /** The least backoff of a full worker, in mean run times; the jitter is one more. */
+  private static final double MIN_FULL_BACKOFF_JOBS = 0.5;
+
   private final PolicyContext context;
   private final WorkerTable workers;
   private final ServiceTimeEstimator times;
@@ -24,24 +28,22 @@
   }
 
   /**
-   * Ejects a silent worker, unless many are ejected. One that was heard recently may only have lost
-   * a connection: its first backoff is short.
+   * Ejects a silent worker, unless many are ejected. One that has responded recently may only have
+   * lost a connection: its first backoff is short.
    */
   void ejectSilent(WorkerState worker, AttemptOutcome outcome) {
     long now = context.now();
-    boolean recentlyHeard = now - worker.lastHeardAt < RECENTLY_HEARD;
-    boolean brief = outcome == AttemptOutcome.CONNECT_FAILED && recentlyHeard;
+    boolean hasRespondedRecently = now - worker.lastResponseAt() < RECENT_RESPONSE_MICROS;
+    boolean isBrief = outcome == AttemptOutcome.CONNECT_FAILED && hasRespondedRecently;
     if (MAX_EJECTED_DIVISOR * workers.countEjected(now) < workers.size()) {
-      double jobs = brief ? LOST_CONNECTION_BACKOFF_JOBS : SILENT_BACKOFF_JOBS;
+      double jobs = isBrief ? LOST_CONNECTION_BACKOFF_JOBS : SILENT_BACKOFF_JOBS;
       worker.eject((long) (jobs * times.meanRunTime()), now, context.random());
     }
   }
 
-  /**
-   * Ejects a worker that has rejected an attempt as full, for about half to one and a half jobs.
-   */
+  /** Ejects a worker that has rejected an attempt as full, for 0.5 to 1.5 mean run times. */
   void ejectFull(WorkerState worker) {
-    double backoff = times.meanRunTime() * (0.5 + context.random().nextDouble());
-    worker.ejectedUntil = context.now() + (long) backoff;
+    double backoff = times.meanRunTime() * (MIN_FULL_BACKOFF_JOBS + context.random().nextDouble());
+    worker.ejectFor((long) backoff, context.now());
   }
 }
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -7,6 +7,8 @@
 
 /** A request until its answer is given and all of its attempts have ended. */
 final class PendingRequest {
+  private static final int MAX_HEALTH_CHECKS = 4 * WorkerSelector.SAMPLE_WITH_HEALTH_CHECKS;
+
   final RequestArrived arrival;
   final RequestClass requestClass;
 
@@ -16,35 +18,22 @@
   /** The token of its timers, and its number in the order of arrival. */
   final long token;
 
-  final List<AttemptState> attempts = new ArrayList<>(2);
-
-  /** Until when a start is in time for the full value of the answer. */
-  long fullValueUntil;
-
-  /** From when on a job that has not started is worth nothing. */
-  long giveUpAt;
-
-  /** When the answer is due at the latest: just before the client's deadline. */
-  long answerDeadline;
-
-  /** The load, as a share of a worker's slots, below which this request may go there. */
-  double loadThreshold = WorkerSelector.FULL_THRESHOLD;
-
-  /** How many workers its key needs; unbounded for requests without a key. */
-  int workersNeeded = Integer.MAX_VALUE;
+  private final List<AttemptState> attempts = new ArrayList<>(2);
 
-  /** How far the fallback has moved down the key's ranking, in samples. */
-  int rankingOffset;
+  /** Null until it is admitted. */
+  private RequestDeadlines deadlines;
 
-  /** The next round of candidates whose load may be asked for. */
-  int healthCheckRound;
+  /** Null until its first placement. */
+  private CandidateDraw candidates;
 
-  /** Seed of the candidates that are sampled: new each time the request is placed. */
-  long sampleSeed;
+  /** The next round of candidates whose load may be queried; null after the last. */
+  private CandidateRound healthCheckRound;
 
-  int pendingHealthChecks;
-  int healthChecksRequested;
-  boolean ended;
+  private double loadThreshold = WorkerSelector.FULL_THRESHOLD;
+  private int rankingOffset;
+  private int pendingHealthChecks;
+  private int healthChecksRequested;
+  private boolean ended;
 
   PendingRequest(RequestArrived arrival, RequestClass requestClass, long token) {
     this.arrival = arrival;
@@ -67,6 +56,33 @@
     return arrival.key() != null;
   }
 
+  /** When its answer loses its value; null until {@link #setDeadlines}. */
+  RequestDeadlines deadlines() {
+    return deadlines;
+  }
+
+  void setDeadlines(RequestDeadlines newDeadlines) {
+    deadlines = newDeadlines;
+  }
+
+  /** The load, as a fraction of a worker's slots, below which this request may go there. */
+  double loadThreshold() {
+    return loadThreshold;
+  }
+
+  void setLoadThreshold(double threshold) {
+    loadThreshold = threshold;
+  }
+
+  /** The attempts in the order of their starts. */
+  List<AttemptState> attempts() {
+    return attempts;
+  }
+
+  void addAttempt(AttemptState attempt) {
+    attempts.add(attempt);
+  }
+
   boolean anyAttemptOpen() {
     return attempts.stream().anyMatch(AttemptState::isOpen);
   }
@@ -78,4 +94,64 @@
   AttemptState lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
+
+  /** What its candidates are drawn from; null until {@link #setCandidates}. */
+  CandidateDraw candidates() {
+    return candidates;
+  }
+
+  /** Sets new candidates, whose health checks start with the first round. */
+  void setCandidates(CandidateDraw draw) {
+    candidates = draw;
+    healthCheckRound = draw.firstRound();
+  }
+
+  /** How far the fallback has moved down the key's ranking, in samples. */
+  int rankingOffset() {
+    return rankingOffset;
+  }
+
+  void moveDownRanking(int samples) {
+    rankingOffset += samples;
+  }
+
+  /** The next round of candidates whose load may be queried; null after the last. */
+  CandidateRound healthCheckRound() {
+    return healthCheckRound;
+  }
+
+  void advanceHealthCheckRound() {
+    healthCheckRound = healthCheckRound.next();
+  }
+
+  /** Takes one health check of those that the request may cause; false if none remains. */
+  boolean takeHealthCheck() {
+    healthChecksRequested++;
+    return healthChecksRequested <= MAX_HEALTH_CHECKS;
+  }
+
+  boolean awaitsHealthCheck() {
+    return pendingHealthChecks > 0;
+  }
+
+  void healthCheckAwaited() {
+    pendingHealthChecks++;
+  }
+
+  void healthCheckAnswered() {
+    pendingHealthChecks--;
+  }
+
+  void stopAwaitingHealthChecks() {
+    pendingHealthChecks = 0;
+  }
+
+  /** Whether it has its answer, or needs none any more. */
+  boolean hasEnded() {
+    return ended;
+  }
+
+  void end() {
+    ended = true;
+  }
 }
--- a/src/main/java/loomreel/decision/PolicyContext.java
+++ b/src/main/java/loomreel/decision/PolicyContext.java
@@ -42,7 +42,7 @@
     actions.add(action);
   }
 
-  /** Asks for a request to be reviewed at a time, or at once if that has passed. */
+  /** Schedules the review of a request at a time, or at once if that has passed. */
   void setTimer(PendingRequest request, long time) {
     emit(new Action.SetTimer(Math.max(now, time), request.token));
   }
--- a/src/main/java/loomreel/decision/PolicyEventHandler.java
+++ b/src/main/java/loomreel/decision/PolicyEventHandler.java
@@ -94,7 +94,7 @@
     if (attempt == null) {
       return;
     }
-    attempt.worker.heard(context.now());
+    attempt.worker.recordReachable(context.now());
     if (!attempt.hasStarted()) {
       outcomes.recordStart(attempt);
       canceller.cancelUnstarted(attempt.request);
@@ -114,7 +114,7 @@
       scheduler.retryOrGiveUp(attempt.request);
     }
     state.requests.removeIfComplete(attempt.request);
-    scheduler.retryQueueIfPulled(attempt.worker.endpoint);
+    scheduler.retryQueueIfPulled(attempt.worker.endpoint());
   }
 
   @Override
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -2,9 +2,10 @@
 
 /** What the policy knows of workers, requests and keys, and its estimates. It decides nothing. */
 final class PolicyState {
-  /** Tokens of the timers that are not a request's. */
+  /** Token of the timer that polls the endpoint list. */
   static final long POLL_TIMER = 0;
 
+  /** Token of the timer that retries queued requests; those above it are requests' timers. */
   static final long QUEUE_TIMER = 1;
 
   final PolicyContext context;
@@ -16,7 +17,8 @@
   final SlowStartController slowStart;
 
   /**
-   * @param capacityFraction this process's share of what the dispatcher may send to warming workers
+   * @param capacityFraction the fraction of the dispatcher's slow-start allowance that this process
+   *     may use
    */
   PolicyState(PolicyContext context, double capacityFraction) {
     this.context = context;
@@ -30,9 +32,8 @@
   /** An attempt of a request is being started. */
   void recordAttempt(PendingRequest request, WorkerState worker) {
     AttemptState attempt = new AttemptState(request, worker, context.now());
-    request.attempts.add(attempt);
-    worker.openAttempts.add(attempt);
-    worker.unreportedSlots.add(request.arrival.slots(), context.now());
+    request.addAttempt(attempt);
+    worker.addAttempt(attempt, context.now());
     slowStart.recordSent(request, worker);
   }
 }
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -8,10 +8,15 @@
  * discovery together must not poll together: the first poll is spread over a part of the interval,
  * and failures are followed by exponential backoff up to {@link Rules#maxPollBackoff()}, with
  * jitter over the upper half of each wait. A call that took as long as the longest wait was
- * accepted by discovery, so the backoff starts anew after it. Times are microseconds.
+ * accepted by discovery, so the backoff is reset after it. Times are microseconds.
  */
 final class PollBackoff {
-  /** The first poll comes within this part of the interval: 6/40 of 10 s is 1.5 s. */
+  private static final int BACKOFF_FACTOR = 2;
+
+  /** The first backoff is this part of the longest. */
+  private static final int FIRST_BACKOFF_DIVISOR = 4;
+
+  /** The first poll is made within this fraction of the interval. */
   private static final int START_JITTER_NUMERATOR = 6;
 
   private static final int START_JITTER_DENOMINATOR = 40;
@@ -19,11 +24,11 @@
   private final long maxBackoff;
   private final long startJitter;
   private long backoff;
-  private long lastPollAt = Time.NEVER;
+  private long lastPollAt = Timestamp.NEVER;
 
   PollBackoff(Rules rules) {
     maxBackoff = rules.maxPollBackoff();
-    // Soon after a start: a dispatcher that was killed starts from an old list.
+    // Soon after a start, since a restarted dispatcher has an old list.
     startJitter = rules.pollInterval() * START_JITTER_NUMERATOR / START_JITTER_DENOMINATOR;
   }
 
@@ -35,11 +40,11 @@
   /** When to poll after a call that has failed. */
   long nextPollAt(long now, SplittableRandom random) {
     long previous = now - lastPollAt < maxBackoff ? backoff : 0;
-    backoff = Math.min(2 * previous + maxBackoff / 4, maxBackoff);
+    backoff = Math.min(BACKOFF_FACTOR * previous + maxBackoff / FIRST_BACKOFF_DIVISOR, maxBackoff);
     return now + backoff / 2 + random.nextLong(1 + backoff / 2);
   }
 
-  /** A poll is being made. */
+  /** A poll has started. */
   void pollStarted(long now) {
     lastPollAt = now;
   }
--- a/src/main/java/loomreel/decision/RendezvousRanking.java
+++ b/src/main/java/loomreel/decision/RendezvousRanking.java
@@ -5,8 +5,8 @@
 
 /**
  * Weighted rendezvous hashing (highest random weight): each worker gets a score from its own hash
- * and the key's, and the lowest scores come first. When workers come or go, only the keys of those
- * workers move.
+ * and the key's, and the lowest scores rank first. When workers join or leave, only the keys of
+ * those workers move.
  */
 final class RendezvousRanking {
   /** Derives the second, independent hash of a key from its first. */
@@ -14,9 +14,11 @@
 
   private final boolean weighted;
 
+  private record RankedWorker(WorkerState worker, double score) {}
+
   /**
-   * @param weighted whether a worker's weight scales its part of the keys; only for weights that
-   *     stay the same between endpoint lists
+   * @param weighted whether a worker's weight scales its fraction of the keys; only for weights
+   *     that stay the same between endpoint lists
    */
   RendezvousRanking(boolean weighted) {
     this.weighted = weighted;
@@ -24,21 +26,28 @@
 
   /** The first {@code limit} workers for a hash, best first. */
   WorkerState[] first(int limit, long hash, WorkerState[] workers) {
-    WorkerState[] sorted = sort(workers.clone(), hash);
-    return Arrays.copyOf(sorted, Math.min(limit, sorted.length));
+    return Arrays.stream(rank(workers, hash))
+        .limit(limit)
+        .map(RankedWorker::worker)
+        .toArray(WorkerState[]::new);
   }
 
   /** The best worker under the second hash of a key, or null if there are no workers. */
   WorkerState second(long hash, WorkerState[] workers) {
-    return workers.length == 0 ? null : sort(workers.clone(), hash ^ SECOND_HASH)[0];
+    return workers.length == 0 ? null : rank(workers, hash ^ SECOND_HASH)[0].worker();
   }
 
-  private WorkerState[] sort(WorkerState[] workers, long hash) {
-    for (WorkerState worker : workers) {
-      double weight = weighted ? worker.endpoint.weight() : 1;
-      worker.rankingScore = -Math.log(Hashing.toUnitInterval(hash ^ worker.hash)) / weight;
+  private RankedWorker[] rank(WorkerState[] workers, long hash) {
+    RankedWorker[] ranked = new RankedWorker[workers.length];
+    for (int i = 0; i < workers.length; i++) {
+      ranked[i] = new RankedWorker(workers[i], score(workers[i], hash));
     }
-    Arrays.sort(workers, Comparator.comparingDouble(worker -> worker.rankingScore));
-    return workers;
+    Arrays.sort(ranked, Comparator.comparingDouble(RankedWorker::score));
+    return ranked;
+  }
+
+  private double score(WorkerState worker, long hash) {
+    double weight = weighted ? worker.endpoint().weight() : 1;
+    return -Math.log(Hashing.toUnitInterval(hash ^ worker.hash)) / weight;
   }
 }
--- a/src/main/java/loomreel/decision/RequestQueue.java
+++ b/src/main/java/loomreel/decision/RequestQueue.java
@@ -5,11 +5,13 @@
 import java.util.List;
 import loomreel.decision.Action.SetTimer;
 
-/** Requests that no worker had room for, until the next time they are tried. */
+/** Requests that no worker had capacity for, until the next retry. */
 final class RequestQueue {
-  /** The mean pause between two retries, as a part of the shortest latency objective. */
+  /** The mean pause between two retries is this part of the shortest latency objective. */
   private static final int PAUSE_DIVISOR = 16;
 
+  private static final int MIN_PAUSE_TICKS = 2;
+
   private final PolicyState state;
   private List<PendingRequest> waiting = new ArrayList<>();
   private boolean retryScheduled;
@@ -39,21 +41,23 @@
   }
 
   /**
-   * Schedules the next retry after a pause with jitter, if somebody waits and none is scheduled.
+   * Schedules the next retry after a pause with jitter, unless the queue is empty or a retry is
+   * scheduled.
    */
   void scheduleRetry() {
     if (retryScheduled || waiting.isEmpty()) {
       return;
     }
     retryScheduled = true;
+    long minPause = MIN_PAUSE_TICKS * state.context.settings().tick();
     long shortestObjective = state.times.shortestObjective();
-    long pause = Math.max(2 * state.context.settings().tick(), shortestObjective / PAUSE_DIVISOR);
+    long pause = Math.max(minPause, shortestObjective / PAUSE_DIVISOR);
     long jitter = state.context.random().nextLong(pause);
     long time = state.context.now() + pause / 2 + jitter;
     state.context.emit(new SetTimer(time, PolicyState.QUEUE_TIMER));
   }
 
-  /** The scheduled retry is being made. */
+  /** The scheduled retry has started. */
   void retryStarted() {
     retryScheduled = false;
   }
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -1,15 +1,14 @@
 package loomreel.decision;
 
 import java.util.Comparator;
-import java.util.List;
 import loomreel.decision.Action.StartAttempt;
 
 /** Places requests: sends them to workers, queues them, hedges them and gives them up. */
 final class RequestScheduler {
-  /** How many queued requests are tried at a time. */
+  /** How many queued requests are retried at a time. */
   private static final int MAX_QUEUE_RETRIES = 32;
 
-  /** How far the fallback moves on each time a request is queued; one step scored lower. */
+  /** By how many samples the fallback moves down the ranking each time a request is queued. */
   private static final int RANKING_STEP = 2;
 
   private final PolicyState state;
@@ -32,14 +31,14 @@
     healthChecks = new HealthCheckPolicy(state, selector, retries);
   }
 
-  /** Takes a new request in, or rejects it. */
+  /** Admits a new request, or rejects it. */
   void admit(PendingRequest request) {
     admission.setDeadlines(request);
-    if (context.now() >= request.giveUpAt) {
+    if (context.now() >= request.deadlines().giveUpAt()) {
       giveUp(request, RejectionReason.ARRIVED_TOO_LATE);
       return;
     }
-    context.setTimer(request, request.answerDeadline);
+    context.setTimer(request, request.deadlines().answerDeadline());
     admission.applyQuota(request);
     if (request.hasKey()) {
       state.keys.get(request).recordDemand(request, state.times, context.now());
@@ -54,7 +53,7 @@
 
   /** Sends a request, checks its candidates, queues it or gives it up. */
   private void place(PendingRequest request) {
-    if (request.ended || request.pendingHealthChecks > 0) {
+    if (request.hasEnded() || request.awaitsHealthCheck()) {
       return;
     }
     if (!retries.allowsAttempt(request)) {
@@ -62,26 +61,26 @@
       giveUpUnlessOpen(request);
       return;
     }
-    if (context.now() >= request.giveUpAt) {
-      giveUp(request, admission.reasonWhenWorthless(request));
+    if (context.now() >= request.deadlines().giveUpAt()) {
+      giveUp(request, admission.reasonWhenExpired(request));
       return;
     }
     if (healthChecks.checkCandidates(request)) {
       return;
     }
-    WorkerState worker = selector.select(request, WorkerSelector.FALLBACK);
+    WorkerState worker = selector.select(request);
     if (worker != null) {
       startAttempt(request, worker);
     } else if (admission.isOverQuota(request)) {
       giveUp(request, RejectionReason.QUOTA_EXCEEDED);
     } else {
-      request.rankingOffset += RANKING_STEP;
+      request.moveDownRanking(RANKING_STEP);
       queue.add(request);
       queue.scheduleRetry();
     }
   }
 
-  /** Tries the queued requests again, and schedules the next time if some are left. */
+  /** Retries the queued requests, and schedules the next retry if some remain queued. */
   void retryQueueAndReschedule() {
     queue.retryStarted();
     retryQueue();
@@ -91,23 +90,23 @@
   private void retryQueue() {
     int retried = 0;
     for (PendingRequest request : queue.drain(Comparator.comparingDouble(this::priority))) {
-      if (retried++ < MAX_QUEUE_RETRIES || context.now() >= request.giveUpAt) {
+      if (retried++ < MAX_QUEUE_RETRIES || context.now() >= request.deadlines().giveUpAt()) {
         placeAnew(request);
-      } else if (!request.ended) {
+      } else if (!request.hasEnded()) {
         queue.add(request);
       }
     }
   }
 
-  /** What a request's answer is worth for its work. */
+  /** The value of a request's answer for its work. */
   private double priority(PendingRequest request) {
-    boolean inTime = context.now() < request.fullValueUntil;
+    boolean inTime = context.now() < request.deadlines().fullValueUntil();
     return request.requestClass.priorityWeight()
         / state.times.expectedWork(request)
         * (inTime ? 1 : request.requestClass.latePriorityFraction());
   }
 
-  /** A worker that pulls its jobs tells at once that it has room: queued requests need not wait. */
+  /** A worker that pulls its jobs reports free capacity at once: queued requests need not wait. */
   void retryQueueIfPulled(Endpoint endpoint) {
     if (endpoint.queues() != null && !queue.isEmpty()) {
       retryQueue();
@@ -116,11 +115,9 @@
 
   /** Places the requests that waited for the load of a worker and for no other. */
   void placeAfterHealthCheck(WorkerState worker) {
-    List<PendingRequest> waiters = List.copyOf(worker.healthCheckWaiters);
-    worker.healthCheckWaiters.clear();
-    for (PendingRequest request : waiters) {
-      request.pendingHealthChecks--;
-      if (request.pendingHealthChecks == 0) {
+    for (PendingRequest request : worker.takeHealthCheckWaiters()) {
+      request.healthCheckAnswered();
+      if (!request.awaitsHealthCheck()) {
         place(request);
       }
     }
@@ -134,7 +131,7 @@
     if (context.settings().reportsJobStart()) {
       long startTimeout = (long) state.times.startTimeout();
       context.setTimer(request, context.now() + startTimeout + context.settings().tick());
-      context.setTimer(request, request.giveUpAt);
+      context.setTimer(request, request.deadlines().giveUpAt());
     }
   }
 
@@ -149,13 +146,13 @@
 
   /** A request's timer has fired: a health check, a start or the answer is overdue. */
   void review(PendingRequest request) {
-    if (context.now() >= request.answerDeadline) {
+    if (context.now() >= request.deadlines().answerDeadline()) {
       giveUp(request, RejectionReason.CLIENT_DEADLINE);
       return;
     }
-    if (!request.anyAttemptOpen() && request.pendingHealthChecks > 0) {
+    if (!request.anyAttemptOpen() && request.awaitsHealthCheck()) {
       state.workers.removeHealthCheckWaiter(request);
-      request.pendingHealthChecks = 0;
+      request.stopAwaitingHealthChecks();
       place(request);
     }
     if (request.anyAttemptOpen() && !request.anyAttemptRunning()) {
@@ -165,10 +162,10 @@
 
   /** No attempt has started yet: gives the request up, or hedges it if a start is overdue. */
   private void hedgeOrGiveUp(PendingRequest request) {
-    if (context.now() >= request.giveUpAt) {
+    if (context.now() >= request.deadlines().giveUpAt()) {
       giveUp(request, RejectionReason.NOT_STARTED_IN_TIME);
     } else if (retries.shouldHedge(request)) {
-      WorkerState worker = selector.select(request, WorkerSelector.FALLBACK);
+      WorkerState worker = selector.select(request);
       if (worker != null) {
         startAttempt(request, worker);
       }
@@ -185,17 +182,17 @@
     end(request, admission.giveUp(request, reason));
   }
 
-  /** Ends a request that has its answer, or whose client has left. */
+  /** Ends a request that has its answer, or whose client has disconnected. */
   void endWithoutAnswer(PendingRequest request) {
     end(request, null);
   }
 
-  /** The only place that ends a request; the answer is null where none is owed. */
+  /** The only place that ends a request; the answer is null where none is needed. */
   private void end(PendingRequest request, Action answer) {
-    if (request.ended) {
+    if (request.hasEnded()) {
       return;
     }
-    request.ended = true;
+    request.end();
     state.requests.end(request);
     queue.remove(request);
     if (answer != null) {
--- a/src/main/java/loomreel/decision/RequestTable.java
+++ b/src/main/java/loomreel/decision/RequestTable.java
@@ -35,13 +35,13 @@
     return byToken.get(token);
   }
 
-  /** An attempt that is open, or null. */
+  /** The attempt with that number if it is open, or null. */
   AttemptState openAttempt(String requestId, int number) {
     PendingRequest request = byId.get(requestId);
-    if (request == null || number < 0 || number >= request.attempts.size()) {
+    if (request == null || number < 0 || number >= request.attempts().size()) {
       return null;
     }
-    AttemptState attempt = request.attempts.get(number);
+    AttemptState attempt = request.attempts().get(number);
     return attempt.isOpen() ? attempt : null;
   }
 
@@ -52,7 +52,7 @@
 
   /** Drops a request that has ended, once all of its attempts have. */
   void removeIfComplete(PendingRequest request) {
-    if (request.ended && !request.anyAttemptOpen()) {
+    if (request.hasEnded() && !request.anyAttemptOpen()) {
       byId.remove(request.id());
     }
   }
--- a/src/main/java/loomreel/decision/RetryPolicy.java
+++ b/src/main/java/loomreel/decision/RetryPolicy.java
@@ -6,9 +6,12 @@
 /**
  * Which further attempts the platform's rules allow: no more than the limit, none at a worker that
  * drains, no repetition of work that is not idempotent and may have run, and repetitions of keyed
- * work only where and while workers recognise them.
+ * work only where and while workers deduplicate them.
  */
 final class RetryPolicy {
+  /** Ticks before the end of the deduplication window at which a write has to be complete. */
+  private static final int WRITE_MARGIN_TICKS = 2;
+
   private final PolicyContext context;
   private final Limits limits;
   private final WorkerTable workers;
@@ -24,9 +27,9 @@
   /** Whether a request may have another attempt now, at any worker. */
   boolean allowsAttempt(PendingRequest request) {
     long now = context.now();
-    return request.attempts.size() < limits.maxAttempts()
-        && now < Math.min(request.answerDeadline, writeDeadline(request))
-        && request.attempts.stream().allMatch(attempt -> allowsAnotherBeside(request, attempt));
+    return request.attempts().size() < limits.maxAttempts()
+        && now < Math.min(request.deadlines().answerDeadline(), writeDeadline(request))
+        && request.attempts().stream().allMatch(attempt -> allowsAnotherBeside(request, attempt));
   }
 
   private boolean allowsAnotherBeside(PendingRequest request, AttemptState attempt) {
@@ -37,9 +40,9 @@
 
   /** Whether the rules allow an attempt of a request at this worker. */
   boolean allowsWorker(PendingRequest request, WorkerState worker) {
-    return worker.endpoint.state() == State.READY
+    return worker.endpoint().state() == State.READY
         && workers.get(worker.id) == worker
-        && request.attempts.stream().allMatch(attempt -> mayFollow(attempt, worker));
+        && request.attempts().stream().allMatch(attempt -> mayFollow(attempt, worker));
   }
 
   /** What may have run is repeated at another worker, keyed work within its scope alone. */
@@ -48,13 +51,13 @@
       return true;
     }
     PendingRequest request = attempt.request;
-    boolean recognised =
+    boolean isDeduplicated =
         request.idempotency != Idempotency.KEYED
             || request
                 .requestClass
                 .deduplicationScope()
-                .sharedBy(attempt.worker.endpoint, worker.endpoint);
-    return attempt.worker != worker && recognised;
+                .sharedBy(attempt.worker.endpoint(), worker.endpoint());
+    return attempt.worker != worker && isDeduplicated;
   }
 
   /**
@@ -62,17 +65,17 @@
    * attempt of keyed work may have run; else unlimited.
    */
   long writeDeadline(PendingRequest request) {
-    long firstSentAt = Time.NEVER;
-    for (AttemptState attempt : request.attempts) {
-      if (!attempt.neverRan() && (firstSentAt == Time.NEVER || attempt.sentAt < firstSentAt)) {
+    long firstSentAt = Timestamp.NEVER;
+    for (AttemptState attempt : request.attempts()) {
+      if (!attempt.neverRan() && (firstSentAt == Timestamp.NEVER || attempt.sentAt < firstSentAt)) {
         firstSentAt = attempt.sentAt;
       }
     }
-    if (request.idempotency != Idempotency.KEYED || firstSentAt == Time.NEVER) {
+    if (request.idempotency != Idempotency.KEYED || firstSentAt == Timestamp.NEVER) {
       return Long.MAX_VALUE;
     }
     long window = request.requestClass.deduplicationWindow();
-    return firstSentAt + window - 2 * context.settings().tick();
+    return firstSentAt + window - WRITE_MARGIN_TICKS * context.settings().tick();
   }
 
   /** Whether a second attempt may be started beside one whose start is overdue. */
--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -144,8 +144,13 @@
     /** A poll is answered within this time, or abandoned. Microseconds. */
     private static final long MAX_POLL_DURATION_MICROS = 1_500_000;
 
+    /** The longest wait after a failed poll is at most this part of the poll interval. */
+    private static final int INTERVAL_PART_NUMERATOR = 6;
+
+    private static final int INTERVAL_PART_DENOMINATOR = 10;
+
     /**
-     * The longest wait after a failed poll. Sends to draining workers break the rules {@link
+     * The longest wait after a failed poll. Attempts at draining workers violate the rules {@link
      * #NOTIFICATION_LIMIT_MICROS} and the grace after discovery can be reached again. Two waits and
      * two polls have to fit into that, because discovery may reject the first poll after an outage;
      * and the wait stays under the poll interval.
@@ -154,7 +159,7 @@
      */
     public long maxPollBackoff() {
       return Math.min(
-          pollInterval * 6 / 10,
+          pollInterval * INTERVAL_PART_NUMERATOR / INTERVAL_PART_DENOMINATOR,
           (NOTIFICATION_LIMIT_MICROS + drainGrace) / 2 - MAX_POLL_DURATION_MICROS);
     }
   }
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -5,50 +5,54 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * Limits what goes to workers that warm up, so that all dispatchers together stay under the load at
- * which such a worker falls over; {@link SlowStartLimiter} states the bound. Work is slots times
+ * Limits what is sent to workers that warm up, so that all dispatchers together stay under the load
+ * at which such a worker fails; {@link SlowStartLimiter} states the bound. Work is slots times
  * microseconds.
  */
 final class SlowStartController {
-  /** The share of the overload limit that is used, where it is estimated from warm workers. */
+  /** The fraction of the overload limit that is used, where it is estimated from warm workers. */
   private static final double MARGIN_BY_WARM_WORKERS = 0.33;
 
   /** The same where it is estimated from the worker's own slots. */
   private static final double MARGIN_BY_OWN_SLOTS = 0.8;
 
-  /** The work that a slot of the slowest machine does in its time, where slots share cores. */
+  /** The work that a slot of the slowest machine does per unit of time, where slots share cores. */
   private static final double MIN_SPEED = 0.45;
 
   /** Mean jobs that warm workers of a kind must have served before their speed is used. */
   private static final double MIN_JOBS_FOR_SPEED = 12;
 
-  /** One warm worker in so many is enough for requests that are too heavy for the others. */
+  /** One warm worker in this many is enough for requests that are too heavy for the others. */
   private static final int MIN_WARM_DIVISOR = 3;
 
-  /** A worker counts as warm a tenth after the time at which it is warm at the latest. */
+  /** A worker counts as warm after this many times the longest duration of a slow start. */
   private static final double WARM_UP_SLACK = 1.1;
 
+  /** The work is spread over at least the fleet divided by this, however few workers are warm. */
+  private static final int MIN_SERVING_DIVISOR = 2;
+
   private final PolicyContext context;
   private final Rules rules;
   private final WorkerTable workers;
   private final ServiceTimeEstimator times;
   private final LoadEstimator loads;
 
-  /** The work of the requests that came, and of those light enough for warming workers. */
+  /** The mean work of all requests. */
   private final MovingAverage meanCost;
 
+  /** The mean work of the requests that are light enough for warming workers. */
   private final MovingAverage meanLightCost;
 
   /** The service rate of warm workers, by kind. */
   private final Map<String, ServiceRate> ratesByKind = new HashMap<>();
 
-  private final DecayingSum workSent = new DecayingSum(Time.RATE_TIME_CONSTANT);
+  private final DecayingSum workSent = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
-  /** This process's share of what the dispatcher may send, while two processes serve as one. */
+  /** The fraction of the dispatcher's allowance for this process: 1, unless two serve as one. */
   private double capacityFraction;
 
   private long warmCount;
-  private long warmCountedAt = Time.NEVER;
+  private long warmCountedAt = Timestamp.NEVER;
   private long warmCountedVersion;
 
   SlowStartController(
@@ -75,7 +79,7 @@
     capacityFraction = fraction;
   }
 
-  /** A request has come. */
+  /** A request has arrived. */
   void recordArrival(PendingRequest request) {
     double cost = cost(request);
     meanCost.add(cost);
@@ -84,13 +88,14 @@
     }
   }
 
-  /** A job has been served; {@code time} is from its start if that was told, else from its send. */
+  /** A job has been served; the time counts from its start, or its send if none was reported. */
   void recordServed(AttemptState attempt, double time) {
     double work = attempt.request.arrival.expectedWork();
     if (!Double.isNaN(work) && isWarm(attempt.worker, attempt.sentAt)) {
       ratesByKind
           .computeIfAbsent(
-              attempt.worker.endpoint.kind(), absent -> new ServiceRate(Time.RATE_TIME_CONSTANT))
+              attempt.worker.endpoint().kind(),
+              absent -> new ServiceRate(DecayingSum.RATE_TIME_CONSTANT_MICROS))
           .add(time, work, context.now());
     }
   }
@@ -107,14 +112,14 @@
   }
 
   boolean isWarm(WorkerState worker, long now) {
-    return capacityFraction(worker, now) >= 1;
+    return warmUpFraction(worker, now) >= 1;
   }
 
-  /** The least share of its capacity that a worker has; the list or an operator tells its start. */
-  private double capacityFraction(WorkerState worker, long now) {
-    long since = Math.max(worker.endpoint.startedAt(), worker.enabledAt);
-    double age = now - since;
-    if (since == 0 || age > rules.slowStartDuration() * WARM_UP_SLACK) {
+  /** The least fraction of its full capacity that a worker has; 1 once it is warm. */
+  private double warmUpFraction(WorkerState worker, long now) {
+    long startedAt = worker.warmUpStartedAt();
+    double age = now - startedAt;
+    if (startedAt == 0 || age > rules.slowStartDuration() * WARM_UP_SLACK) {
       return 1;
     }
     double initial = rules.initialCapacityFraction();
@@ -124,7 +129,7 @@
   /** Whether a request may go to a worker now: always if that is warm. */
   boolean allows(PendingRequest request, WorkerState worker) {
     long now = context.now();
-    double fraction = capacityFraction(worker, now);
+    double fraction = warmUpFraction(worker, now);
     if (fraction >= 1) {
       return true;
     }
@@ -134,25 +139,26 @@
   }
 
   /**
-   * Work a microsecond that a warm worker can surely take from this dispatcher: what warm ones get
-   * on average, or what its own slots do at least. The first alone fails a fleet that is mostly
-   * cold, and a dispatcher that has sent little so far.
+   * Work per microsecond that a warm worker can take from this dispatcher at least: what warm
+   * workers get on average, or what its own slots do at least. The first alone is too low in a
+   * fleet that is mostly cold, and for a dispatcher that has sent little so far.
    */
   private double safeRate(WorkerState worker) {
     long now = context.now();
-    // Up for less than the overload window, a dispatcher has seen too little to go by it.
+    // The average needs at least the overload window.
     double observed =
         Math.max(
-            Time.RATE_TIME_CONSTANT * loads.observedFraction(), (double) rules.overloadWindow());
-    long sharers = Math.max(countWarm(), 1 + workers.size() / 2);
-    double byWarmWorkers = workSent.valueAt(now) / observed / sharers;
+            DecayingSum.RATE_TIME_CONSTANT_MICROS * loads.observedFraction(),
+            (double) rules.overloadWindow());
+    long servingWorkers = Math.max(countWarm(), 1 + workers.size() / MIN_SERVING_DIVISOR);
+    double byWarmWorkers = workSent.valueAt(now) / observed / servingWorkers;
     // A worker that has reported nothing yet counts as a typical one.
     double byOwnSlots =
-        loads.slots(worker) * speed(worker.endpoint.kind()) / context.settings().dispatchers();
+        loads.slots(worker) * speed(worker.endpoint().kind()) / context.settings().dispatchers();
     return Math.max(MARGIN_BY_WARM_WORKERS * byWarmWorkers, MARGIN_BY_OWN_SLOTS * byOwnSlots);
   }
 
-  /** Counted once for each list and point in time, since every warming worker asks for it. */
+  /** Counted once for each list and point in time, since every warming worker needs it. */
   private long countWarm() {
     long now = context.now();
     if (warmCountedAt != now || warmCountedVersion != workers.version()) {
@@ -163,7 +169,7 @@
     return warmCount;
   }
 
-  /** What a request counts for: its announced work, or that of its class. */
+  /** The work that a request counts for: what it announces, or the mean of its class. */
   private double cost(PendingRequest request) {
     double announced = request.arrival.expectedWork();
     return Double.isNaN(announced)
--- a/src/main/java/loomreel/decision/TokenBucket.java
+++ b/src/main/java/loomreel/decision/TokenBucket.java
@@ -3,17 +3,17 @@
 /** A token bucket that starts full. Its rate and capacity may differ from call to call. */
 final class TokenBucket {
   private double tokens;
-  private long updatedAt = Time.NEVER;
+  private long updatedAt = Timestamp.NEVER;
 
   /**
    * Takes one token, if there is one.
    *
-   * @param rate tokens a microsecond that have come since the last call
+   * @param rate tokens per microsecond since the last call
    * @param capacity the most tokens that the bucket holds
    * @return whether there was a token
    */
   boolean tryAcquire(double rate, double capacity, long now) {
-    boolean isNew = updatedAt == Time.NEVER;
+    boolean isNew = updatedAt == Timestamp.NEVER;
     tokens = isNew ? capacity : Math.min(capacity, tokens + rate * (now - updatedAt));
     updatedAt = now;
     boolean acquired = tokens >= 1;
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -9,23 +9,19 @@
  * else a fallback that samples the next workers of the key's ranking.
  */
 final class WorkerSelector {
-  /** The threshold as a share of a worker's slots: a job can start at once (t = st). */
+  /** The threshold as a fraction of a worker's slots: a job can start at once. */
   static final double FULL_THRESHOLD = 1;
 
-  /** The rounds of candidates: the two hashed ones, then the fallback. */
-  static final int HASHED_CANDIDATES = 0;
-
-  static final int FALLBACK = 1;
-
   /** How many workers the fallback samples where each unknown one costs a health check. */
   static final int SAMPLE_WITH_HEALTH_CHECKS = 3;
 
-  private static final int SAMPLE = 8;
+  /** Without health checks the sample is larger, since it costs nothing. */
+  private static final int SAMPLE_WITHOUT_HEALTH_CHECKS = 8;
 
   /** The score of a worker under the threshold, for a request with a key. */
-  private static final double FITS = -1;
+  private static final double BELOW_THRESHOLD_SCORE = -1;
 
-  /** The threshold follows the mean load, times this, up to a maximum: all may be busy. */
+  /** The threshold is the mean load times this, up to a maximum, where all workers are loaded. */
   private static final double THRESHOLD_OVER_MEAN_LOAD = 1.1;
 
   private static final double MAX_THRESHOLD = 1.5;
@@ -51,26 +47,27 @@
     loads = state.loads;
   }
 
-  /** Draws new candidates for a request: the same ones are checked and then chosen from. */
+  /** Draws new candidates for a request. */
   void drawCandidates(PendingRequest request) {
-    boolean ranked = request.hasKey() && workers.pool(request).length > 0;
-    request.workersNeeded = ranked ? loads.workersNeeded(keys.get(request)) : Integer.MAX_VALUE;
-    request.healthCheckRound = firstRound(request);
-    request.sampleSeed = context.random().nextLong();
+    boolean isRanked = request.hasKey() && workers.pool(request).length > 0;
+    int workersNeeded = isRanked ? loads.workersNeeded(keys.get(request)) : CandidateDraw.UNBOUNDED;
+    long seed = context.random().nextLong();
+    request.setCandidates(new CandidateDraw(workersNeeded, seed));
   }
 
-  /** Keys that need more than two workers, and requests without a key, start with the fallback. */
-  private static int firstRound(PendingRequest request) {
-    return request.workersNeeded > 2 ? FALLBACK : HASHED_CANDIDATES;
+  /** The worker for a request, or null if none of the candidates is under the threshold. */
+  WorkerState select(PendingRequest request) {
+    return selectBefore(null, request);
   }
 
   /**
-   * The worker that a request goes to, or null if none of the candidates is under the threshold.
+   * The worker for a request, or null if no candidate of the rounds so far is under the threshold.
    *
-   * @param lastRound the last round of candidates to consider
+   * @param end the first round that is not considered; null to consider all
    */
-  WorkerState select(PendingRequest request, int lastRound) {
-    for (int round = firstRound(request); round <= lastRound; round++) {
+  WorkerState selectBefore(CandidateRound end, PendingRequest request) {
+    CandidateRound first = request.candidates().firstRound();
+    for (CandidateRound round = first; round != end; round = round.next()) {
       WorkerState selected = selectInRound(request, round);
       if (selected != null) {
         return selected;
@@ -79,18 +76,18 @@
     return null;
   }
 
-  private WorkerState selectInRound(PendingRequest request, int round) {
+  private WorkerState selectInRound(PendingRequest request, CandidateRound round) {
     double threshold = threshold(request);
     WorkerState best = null;
     double leastScore = Double.POSITIVE_INFINITY;
     for (WorkerState worker : candidates(request, round)) {
-      // A negative score marks a worker that fits; without a key the least loaded of them wins.
+      // A worker under the threshold has a negative score; without a key the least loaded wins.
       double score = load(request, worker);
       if (score + extraSlots(request, worker) < threshold) {
-        if (round == FALLBACK && request.hasKey()) {
+        if (round == CandidateRound.FALLBACK && request.hasKey()) {
           return worker;
         }
-        score = request.hasKey() ? FITS : score - threshold;
+        score = request.hasKey() ? BELOW_THRESHOLD_SCORE : score - threshold;
       }
       if (score < leastScore) {
         leastScore = score;
@@ -102,17 +99,18 @@
 
   private double threshold(PendingRequest request) {
     double byMeanLoad = Math.min(MAX_THRESHOLD, THRESHOLD_OVER_MEAN_LOAD * loads.meanLoad());
-    return request.loadThreshold * Math.max(FULL_THRESHOLD, byMeanLoad);
+    return request.loadThreshold() * Math.max(FULL_THRESHOLD, byMeanLoad);
   }
 
-  /** What a request takes beyond one slot, as a share of a worker's slots. */
+  /** What a request takes beyond one slot, as a fraction of a worker's slots. */
   private double extraSlots(PendingRequest request, WorkerState worker) {
     double slots = loads.slots(worker);
     return (Math.min(request.arrival.slots(), slots) - 1) / slots;
   }
 
   /**
-   * A worker's load as a share of its slots; infinite where the request may not or should not go.
+   * A worker's load as a fraction of its slots; infinite where the request may not or should not be
+   * sent.
    */
   private double load(PendingRequest request, WorkerState worker) {
     long healthCheckTimeout = times.healthCheckTimeout(request);
@@ -125,15 +123,17 @@
   }
 
   /** The candidates of a round, in the order in which they are considered. */
-  List<WorkerState> candidates(PendingRequest request, int round) {
+  List<WorkerState> candidates(PendingRequest request, CandidateRound round) {
     WorkerState[] pool = workers.pool(request);
     KeyAffinity key = request.hasKey() && pool.length > 0 ? keys.get(request) : null;
-    if (key != null && round == HASHED_CANDIDATES) {
+    if (key != null && round == CandidateRound.HASHED) {
       return hashedCandidates(key);
     }
     boolean checksHealth = context.settings().limits().healthChecks();
-    int sample = Math.min(pool.length, checksHealth ? SAMPLE_WITH_HEALTH_CHECKS : SAMPLE);
-    if (key == null || request.workersNeeded > key.ranking().length) {
+    int sample =
+        Math.min(
+            pool.length, checksHealth ? SAMPLE_WITH_HEALTH_CHECKS : SAMPLE_WITHOUT_HEALTH_CHECKS);
+    if (key == null || request.candidates().workersNeeded() > key.ranking().length) {
       return randomCandidates(request, pool, sample);
     }
     return rankedCandidates(request, key, sample);
@@ -149,20 +149,21 @@
       PendingRequest request, WorkerState[] pool, int sample) {
     List<WorkerState> candidates = new ArrayList<>(sample);
     for (int i = 0; i < sample; i++) {
-      long hash = Hashing.mix(request.sampleSeed + i);
+      long hash = Hashing.mix(request.candidates().seed() + i);
       candidates.add(pool[(int) Long.remainderUnsigned(hash, pool.length)]);
     }
     return candidates;
   }
 
-  /** The next places of the key's ranking; a random part of those that a hot key needs. */
+  /** The next places of the key's ranking; for a hot key, a random part of those it needs. */
   private List<WorkerState> rankedCandidates(PendingRequest request, KeyAffinity key, int sample) {
     WorkerState[] ranking = key.ranking();
-    boolean isHot = request.workersNeeded > 2;
-    int from = isHot ? (int) Long.remainderUnsigned(request.sampleSeed, request.workersNeeded) : 1;
-    int span = Math.min(ranking.length, Math.max(request.workersNeeded, sample + 1));
-    if (request.rankingOffset > 0 && loads.meanLoad() < MAX_LOAD_FOR_FURTHER_WORKERS) {
-      from += request.rankingOffset * sample;
+    CandidateDraw draw = request.candidates();
+    boolean isHot = draw.exceedsHashedWorkers();
+    int from = isHot ? (int) Long.remainderUnsigned(draw.seed(), draw.workersNeeded()) : 1;
+    int span = Math.min(ranking.length, Math.max(draw.workersNeeded(), sample + 1));
+    if (request.rankingOffset() > 0 && loads.meanLoad() < MAX_LOAD_FOR_FURTHER_WORKERS) {
+      from += request.rankingOffset() * sample;
       span = Math.min(ranking.length, KeyAffinityTable.MAX_RANKED_WORKERS);
     }
     List<WorkerState> candidates = new ArrayList<>(sample);
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -11,8 +11,8 @@
 
 /** The workers that the endpoint list names, and those of them that may get new work. */
 final class WorkerTable {
-  /** How old a load report is when it comes, in microseconds: later sends are not in it. */
-  static final double REPORT_DELAY = 1e6;
+  /** The age of a load report on its arrival: attempts sent since then are not in it. */
+  static final double REPORT_DELAY_MICROS = 1e6;
 
   private static final WorkerState[] NONE = {};
 
@@ -24,7 +24,7 @@
   /** The eligible workers of each kind, and all of them under null. */
   private final Map<String, WorkerState[]> poolsByKind = new HashMap<>();
 
-  /** The same for each queue that jobs have named since the last change. */
+  /** The eligible workers by queue, then kind, for the queues that jobs have named so far. */
   private final Map<String, Map<String, WorkerState[]>> poolsByQueue = new HashMap<>();
 
   private long version;
@@ -54,19 +54,19 @@
 
   /** A listed worker; a new one has no endpoint yet. */
   WorkerState getOrAdd(String id) {
-    return workers.computeIfAbsent(id, absent -> new WorkerState(absent, REPORT_DELAY));
+    return workers.computeIfAbsent(id, absent -> new WorkerState(absent, REPORT_DELAY_MICROS));
   }
 
-  /** Marks all workers as gone; those that the new list names are to be marked again. */
+  /** Marks all workers as removed; the caller then applies the new list. */
   void markAllRemoved() {
     for (WorkerState worker : workers.values()) {
-      worker.endpoint = worker.endpoint.withState(State.REMOVED);
+      worker.markRemoved();
     }
   }
 
-  /** Drops the workers that are gone. */
+  /** Drops the workers that are marked as removed. */
   void dropRemoved() {
-    workers.values().removeIf(worker -> worker.endpoint.state() == State.REMOVED);
+    workers.values().removeIf(worker -> worker.endpoint().state() == State.REMOVED);
   }
 
   /** Disables a worker, unless it is disabled. */
@@ -96,12 +96,12 @@
     List<WorkerState> ready = workers.values().stream().filter(this::isEligible).toList();
     poolsByKind.put(null, ready.toArray(WorkerState[]::new));
     ready.stream()
-        .collect(Collectors.groupingBy(worker -> worker.endpoint.kind()))
+        .collect(Collectors.groupingBy(worker -> worker.endpoint().kind()))
         .forEach((kind, pool) -> poolsByKind.put(kind, pool.toArray(WorkerState[]::new)));
   }
 
   private boolean isEligible(WorkerState worker) {
-    return worker.endpoint.state() == State.READY && !isDisabled(worker.id);
+    return worker.endpoint().state() == State.READY && !isDisabled(worker.id);
   }
 
   /** The eligible workers that may run a request. */
@@ -119,7 +119,7 @@
 
   private static WorkerState[] accepting(String queue, WorkerState[] workers) {
     return Arrays.stream(workers)
-        .filter(worker -> worker.endpoint.accepts(queue))
+        .filter(worker -> worker.endpoint().accepts(queue))
         .toArray(WorkerState[]::new);
   }
 
@@ -136,10 +136,15 @@
             .count();
   }
 
+  /** How many attempts are open at all listed workers. */
+  int countOpenAttempts() {
+    return workers.values().stream().mapToInt(worker -> worker.openAttempts().size()).sum();
+  }
+
   /** Takes a request off the lists of those that wait for a health check. */
   void removeHealthCheckWaiter(PendingRequest request) {
     for (WorkerState worker : workers.values()) {
-      worker.healthCheckWaiters.remove(request);
+      worker.removeHealthCheckWaiter(request);
     }
   }
 }
--- a/src/test/java/loomreel/decision/RendezvousRankingTest.java
+++ b/src/test/java/loomreel/decision/RendezvousRankingTest.java
@@ -15,7 +15,7 @@
 
   private static WorkerState worker(String id, double weight) {
     WorkerState worker = new WorkerState(id, 1e6);
-    worker.endpoint = new Endpoint(id, "north", "small", 0, Endpoint.State.READY, 0, weight);
+    worker.update(new Endpoint(id, "north", "small", 0, Endpoint.State.READY, 0, weight));
     return worker;
   }
 
