--- a/src/main/java/loomreel/faktory/FaktoryIngress.java
+++ b/src/main/java/loomreel/faktory/FaktoryIngress.java
@@ -9,6 +9,17 @@
 import loomreel.core.Ingress;
 import loomreel.core.WorkerPool;
 import loomreel.decision.Settings;
+import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.protocol.PasswordChallenges;
+import loomreel.faktory.queue.Admission;
+import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.scheduling.AttemptOutcomes;
+import loomreel.faktory.scheduling.JobClasses;
+import loomreel.faktory.scheduling.JobScheduler;
+import loomreel.faktory.scheduling.RecentAttempts;
+import loomreel.faktory.storage.JobPersistence;
+import loomreel.faktory.storage.SpoolPersistence;
+import loomreel.faktory.worker.FaktoryWorkerPool;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 import loomreel.settings.FaktorySettings;
@@ -60,7 +71,7 @@
             payloads,
             model.classes(),
             model.zone(),
-            recentAttempts);
+            recentAttempts::lateReport);
     persistence = openPersistence(classes, payloads);
     scheduler =
         new JobScheduler(
@@ -72,9 +83,11 @@
             recentAttempts,
             new AttemptOutcomes(loop, queue, admission, classes, log),
             random);
-    challenges = new PasswordChallenges(loop, settings);
+    challenges =
+        new PasswordChallenges(loop, settings.password(), settings.passwordHashIterations());
     listener =
-        new FaktoryListener(loop, settings.listen(), settings.connections(), this::connect, log);
+        new FaktoryListener(
+            loop, settings.listenAddress(), settings.maxConnections(), this::connect, log);
     report = new IngressReport(loop, queue, workers, listener, settings.queues().keySet());
     commands = commands(classes, payloads, recentAttempts);
     // Restored jobs must not wait until something else happens.
@@ -91,11 +104,11 @@
 
   private static JobQueue.Limits queueLimits(FaktorySettings settings) {
     return new JobQueue.Limits(
-        settings.backlog().jobs(),
-        settings.backlog().bytes().bytes(),
-        settings.backoff().micros(),
-        settings.remember().micros(),
-        settings.rememberMost());
+        settings.backlog().maxJobs(),
+        settings.backlog().maxSize().bytes(),
+        settings.initialBackoff().micros(),
+        settings.endedJobRetention().micros(),
+        settings.maxRetainedJobs());
   }
 
   private static Admission admission(FaktorySettings settings) {
@@ -106,7 +119,7 @@
 
   private JobPersistence openPersistence(JobClasses classes, PayloadValidator payloads)
       throws IOException {
-    if (settings.spool().equals(FaktorySettings.NO_SPOOL)) {
+    if (settings.spoolDirectory().equals(FaktorySettings.NO_SPOOL)) {
       log.warn("spool disabled: waiting jobs are lost when this process ends");
       return JobPersistence.NONE;
     }
@@ -122,7 +135,7 @@
         new ProducerCommands(loop, intake),
         new ConsumerCommands(workers, settings.workers(), scheduler, persistence),
         new TrackCommands(attempts, workers),
-        new AdminCommands(loop, queue, classes, scheduler, report, settings.mayMutate()),
+        new AdminCommands(loop, queue, classes, scheduler, report, settings.allowsMutation()),
         report,
         log);
   }
@@ -132,7 +145,8 @@
         loop,
         channel,
         challenges.next(),
-        new FaktoryConnection.Context(commands, workers, listener, settings.iterations(), log));
+        new FaktoryConnection.Context(
+            commands, workers, listener, settings.passwordHashIterations(), log));
   }
 
   /** The workers that fetch jobs here. */
@@ -146,7 +160,7 @@
    * @param openRpcs of all clients; the settings say which share of them may be Faktory jobs
    */
   public void setCapacity(int openRpcs) {
-    admission.setCapacity((int) (openRpcs * settings.share()));
+    admission.setCapacity((int) (openRpcs * settings.maxCapacityFraction()));
   }
 
   @Override
--- a/src/test/java/loomreel/arch/ArrowsTest.java
+++ b/src/test/java/loomreel/arch/ArrowsTest.java
@@ -52,12 +52,78 @@
   @ArchTest
   static final ArchRule FAKTORY = knowsOnly("faktory", "io", "wal", "core", "decision", "settings");
 
+  @ArchTest static final ArchRule FAKTORY_PROTOCOL = knowsOnly("faktory.protocol", "io");
+
+  /** Jobs and their order are computed without I/O, clock, settings or dispatcher. */
+  @ArchTest static final ArchRule FAKTORY_QUEUE = knowsOnly("faktory.queue");
+
+  @ArchTest
+  static final ArchRule FAKTORY_QUEUE_HAS_NO_IO =
+      noClasses()
+          .that()
+          .resideInAPackage("loomreel.faktory.queue..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "java.io..", "java.net..", "java.nio..", "java.time..", "com.fasterxml..");
+
+  @ArchTest
+  static final ArchRule FAKTORY_PAYLOAD =
+      knowsOnly("faktory.payload", "faktory.protocol", "faktory.queue", "core", "io", "settings");
+
+  @ArchTest
+  static final ArchRule FAKTORY_STORAGE =
+      knowsOnly(
+          "faktory.storage",
+          "faktory.protocol",
+          "faktory.payload",
+          "faktory.queue",
+          "wal",
+          "io",
+          "settings");
+
+  @ArchTest
+  static final ArchRule FAKTORY_WORKER =
+      knowsOnly(
+          "faktory.worker",
+          "faktory.protocol",
+          "faktory.payload",
+          "core",
+          "decision",
+          "io",
+          "settings");
+
+  @ArchTest
+  static final ArchRule FAKTORY_SCHEDULING =
+      knowsOnly(
+          "faktory.scheduling",
+          "faktory.payload",
+          "faktory.queue",
+          "faktory.storage",
+          "core",
+          "decision",
+          "io",
+          "settings");
+
+  @ArchTest
+  static final ArchRule NO_CIRCLES_IN_FAKTORY =
+      slices().matching("loomreel.faktory.(*)..").should().beFreeOfCycles();
+
   @ArchTest static final ArchRule WAL = knowsOnly("wal");
 
   @ArchTest static final ArchRule PROCESS = knowsOnly("process", "http", "io", "core", "decision");
 
   @ArchTest static final ArchRule SETTINGS = knowsOnly("settings", "config", "decision");
 
+  /** Stubs are written from the published protocols, not with the code that they test. */
+  @ArchTest static final ArchRule STANDIN = knowsOnly("standin");
+
+  @ArchTest static final ArchRule CHAOS = knowsOnly("chaos", "standin");
+
+  @ArchTest static final ArchRule BENCHMARK = knowsOnly("benchmark", "standin");
+
+  @ArchTest static final ArchRule TRAINING = knowsOnly("training", "standin");
+
   @ArchTest
   static final ArchRule NO_CIRCLES = slices().matching("loomreel.(*)..").should().beFreeOfCycles();
 
--- /dev/null
+++ b/src/test/java/loomreel/program/DispatcherProcess.java
@@ -0,0 +1,229 @@
+package loomreel.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.function.UnaryOperator;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+
+/**
+ * The program as a process of its own, with {@code serve}.
+ *
+ * <p>Under a supervisor the process can be replaced: {@link #instances} are the dispatchers that
+ * were started one after the other, {@link #managementPorts} their management addresses, and {@link
+ * #process} is the supervisor.
+ */
+final class DispatcherProcess extends DispatcherHarness {
+  /** The process that the test has started. */
+  final Process process;
+
+  /** Where the dispatcher stores its files. */
+  final Path temporaryDirectory = Files.createTempDirectory("loomreel");
+
+  /** The dispatchers that the supervisor has started; empty without a supervisor. */
+  final List<ProcessHandle> instances = new ArrayList<>();
+
+  /** The ports of the management API, one for each dispatcher. */
+  final List<Integer> managementPorts = new ArrayList<>();
+
+  private final Path configurationFile = Files.createTempFile("loomreel", ".json");
+  private final BufferedReader log;
+  private final int port;
+
+  /** Whether a supervisor owns the listening socket. */
+  private enum Listener {
+    OWNED,
+    SUPERVISED
+  }
+
+  /** A dispatcher with the standard configuration. */
+  DispatcherProcess(int workerCount, boolean probing) throws IOException {
+    this(workerCount, probing, settings -> settings);
+  }
+
+  /** A dispatcher with a changed configuration. */
+  DispatcherProcess(int workerCount, boolean probing, UnaryOperator<String> change)
+      throws IOException {
+    this(workerCount, probing, change, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
+  }
+
+  private DispatcherProcess(
+      int workerCount,
+      boolean probing,
+      UnaryOperator<String> change,
+      Listener listener,
+      List<String> flags)
+      throws IOException {
+    super(workerCount);
+    configure(change.apply(configuration(probing)));
+    ProcessBuilder builder =
+        listener == Listener.SUPERVISED
+            ? ProgramCommand.superviseServe(configurationFile, discovery.address(), flags)
+            : ProgramCommand.serve(configurationFile, discovery.address(), flags);
+    builder.environment().put("TMPDIR", temporaryDirectory.toString());
+    process = builder.start();
+    log = process.errorReader();
+    if (listener == Listener.SUPERVISED) {
+      startInstance();
+    }
+    port = awaitLoggedPort("listening for clients address");
+    if (change.apply("{\"name\"").contains("mgmt")) {
+      managementPorts.add(awaitLoggedPort("admin server listening address"));
+    }
+  }
+
+  /** A dispatcher with a management API. */
+  static DispatcherProcess managed(int workerCount) throws IOException {
+    return new DispatcherProcess(
+        workerCount,
+        false,
+        DispatcherProcess::withOperators,
+        Listener.OWNED,
+        ProgramCommand.FAST_START_FLAGS);
+  }
+
+  /** A dispatcher with a management API under a supervisor. */
+  static DispatcherProcess supervised(int workerCount) throws IOException {
+    return new DispatcherProcess(
+        workerCount,
+        false,
+        DispatcherProcess::withOperators,
+        Listener.SUPERVISED,
+        ProgramCommand.FAST_START_FLAGS);
+  }
+
+  /** The same with the JVM flags of {@code deploy/balancer.toml}. */
+  static DispatcherProcess deployed(int workerCount) throws IOException {
+    return new DispatcherProcess(
+        workerCount,
+        false,
+        DispatcherProcess::withOperators,
+        Listener.SUPERVISED,
+        ProgramCommand.deployedFlags());
+  }
+
+  private static String withOperators(String configuration) {
+    return configuration.replace("{\"name\"", "{\"mgmt\":\"127.0.0.1:0\",\"name\"");
+  }
+
+  private void startInstance() throws IOException {
+    process.outputWriter().append('\n').flush();
+    long pid = Long.parseLong(process.inputReader().readLine());
+    instances.add(ProcessHandle.of(pid).orElseThrow());
+  }
+
+  /** Has the supervisor start one more dispatcher, and waits until it is ready. */
+  void startSuccessor() throws IOException {
+    startInstance();
+    managementPorts.add(awaitLoggedPort("admin server listening address"));
+    assertEquals(200, callManagement(instances.size() - 1, "GET", "readiness", "").status());
+  }
+
+  /** Kills a dispatcher under the supervisor, and waits for its end. */
+  void killInstance(int instance) throws Exception {
+    instances.get(instance).destroyForcibly();
+    awaitExit(instance);
+  }
+
+  /** Waits for the end of a dispatcher under the supervisor. */
+  void awaitExit(int instance) throws Exception {
+    instances.get(instance).onExit().get(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  /** Sends a request to the management API of a dispatcher; {@code path} follows {@code /ops/}. */
+  HttpMessage callManagement(int instance, String method, String path, String body)
+      throws IOException {
+    try (Socket connection = HttpIo.connect(managementPorts.get(instance))) {
+      String head = method + " /ops/" + path + " HTTP/1.1\r\nHost: x\r\n";
+      HttpIo.write(connection, HttpIo.withBody(head, body));
+      return HttpIo.read(connection);
+    }
+  }
+
+  /**
+   * A number in the statistics of a dispatcher: {@code name}, or {@code name.class} for one of a
+   * request class.
+   */
+  int statistic(int instance, String name) throws IOException {
+    String statistics = callManagement(instance, "GET", "stats", "").body();
+    String pattern = "\"" + name.replace(".", "\":\\{[^}]*\"") + "\":(\\d+)";
+    Matcher number = Pattern.compile(pattern).matcher(statistics);
+    assertTrue(number.find(), name + " in " + statistics);
+    return Integer.parseInt(number.group(1));
+  }
+
+  /** Replaces discovery, and has the dispatcher reload; the previous discovery. */
+  StubHttpServer moveDiscovery() throws Exception {
+    StubHttpServer previous = discovery;
+    discovery = new StubHttpServer();
+    configure(configured().replace(previous.address(), discovery.address()));
+    signal("HUP");
+    return previous;
+  }
+
+  String configured() throws IOException {
+    return Files.readString(configurationFile);
+  }
+
+  /** Replaces the text of the configuration file; the dispatcher reads it at SIGHUP. */
+  void configure(String text) throws IOException {
+    Files.writeString(configurationFile, text);
+  }
+
+  /** Sends a signal, by its name without SIG, to the process that the test has started. */
+  void signal(String name) throws Exception {
+    String command = "kill -" + name + " " + process.pid();
+    assertEquals(0, new ProcessBuilder("sh", "-c", command).start().waitFor());
+  }
+
+  /** Reads the log until a line contains this text; that line. */
+  String awaitLog(String text) throws IOException {
+    StringBuilder skipped = new StringBuilder();
+    for (String line = log.readLine(); line != null; line = log.readLine()) {
+      if (line.contains(text)) {
+        return line;
+      }
+      skipped.append(line).append('\n');
+    }
+    throw new AssertionError("never logged: " + text + "\n" + skipped);
+  }
+
+  private int awaitLoggedPort(String text) throws IOException {
+    Matcher logged = Pattern.compile(text + "[ =]/127.0.0.1:(\\d+)").matcher(awaitLog(text));
+    assertTrue(logged.find());
+    return Integer.parseInt(logged.group(1));
+  }
+
+  @Override
+  int port() {
+    return port;
+  }
+
+  @Override
+  public void close() throws IOException {
+    if (instances.isEmpty()) {
+      process.destroyForcibly();
+    } else {
+      process.outputWriter().close();
+    }
+    process.onExit().join();
+    try (Stream<Path> files = Files.list(temporaryDirectory)) {
+      for (Path file : files.toList()) {
+        Files.delete(file);
+      }
+    }
+    Files.delete(temporaryDirectory);
+    Files.delete(configurationFile);
+    super.close();
+  }
+}
