--- a/src/main/java/loomreel/core/ActionExecutor.java
+++ b/src/main/java/loomreel/core/ActionExecutor.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Each action makes an attempt, and each attempt ends, also one that cannot be made: so the
-   * policy and this dispatcher number the attempts of a call alike.
+   * Each action adds an attempt to the call, and each attempt ends, also one that cannot be
+   * started: the policy and this dispatcher number the attempts of a call by the same rule.
    */
   private void startAttempt(Action.StartAttempt start) {
     Rpc rpc = calls.find(start.requestId());
@@ -67,7 +67,7 @@
     }
     long deadline = attemptDeadline(start, rpc);
     Subchannel subchannel = pools.find(start.workerId());
-    boolean superfluous =
+    boolean isSuperfluous =
         rpc.isCompleted()
             || rpc.attemptCount() >= maxAttempts
             || loop.now() >= deadline
@@ -82,7 +82,7 @@
             deadline,
             Math.min(deadline, start.writeDeadline()));
     rpc.addAttempt(attempt);
-    if (superfluous) {
+    if (isSuperfluous) {
       attempt.end(AttemptOutcome.NOT_ATTEMPTED, null);
     } else if (subchannel == null) {
       attempt.end(AttemptOutcome.CONNECT_FAILED, null);
--- a/src/main/java/loomreel/core/CallAttempt.java
+++ b/src/main/java/loomreel/core/CallAttempt.java
@@ -29,10 +29,10 @@
   /** Enforces the deadline in state ACCEPTED; null before. */
   private EventLoop.Timer deadlineTimer;
 
-  /** No part of the state: a worker may accept a request before its last byte is written. */
+  /** Not part of the state: a worker may accept a request before its last byte is written. */
   private boolean requestWritten;
 
-  /** No part of the state: what it says of a later status update outlives the attempt's end. */
+  /** Not part of the state: it matters for status updates after the attempt's end. */
   private boolean returnedUnstarted;
 
   /**
@@ -40,7 +40,7 @@
    *
    * @param subchannel the subchannel to the worker; null where none of that id is listed
    * @param deadline when to stop waiting for the outcome
-   * @param writeDeadline when to give up a request that is not written whole
+   * @param writeDeadline when to abort a request that is not completely written
    */
   CallAttempt(
       Dispatcher dispatcher,
@@ -86,7 +86,7 @@
     return worker;
   }
 
-  /** Asks, before the first byte is written, whether the request may be sent. */
+  /** Whether the request may be sent; to be called before its first byte is written. */
   public boolean mayStart() {
     return rpc.attemptStarting();
   }
@@ -168,9 +168,9 @@
   }
 
   /**
-   * Aborts the attempt if its request is not written whole, so that the job cannot have run: the
-   * client may have gone, or the worker takes no new jobs, and a request written later would start
-   * the job then.
+   * Aborts the attempt if its request is not completely written, so that the job cannot have run:
+   * the client may have disconnected, or the worker takes no new jobs, and a request written later
+   * would start the job then.
    */
   void abortIfUnsent() {
     if (!hasEnded() && activeCall != null && activeCall.abortIfUnsent()) {
@@ -203,7 +203,7 @@
     return deadline;
   }
 
-  /** When to give up a request that is not written whole. */
+  /** When to abort a request that is not completely written. */
   public long writeDeadline() {
     return writeDeadline;
   }
--- a/src/main/java/loomreel/core/CallIdRegistry.java
+++ b/src/main/java/loomreel/core/CallIdRegistry.java
@@ -1,8 +1,8 @@
 package loomreel.core;
 
 /**
- * Shares the ids of active calls with another process that serves as the same dispatcher, so that
- * an id is never active in both.
+ * Coordinates the ids of active calls with another process that serves as the same dispatcher, so
+ * that an id is never active in both.
  */
 public interface CallIdRegistry {
   /** A call with this id has become active here. */
--- a/src/main/java/loomreel/core/CallTable.java
+++ b/src/main/java/loomreel/core/CallTable.java
@@ -45,7 +45,7 @@
     }
   }
 
-  /** The active call with that id, or null. */
+  /** The active call with that id, or null if there is none. */
   Rpc find(String id) {
     return calls.get(id);
   }
@@ -73,7 +73,7 @@
     return (int) calls.values().stream().filter(rpc -> !rpc.isCompleted()).count();
   }
 
-  /** Aborts those attempts at a worker whose request has not been written whole. */
+  /** Aborts those attempts at a worker whose request has not been completely written. */
   void abortUnsentAttempts(String worker) {
     // A copy, since the end of an attempt may add another attempt or remove its call.
     for (Rpc rpc : List.copyOf(calls.values())) {
--- a/src/main/java/loomreel/core/Dispatcher.java
+++ b/src/main/java/loomreel/core/Dispatcher.java
@@ -17,6 +17,7 @@
  */
 public final class Dispatcher {
   private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final long MICROS_PER_MILLI = 1000;
 
   /** The period of {@link WorkerPool#runPeriodicTasks}. */
   private static final long PERIODIC_TASK_INTERVAL_MICROS = MICROS_PER_SECOND;
@@ -34,7 +35,7 @@
   private final WorkerPools pools = new WorkerPools();
   private final PolicyDriver policy;
 
-  /** Calls accepted from now on are answered by this time. */
+  /** Calls that are accepted from now on are answered by this time. */
   private long shutdownDeadline = Long.MAX_VALUE;
 
   /**
@@ -89,7 +90,10 @@
 
   private void logMetrics() {
     log.info(
-        "metrics " + summary() + " longest_iteration_ms=" + loop.takeLongestIteration() / 1000);
+        "metrics "
+            + summary()
+            + " longest_iteration_ms="
+            + loop.takeLongestIteration() / MICROS_PER_MILLI);
     loop.schedule(loop.now() + METRICS_LOG_INTERVAL_MICROS, this::logMetrics);
   }
 
@@ -116,9 +120,9 @@
     submit(new Event.CapacityFractionChanged(fraction));
   }
 
-  /** Starts no further attempt at a worker, and aborts those that have not been written whole. */
+  /** Starts no further attempt at a worker, and aborts those that are not completely written. */
   public void disableWorker(String worker) {
-    // The policy first: it must not send there again what a pool returns.
+    // The policy first: it must not retry there what the pool aborts.
     submit(new Event.WorkerDisabled(worker));
     pools.setDisabled(worker, true);
     abortUnsentAttempts(worker);
@@ -195,7 +199,7 @@
     }
   }
 
-  /** Cancels a call whose client has gone; does nothing if it has its answer. */
+  /** Cancels a call whose client has disconnected; does nothing if it has its answer. */
   public void cancel(Rpc rpc) {
     if (rpc.complete()) {
       metrics.recordCancelledCall();
@@ -253,15 +257,16 @@
   /**
    * Reports a pool's endpoints; {@link WorkerPool#find} knows them already.
    *
-   * @param snapshot whether endpoints that it does not name are gone; else these are changes
+   * @param snapshot whether endpoints that it does not name are removed; otherwise these are
+   *     changes
    */
   public void endpointsChanged(WorkerPool source, boolean snapshot, List<Endpoint> endpoints) {
     submit(pools.endpointEvent(source, snapshot, endpoints));
   }
 
   /**
-   * Aborts all attempts at a worker whose request has not been written whole: the worker takes no
-   * new jobs, and the policy knows. A connection may be established only after the time by which
+   * Aborts all attempts at a worker whose request has not been completely written: the worker takes
+   * no new jobs, and the policy knows. A connection may be established only after the time by which
    * such a request may still be written.
    */
   public void abortUnsentAttempts(String worker) {
--- a/src/main/java/loomreel/core/MetricsSnapshot.java
+++ b/src/main/java/loomreel/core/MetricsSnapshot.java
@@ -9,7 +9,7 @@
  * @param success served calls by request class; each class of the settings is present
  * @param busy rejected calls by request class
  * @param failure failed calls by request class
- * @param backendCalls attempts whose request was written whole
+ * @param backendCalls attempts whose request was completely written
  * @param inflight calls without an answer now
  * @param hostsListed workers that the endpoint lists name now
  * @param hostsDown listed workers that are ejected or disabled now
--- a/src/main/java/loomreel/core/PolicyTracer.java
+++ b/src/main/java/loomreel/core/PolicyTracer.java
@@ -97,16 +97,16 @@
       TraceWriter trace, long now, String name, Iterable<Endpoint> endpoints) {
     int ready = 0;
     int draining = 0;
-    int gone = 0;
+    int removed = 0;
     for (Endpoint endpoint : endpoints) {
       ready += endpoint.state() == Endpoint.State.READY ? 1 : 0;
       draining += endpoint.state() == Endpoint.State.DRAINING ? 1 : 0;
-      gone += endpoint.state() == Endpoint.State.REMOVED ? 1 : 0;
+      removed += endpoint.state() == Endpoint.State.REMOVED ? 1 : 0;
       if (endpoint.startedAt() > 0) {
         endpointStarted(trace, now, endpoint);
       }
     }
-    trace.line(now, name, "ready", ready, "draining", draining, "gone", gone);
+    trace.line(now, name, "ready", ready, "draining", draining, "gone", removed);
   }
 
   private static void endpointStarted(TraceWriter trace, long now, Endpoint endpoint) {
--- a/src/main/java/loomreel/core/Rpc.java
+++ b/src/main/java/loomreel/core/Rpc.java
@@ -31,7 +31,7 @@
       return true;
     }
 
-    /** The call has failed; {@link Rpc#mayHaveRun()} says whether the job may have run. */
+    /** The call has failed; see {@link Rpc#mayHaveRun()} for whether the job may have run. */
     void failed();
   }
 
@@ -69,7 +69,7 @@
     this.metrics = metrics;
   }
 
-  /** Asks the caller whether an attempt may be sent. */
+  /** Notifies the caller that an attempt is about to be sent; false where it must not be. */
   boolean attemptStarting() {
     return caller.attemptStarting();
   }
@@ -114,7 +114,7 @@
     return attempts.get(number);
   }
 
-  /** The attempt at a worker that has not ended, or null. */
+  /** The attempt at a worker that has not ended, or null if there is none. */
   CallAttempt openAttemptAt(String worker) {
     for (CallAttempt attempt : attempts) {
       if (!attempt.hasEnded() && attempt.worker().equals(worker)) {
@@ -153,7 +153,7 @@
 
   /**
    * Completes the call without informing its caller: releases the body and aborts attempts whose
-   * request is not written whole.
+   * request is not completely written.
    *
    * @return whether it was not completed before
    */
@@ -167,13 +167,13 @@
     return first;
   }
 
-  /** Aborts the selected attempts as far as their request is not written whole. */
+  /** Aborts those of the selected attempts whose request is not completely written. */
   void abortUnsent(Predicate<CallAttempt> selected) {
     // A copy, since the end of an attempt may add another one.
     List.copyOf(attempts).stream().filter(selected).forEach(CallAttempt::abortIfUnsent);
   }
 
-  /** The id by which workers know the call; a client's retry has another one. */
+  /** The id that workers see; a client's retry has another one. */
   public String id() {
     return id;
   }
--- a/src/main/java/loomreel/core/Subchannel.java
+++ b/src/main/java/loomreel/core/Subchannel.java
@@ -5,14 +5,14 @@
   /** Carries an attempt until that ends. */
   interface ActiveCall {
     /**
-     * Cancels the request: if it is not sent yet it is never sent; else the worker is asked to stop
-     * the job.
+     * Cancels the request: if it is not sent yet it is never sent; otherwise the worker is
+     * requested to stop the job.
      */
     void cancel();
 
     /**
-     * Aborts the request if it is not written whole, so that the job cannot run; else changes
-     * nothing.
+     * Aborts the request if it is not completely written, so that the job cannot run; otherwise
+     * changes nothing.
      *
      * @return whether it was aborted
      */
@@ -22,10 +22,10 @@
   }
 
   /**
-   * Starts an attempt. From here on the subchannel ends it, with an outcome that says that nothing
-   * ran only where that is proven.
+   * Starts an attempt. From here on the subchannel ends it. The outcome implies that nothing ran
+   * only where that is proven.
    *
-   * @return what carries it, or null where it has ended already
+   * @return what carries it, or null if it has ended already
    */
   ActiveCall start(CallAttempt attempt);
 
--- a/src/main/java/loomreel/core/WorkerPools.java
+++ b/src/main/java/loomreel/core/WorkerPools.java
@@ -13,7 +13,7 @@
     pools.add(pool);
   }
 
-  /** The subchannel to a worker that one of the pools lists, or null. */
+  /** The subchannel to a worker that one of the pools lists, or null if none does. */
   Subchannel find(String worker) {
     for (WorkerPool pool : pools) {
       Subchannel subchannel = pool.find(worker);
@@ -43,7 +43,7 @@
 
   /**
    * The event for a pool's new endpoint list. To the decision module, a worker that is missing from
-   * a snapshot is gone, so a snapshot also names the endpoints of all other pools.
+   * a snapshot has been removed, so a snapshot also names the endpoints of all other pools.
    */
   Event endpointEvent(WorkerPool source, boolean snapshot, List<Endpoint> endpoints) {
     if (!snapshot) {
--- a/src/main/java/loomreel/core/package-info.java
+++ b/src/main/java/loomreel/core/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The part that all protocols share: the table of active calls with their attempts, and the {@link
+ * What all protocols have in common: the table of active calls with their attempts, and the {@link
  * loomreel.core.Dispatcher}, which drives the decision module. An {@link loomreel.core.Ingress}
  * accepts calls, a {@link loomreel.core.WorkerPool} lists {@link loomreel.core.Subchannel}s to
  * workers; nothing in this package depends on a protocol.
--- a/src/main/java/loomreel/decision/Action.java
+++ b/src/main/java/loomreel/decision/Action.java
@@ -17,9 +17,9 @@
   record CancelAttempt(String requestId, int attemptNumber) implements Action {}
 
   /**
-   * Rejects a request: a final answer that says that nothing ran, or that a retry does no harm.
+   * Rejects a request: a final answer which implies that nothing ran, or that a retry does no harm.
    *
-   * @param retryAfter when the client may retry; 0 if the answer does not say
+   * @param retryAfter the time in which the client should not retry; 0 to give none
    */
   record Reject(String requestId, long retryAfter, RejectionReason reason) implements Action {}
 
--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -101,8 +101,8 @@
 
   /**
    * The answer to a request that is given up. Where a repetition does no harm it is a rejection
-   * that says when to retry, since an immediate retry would meet the same load; a request that may
-   * have run fails.
+   * that gives a time to retry, since an immediate retry would meet the same load; a request that
+   * may have run fails.
    */
   Action giveUp(PendingRequest request, RejectionReason reason) {
     firstAttempts.recordRejection(reason, context.now());
--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -9,8 +9,8 @@
  * and reads no clock. For use by one thread.
  *
  * <p>{@link RequestScheduler} places requests, {@link WorkerSelector} chooses workers, {@link
- * RetryPolicy} says what may be repeated, {@link AdmissionController} what is rejected and {@link
- * HealthCheckPolicy} whose load is queried.
+ * RetryPolicy} decides what may be repeated, {@link AdmissionController} what is rejected and
+ * {@link HealthCheckPolicy} whose load is queried.
  */
 public final class DispatchPolicy {
   private PolicyState state;
@@ -29,7 +29,7 @@
    * @param actions where actions are added
    * @throws NullPointerException if the event or the list is null
    * @throws IllegalArgumentException if time runs backwards
-   * @throws IllegalStateException if the first event is not a start, or a start comes without a
+   * @throws IllegalStateException if the first event is not a start, or on a second start without a
    *     stop
    */
   public void on(Event event, long now, List<Action> actions) {
--- a/src/main/java/loomreel/decision/Event.java
+++ b/src/main/java/loomreel/decision/Event.java
@@ -192,7 +192,10 @@
     }
   }
 
-  /** An operator has disabled a worker: it gets nothing new, whatever the endpoint list says. */
+  /**
+   * An operator has disabled a worker: it gets no new attempts, whatever its state in the endpoint
+   * list.
+   */
   record WorkerDisabled(String workerId) implements Event {
     @Override
     public void deliverTo(Handler handler) {
--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -170,7 +170,7 @@
    * @param hedging whether a second attempt may be open beside a first
    * @param cancellation whether attempts may be cancelled
    * @param healthChecks whether the load of workers may be queried
-   * @param retryAfter whether a rejection may say when to retry
+   * @param retryAfter whether a rejection may carry a time to retry
    * @param maxRetryAfter the longest such time, in microseconds
    */
   public record Limits(
@@ -181,7 +181,7 @@
       boolean retryAfter,
       long maxRetryAfter) {}
 
-  /** Where load reports come from: nowhere, the answers of workers, or their health checks. */
+  /** Which responses of workers carry load reports: none, answers or those to health checks. */
   public enum LoadReporting {
     NONE,
     WITH_ANSWERS,
@@ -255,7 +255,7 @@
       return this;
     }
 
-    /** Sets where load reports come from. */
+    /** Sets which responses of workers carry load reports. */
     public Builder loadReporting(LoadReporting newValue) {
       loadReporting = newValue;
       return this;
--- a/src/main/java/loomreel/simulator/BatchReader.java
+++ b/src/main/java/loomreel/simulator/BatchReader.java
@@ -9,8 +9,9 @@
 import loomreel.config.JsonTree;
 
 /**
- * Reads the JSON of batches. Unknown fields of a batch or a part are skipped; the fields of events
- * are kept as they are, for {@link WireEventReader} to check when the event is played.
+ * Reads the JSON of batches. Unknown fields of a batch or of an element of {@code parts} are
+ * skipped; the fields of events are stored unchecked, for {@link WireEventReader} to check when the
+ * event is handled.
  */
 final class BatchReader {
   private BatchReader() {}
@@ -25,7 +26,7 @@
     expect(json, JsonToken.START_OBJECT, "a batch is not an object");
     Long number = null;
     Long timeMicros = null;
-    List<WireBatch.Part> parts = null;
+    List<WireBatch.DispatcherEvents> dispatchers = null;
     while (json.nextToken() != JsonToken.END_OBJECT) {
       String name = json.currentName();
       JsonToken value = json.nextToken();
@@ -38,27 +39,27 @@
           expectNumber(value, name);
           timeMicros = WireObject.toMicros(json.getDoubleValue());
         }
-        case "parts" -> parts = readParts(json);
+        case "parts" -> dispatchers = readDispatchers(json);
         default -> json.skipChildren();
       }
     }
     require(number, "a batch without batch");
     require(timeMicros, "a batch without SimTimeS");
-    require(parts, "a batch without parts");
-    return new WireBatch(number, timeMicros, parts);
+    require(dispatchers, "a batch without parts");
+    return new WireBatch(number, timeMicros, dispatchers);
   }
 
-  private static List<WireBatch.Part> readParts(JsonParser json)
+  private static List<WireBatch.DispatcherEvents> readDispatchers(JsonParser json)
       throws MalformedBatchException, IOException {
     expect(json, JsonToken.START_ARRAY, "parts is not an array");
-    List<WireBatch.Part> parts = new ArrayList<>();
+    List<WireBatch.DispatcherEvents> dispatchers = new ArrayList<>();
     while (json.nextToken() != JsonToken.END_ARRAY) {
-      parts.add(readPart(json));
+      dispatchers.add(readDispatcherEvents(json));
     }
-    return parts;
+    return dispatchers;
   }
 
-  private static WireBatch.Part readPart(JsonParser json)
+  private static WireBatch.DispatcherEvents readDispatcherEvents(JsonParser json)
       throws MalformedBatchException, IOException {
     expect(json, JsonToken.START_OBJECT, "a part is not an object");
     Integer instance = null;
@@ -76,7 +77,7 @@
       }
     }
     require(instance, "a part without I");
-    return new WireBatch.Part(instance, events);
+    return new WireBatch.DispatcherEvents(instance, events);
   }
 
   private static void readEvents(JsonParser json, List<WireObject> events)
--- a/src/main/java/loomreel/simulator/EventTranslator.java
+++ b/src/main/java/loomreel/simulator/EventTranslator.java
@@ -10,11 +10,11 @@
 import loomreel.decision.Settings;
 
 /**
- * Translates the wire events of one dispatcher into events of the decision module. It holds the
- * positions of classes and tenants in that dispatcher's settings, which the module knows them by.
+ * Translates the wire events of one dispatcher into events of the decision module. The module
+ * identifies classes and tenants by their positions in that dispatcher's settings.
  */
 final class EventTranslator {
-  /** What the decision module takes as the position of a tenant that its settings do not name. */
+  /** The position that stands for a tenant that the settings do not name. */
   private static final int UNKNOWN_TENANT = -1;
 
   private final Map<Long, List<Endpoint>> endpointLists;
@@ -46,7 +46,7 @@
           new Event.AttemptProgressed(progress.requestId(), progress.attemptNumber()));
     } else if (event instanceof WireEvent.TimerElapsed timer) {
       return Optional.of(new Event.TimerFired(timer.token()));
-    } else if (event instanceof WireEvent.RequestWithdrawn withdrawal) {
+    } else if (event instanceof WireEvent.RequestCancelledByClient withdrawal) {
       return Optional.of(new Event.RequestCancelled(withdrawal.requestId()));
     } else if (event instanceof WireEvent.HealthCheckCompleted check) {
       return Optional.of(healthCheck(check));
--- a/src/main/java/loomreel/simulator/SimulatorAdapter.java
+++ b/src/main/java/loomreel/simulator/SimulatorAdapter.java
@@ -19,7 +19,7 @@
 import loomreel.decision.Event;
 
 /**
- * Connects {@link DispatchPolicy} to the simulator: reads batches of events, plays each event to
+ * Connects {@link DispatchPolicy} to the simulator: reads batches of events, passes each event to
  * the policy of its dispatcher, and writes one reply for each batch. It translates and decides
  * nothing.
  *
@@ -38,14 +38,14 @@
   private final Map<Integer, Dispatcher> dispatchers = new HashMap<>();
   private final Map<Long, List<Endpoint>> endpointLists = new HashMap<>();
 
-  /** The actions of the event being played; kept to spare an allocation for each event. */
+  /** The actions of the current event; reused to avoid an allocation for each event. */
   private final List<Action> actions = new ArrayList<>();
 
   /**
    * Creates an adapter between two streams.
    *
-   * @param input where batches come from
-   * @param output where replies go; nothing else is written there
+   * @param input the batches
+   * @param output for the replies; nothing else is written there
    */
   public SimulatorAdapter(InputStream input, OutputStream output) {
     this.input = input;
@@ -86,12 +86,12 @@
       json.writeStartObject();
       json.writeNumberField("batch", batch.number());
       json.writeArrayFieldStart("parts");
-      for (WireBatch.Part part : batch.parts()) {
+      for (WireBatch.DispatcherEvents dispatcher : batch.dispatchers()) {
         json.writeStartObject();
-        json.writeNumberField("I", part.instance());
+        json.writeNumberField("I", dispatcher.instance());
         json.writeArrayFieldStart("out");
-        for (WireObject event : part.events()) {
-          play(part.instance(), event, batch.timeMicros(), writer);
+        for (WireObject event : dispatcher.events()) {
+          handle(dispatcher.instance(), event, batch.timeMicros(), writer);
         }
         json.writeEndArray();
         json.writeEndObject();
@@ -103,14 +103,14 @@
     }
   }
 
-  private void play(int instance, WireObject wireObject, long now, ActionWriter writer)
+  private void handle(int instance, WireObject wireObject, long now, ActionWriter writer)
       throws MalformedBatchException, IOException {
     String kind = wireObject.kind();
     if (kind.equals(WireEventReader.UP)) {
       dispatchers.put(
           instance, new Dispatcher(new DispatchPolicy(), new EventTranslator(endpointLists)));
     }
-    // A list's definition concerns all dispatchers and may come before any has started.
+    // A list's definition concerns all dispatchers and may precede the start of any.
     if (!kind.equals(WireEventReader.DEFINE_LIST) && !dispatchers.containsKey(instance)) {
       throw new MalformedBatchException(kind + " for instance " + instance + " before its Up");
     }
@@ -135,7 +135,7 @@
     try {
       policy.on(event, now, actions);
     } catch (RuntimeException e) {
-      // What the policy had decided before it failed is not carried out.
+      // The actions that the policy had emitted before it failed are dropped.
       writer.writeFailure(e);
       return;
     }
--- a/src/main/java/loomreel/simulator/WireBatch.java
+++ b/src/main/java/loomreel/simulator/WireBatch.java
@@ -7,14 +7,14 @@
  *
  * @param number the batch's number, repeated in the reply
  * @param timeMicros the simulated time in microseconds
- * @param parts the events by dispatcher, in the order of the wire
+ * @param dispatchers the events by dispatcher, in the order of the wire
  */
-record WireBatch(long number, long timeMicros, List<Part> parts) {
+record WireBatch(long number, long timeMicros, List<DispatcherEvents> dispatchers) {
   /**
    * The events of one dispatcher.
    *
    * @param instance the dispatcher's number
    * @param events its events in order, not yet checked
    */
-  record Part(int instance, List<WireObject> events) {}
+  record DispatcherEvents(int instance, List<WireObject> events) {}
 }
--- a/src/main/java/loomreel/simulator/WireEvent.java
+++ b/src/main/java/loomreel/simulator/WireEvent.java
@@ -23,7 +23,7 @@
   /** {@code Members} of scope {@code total} or {@code warm_copy}: a complete endpoint list. */
   record EndpointSnapshotReceived(long listId) implements WireEvent {}
 
-  /** {@code Members} of scope {@code incr}: changes to the endpoint list held so far. */
+  /** {@code Members} of scope {@code incr}: changes to the last endpoint list. */
   record EndpointUpdateReceived(long listId) implements WireEvent {}
 
   /** {@code Members} of scope {@code lost}: the watch on discovery failed. */
@@ -32,7 +32,7 @@
   /**
    * {@code Inbound}: a client's request.
    *
-   * @param key the resource that the job needs at hand, or null
+   * @param key the resource that the job needs, or null
    * @param tenantName null where the request names no tenant
    * @param clientRetry whether the client marked it as a retry
    * @param expectedWork microseconds at speed 1, or NaN where the request gives none
@@ -48,11 +48,11 @@
       double expectedWork)
       implements WireEvent {}
 
-  /** {@code Withdrawn}: the client gave the request up. */
-  record RequestWithdrawn(String requestId) implements WireEvent {}
+  /** {@code Withdrawn}: the client cancelled the request. */
+  record RequestCancelledByClient(String requestId) implements WireEvent {}
 
   /**
-   * {@code Started}, or {@code UpdateOf} of sort 1 or 2: an attempt's job started or got further.
+   * {@code Started}, or {@code UpdateOf} of sort 1 or 2: an attempt's job started or made progress.
    */
   record AttemptProgressReported(String requestId, int attemptNumber) implements WireEvent {}
 
--- a/src/main/java/loomreel/simulator/WireEventReader.java
+++ b/src/main/java/loomreel/simulator/WireEventReader.java
@@ -16,8 +16,8 @@
 import loomreel.simulator.WireEvent.EndpointWatchLost;
 import loomreel.simulator.WireEvent.HealthCheckCompleted;
 import loomreel.simulator.WireEvent.Ignored;
+import loomreel.simulator.WireEvent.RequestCancelledByClient;
 import loomreel.simulator.WireEvent.RequestReceived;
-import loomreel.simulator.WireEvent.RequestWithdrawn;
 import loomreel.simulator.WireEvent.TimerElapsed;
 
 /** Checks the fields of wire events and turns them into typed {@link WireEvent}s. */
@@ -34,11 +34,14 @@
   /** Bit of {@code Marks}: the client marked the request as a retry. */
   private static final long MARK_CLIENT_RETRY = 2;
 
-  /** Values of {@code UpdateOf}'s {@code Sort}: the job started, and the job got further. */
+  /** Value of {@code Sort} in {@code UpdateOf}: the job started. */
   private static final long SORT_STARTED = 1;
 
+  /** Value of {@code Sort} in {@code UpdateOf}: the job made progress. */
   private static final long SORT_PROGRESSED = 2;
 
+  private static final int NO_FAILURE_DOMAIN = -1;
+
   private WireEventReader() {}
 
   /**
@@ -54,7 +57,7 @@
       case "Stop" -> new DispatcherStopped();
       case "Members" -> members(event);
       case "Inbound" -> request(event);
-      case "Withdrawn" -> new RequestWithdrawn(event.text("MsgId"));
+      case "Withdrawn" -> new RequestCancelledByClient(event.text("MsgId"));
       case "Started" -> progress(event);
       case "UpdateOf" -> update(event);
       case "ReportBack" -> attemptEnd(event);
@@ -165,7 +168,7 @@
         id,
         fields.get("Az") instanceof String zone ? zone : "",
         fields.get("Kind") instanceof String kind ? kind : "",
-        fields.get("Pod") instanceof Number cell ? cell.intValue() : -1,
+        fields.get("Pod") instanceof Number pod ? pod.intValue() : NO_FAILURE_DOMAIN,
         state(health),
         Double.isNaN(startedAtSeconds) ? 0 : WireObject.toMicros(startedAtSeconds),
         weight > 0 ? weight : 1);
--- a/src/main/java/loomreel/simulator/WireObject.java
+++ b/src/main/java/loomreel/simulator/WireObject.java
@@ -59,7 +59,7 @@
     return has(name) ? number(name) : defaultValue;
   }
 
-  /** A whole number; only the low 64 bits of a larger one. */
+  /** An integer; only the low 64 bits of a larger one. */
   long integer(String name) throws MalformedBatchException {
     return numeric(name).longValue();
   }
