--- a/src/test/java/loomreel/decision/Fixture.java
+++ b/src/test/java/loomreel/decision/DispatcherHarness.java
@@ -15,7 +15,7 @@
 import loomreel.decision.Settings.Rules;
 
 /** One node under test with a clock, and settings of the tests' own making. */
-final class Fixture {
+final class DispatcherHarness {
   static final long SECOND = 1_000_000;
   static final Rules RULES = new Rules(SECOND / 2, 10 * SECOND, 0.2, 20 * SECOND, 3, 2 * SECOND);
   static final List<RequestClass> CLASSES =
@@ -73,16 +73,16 @@
   static final int ISSUE = 2;
   static final int BIG_ONLY = 3;
 
-  final DispatchPolicy brain = new DispatchPolicy();
+  final DispatchPolicy policy = new DispatchPolicy();
   final Settings settings;
   long now = 100 * SECOND;
 
-  Fixture(Settings settings, long seed) {
+  DispatcherHarness(Settings settings, long seed) {
     this.settings = settings;
     on(new Start(seed, settings));
   }
 
-  Fixture() {
+  DispatcherHarness() {
     this(settings(1, true, false, LoadReporting.WITH_ANSWERS, false), 7);
   }
 
@@ -125,7 +125,7 @@
 
   List<Action> on(Event event) {
     List<Action> actions = new ArrayList<>();
-    brain.on(event, now, actions);
+    policy.on(event, now, actions);
     return actions;
   }
 
--- a/src/test/java/loomreel/decision/FirstAttemptEstimatorTest.java
+++ b/src/test/java/loomreel/decision/FirstAttemptEstimatorTest.java
@@ -10,10 +10,11 @@
 class FirstAttemptEstimatorTest {
   private static final long SECOND = 1_000_000;
   private static final long NOW = 100 * SECOND;
-  private static final RequestClass TYPE = Fixture.CLASSES.get(Fixture.READ);
+  private static final RequestClass TYPE = DispatcherHarness.CLASSES.get(DispatcherHarness.READ);
 
   private static RequestArrived arrival(long left, boolean again) {
-    return new RequestArrived("r", null, 1, Fixture.READ, -1, NOW + left, again, Double.NaN);
+    return new RequestArrived(
+        "r", null, 1, DispatcherHarness.READ, -1, NOW + left, again, Double.NaN);
   }
 
   @Test
@@ -56,14 +57,21 @@
    */
   @Test
   void aClientThatGivesUpEarlyIsServed() {
-    Fixture f = new Fixture();
-    f.on(new Event.EndpointSnapshot(Fixture.workers(4)));
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new Event.EndpointSnapshot(DispatcherHarness.workers(4)));
     assertEquals(
         1,
-        Fixture.sends(
+        DispatcherHarness.sends(
                 f.on(
                     new RequestArrived(
-                        "a", "key", 1, Fixture.READ, -1, f.now + SECOND / 4, false, Double.NaN)))
+                        "a",
+                        "key",
+                        1,
+                        DispatcherHarness.READ,
+                        -1,
+                        f.now + SECOND / 4,
+                        false,
+                        Double.NaN)))
             .size());
   }
 }
--- a/src/test/java/loomreel/decision/Fleet.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -29,7 +29,7 @@
  * counted. A copy worker runs as many jobs as it has slots, each at its speed and warmth; the
  * others wait. Seeds and steps are set, so every run is the same.
  */
-final class Fleet {
+final class FleetSimulation {
   static final long SECOND = 1_000_000;
   private static final long ROUND_TRIP = 20_000;
   private static final long CONNECT_WITHIN = 250_000;
@@ -98,7 +98,7 @@
   private final Map<String, Double> sizes = new HashMap<>();
   private long order;
 
-  Fleet(Settings settings, long seed) {
+  FleetSimulation(Settings settings, long seed) {
     this.settings = settings;
     random = new SplittableRandom(seed);
   }
@@ -106,10 +106,10 @@
   /** So many nodes start now with a list. */
   void start(int count, List<Endpoint> known) {
     for (int i = 0; i < count; i++) {
-      DispatchPolicy brain = new DispatchPolicy();
-      nodes.add(brain);
-      tell(brain, new Start(random.nextLong(), settings));
-      tell(brain, new EndpointSnapshot(known));
+      DispatchPolicy policy = new DispatchPolicy();
+      nodes.add(policy);
+      tell(policy, new Start(random.nextLong(), settings));
+      tell(policy, new EndpointSnapshot(known));
     }
   }
 
@@ -152,7 +152,7 @@
                     id,
                     key,
                     1,
-                    random.nextInt(2) * Fixture.ISSUE,
+                    random.nextInt(2) * DispatcherHarness.ISSUE,
                     settings.tenants().size() - 1,
                     now + 5 * SECOND,
                     false,
@@ -216,7 +216,8 @@
 
   private static WorkerLoad report(Machine m) {
     int slots = m.slotFreeAt.length;
-    return Fixture.report(Math.max(0, m.held - slots), m.held, Math.max(0, slots - m.held));
+    return DispatcherHarness.report(
+        Math.max(0, m.held - slots), m.held, Math.max(0, slots - m.held));
   }
 
   private void send(DispatchPolicy node, StartAttempt send) {
--- a/src/test/java/loomreel/decision/FleetTest.java
+++ b/src/test/java/loomreel/decision/FleetSimulationTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import loomreel.decision.Endpoint.State;
 import loomreel.decision.Event.EndpointUpdate;
-import loomreel.decision.Fleet.Machine;
+import loomreel.decision.FleetSimulation.Machine;
 import loomreel.decision.Settings.Limits;
 import loomreel.decision.Settings.LoadReporting;
 import loomreel.decision.Settings.RequestClass;
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What is fine at one node and does harm when 14 do it: sums over the nodes on one clock. */
-class FleetTest {
-  private static final long SECOND = Fleet.SECOND;
+class FleetSimulationTest {
+  private static final long SECOND = FleetSimulation.SECOND;
   private static final int NODES = 14;
   private static final List<RequestClass> CLASSES =
-      Fixture.CLASSES.stream()
+      DispatcherHarness.CLASSES.stream()
           .map(
               c ->
                   new RequestClass(
@@ -50,14 +50,15 @@
           .tick(4000)
           .build();
 
-  private static Machine machine(Fleet fleet, int number, long startedAt) {
-    Machine m = new Machine(Fixture.worker(number, State.READY, startedAt), 4, 1);
+  private static Machine machine(FleetSimulation fleet, int number, long startedAt) {
+    Machine m = new Machine(DispatcherHarness.worker(number, State.READY, startedAt), 4, 1);
     fleet.machines.put(m.entry.id(), m);
     return m;
   }
 
   /** So many machines from a number on, all started at one time. */
-  private static List<Machine> machines(Fleet fleet, int first, int count, long startedAt) {
+  private static List<Machine> machines(
+      FleetSimulation fleet, int first, int count, long startedAt) {
     return IntStream.range(first, first + count)
         .mapToObj(i -> machine(fleet, i, startedAt))
         .toList();
@@ -73,7 +74,7 @@
    */
   @Test
   void nodesThatStartTogetherAskForTheListSoonAndOneAfterTheOther() {
-    Fleet fleet = new Fleet(SETTINGS, 3);
+    FleetSimulation fleet = new FleetSimulation(SETTINGS, 3);
     fleet.start(NODES, List.of());
     long start = fleet.now;
     fleet.run(start + 2 * SECOND);
@@ -92,7 +93,7 @@
   @Test
   void coldWorkersOfAReplacedFleetAreUsedFromTheFirstSecondAndNotPushedOver() {
     for (long seed = 1; seed <= 4; seed++) {
-      Fleet fleet = new Fleet(SETTINGS, seed);
+      FleetSimulation fleet = new FleetSimulation(SETTINGS, seed);
       List<Machine> old = machines(fleet, 0, 20, 0);
       fleet.start(NODES, entries(old));
       // Six tenths of what the slots are good for.
@@ -102,7 +103,7 @@
       List<Endpoint> changes = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
         old.get(i).refuses = true;
-        changes.add(Fixture.worker(i, State.DRAINING, 0));
+        changes.add(DispatcherHarness.worker(i, State.DRAINING, 0));
       }
       changes.addAll(entries(cold));
       fleet.every(node -> fleet.tell(node, new EndpointUpdate(changes)));
@@ -146,7 +147,7 @@
   @Test
   void aZoneThatFallsSilentAndComesBackColdCostsNoRequestAndIsNotPushedOver() {
     for (long seed = 1; seed <= 3; seed++) {
-      Fleet fleet = new Fleet(SETTINGS, seed);
+      FleetSimulation fleet = new FleetSimulation(SETTINGS, seed);
       List<Machine> all = machines(fleet, 0, 21, 0);
       List<Machine> zone = all.subList(0, 7);
       fleet.start(NODES, entries(all));
@@ -187,7 +188,7 @@
   void aTenantWithinItsShareIsServedWhereItsTrafficIsUneven() {
     for (long seed = 1; seed <= 3; seed++) {
       Settings settings = SETTINGS.toBuilder().tenants(List.of(new Tenant("t", 300))).build();
-      Fleet fleet = new Fleet(settings, seed);
+      FleetSimulation fleet = new FleetSimulation(settings, seed);
       List<Machine> all = machines(fleet, 0, 20, 0);
       fleet.start(NODES, entries(all));
       double part = 240.0 / (NODES - 2 + 2 * 4);
@@ -215,7 +216,7 @@
    */
   @Test
   void noNodeAsksAWorkerThatItWouldNotSendTo() {
-    Fleet fleet = new Fleet(SETTINGS, 5);
+    FleetSimulation fleet = new FleetSimulation(SETTINGS, 5);
     List<Machine> warmOnes = machines(fleet, 0, 5, 0);
     List<Machine> coldOnes = machines(fleet, 5, 5, fleet.now);
     fleet.start(NODES, Stream.of(warmOnes, coldOnes).flatMap(m -> entries(m).stream()).toList());
--- a/src/test/java/loomreel/decision/OrdinaryPathTest.java
+++ b/src/test/java/loomreel/decision/OrdinaryPathTest.java
@@ -1,7 +1,7 @@
 package loomreel.decision;
 
-import static loomreel.decision.Fixture.SECOND;
-import static loomreel.decision.Fixture.sends;
+import static loomreel.decision.DispatcherHarness.SECOND;
+import static loomreel.decision.DispatcherHarness.sends;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 
 class OrdinaryPathTest {
-  private static String target(Fixture f, String id, String key, int requestClass) {
+  private static String target(DispatcherHarness f, String id, String key, int requestClass) {
     List<StartAttempt> sends = sends(f.arrive(id, key, requestClass));
     assertEquals(1, sends.size());
     return sends.get(0).workerId();
@@ -39,11 +39,12 @@
   void aKeyGoesToOneWorkerAtEveryNodeWhileItIsUnderTheThreshold() {
     Map<String, String> first = new HashMap<>();
     for (int node = 0; node < 3; node++) {
-      Fixture f =
-          new Fixture(Fixture.settings(3, true, false, LoadReporting.WITH_ANSWERS, false), node);
-      f.on(new EndpointSnapshot(Fixture.workers(20)));
+      DispatcherHarness f =
+          new DispatcherHarness(
+              DispatcherHarness.settings(3, true, false, LoadReporting.WITH_ANSWERS, false), node);
+      f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
       for (int key = 0; key < 40; key++) {
-        String worker = target(f, node + "-" + key, "key" + key, Fixture.READ);
+        String worker = target(f, node + "-" + key, "key" + key, DispatcherHarness.READ);
         assertEquals(first.computeIfAbsent("key" + key, k -> worker), worker);
         f.ended(node + "-" + key, 0, worker, AttemptOutcome.OK);
         f.now += SECOND / 5;
@@ -54,25 +55,31 @@
 
   @Test
   void aFullFirstCandidateYieldsToTheSecondAndFullCandidatesToTheFallback() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 3; i++) {
-      String worker = target(f, "r" + i, "key", Fixture.READ);
+      String worker = target(f, "r" + i, "key", DispatcherHarness.READ);
       assertTrue(used.add(worker), "a worker that reported no free slot is passed over");
       f.on(
           new AttemptEnded(
-              "r" + i, 0, worker, AttemptOutcome.OK, true, 1000, Fixture.report(4, 8, 0)));
+              "r" + i,
+              0,
+              worker,
+              AttemptOutcome.OK,
+              true,
+              1000,
+              DispatcherHarness.report(4, 8, 0)));
     }
   }
 
   @Test
   void aJobWithoutAKeyGoesToTheFallbackAndSpreads() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 30; i++) {
-      used.add(target(f, "r" + i, null, Fixture.READ));
+      used.add(target(f, "r" + i, null, DispatcherHarness.READ));
     }
     assertTrue(used.size() > 8);
   }
@@ -84,11 +91,13 @@
   @Test
   void aJobWithoutAKeyGoesToTheLeastLoadedOfThoseAsked() {
     for (int seed = 0; seed < 20; seed++) {
-      Fixture f =
-          new Fixture(
-              Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), seed);
-      f.on(new EndpointSnapshot(Fixture.workers(20)));
-      List<CheckHealth> probes = Fixture.of(CheckHealth.class, f.arrive("a", null, Fixture.READ));
+      DispatcherHarness f =
+          new DispatcherHarness(
+              DispatcherHarness.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false),
+              seed);
+      f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
+      List<CheckHealth> probes =
+          DispatcherHarness.of(CheckHealth.class, f.arrive("a", null, DispatcherHarness.READ));
       List<Action> last = List.of();
       for (int i = 0; i < probes.size(); i++) {
         int free = 1 + (i + seed) % probes.size();
@@ -98,7 +107,7 @@
                     probes.get(i).workerId(),
                     AttemptOutcome.OK,
                     1000,
-                    Fixture.report(0, 4 - free, free)));
+                    DispatcherHarness.report(0, 4 - free, free)));
       }
       int emptiest = (2 * probes.size() - 1 - seed % probes.size()) % probes.size();
       assertEquals(probes.get(emptiest).workerId(), sends(last).get(0).workerId(), "seed " + seed);
@@ -107,10 +116,10 @@
 
   @Test
   void aClassRunsOnlyOnItsKind() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
     for (int i = 0; i < 30; i++) {
-      String worker = target(f, "r" + i, i % 2 == 0 ? "key" + i : null, Fixture.BIG_ONLY);
+      String worker = target(f, "r" + i, i % 2 == 0 ? "key" + i : null, DispatcherHarness.BIG_ONLY);
       assertEquals(0, Integer.parseInt(worker.substring(1)) % 3);
       f.ended("r" + i, 0, worker, AttemptOutcome.OK);
     }
@@ -118,13 +127,13 @@
 
   @Test
   void oneWorkerTakesAllAndWithNoneTheJobIsHeldUntilOneCome() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(1)));
-    assertEquals("w00", target(f, "a", "key", Fixture.READ));
-    Fixture none = new Fixture();
-    List<Action> held = none.arrive("b", "key", Fixture.READ);
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(1)));
+    assertEquals("w00", target(f, "a", "key", DispatcherHarness.READ));
+    DispatcherHarness none = new DispatcherHarness();
+    List<Action> held = none.arrive("b", "key", DispatcherHarness.READ);
     assertTrue(sends(held).isEmpty());
-    none.on(new EndpointSnapshot(Fixture.workers(1)));
+    none.on(new EndpointSnapshot(DispatcherHarness.workers(1)));
     assertEquals("w00", sends(none.runTimers(held, none.now + SECOND)).get(0).workerId());
   }
 
@@ -133,10 +142,10 @@
     Map<String, String> before = new HashMap<>();
     int moved = 0;
     for (int workers = 20; workers <= 22; workers += 2) {
-      Fixture f = new Fixture();
-      f.on(new EndpointSnapshot(Fixture.workers(workers)));
+      DispatcherHarness f = new DispatcherHarness();
+      f.on(new EndpointSnapshot(DispatcherHarness.workers(workers)));
       for (int key = 0; key < 200; key++) {
-        String worker = target(f, "r" + key, "key" + key, Fixture.READ);
+        String worker = target(f, "r" + key, "key" + key, DispatcherHarness.READ);
         String was = before.putIfAbsent("key" + key, worker);
         moved += was == null || was.equals(worker) ? 0 : 1;
         f.ended("r" + key, 0, worker, AttemptOutcome.OK);
@@ -148,12 +157,13 @@
 
   @Test
   void aHotKeySpreadsOverManyWorkersThoughThisNodesOwnCountIsLow() {
-    Fixture f =
-        new Fixture(Fixture.settings(50, true, false, LoadReporting.WITH_ANSWERS, false), 3);
-    f.on(new EndpointSnapshot(Fixture.workers(40)));
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(50, true, false, LoadReporting.WITH_ANSWERS, false), 3);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(40)));
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      String worker = target(f, "r" + i, "hot", Fixture.READ);
+      String worker = target(f, "r" + i, "hot", DispatcherHarness.READ);
       used.add(worker);
       f.on(new AttemptProgressed("r" + i, 0));
       f.ended("r" + i, 0, worker, AttemptOutcome.OK);
@@ -164,21 +174,21 @@
 
   @Test
   void aSilentWorkerIsPassedOverAndComesBackWhenItIsHeard() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
     for (int i = 0; i < 40; i++) {
-      String worker = target(f, "warm" + i, "other" + i, Fixture.READ);
+      String worker = target(f, "warm" + i, "other" + i, DispatcherHarness.READ);
       f.now += 2000;
       f.on(new AttemptProgressed("warm" + i, 0));
       f.ended("warm" + i, 0, worker, AttemptOutcome.OK);
     }
     f.now += 5 * SECOND;
-    String silent = target(f, "a", "key", Fixture.ISSUE);
+    String silent = target(f, "a", "key", DispatcherHarness.ISSUE);
     f.now += SECOND / 2;
-    assertNotEquals(silent, target(f, "b", "key", Fixture.READ));
+    assertNotEquals(silent, target(f, "b", "key", DispatcherHarness.READ));
     f.on(new AttemptProgressed("a", 0));
     f.now += SECOND;
-    assertEquals(silent, target(f, "c", "key", Fixture.READ));
+    assertEquals(silent, target(f, "c", "key", DispatcherHarness.READ));
   }
 
   /**
@@ -187,18 +197,18 @@
    */
   @Test
   void aWorkerThatWasHeardIsNotLeftAloneForLong() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
-    String worker = target(f, "a", "key", Fixture.READ);
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
+    String worker = target(f, "a", "key", DispatcherHarness.READ);
     f.now += 1000;
     f.on(new RequestCancelled("a"));
     f.on(new AttemptEnded("a", 0, worker, AttemptOutcome.CANCELLED, true, 1000, null));
-    assertEquals(worker, target(f, "b", "key", Fixture.READ));
+    assertEquals(worker, target(f, "b", "key", DispatcherHarness.READ));
     f.on(new AttemptProgressed("b", 0));
     assertNotEquals(
         worker, sends(f.ended("b", 0, worker, AttemptOutcome.CONNECT_FAILED)).get(0).workerId());
     f.now += SECOND;
-    assertEquals(worker, target(f, "c", "key", Fixture.READ));
+    assertEquals(worker, target(f, "c", "key", DispatcherHarness.READ));
   }
 
   /**
@@ -207,8 +217,8 @@
    */
   @Test
   void aWorkerWhoseJobsTakeMuchLongerThanElsewhereIsPassedOverForAWhile() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
     String slow = serve(f, "a", "key", "none");
     for (int i = 0; i < 400; i++) {
       serve(f, "r" + i, "key" + i, slow);
@@ -221,15 +231,15 @@
   /** An answer may be lost: one job that does not end must not take its worker out of use. */
   @Test
   void aWorkerIsNotPassedOverForOneJobThatDoesNotEnd() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(1)));
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(1)));
     for (int i = 0; i < 200; i++) {
       serve(f, "r" + i, "key", "none");
     }
     f.now += 20 * SECOND;
     f.on(
         new RequestArrived(
-            "lost", "key", 1, Fixture.READ, -1, f.now + 10 * SECOND, false, SECOND / 10));
+            "lost", "key", 1, DispatcherHarness.READ, -1, f.now + 10 * SECOND, false, SECOND / 10));
     f.on(new AttemptProgressed("lost", 0));
     f.now += 3 * SECOND;
     assertEquals("w00", serve(f, "next", "key", "none"));
@@ -239,13 +249,20 @@
    * Has a job of 0.1 s of work run for that long, or for 5 s at the slow worker; the worker that
    * got it.
    */
-  private static String serve(Fixture f, String id, String key, String slow) {
+  private static String serve(DispatcherHarness f, String id, String key, String slow) {
     f.now += SECOND / 50;
     String worker =
         sends(
                 f.on(
                     new RequestArrived(
-                        id, key, 1, Fixture.READ, -1, f.now + 10 * SECOND, false, SECOND / 10)))
+                        id,
+                        key,
+                        1,
+                        DispatcherHarness.READ,
+                        -1,
+                        f.now + 10 * SECOND,
+                        false,
+                        SECOND / 10)))
             .get(0)
             .workerId();
     f.on(
@@ -262,10 +279,12 @@
 
   @Test
   void aResetProbeIsNoSilence() {
-    Fixture f =
-        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
-    List<CheckHealth> probes = Fixture.of(CheckHealth.class, f.arrive("a", "key", Fixture.READ));
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
+    List<CheckHealth> probes =
+        DispatcherHarness.of(CheckHealth.class, f.arrive("a", "key", DispatcherHarness.READ));
     List<Action> then = new ArrayList<>();
     for (CheckHealth probe : probes) {
       then.addAll(f.on(new HealthChecked(probe.workerId(), AttemptOutcome.RESET, 500, null)));
@@ -276,17 +295,19 @@
   /** lorient-repas: without reports, a long wait to start is the only word of other nodes' load. */
   @Test
   void withoutReportsALongWaitToStartReadsAsLoadForAWhile() {
-    Fixture f = new Fixture(Fixture.settings(3, true, false, LoadReporting.NONE, false), 3);
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
-    String busy = target(f, "a", "key", Fixture.READ);
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(3, true, false, LoadReporting.NONE, false), 3);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
+    String busy = target(f, "a", "key", DispatcherHarness.READ);
     f.now += SECOND / 5;
     f.on(new AttemptProgressed("a", 0));
     f.ended("a", 0, busy, AttemptOutcome.OK);
-    String other = target(f, "b", "key", Fixture.READ);
+    String other = target(f, "b", "key", DispatcherHarness.READ);
     assertNotEquals(busy, other);
     f.ended("b", 0, other, AttemptOutcome.OK);
     f.now += 5 * SECOND;
-    assertEquals(busy, target(f, "c", "key", Fixture.READ));
+    assertEquals(busy, target(f, "c", "key", DispatcherHarness.READ));
   }
 
   /**
@@ -295,13 +316,13 @@
    */
   @Test
   void aHeldJobLooksFurtherDownTheRanking() {
-    Fixture f = new Fixture();
+    DispatcherHarness f = new DispatcherHarness();
     f.now += 30 * SECOND;
-    f.on(new EndpointSnapshot(Fixture.workers(40)));
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(40)));
     Set<String> full = new HashSet<>();
     List<Action> held = null;
     for (int i = 0; held == null && i < 30; i++) {
-      List<Action> actions = f.arrive("r" + i, "key", Fixture.READ);
+      List<Action> actions = f.arrive("r" + i, "key", DispatcherHarness.READ);
       if (sends(actions).isEmpty()) {
         held = actions;
       } else {
@@ -314,7 +335,7 @@
                 AttemptOutcome.OK,
                 true,
                 1000,
-                Fixture.report(4, 8, 0)));
+                DispatcherHarness.report(4, 8, 0)));
       }
     }
     assertFalse(held == null, "the key's nearest workers were never all full");
@@ -325,12 +346,13 @@
 
   @Test
   void whereANodeMayProbeItAsksTheCandidatesFirst() {
-    Fixture f =
-        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
-    List<Action> asked = f.arrive("a", "key", Fixture.READ);
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
+    List<Action> asked = f.arrive("a", "key", DispatcherHarness.READ);
     assertTrue(sends(asked).isEmpty());
-    List<CheckHealth> probes = Fixture.of(CheckHealth.class, asked);
+    List<CheckHealth> probes = DispatcherHarness.of(CheckHealth.class, asked);
     List<Action> then = new ArrayList<>();
     for (CheckHealth probe : probes) {
       then.addAll(
@@ -347,22 +369,23 @@
 
   @Test
   void probesThatDoNotComeBackDoNotHoldTheJob() {
-    Fixture f =
-        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
-    List<Action> asked = f.arrive("a", "key", Fixture.READ);
-    assertFalse(Fixture.of(CheckHealth.class, asked).isEmpty());
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
+    List<Action> asked = f.arrive("a", "key", DispatcherHarness.READ);
+    assertFalse(DispatcherHarness.of(CheckHealth.class, asked).isEmpty());
     assertFalse(sends(f.runTimers(asked, f.now + SECOND)).isEmpty());
   }
 
   @Test
   void misuseIsToldPlainly() {
-    Fixture f = new Fixture();
-    assertThrows(NullPointerException.class, () -> f.brain.on(null, f.now, new ArrayList<>()));
-    assertThrows(NullPointerException.class, () -> f.brain.on(new WatchFailed(), f.now, null));
+    DispatcherHarness f = new DispatcherHarness();
+    assertThrows(NullPointerException.class, () -> f.policy.on(null, f.now, new ArrayList<>()));
+    assertThrows(NullPointerException.class, () -> f.policy.on(new WatchFailed(), f.now, null));
     assertThrows(
         IllegalArgumentException.class,
-        () -> f.brain.on(new WatchFailed(), f.now - 1, new ArrayList<>()));
+        () -> f.policy.on(new WatchFailed(), f.now - 1, new ArrayList<>()));
     assertThrows(IllegalStateException.class, () -> f.on(new Start(1, f.settings)));
     assertThrows(
         IllegalStateException.class,
@@ -370,7 +393,8 @@
     f.on(new Stop());
     f.on(new Start(2, f.settings));
     assertTrue(
-        sends(f.arrive("a", "key", Fixture.READ)).isEmpty(), "nothing is known after a stop");
+        sends(f.arrive("a", "key", DispatcherHarness.READ)).isEmpty(),
+        "nothing is known after a stop");
   }
 
   /**
@@ -379,20 +403,21 @@
    */
   @Test
   void aRushInTheFirstReportIsSoonForgotten() {
-    Fixture f =
-        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
-    f.on(new EndpointSnapshot(Fixture.workers(1)));
-    f.on(new HealthChecked("w00", AttemptOutcome.OK, 1000, Fixture.report(30, 34, 0)));
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(1)));
+    f.on(new HealthChecked("w00", AttemptOutcome.OK, 1000, DispatcherHarness.report(30, 34, 0)));
     for (int i = 0; i < 5; i++) {
       f.now += SECOND / 10;
-      f.on(new HealthChecked("w00", AttemptOutcome.OK, 1000, Fixture.report(0, 0, 4)));
+      f.on(new HealthChecked("w00", AttemptOutcome.OK, 1000, DispatcherHarness.report(0, 0, 4)));
     }
-    assertEquals(1, sends(f.arrive("a", "key", Fixture.READ)).size());
+    assertEquals(1, sends(f.arrive("a", "key", DispatcherHarness.READ)).size());
   }
 
   /** Answers every probe, also those that the answers bring; what the node did but for probes. */
   private static List<Action> answerProbes(
-      Fixture f, List<Action> actions, Set<String> asked, WorkerLoad report) {
+      DispatcherHarness f, List<Action> actions, Set<String> asked, WorkerLoad report) {
     List<Action> all = new ArrayList<>();
     List<Action> now = actions;
     while (!now.isEmpty()) {
@@ -417,23 +442,30 @@
   @Test
   void theFallbackIsAskedBeforeItIsUsed() {
     for (int i = 0; i < 30; i++) {
-      Fixture f =
-          new Fixture(Fixture.settings(60, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), i);
-      f.on(new EndpointSnapshot(Fixture.workers(20)));
+      DispatcherHarness f =
+          new DispatcherHarness(
+              DispatcherHarness.settings(60, true, true, LoadReporting.WITH_HEALTH_CHECKS, false),
+              i);
+      f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
       List<Action> next = new ArrayList<>();
       Set<String> pair = new HashSet<>();
       for (CheckHealth probe :
-          Fixture.of(CheckHealth.class, f.arrive("a", "key" + i, Fixture.READ))) {
+          DispatcherHarness.of(
+              CheckHealth.class, f.arrive("a", "key" + i, DispatcherHarness.READ))) {
         pair.add(probe.workerId());
         next.addAll(
             f.on(
                 new HealthChecked(
-                    probe.workerId(), AttemptOutcome.OK, 1000, Fixture.report(8, 12, 0))));
+                    probe.workerId(),
+                    AttemptOutcome.OK,
+                    1000,
+                    DispatcherHarness.report(8, 12, 0))));
       }
       assertTrue(
           sends(next).isEmpty(), "both candidates are full, and of no other anything is known");
       Set<String> fallback = new HashSet<>();
-      List<StartAttempt> sent = sends(answerProbes(f, next, fallback, Fixture.report(0, 0, 4)));
+      List<StartAttempt> sent =
+          sends(answerProbes(f, next, fallback, DispatcherHarness.report(0, 0, 4)));
       assertEquals(1, sent.size());
       assertTrue(
           fallback.contains(sent.get(0).workerId()), sent + " of " + fallback + " beside " + pair);
@@ -446,9 +478,10 @@
    */
   @Test
   void aHotKeysJobGoesWhereItAsked() {
-    Fixture f =
-        new Fixture(Fixture.settings(60, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(60, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 3);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 40; i++) {
       f.now += SECOND / 2;
@@ -456,7 +489,10 @@
       List<StartAttempt> sent =
           sends(
               answerProbes(
-                  f, f.arrive("r" + i, "hot", Fixture.READ), asked, Fixture.report(0, 0, 4)));
+                  f,
+                  f.arrive("r" + i, "hot", DispatcherHarness.READ),
+                  asked,
+                  DispatcherHarness.report(0, 0, 4)));
       assertEquals(1, sent.size());
       String worker = sent.get(0).workerId();
       assertTrue(asked.contains(worker), worker + " was not among " + asked);
--- a/src/test/java/loomreel/decision/PollBackoffTest.java
+++ b/src/test/java/loomreel/decision/PollBackoffTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class PollBackoffTest {
-  private static final Rules RULES = Fixture.RULES;
+  private static final Rules RULES = DispatcherHarness.RULES;
   private static final long MAX = RULES.maxPollBackoff();
 
   private final PollBackoff backoff = new PollBackoff(RULES);
--- a/src/test/java/loomreel/decision/LegalityTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -1,6 +1,6 @@
 package loomreel.decision;
 
-import static loomreel.decision.Fixture.SECOND;
+import static loomreel.decision.DispatcherHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -40,7 +40,7 @@
  * held against the four rules with books of the test's own. It checks what is allowed; it models no
  * servers.
  */
-class LegalityTest {
+class RandomEventsTest {
   private static final long TICK = 2000;
 
   private static final class Try {
@@ -74,7 +74,7 @@
   private final class Node {
     final int number;
     final Settings settings;
-    final DispatchPolicy brain = new DispatchPolicy();
+    final DispatchPolicy policy = new DispatchPolicy();
     final Map<String, Owed> owed = new HashMap<>();
     final Map<String, Endpoint> told = new HashMap<>();
     final PriorityQueue<Due> due =
@@ -115,7 +115,7 @@
                 e.load());
       }
       List<Action> actions = new ArrayList<>();
-      brain.on(event, now, actions);
+      policy.on(event, now, actions);
       for (Action action : actions) {
         check(action);
       }
@@ -294,8 +294,8 @@
     now = 50 * SECOND;
     List<Node> nodes = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      nodes.add(new Node(i, Fixture.settings(4, copies, probing, reporting, ask)));
-      nodes.get(i).tell(Fixture.workers(12));
+      nodes.add(new Node(i, DispatcherHarness.settings(4, copies, probing, reporting, ask)));
+      nodes.get(i).tell(DispatcherHarness.workers(12));
     }
     Map<String, Long> coldSince = new HashMap<>();
     long arrivals = 0;
@@ -314,7 +314,7 @@
                 ? List.of(State.READY, State.DRAINING, State.REMOVED).get(random.nextInt(3))
                 : State.READY;
         boolean restarts = state == State.READY;
-        Endpoint entry = Fixture.worker(worker, state, restarts ? now : 0);
+        Endpoint entry = DispatcherHarness.worker(worker, state, restarts ? now : 0);
         if (restarts) {
           coldSince.put(entry.id(), now);
           sentTo.put(entry.id(), new ArrayList<>());
@@ -339,13 +339,13 @@
    * included.
    */
   private void checkCold(Map<String, Long> coldSince) {
-    double even = (double) sends / 60 / 12 * Fixture.RULES.overloadWindow() / SECOND;
-    double most = Fixture.RULES.overloadMultiple() * even * 0.35 + 3;
+    double even = (double) sends / 60 / 12 * DispatcherHarness.RULES.overloadWindow() / SECOND;
+    double most = DispatcherHarness.RULES.overloadMultiple() * even * 0.35 + 3;
     coldSince.forEach(
         (worker, since) -> {
           long first =
               sentTo.get(worker).stream()
-                  .filter(t -> t < since + Fixture.RULES.overloadWindow())
+                  .filter(t -> t < since + DispatcherHarness.RULES.overloadWindow())
                   .count();
           assertTrue(
               first <= most, "rule 4: " + first + " sends to " + worker + ", at most " + most);
--- a/src/test/java/loomreel/decision/ExampleTest.java
+++ b/src/test/java/loomreel/decision/ReadmeExampleTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ExampleTest {
+class ReadmeExampleTest {
   @Test
   // The example has to stand in one piece, as in the README.
   @SuppressWarnings("checkstyle:MethodLength")
@@ -56,7 +56,8 @@
         actions);
     // end
     assertTrue(actions.contains(new Action.StartAttempt("r1", "w1", 0, Long.MAX_VALUE)));
-    String here = Files.readString(Path.of("src/test/java/loomreel/decision/ExampleTest.java"));
+    String here =
+        Files.readString(Path.of("src/test/java/loomreel/decision/ReadmeExampleTest.java"));
     String example = here.substring(here.indexOf("// example") + 11, here.indexOf("    // end"));
     String readme = Files.readString(Path.of("README.md"));
     assertEquals(
--- a/src/test/java/loomreel/decision/RulesTest.java
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -1,7 +1,7 @@
 package loomreel.decision;
 
-import static loomreel.decision.Fixture.SECOND;
-import static loomreel.decision.Fixture.sends;
+import static loomreel.decision.DispatcherHarness.SECOND;
+import static loomreel.decision.DispatcherHarness.sends;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -34,10 +34,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-class RulesTest {
-  private static Fixture fixture() {
-    Fixture f = new Fixture();
-    f.on(new EndpointSnapshot(Fixture.workers(20)));
+class RetryPolicyTest {
+  private static DispatcherHarness fixture() {
+    DispatcherHarness f = new DispatcherHarness();
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
     return f;
   }
 
@@ -47,20 +47,21 @@
       names = {"OK", "TIMEOUT"},
       mode = EnumSource.Mode.EXCLUDE)
   void aFurtherAttemptIsMadeAsTheClassAndTheOutcomeAllow(AttemptOutcome outcome) {
-    for (int type : new int[] {Fixture.READ, Fixture.PAY, Fixture.ISSUE}) {
-      Fixture f = fixture();
+    for (int type :
+        new int[] {DispatcherHarness.READ, DispatcherHarness.PAY, DispatcherHarness.ISSUE}) {
+      DispatcherHarness f = fixture();
       StartAttempt first = sends(f.arrive("a", "key", type)).get(0);
       f.now += SECOND / 10;
       f.on(new AttemptProgressed("a", 0));
       List<Action> then = f.ended("a", 0, first.workerId(), outcome);
-      if (type == Fixture.READ || outcome.neverRan()) {
+      if (type == DispatcherHarness.READ || outcome.neverRan()) {
         assertEquals(1, sends(then).size(), type + " after " + outcome);
-      } else if (type == Fixture.ISSUE) {
+      } else if (type == DispatcherHarness.ISSUE) {
         assertTrue(sends(then).isEmpty(), "what may have run is not sent again");
         assertEquals(
             List.of(new Fail("a", RejectionReason.RETRIES_EXHAUSTED)),
-            Fixture.of(Fail.class, then));
-        assertTrue(Fixture.of(Reject.class, then).isEmpty());
+            DispatcherHarness.of(Fail.class, then));
+        assertTrue(DispatcherHarness.of(Reject.class, then).isEmpty());
       } else {
         int cell = Integer.parseInt(first.workerId().substring(1)) / 2;
         then =
@@ -76,10 +77,13 @@
   void guardedRepeatsStayInTheGroupAndInTheWindow() {
     int repeats = 0;
     for (int i = 0; i < 60; i++) {
-      Fixture f = fixture();
-      StartAttempt first = sends(f.arrive("a", "key" + i, Fixture.PAY)).get(0);
+      DispatcherHarness f = fixture();
+      StartAttempt first = sends(f.arrive("a", "key" + i, DispatcherHarness.PAY)).get(0);
       long sent = f.now;
-      f.now += i % 2 == 0 ? SECOND / 100 : Fixture.CLASSES.get(Fixture.PAY).deduplicationWindow();
+      f.now +=
+          i % 2 == 0
+              ? SECOND / 100
+              : DispatcherHarness.CLASSES.get(DispatcherHarness.PAY).deduplicationWindow();
       List<Action> then = f.ended("a", 0, first.workerId(), AttemptOutcome.ERROR);
       List<StartAttempt> all = sends(f.runTimers(then, f.now + 6 * SECOND));
       int cell = Integer.parseInt(first.workerId().substring(1)) / 2;
@@ -97,7 +101,7 @@
   @Test
   void aGuardedRequestWithoutAKeyIsNotSentAgain() {
     for (int i = 0; i < 60; i++) {
-      Fixture f = fixture();
+      DispatcherHarness f = fixture();
       StartAttempt first =
           sends(
                   f.on(
@@ -105,7 +109,7 @@
                           "a",
                           "key" + i,
                           1,
-                          Fixture.PAY,
+                          DispatcherHarness.PAY,
                           -1,
                           f.now + 10 * SECOND,
                           false,
@@ -115,18 +119,18 @@
               .get(0);
       f.now += SECOND / 100;
       List<Action> then = f.ended("a", 0, first.workerId(), AttemptOutcome.ERROR);
-      assertEquals(1, Fixture.of(Fail.class, then).size());
+      assertEquals(1, DispatcherHarness.of(Fail.class, then).size());
       assertTrue(sends(f.runTimers(then, f.now + 6 * SECOND)).isEmpty());
     }
   }
 
   @Test
   void everyRequestIsAnsweredOnceByItsTime() {
-    Fixture f = fixture();
-    List<Action> actions = f.arrive("a", "key", Fixture.ISSUE);
+    DispatcherHarness f = fixture();
+    List<Action> actions = f.arrive("a", "key", DispatcherHarness.ISSUE);
     long due = f.now + 10 * SECOND;
     List<Action> later = f.runTimers(actions, due + SECOND);
-    assertEquals(1, Fixture.of(Fail.class, later).size());
+    assertEquals(1, DispatcherHarness.of(Fail.class, later).size());
     assertTrue(sends(later).isEmpty(), "a single-shot request in doubt is not sent again");
     assertTrue(
         f.ended("a", 0, sends(actions).get(0).workerId(), AttemptOutcome.CANCELLED).isEmpty());
@@ -138,42 +142,48 @@
    */
   @Test
   void aRequestGivenUpIsRefusedAtOnceWhereNothingCanHaveRun() {
-    Fixture f = new Fixture();
-    long late = f.now + Fixture.CLASSES.get(Fixture.READ).deadline() - 5 * SECOND;
+    DispatcherHarness f = new DispatcherHarness();
+    long late =
+        f.now + DispatcherHarness.CLASSES.get(DispatcherHarness.READ).deadline() - 5 * SECOND;
     List<Action> answer =
-        f.on(new RequestArrived("late", "key", 1, Fixture.READ, -1, late, true, SECOND));
+        f.on(new RequestArrived("late", "key", 1, DispatcherHarness.READ, -1, late, true, SECOND));
     assertEquals(
         List.of(new Reject("late", SECOND, RejectionReason.ARRIVED_TOO_LATE)),
         answer,
         "it came too late to be worth anything");
-    List<Action> held = f.arrive("a", "key", Fixture.READ);
+    List<Action> held = f.arrive("a", "key", DispatcherHarness.READ);
     assertEquals(
         List.of(new Reject("a", SECOND, RejectionReason.NO_ELIGIBLE_WORKER)),
-        Fixture.of(Reject.class, f.runTimers(held, f.now + 3 * SECOND)));
+        DispatcherHarness.of(Reject.class, f.runTimers(held, f.now + 3 * SECOND)));
     assertTrue(f.now < 105 * SECOND, "long before the client leaves");
   }
 
   /** A client that asks again too late must not use up what its tenant may still have in time. */
   @Test
   void aTryThatComesTooLateTakesNoTokenOfItsTenant() {
-    Settings s = Fixture.settings(1, true, false, LoadReporting.WITH_ANSWERS, false);
-    Fixture f = new Fixture(s.toBuilder().tenants(List.of(new Tenant("t", 1))).build(), 7);
+    Settings s = DispatcherHarness.settings(1, true, false, LoadReporting.WITH_ANSWERS, false);
+    DispatcherHarness f =
+        new DispatcherHarness(s.toBuilder().tenants(List.of(new Tenant("t", 1))).build(), 7);
     for (int i = 0; i < 50; i++) {
-      f.on(new RequestArrived("late" + i, "key", 1, Fixture.READ, 0, f.now + SECOND, true, SECOND));
+      f.on(
+          new RequestArrived(
+              "late" + i, "key", 1, DispatcherHarness.READ, 0, f.now + SECOND, true, SECOND));
     }
     List<Action> held =
         f.on(
-            new RequestArrived("a", "key", 1, Fixture.READ, 0, f.now + 10 * SECOND, false, SECOND));
+            new RequestArrived(
+                "a", "key", 1, DispatcherHarness.READ, 0, f.now + 10 * SECOND, false, SECOND));
     assertTrue(
-        Fixture.of(Reject.class, held).isEmpty(), "within its share it may wait for a copy worker");
+        DispatcherHarness.of(Reject.class, held).isEmpty(),
+        "within its share it may wait for a copy worker");
   }
 
   @Test
   void nothingIsSentAfterTheClientLeft() {
-    Fixture f = fixture();
-    List<Action> actions = f.arrive("a", "key", Fixture.READ);
+    DispatcherHarness f = fixture();
+    List<Action> actions = f.arrive("a", "key", DispatcherHarness.READ);
     List<Action> left = f.on(new RequestCancelled("a"));
-    assertEquals(1, Fixture.of(CancelAttempt.class, left).size());
+    assertEquals(1, DispatcherHarness.of(CancelAttempt.class, left).size());
     List<Action> then = f.ended("a", 0, sends(actions).get(0).workerId(), AttemptOutcome.REJECTED);
     assertTrue(then.isEmpty());
     assertTrue(f.runTimers(actions, f.now + 20 * SECOND).isEmpty());
@@ -182,13 +192,13 @@
   @Test
   void whatDrainsOrIsGoneGetsNothingFromTheNewsOn() {
     for (State state : new State[] {State.DRAINING, State.REMOVED}) {
-      Fixture f = fixture();
-      StartAttempt before = sends(f.arrive("a", "key", Fixture.READ)).get(0);
+      DispatcherHarness f = fixture();
+      StartAttempt before = sends(f.arrive("a", "key", DispatcherHarness.READ)).get(0);
       int number = Integer.parseInt(before.workerId().substring(1));
-      f.on(new EndpointUpdate(List.of(Fixture.worker(number, state, 0))));
+      f.on(new EndpointUpdate(List.of(DispatcherHarness.worker(number, state, 0))));
       for (int i = 0; i < 50; i++) {
         for (StartAttempt send :
-            sends(f.arrive("b" + i, i % 2 == 0 ? "key" : null, Fixture.READ))) {
+            sends(f.arrive("b" + i, i % 2 == 0 ? "key" : null, DispatcherHarness.READ))) {
           assertFalse(send.workerId().equals(before.workerId()));
         }
       }
@@ -197,11 +207,11 @@
 
   @Test
   void aWorkerMissingFromAWholeListIsGoneAndALostListChangesNothing() {
-    Fixture f = fixture();
+    DispatcherHarness f = fixture();
     f.on(new WatchFailed());
-    assertEquals(1, sends(f.arrive("a", "key", Fixture.READ)).size());
-    f.on(new EndpointSnapshot(List.of(Fixture.worker(5, State.READY, 0))));
-    assertEquals("w05", sends(f.arrive("b", "key", Fixture.READ)).get(0).workerId());
+    assertEquals(1, sends(f.arrive("a", "key", DispatcherHarness.READ)).size());
+    f.on(new EndpointSnapshot(List.of(DispatcherHarness.worker(5, State.READY, 0))));
+    assertEquals("w05", sends(f.arrive("b", "key", DispatcherHarness.READ)).get(0).workerId());
   }
 
   @Test
@@ -211,15 +221,16 @@
     int all = 0;
     long start = 100 * SECOND;
     for (int node = 0; node < nodes; node++) {
-      Fixture f =
-          new Fixture(
-              Fixture.settings(nodes, true, false, LoadReporting.WITH_ANSWERS, false), node);
-      f.on(new EndpointSnapshot(Fixture.workers(20)));
+      DispatcherHarness f =
+          new DispatcherHarness(
+              DispatcherHarness.settings(nodes, true, false, LoadReporting.WITH_ANSWERS, false),
+              node);
+      f.on(new EndpointSnapshot(DispatcherHarness.workers(20)));
       for (int i = 0; i < 400; i++) {
         if (i == 200) {
-          f.on(new EndpointUpdate(List.of(Fixture.worker(7, State.READY, f.now))));
+          f.on(new EndpointUpdate(List.of(DispatcherHarness.worker(7, State.READY, f.now))));
         }
-        for (StartAttempt send : sends(f.arrive("r" + i, "key" + i, Fixture.READ))) {
+        for (StartAttempt send : sends(f.arrive("r" + i, "key" + i, DispatcherHarness.READ))) {
           if (f.now < start + 22 * SECOND) {
             all++;
             cold += i >= 200 && send.workerId().equals("w07") ? 1 : 0;
@@ -239,28 +250,28 @@
   @Test
   void aNodeThatMustAskDoesSoInTimeAndAgainAfterALoss() {
     for (int seed = 0; seed < 50; seed++) {
-      Fixture f = new Fixture();
-      Settings ask = Fixture.settings(1, true, false, LoadReporting.NONE, true);
+      DispatcherHarness f = new DispatcherHarness();
+      Settings ask = DispatcherHarness.settings(1, true, false, LoadReporting.NONE, true);
       f.on(new Stop());
       List<Action> actions = f.on(new Start(seed, ask));
-      SetTimer timer = Fixture.of(SetTimer.class, actions).get(0);
+      SetTimer timer = DispatcherHarness.of(SetTimer.class, actions).get(0);
       assertTrue(timer.time() - f.now < 10 * SECOND);
       f.now = timer.time();
       assertEquals(List.of(new PollEndpoints()), f.on(new TimerFired(timer.token())));
-      SetTimer again = Fixture.of(SetTimer.class, f.on(new WatchFailed())).get(0);
+      SetTimer again = DispatcherHarness.of(SetTimer.class, f.on(new WatchFailed())).get(0);
       assertTrue(again.time() > f.now && again.time() - f.now < 10 * SECOND);
     }
   }
 
   @Test
   void strayEventsAreIgnored() {
-    Fixture f = fixture();
+    DispatcherHarness f = fixture();
     assertTrue(f.ended("never", 0, "w01", AttemptOutcome.OK).isEmpty());
     assertTrue(f.on(new AttemptProgressed("never", 3)).isEmpty());
     assertTrue(f.on(new RequestCancelled("never")).isEmpty());
     assertTrue(f.on(new TimerFired(12345)).isEmpty());
     assertTrue(f.on(new HealthChecked("w01", AttemptOutcome.OK, 10, null)).isEmpty());
-    StartAttempt send = sends(f.arrive("a", "key", Fixture.READ)).get(0);
+    StartAttempt send = sends(f.arrive("a", "key", DispatcherHarness.READ)).get(0);
     assertTrue(f.on(new AttemptProgressed("a", 7)).isEmpty());
     f.ended("a", 0, send.workerId(), AttemptOutcome.OK);
     assertTrue(f.ended("a", 0, send.workerId(), AttemptOutcome.ERROR).isEmpty());
@@ -272,17 +283,20 @@
    */
   @Test
   void aFleetThatIsAllColdGetsWhatItsSlotsAreGoodFor() {
-    Fixture f =
-        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
     f.on(
         new EndpointSnapshot(
-            List.of(Fixture.worker(0, State.READY, f.now), Fixture.worker(1, State.READY, f.now))));
+            List.of(
+                DispatcherHarness.worker(0, State.READY, f.now),
+                DispatcherHarness.worker(1, State.READY, f.now))));
     double work = 0;
     double capacity = 0;
     for (int i = 0; i < 200; i++) {
       f.now += SECOND / 100;
       for (String worker : List.of("w00", "w01")) {
-        f.on(new HealthChecked(worker, AttemptOutcome.OK, 1000, Fixture.report(0, 0, 4)));
+        f.on(new HealthChecked(worker, AttemptOutcome.OK, 1000, DispatcherHarness.report(0, 0, 4)));
       }
       // Slots do 0.45 of the work at the least; a cold worker is good for 0.2 of that, and more by
       // the second.
@@ -292,7 +306,14 @@
           sends(
               f.on(
                   new RequestArrived(
-                      id, null, 1, Fixture.READ, -1, f.now + 10 * SECOND, false, 20_000)));
+                      id,
+                      null,
+                      1,
+                      DispatcherHarness.READ,
+                      -1,
+                      f.now + 10 * SECOND,
+                      false,
+                      20_000)));
       work += sent.size() * 20_000;
       for (StartAttempt send : sent) {
         f.ended(id, 0, send.workerId(), AttemptOutcome.OK);
@@ -300,7 +321,8 @@
     }
     assertTrue(work > capacity, "sent " + work + " of " + capacity);
     assertTrue(
-        work < Fixture.RULES.overloadMultiple() * capacity, "sent " + work + " of " + capacity);
+        work < DispatcherHarness.RULES.overloadMultiple() * capacity,
+        "sent " + work + " of " + capacity);
   }
 
   /**
@@ -309,33 +331,35 @@
    */
   @Test
   void aWorkerThatIsDownGetsNothingUntilItIsUpAndThenIsCold() {
-    Fixture f =
-        new Fixture(Fixture.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
-    f.on(new EndpointSnapshot(Fixture.workers(2)));
+    DispatcherHarness f =
+        new DispatcherHarness(
+            DispatcherHarness.settings(1, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), 7);
+    f.on(new EndpointSnapshot(DispatcherHarness.workers(2)));
     f.on(new WorkerDisabled("w00"));
-    assertEquals(1, f.brain.ejectedWorkers(f.now));
+    assertEquals(1, f.policy.ejectedWorkers(f.now));
     int elsewhere = 0;
     for (int i = 0; i < 50; i++) {
       f.now += SECOND / 10;
-      f.on(new EndpointUpdate(List.of(Fixture.worker(0, State.READY, 0))));
-      f.on(new HealthChecked("w01", AttemptOutcome.OK, 1000, Fixture.report(0, 0, 4)));
-      List<Action> then = new ArrayList<>(f.arrive("r" + i, null, Fixture.READ));
+      f.on(new EndpointUpdate(List.of(DispatcherHarness.worker(0, State.READY, 0))));
+      f.on(new HealthChecked("w01", AttemptOutcome.OK, 1000, DispatcherHarness.report(0, 0, 4)));
+      List<Action> then = new ArrayList<>(f.arrive("r" + i, null, DispatcherHarness.READ));
       elsewhere += sends(then).size();
       then.addAll(f.ended("r" + i, 0, "w01", AttemptOutcome.REJECTED));
       assertTrue(sends(then).stream().noneMatch(s -> s.workerId().equals("w00")));
       assertTrue(
-          Fixture.of(CheckHealth.class, then).stream().noneMatch(p -> p.workerId().equals("w00")));
+          DispatcherHarness.of(CheckHealth.class, then).stream()
+              .noneMatch(p -> p.workerId().equals("w00")));
       f.now += SECOND;
       f.on(new RequestCancelled("r" + i));
     }
     assertTrue(elsewhere > 0, "the other one serves");
     f.on(new WorkerEnabled("w00"));
     f.on(new WorkerDisabled("w01"));
-    assertEquals(1, f.brain.ejectedWorkers(f.now));
+    assertEquals(1, f.policy.ejectedWorkers(f.now));
     int sent = 0;
     for (int i = 0; i < 20; i++) {
-      f.on(new HealthChecked("w00", AttemptOutcome.OK, 1000, Fixture.report(0, 0, 4)));
-      sent += sends(f.arrive("s" + i, null, Fixture.READ)).size();
+      f.on(new HealthChecked("w00", AttemptOutcome.OK, 1000, DispatcherHarness.report(0, 0, 4)));
+      sent += sends(f.arrive("s" + i, null, DispatcherHarness.READ)).size();
     }
     assertTrue(sent >= 1 && sent < 20, sent + " at once to a worker that may have restarted");
   }
