--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -1,6 +1,7 @@
 package loomreel.decision;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -22,245 +23,207 @@
 import loomreel.decision.Event.RequestArrived;
 import loomreel.decision.Event.Start;
 import loomreel.decision.Event.TimerFired;
-import loomreel.decision.Settings.Rules;
 
 /**
- * Many nodes over many copy workers on one virtual clock, so that what the nodes do together can be
- * counted. A copy worker runs as many jobs as it has slots, each at its speed and warmth; the
- * others wait. Seeds and steps are set, so every run is the same.
+ * Many dispatchers and workers on one virtual clock, for sums over all dispatchers. Seeds and ticks
+ * are fixed, so every run gives the same results. Times are microseconds.
  */
 final class FleetSimulation {
-  static final long SECOND = 1_000_000;
+  static final long SECOND = DispatcherHarness.SECOND;
   private static final long ROUND_TRIP = 20_000;
-  private static final long CONNECT_WITHIN = 250_000;
+  private static final long CONNECT_TIMEOUT = 250_000;
+  private static final long REJECTION_DELAY = 1000;
+  private static final long CLIENT_DEADLINE = 5 * SECOND;
 
-  /** A copy worker as it is, which no node sees. */
-  static final class Machine {
-    final Endpoint entry;
-    final long[] slotFreeAt;
-    final double speed;
-    boolean refuses;
+  /** Larger values draw the first keys more often. */
+  private static final double KEY_SKEW = 2;
 
-    /** Nothing comes up there any more. */
-    boolean dead;
+  private record ScheduledTask(long time, long order, Runnable task) {}
 
-    int held;
-
-    /** Work sent, by when. */
-    final TreeMap<Long, Double> work = new TreeMap<>();
-
-    final List<Long> probes = new ArrayList<>();
-
-    Machine(Endpoint entry, int slots, double speed) {
-      this.entry = entry;
-      this.speed = speed;
-      slotFreeAt = new long[slots];
-    }
-
-    double warmth(long now, Rules rules) {
-      double age = now - entry.startedAt();
-      return entry.startedAt() == 0 || age > rules.slowStartDuration()
-          ? 1
-          : rules.initialCapacityFraction()
-              + (1 - rules.initialCapacityFraction()) * age / rules.slowStartDuration();
-    }
-
-    double sent(long from, long to) {
-      return work.subMap(from, to).values().stream().mapToDouble(x -> x).sum();
-    }
-
-    /** The work that it could do between two times. */
-    double capacity(long from, long to, Rules rules) {
-      return slotFreeAt.length
-          * speed
-          * (to - from)
-          * (warmth(from, rules) + warmth(to, rules))
-          / 2;
-    }
-  }
+  final Settings settings;
+  final Map<String, SimulatedWorker> workers = new TreeMap<>();
 
-  private record Due(long at, long order, Runnable task) {}
+  /** When dispatchers polled the endpoint list. */
+  final List<Long> polls = new ArrayList<>();
 
-  final Settings settings;
-  final Map<String, Machine> machines = new TreeMap<>();
-  final List<Long> listCalls = new ArrayList<>();
   long now = 100 * SECOND;
   int served;
-  int refused;
+  int rejected;
   int failed;
-  private final List<DispatchPolicy> nodes = new ArrayList<>();
-  private final PriorityQueue<Due> due =
+  private final List<DispatchPolicy> dispatchers = new ArrayList<>();
+  private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          Comparator.comparingLong(ScheduledTask::time).thenComparingLong(ScheduledTask::order));
   private final SplittableRandom random;
-  private final Set<String> open = new HashSet<>();
+  private final Set<String> unanswered = new HashSet<>();
   private final Map<String, Integer> attempts = new HashMap<>();
-  private final Map<String, Double> sizes = new HashMap<>();
-  private long order;
+  private final Map<String, Double> workById = new HashMap<>();
+  private long taskCount;
 
   FleetSimulation(Settings settings, long seed) {
     this.settings = settings;
     random = new SplittableRandom(seed);
   }
 
-  /** So many nodes start now with a list. */
-  void start(int count, List<Endpoint> known) {
+  /** Starts dispatchers now, each with this endpoint list. */
+  void start(int count, List<Endpoint> endpoints) {
     for (int i = 0; i < count; i++) {
-      DispatchPolicy policy = new DispatchPolicy();
-      nodes.add(policy);
-      tell(policy, new Start(random.nextLong(), settings));
-      tell(policy, new EndpointSnapshot(known));
+      DispatchPolicy dispatcher = new DispatchPolicy();
+      dispatchers.add(dispatcher);
+      deliver(dispatcher, new Start(random.nextLong(), settings));
+      deliver(dispatcher, new EndpointSnapshot(endpoints));
     }
   }
 
-  void every(Consumer<DispatchPolicy> what) {
-    nodes.forEach(what);
+  void forEachDispatcher(Consumer<DispatchPolicy> action) {
+    dispatchers.forEach(action);
   }
 
-  void at(long time, Runnable task) {
-    due.add(new Due(time, order++, task));
+  private void schedule(long time, Runnable task) {
+    tasks.add(new ScheduledTask(time, taskCount++, task));
   }
 
-  /**
-   * Jobs come to every node from now on, until a time; keys are drawn unevenly from {@code keys}.
-   */
-  void load(double perNodeSecond, int keys, double meanWork, long until) {
-    for (int node = 0; node < nodes.size(); node++) {
-      load(node, perNodeSecond, keys, meanWork, until);
+  /** Has requests arrive at every dispatcher until a time; some keys are more frequent. */
+  void addLoad(double requestsPerSecond, int keys, double meanWork, long until) {
+    for (int number = 0; number < dispatchers.size(); number++) {
+      addLoad(number, requestsPerSecond, keys, meanWork, until);
     }
   }
 
-  /** The same at one node; jobs are of the first tenant where there is one. */
-  void load(int node, double perSecond, int keys, double meanWork, long until) {
-    arrivals(nodes.get(node), perSecond, keys, meanWork, until);
+  /** The same at one dispatcher; requests are of the first tenant if there is one. */
+  void addLoad(int number, double requestsPerSecond, int keys, double meanWork, long until) {
+    scheduleArrival(dispatchers.get(number), requestsPerSecond, keys, meanWork, until);
   }
 
-  private void arrivals(DispatchPolicy node, double rate, int keys, double meanWork, long until) {
-    long next = now + (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND);
+  private void scheduleArrival(
+      DispatchPolicy dispatcher, double rate, int keys, double meanWork, long until) {
+    long next = now + (long) (drawExponential() / rate * SECOND);
     if (next < until) {
-      at(
+      schedule(
           next,
           () -> {
-            String id = Long.toHexString(random.nextLong());
-            double size = -Math.log(1 - random.nextDouble()) * meanWork;
-            open.add(id);
-            sizes.put(id, size);
-            String key = "k" + (int) (keys * Math.pow(random.nextDouble(), 2));
-            tell(
-                node,
-                new RequestArrived(
-                    id,
-                    key,
-                    1,
-                    random.nextInt(2) * DispatcherHarness.ISSUE,
-                    settings.tenants().size() - 1,
-                    now + 5 * SECOND,
-                    false,
-                    size));
-            arrivals(node, rate, keys, meanWork, until);
+            arrive(dispatcher, keys, meanWork);
+            scheduleArrival(dispatcher, rate, keys, meanWork, until);
           });
     }
   }
 
-  /** Jobs that were taken and have no answer yet. */
-  int open() {
-    return open.size();
+  /** Draws from the exponential distribution with mean 1. */
+  private double drawExponential() {
+    return -Math.log(1 - random.nextDouble());
+  }
+
+  private void arrive(DispatchPolicy dispatcher, int keys, double meanWork) {
+    String id = Long.toHexString(random.nextLong());
+    double work = drawExponential() * meanWork;
+    unanswered.add(id);
+    workById.put(id, work);
+    String key = "k" + (int) (keys * Math.pow(random.nextDouble(), KEY_SKEW));
+    int requestClass = random.nextInt(2) * DispatcherHarness.ISSUE;
+    int tenant = settings.tenants().size() - 1;
+    deliver(
+        dispatcher,
+        new RequestArrived(id, key, 1, requestClass, tenant, now + CLIENT_DEADLINE, false, work));
   }
 
-  /** Lets time pass. */
+  /** How many requests have arrived and have no answer yet. */
+  int unansweredCount() {
+    return unanswered.size();
+  }
+
+  /** Advances the clock. */
   void run(long until) {
-    while (!due.isEmpty() && due.peek().at <= until) {
-      Due next = due.poll();
-      now = Math.max(now, next.at);
-      next.task.run();
+    while (!tasks.isEmpty() && tasks.peek().time() <= until) {
+      ScheduledTask next = tasks.poll();
+      now = Math.max(now, next.time());
+      next.task().run();
     }
     now = until;
   }
 
-  void tell(DispatchPolicy node, Event event) {
+  void deliver(DispatchPolicy dispatcher, Event event) {
     List<Action> actions = new ArrayList<>();
-    node.on(event, now, actions);
-    actions.forEach(a -> perform(node, a));
+    dispatcher.on(event, now, actions);
+    actions.forEach(action -> execute(dispatcher, action));
   }
 
-  private void perform(DispatchPolicy node, Action action) {
+  private void execute(DispatchPolicy dispatcher, Action action) {
     if (action instanceof SetTimer timer) {
-      at(
+      schedule(
           Math.max(timer.time(), now + settings.tick()),
-          () -> tell(node, new TimerFired(timer.token())));
-    } else if (action instanceof StartAttempt send) {
-      send(node, send);
-    } else if (action instanceof CheckHealth probe) {
-      Machine m = machines.get(probe.workerId());
-      m.probes.add(now);
-      at(
-          now + (m.dead ? CONNECT_WITHIN : ROUND_TRIP),
-          () ->
-              tell(
-                  node,
-                  new HealthChecked(
-                      probe.workerId(),
-                      m.dead
-                          ? AttemptOutcome.CONNECT_FAILED
-                          : m.refuses ? AttemptOutcome.ERROR : AttemptOutcome.OK,
-                      ROUND_TRIP,
-                      m.dead || m.refuses ? null : report(m))));
+          () -> deliver(dispatcher, new TimerFired(timer.token())));
+    } else if (action instanceof StartAttempt start) {
+      startAttempt(dispatcher, start);
+    } else if (action instanceof CheckHealth check) {
+      checkHealth(dispatcher, check.workerId());
     } else if (action instanceof PollEndpoints) {
-      listCalls.add(now);
-    } else if (action instanceof Reject refuse) {
-      refused += open.remove(refuse.requestId()) ? 1 : 0;
+      polls.add(now);
+    } else if (action instanceof Reject reject) {
+      rejected += unanswered.remove(reject.requestId()) ? 1 : 0;
     } else if (action instanceof Fail fail) {
-      failed += open.remove(fail.requestId()) ? 1 : 0;
+      failed += unanswered.remove(fail.requestId()) ? 1 : 0;
     }
   }
 
-  private static WorkerLoad report(Machine m) {
-    int slots = m.slotFreeAt.length;
-    return DispatcherHarness.report(
-        Math.max(0, m.held - slots), m.held, Math.max(0, slots - m.held));
+  private void checkHealth(DispatchPolicy dispatcher, String workerId) {
+    SimulatedWorker worker = workers.get(workerId);
+    worker.healthChecks.add(now);
+    boolean isUnreachable = worker.mode == SimulatedWorker.Mode.UNREACHABLE;
+    schedule(
+        now + (isUnreachable ? CONNECT_TIMEOUT : ROUND_TRIP),
+        () -> deliver(dispatcher, healthCheckResult(worker)));
   }
 
-  private void send(DispatchPolicy node, StartAttempt send) {
-    Machine m = machines.get(send.workerId());
-    int number = attempts.merge(send.requestId(), 1, Integer::sum) - 1;
-    double size = sizes.get(send.requestId());
-    m.work.merge(now, size, Double::sum);
-    if (m.refuses || m.dead) {
-      ended(
-          node,
-          send,
-          number,
-          m.dead ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.REJECTED,
-          now + (m.dead ? CONNECT_WITHIN : 1000));
-      return;
-    }
-    int slot = 0;
-    for (int i = 1; i < m.slotFreeAt.length; i++) {
-      slot = m.slotFreeAt[i] < m.slotFreeAt[slot] ? i : slot;
+  private static HealthChecked healthCheckResult(SimulatedWorker worker) {
+    String id = worker.endpoint.id();
+    return switch (worker.mode) {
+      case SERVING -> new HealthChecked(id, AttemptOutcome.OK, ROUND_TRIP, worker.loadReport());
+      case REJECTING -> new HealthChecked(id, AttemptOutcome.ERROR, ROUND_TRIP, null);
+      case UNREACHABLE -> new HealthChecked(id, AttemptOutcome.CONNECT_FAILED, ROUND_TRIP, null);
+    };
+  }
+
+  private void startAttempt(DispatchPolicy dispatcher, StartAttempt start) {
+    SimulatedWorker worker = workers.get(start.workerId());
+    int number = attempts.merge(start.requestId(), 1, Integer::sum) - 1;
+    double work = workById.get(start.requestId());
+    worker.recordAttempt(work, now);
+    switch (worker.mode) {
+      case SERVING -> {
+        long endsAt = worker.startJob(work, now, settings.rules());
+        schedule(endsAt, worker::endJob);
+        scheduleEnd(dispatcher, start, number, AttemptOutcome.OK, endsAt);
+      }
+      case REJECTING ->
+          scheduleEnd(dispatcher, start, number, AttemptOutcome.REJECTED, now + REJECTION_DELAY);
+      case UNREACHABLE ->
+          scheduleEnd(
+              dispatcher, start, number, AttemptOutcome.CONNECT_FAILED, now + CONNECT_TIMEOUT);
+      default -> throw new AssertionError(worker.mode);
     }
-    long from = Math.max(now, m.slotFreeAt[slot]);
-    m.slotFreeAt[slot] = from + (long) (size / m.speed / m.warmth(from, settings.rules()));
-    m.held++;
-    at(m.slotFreeAt[slot], () -> m.held--);
-    ended(node, send, number, AttemptOutcome.OK, m.slotFreeAt[slot]);
   }
 
-  private void ended(
-      DispatchPolicy node, StartAttempt send, int number, AttemptOutcome outcome, long when) {
+  private void scheduleEnd(
+      DispatchPolicy dispatcher,
+      StartAttempt start,
+      int number,
+      AttemptOutcome outcome,
+      long endsAt) {
     long sentAt = now;
-    at(
-        when,
+    schedule(
+        endsAt,
         () -> {
-          boolean first = outcome == AttemptOutcome.OK && open.remove(send.requestId());
-          served += first ? 1 : 0;
-          tell(
-              node,
+          boolean isFirst = outcome == AttemptOutcome.OK && unanswered.remove(start.requestId());
+          served += isFirst ? 1 : 0;
+          boolean isAnswered = !unanswered.contains(start.requestId());
+          deliver(
+              dispatcher,
               new AttemptEnded(
-                  send.requestId(),
+                  start.requestId(),
                   number,
-                  send.workerId(),
+                  start.workerId(),
                   outcome,
-                  !open.contains(send.requestId()),
+                  isAnswered,
                   now - sentAt,
                   null));
         });
--- a/src/test/java/loomreel/decision/FleetSimulationTest.java
+++ b/src/test/java/loomreel/decision/FleetSimulationTest.java
@@ -9,7 +9,6 @@
 import java.util.stream.Stream;
 import loomreel.decision.Endpoint.State;
 import loomreel.decision.Event.EndpointUpdate;
-import loomreel.decision.FleetSimulation.Machine;
 import loomreel.decision.Settings.Limits;
 import loomreel.decision.Settings.LoadReporting;
 import loomreel.decision.Settings.RequestClass;
@@ -17,32 +16,21 @@
 import loomreel.decision.Settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** What is fine at one node and does harm when 14 do it: sums over the nodes on one clock. */
+/** What 14 dispatchers do together: sums over all of them on one clock. */
 class FleetSimulationTest {
   private static final long SECOND = FleetSimulation.SECOND;
-  private static final int NODES = 14;
+  private static final int DISPATCHERS = 14;
+  private static final int SLOTS = 4;
+  private static final int KEYS = 150;
+  private static final double MEAN_WORK = SECOND / 4.0;
+  private static final double JOBS_PER_SLOT_SECOND = 1 / 0.25;
   private static final List<RequestClass> CLASSES =
-      DispatcherHarness.CLASSES.stream()
-          .map(
-              c ->
-                  new RequestClass(
-                      c.name(),
-                      c.workerKind(),
-                      0,
-                      2.5,
-                      SECOND / 5,
-                      5 * SECOND,
-                      c.priorityWeight(),
-                      0,
-                      c.idempotency(),
-                      c.deduplicationScope(),
-                      c.deduplicationWindow()))
-          .toList();
+      DispatcherHarness.CLASSES.stream().map(FleetSimulationTest::withShortObjective).toList();
   private static final Settings SETTINGS =
       Settings.builder()
           .rules(new Rules(3 * SECOND, 10 * SECOND, 0.2, 20 * SECOND, 2.5, 3 * SECOND))
           .limits(new Limits(4, true, true, true, true, SECOND))
-          .dispatchers(NODES)
+          .dispatchers(DISPATCHERS)
           .zone("north")
           .classes(CLASSES)
           .pollsEndpoints(true)
@@ -50,184 +38,199 @@
           .tick(4000)
           .build();
 
-  private static Machine machine(FleetSimulation fleet, int number, long startedAt) {
-    Machine m = new Machine(DispatcherHarness.worker(number, State.READY, startedAt), 4, 1);
-    fleet.machines.put(m.entry.id(), m);
-    return m;
+  private static RequestClass withShortObjective(RequestClass original) {
+    return new RequestClass(
+        original.name(),
+        original.workerKind(),
+        0,
+        2.5,
+        SECOND / 5,
+        5 * SECOND,
+        original.priorityWeight(),
+        0,
+        original.idempotency(),
+        original.deduplicationScope(),
+        original.deduplicationWindow());
   }
 
-  /** So many machines from a number on, all started at one time. */
-  private static List<Machine> machines(
+  /** Adds workers with numbers from the first on, all started at one time. */
+  private static List<SimulatedWorker> addWorkers(
       FleetSimulation fleet, int first, int count, long startedAt) {
     return IntStream.range(first, first + count)
-        .mapToObj(i -> machine(fleet, i, startedAt))
+        .mapToObj(number -> addWorker(fleet, number, startedAt))
         .toList();
   }
 
-  private static List<Endpoint> entries(List<Machine> machines) {
-    return machines.stream().map(m -> m.entry).toList();
+  private static SimulatedWorker addWorker(FleetSimulation fleet, int number, long startedAt) {
+    Endpoint endpoint = DispatcherHarness.endpoint(number, State.READY, startedAt);
+    SimulatedWorker worker = new SimulatedWorker(endpoint, SLOTS, 1);
+    fleet.workers.put(endpoint.id(), worker);
+    return worker;
   }
 
-  /**
-   * Nodes that were killed at once come back with an old list: each asks soon, and they do not ask
-   * together.
-   */
+  private static List<Endpoint> endpoints(List<SimulatedWorker> workers) {
+    return workers.stream().map(worker -> worker.endpoint).toList();
+  }
+
+  /** The requests per second and dispatcher that use this fraction of the workers' slots. */
+  private static double rate(double fraction, int workers) {
+    return fraction * workers * SLOTS * JOBS_PER_SLOT_SECOND / DISPATCHERS;
+  }
+
+  private static void update(FleetSimulation fleet, List<Endpoint> endpoints) {
+    fleet.forEachDispatcher(dispatcher -> fleet.deliver(dispatcher, new EndpointUpdate(endpoints)));
+  }
+
+  /** In the ten seconds from a time on, all that was sent in any three stays below the overload. */
+  private static void assertNotOverloaded(List<SimulatedWorker> workers, long from, long seed) {
+    for (SimulatedWorker worker : workers) {
+      for (long at = from; at < from + 7 * SECOND; at += SECOND / 2) {
+        double sent = worker.workSent(at, at + 3 * SECOND);
+        double capacity = worker.capacity(at, at + 3 * SECOND, SETTINGS.rules());
+        double overload = SETTINGS.rules().overloadMultiple() * capacity;
+        assertTrue(
+            sent < overload,
+            "seed " + seed + ": " + worker.endpoint.id() + " got " + sent + " of " + overload);
+      }
+    }
+  }
+
+  /** Restarted dispatchers have old lists. */
   @Test
-  void nodesThatStartTogetherAskForTheListSoonAndOneAfterTheOther() {
+  void dispatchersThatStartTogetherPollSoonButNotTogether() {
     FleetSimulation fleet = new FleetSimulation(SETTINGS, 3);
-    fleet.start(NODES, List.of());
-    long start = fleet.now;
-    fleet.run(start + 2 * SECOND);
-    List<Long> calls = fleet.listCalls;
-    assertEquals(NODES, calls.size(), "each node has asked once");
-    for (long call : calls) {
-      long together = calls.stream().filter(c -> c >= call && c < call + SECOND / 5).count();
-      assertTrue(together <= NODES / 2, together + " calls within 0.2 s");
+
+    fleet.start(DISPATCHERS, List.of());
+    fleet.run(fleet.now + 2 * SECOND);
+
+    assertEquals(DISPATCHERS, fleet.polls.size(), "each dispatcher has polled once");
+    for (long poll : fleet.polls) {
+      long together =
+          fleet.polls.stream().filter(other -> other >= poll && other < poll + SECOND / 5).count();
+      assertTrue(together <= DISPATCHERS / 2, together + " polls within 0.2 s");
     }
   }
 
-  /**
-   * Six in ten copy workers are replaced: what the nodes send to the cold ones, which have told
-   * nothing yet.
-   */
+  /** Six in ten workers are replaced by cold ones, which have reported no load yet. */
   @Test
-  void coldWorkersOfAReplacedFleetAreUsedFromTheFirstSecondAndNotPushedOver() {
+  void coldWorkersOfAReplacedFleetAreUsedAtOnceAndNotOverloaded() {
     for (long seed = 1; seed <= 4; seed++) {
       FleetSimulation fleet = new FleetSimulation(SETTINGS, seed);
-      List<Machine> old = machines(fleet, 0, 20, 0);
-      fleet.start(NODES, entries(old));
-      // Six tenths of what the slots are good for.
-      fleet.load(0.6 * 20 * 4 / 0.25 / NODES, 150, SECOND / 4.0, fleet.now + 18 * SECOND);
+      List<SimulatedWorker> old = addWorkers(fleet, 0, 20, 0);
+      fleet.start(DISPATCHERS, endpoints(old));
+      fleet.addLoad(rate(0.6, 20), KEYS, MEAN_WORK, fleet.now + 18 * SECOND);
       fleet.run(fleet.now + 8 * SECOND);
-      List<Machine> cold = machines(fleet, 20, 12, fleet.now);
-      List<Endpoint> changes = new ArrayList<>();
-      for (int i = 0; i < 12; i++) {
-        old.get(i).refuses = true;
-        changes.add(DispatcherHarness.worker(i, State.DRAINING, 0));
-      }
-      changes.addAll(entries(cold));
-      fleet.every(node -> fleet.tell(node, new EndpointUpdate(changes)));
-      long from = fleet.now;
-      fleet.run(from + 3 * SECOND);
+
+      long replacedAt = fleet.now;
+      List<SimulatedWorker> cold = replace(fleet, old.subList(0, 12));
+      fleet.run(replacedAt + 3 * SECOND);
       double used =
           cold.stream()
-              .mapToDouble(
-                  m ->
-                      m.sent(from, from + 3 * SECOND)
-                          / m.capacity(from, from + 3 * SECOND, SETTINGS.rules()))
+              .mapToDouble(worker -> utilization(worker, replacedAt, replacedAt + 3 * SECOND))
               .average()
               .orElse(0);
-      assertTrue(
-          used > 0.7, "seed " + seed + ": the cold ones got " + used + " of what they can do");
-      fleet.run(from + 10 * SECOND);
-      assertNotTipped(cold, from, seed);
+      fleet.run(replacedAt + 10 * SECOND);
+
+      assertTrue(used > 0.7, "seed " + seed + ": cold workers got " + used + " of their capacity");
+      assertNotOverloaded(cold, replacedAt, seed);
     }
   }
 
-  /**
-   * What all nodes sent to each in any 3 s of the 10 s from then on is less than what pushes it
-   * over.
-   */
-  private static void assertNotTipped(List<Machine> cold, long from, long seed) {
-    for (Machine m : cold) {
-      for (long at = from; at < from + 7 * SECOND; at += SECOND / 2) {
-        double sent = m.sent(at, at + 3 * SECOND);
-        double tips =
-            SETTINGS.rules().overloadMultiple() * m.capacity(at, at + 3 * SECOND, SETTINGS.rules());
-        assertTrue(
-            sent < tips, "seed " + seed + ": " + m.entry.id() + " got " + sent + " of " + tips);
-      }
+  /** Drains workers, which reject jobs from now on, and lists as many cold ones from w20 on. */
+  private static List<SimulatedWorker> replace(FleetSimulation fleet, List<SimulatedWorker> old) {
+    List<SimulatedWorker> cold = addWorkers(fleet, 20, old.size(), fleet.now);
+    List<Endpoint> changes = new ArrayList<>();
+    for (SimulatedWorker worker : old) {
+      worker.mode = SimulatedWorker.Mode.REJECTING;
+      changes.add(worker.endpoint.withState(State.DRAINING));
     }
+    changes.addAll(endpoints(cold));
+    update(fleet, changes);
+    return cold;
+  }
+
+  private static double utilization(SimulatedWorker worker, long from, long to) {
+    return worker.workSent(from, to) / worker.capacity(from, to, SETTINGS.rules());
   }
 
   /**
-   * A third of the copy workers falls silent, the list tells 1.5 s later, and 4 s after that they
-   * are back, cold.
+   * A third of the workers becomes unreachable, the list removes them 1.5 s later, and 4 s after
+   * that they are listed again, cold.
    */
   @Test
-  void aZoneThatFallsSilentAndComesBackColdCostsNoRequestAndIsNotPushedOver() {
+  void aZoneThatFailsAndRestartsCostsNoRequestAndIsNotOverloaded() {
     for (long seed = 1; seed <= 3; seed++) {
       FleetSimulation fleet = new FleetSimulation(SETTINGS, seed);
-      List<Machine> all = machines(fleet, 0, 21, 0);
-      List<Machine> zone = all.subList(0, 7);
-      fleet.start(NODES, entries(all));
+      List<SimulatedWorker> all = addWorkers(fleet, 0, 21, 0);
+      List<SimulatedWorker> zone = all.subList(0, 7);
+      fleet.start(DISPATCHERS, endpoints(all));
       long end = fleet.now + 21 * SECOND;
-      fleet.load(0.5 * 21 * 4 / 0.25 / NODES, 150, SECOND / 4.0, end);
+      fleet.addLoad(rate(0.5, 21), KEYS, MEAN_WORK, end);
       fleet.run(fleet.now + 5 * SECOND);
-      zone.forEach(m -> m.dead = true);
+
+      zone.forEach(worker -> worker.mode = SimulatedWorker.Mode.UNREACHABLE);
       fleet.run(fleet.now + 3 * SECOND / 2);
-      List<Endpoint> gone = zone.stream().map(m -> m.entry.withState(State.REMOVED)).toList();
-      fleet.every(node -> fleet.tell(node, new EndpointUpdate(gone)));
+      update(fleet, zone.stream().map(worker -> worker.endpoint.withState(State.REMOVED)).toList());
       fleet.run(fleet.now + 4 * SECOND);
-      long back = fleet.now;
-      List<Machine> cold = machines(fleet, 0, zone.size(), back);
-      fleet.every(node -> fleet.tell(node, new EndpointUpdate(entries(cold))));
+      long restartedAt = fleet.now;
+      List<SimulatedWorker> cold = addWorkers(fleet, 0, zone.size(), restartedAt);
+      update(fleet, endpoints(cold));
       fleet.run(end + 6 * SECOND);
-      assertEquals(0, fleet.open(), "every request has its answer");
+
+      assertEquals(0, fleet.unansweredCount(), "every request has its answer");
       assertTrue(
-          fleet.served > 4 * (fleet.refused + fleet.failed),
-          "seed "
-              + seed
-              + ": "
-              + fleet.served
-              + " served, "
-              + fleet.refused
-              + " refused, "
-              + fleet.failed
-              + " failed");
-      assertTrue(cold.stream().allMatch(m -> m.sent(back, end) > 0), "all that came back are used");
-      assertNotTipped(cold, back, seed);
+          fleet.served > 4 * (fleet.rejected + fleet.failed),
+          "seed " + seed + ": " + answers(fleet));
+      assertTrue(
+          cold.stream().allMatch(worker -> worker.workSent(restartedAt, end) > 0),
+          "all restarted workers are used");
+      assertNotOverloaded(cold, restartedAt, seed);
     }
   }
 
-  /**
-   * Two nodes see four times the traffic of the others; the tenant is within its share, and the
-   * fleet has room.
-   */
+  private static String answers(FleetSimulation fleet) {
+    return fleet.served + " served, " + fleet.rejected + " rejected, " + fleet.failed + " failed";
+  }
+
+  /** Two dispatchers get four times the traffic of the others; there is enough capacity. */
   @Test
-  void aTenantWithinItsShareIsServedWhereItsTrafficIsUneven() {
+  void aTenantWithinItsQuotaIsServedWhereItsTrafficIsUneven() {
+    Settings settings = SETTINGS.toBuilder().tenants(List.of(new Tenant("t", 300))).build();
     for (long seed = 1; seed <= 3; seed++) {
-      Settings settings = SETTINGS.toBuilder().tenants(List.of(new Tenant("t", 300))).build();
       FleetSimulation fleet = new FleetSimulation(settings, seed);
-      List<Machine> all = machines(fleet, 0, 20, 0);
-      fleet.start(NODES, entries(all));
-      double part = 240.0 / (NODES - 2 + 2 * 4);
+      List<SimulatedWorker> all = addWorkers(fleet, 0, 20, 0);
+      fleet.start(DISPATCHERS, endpoints(all));
+      double rate = 240.0 / (DISPATCHERS - 2 + 2 * 4);
       long end = fleet.now + 15 * SECOND;
-      for (int node = 0; node < NODES; node++) {
-        fleet.load(node, node < 2 ? 4 * part : part, 150, SECOND / 4.0, end);
+      for (int dispatcher = 0; dispatcher < DISPATCHERS; dispatcher++) {
+        fleet.addLoad(dispatcher, dispatcher < 2 ? 4 * rate : rate, KEYS, MEAN_WORK, end);
       }
+
       fleet.run(end + 6 * SECOND);
-      assertTrue(
-          fleet.refused < 0.03 * fleet.served,
-          "seed "
-              + seed
-              + ": "
-              + fleet.refused
-              + " of "
-              + (fleet.refused + fleet.served)
-              + " refused");
+
+      assertTrue(fleet.rejected < 0.03 * fleet.served, "seed " + seed + ": " + answers(fleet));
       assertEquals(0, fleet.failed);
     }
   }
 
-  /**
-   * A cold copy worker whose share is spent would not be sent to: asking it for its load is work
-   * for nothing.
-   */
+  /** A cold worker whose allowance is used up gets no request, whatever its load. */
   @Test
-  void noNodeAsksAWorkerThatItWouldNotSendTo() {
+  void noDispatcherChecksAWorkerThatItWouldNotSendTo() {
     FleetSimulation fleet = new FleetSimulation(SETTINGS, 5);
-    List<Machine> warmOnes = machines(fleet, 0, 5, 0);
-    List<Machine> coldOnes = machines(fleet, 5, 5, fleet.now);
-    fleet.start(NODES, Stream.of(warmOnes, coldOnes).flatMap(m -> entries(m).stream()).toList());
-    fleet.load(5, 50, SECOND / 4.0, fleet.now + 10 * SECOND);
+    List<SimulatedWorker> warm = addWorkers(fleet, 0, 5, 0);
+    List<SimulatedWorker> cold = addWorkers(fleet, 5, 5, fleet.now);
+    fleet.start(
+        DISPATCHERS, Stream.of(warm, cold).flatMap(list -> endpoints(list).stream()).toList());
+    fleet.addLoad(5, 50, MEAN_WORK, fleet.now + 10 * SECOND);
+
     fleet.run(fleet.now + 10 * SECOND);
-    long warm = warmOnes.stream().mapToLong(m -> m.probes.size()).sum();
-    long cold = coldOnes.stream().mapToLong(m -> m.probes.size()).sum();
-    long sent = coldOnes.stream().mapToLong(m -> m.work.size()).sum();
+
+    long warmChecks = warm.stream().mapToLong(worker -> worker.healthChecks.size()).sum();
+    long coldChecks = cold.stream().mapToLong(worker -> worker.healthChecks.size()).sum();
+    long coldSends = cold.stream().mapToLong(SimulatedWorker::sendTimes).sum();
     assertTrue(
-        cold * 10 < sent * 11, cold + " probes of cold ones, " + sent + " jobs sent to them");
-    assertTrue(cold < warm, cold + " probes of cold ones, " + warm + " of warm ones");
-    assertTrue(cold > 0, "the cold ones are used");
+        coldChecks * 10 < coldSends * 11, coldChecks + " checks, " + coldSends + " jobs sent");
+    assertTrue(coldChecks < warmChecks, coldChecks + " cold, " + warmChecks + " warm");
+    assertTrue(coldChecks > 0, "the cold workers are used");
   }
 }
--- a/src/test/java/loomreel/decision/ReadmeExampleTest.java
+++ b/src/test/java/loomreel/decision/ReadmeExampleTest.java
@@ -10,11 +10,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The code example of README.md. */
 class ReadmeExampleTest {
+  private static final Path SOURCE =
+      Path.of("src/test/java/loomreel/decision/ReadmeExampleTest.java");
+  private static final Path README = Path.of("README.md");
+
   @Test
-  // The example has to stand in one piece, as in the README.
-  @SuppressWarnings("checkstyle:MethodLength")
-  void theExampleOfTheReadmeRuns() throws IOException {
+  void theExampleSendsTheRequestToTheOnlyWorker() {
     // example
     Settings.RequestClass debit =
         new Settings.RequestClass(
@@ -56,15 +59,18 @@
         actions);
     // end
     assertTrue(actions.contains(new Action.StartAttempt("r1", "w1", 0, Long.MAX_VALUE)));
-    String here =
-        Files.readString(Path.of("src/test/java/loomreel/decision/ReadmeExampleTest.java"));
-    String example = here.substring(here.indexOf("// example") + 11, here.indexOf("    // end"));
-    String readme = Files.readString(Path.of("README.md"));
-    assertEquals(
-        example.stripTrailing().stripIndent().strip(),
-        readme
-            .substring(
-                readme.indexOf("```java") + 7, readme.indexOf("```", readme.indexOf("```java") + 7))
-            .strip());
+  }
+
+  @Test
+  void theReadmeShowsTheExample() throws IOException {
+    String example = between(Files.readString(SOURCE), "// example", "    // end");
+    String readmeBlock = between(Files.readString(README), "```java", "```");
+
+    assertEquals(example.stripTrailing().stripIndent().strip(), readmeBlock.strip());
+  }
+
+  private static String between(String text, String start, String end) {
+    int from = text.indexOf(start) + start.length();
+    return text.substring(from, text.indexOf(end, from));
   }
 }
--- /dev/null
+++ b/src/test/java/loomreel/decision/RequestAnswerTest.java
@@ -0,0 +1,116 @@
+package loomreel.decision;
+
+import static loomreel.decision.DispatcherHarness.SECOND;
+import static loomreel.decision.DispatcherHarness.actionsOf;
+import static loomreel.decision.DispatcherHarness.attempts;
+import static loomreel.decision.DispatcherHarness.onlyAttempt;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loomreel.decision.Action.CancelAttempt;
+import loomreel.decision.Action.Fail;
+import loomreel.decision.Action.Reject;
+import loomreel.decision.Event.RequestArrived;
+import loomreel.decision.Event.RequestCancelled;
+import loomreel.decision.Settings.LoadReporting;
+import loomreel.decision.Settings.Tenant;
+import org.junit.jupiter.api.Test;
+
+/** When a request is answered, rejected or failed, and that its answer is the last of it. */
+class RequestAnswerTest {
+  @Test
+  void everyRequestIsAnsweredOnceByItsDeadline() {
+    DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
+    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.ISSUE);
+    long deadline = dispatcher.now + 10 * SECOND;
+
+    List<Action> later = dispatcher.fireTimers(arrival, deadline + SECOND);
+    List<Action> afterAnswer =
+        dispatcher.endAttempt("a", 0, onlyAttempt(arrival).workerId(), AttemptOutcome.CANCELLED);
+
+    assertEquals(1, actionsOf(Fail.class, later).size());
+    assertTrue(attempts(later).isEmpty(), "work that may have run is not repeated");
+    assertTrue(afterAnswer.isEmpty());
+  }
+
+  @Test
+  void aRequestThatArrivesTooLateIsRejectedAtOnce() {
+    DispatcherHarness dispatcher = new DispatcherHarness();
+    long classDeadline = DispatcherHarness.CLASSES.get(DispatcherHarness.READ).deadline();
+    long deadline = dispatcher.now + classDeadline - 5 * SECOND;
+
+    List<Action> actions =
+        dispatcher.handle(
+            new RequestArrived(
+                "late", "key", 1, DispatcherHarness.READ, -1, deadline, true, SECOND));
+
+    assertEquals(
+        List.of(new Reject("late", SECOND, RejectionReason.ARRIVED_TOO_LATE)),
+        actions,
+        "an answer has no value any more");
+  }
+
+  @Test
+  void aRequestWithoutAWorkerIsRejectedLongBeforeItsDeadline() {
+    DispatcherHarness dispatcher = new DispatcherHarness();
+    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
+
+    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.now + 3 * SECOND);
+
+    assertEquals(
+        List.of(new Reject("a", SECOND, RejectionReason.NO_ELIGIBLE_WORKER)),
+        actionsOf(Reject.class, later));
+    assertTrue(dispatcher.now < 105 * SECOND, "long before the client's deadline");
+  }
+
+  @Test
+  void aRetryThatArrivesTooLateDoesNotCountAgainstTheQuotaOfItsTenant() {
+    Settings settings =
+        DispatcherHarness.settings(1, true, false, LoadReporting.WITH_ANSWERS, false).toBuilder()
+            .tenants(List.of(new Tenant("t", 1)))
+            .build();
+    DispatcherHarness dispatcher = new DispatcherHarness(settings, 7);
+    for (int i = 0; i < 50; i++) {
+      dispatcher.handle(
+          new RequestArrived(
+              "late" + i,
+              "key",
+              1,
+              DispatcherHarness.READ,
+              0,
+              dispatcher.now + SECOND,
+              true,
+              SECOND));
+    }
+
+    List<Action> actions =
+        dispatcher.handle(
+            new RequestArrived(
+                "a",
+                "key",
+                1,
+                DispatcherHarness.READ,
+                0,
+                dispatcher.now + 10 * SECOND,
+                false,
+                SECOND));
+
+    assertTrue(
+        actionsOf(Reject.class, actions).isEmpty(), "within its quota it may wait for a worker");
+  }
+
+  @Test
+  void aCancelledRequestIsNotRetried() {
+    DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
+    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
+
+    List<Action> cancellation = dispatcher.handle(new RequestCancelled("a"));
+    List<Action> attemptEnd =
+        dispatcher.endAttempt("a", 0, onlyAttempt(arrival).workerId(), AttemptOutcome.REJECTED);
+
+    assertEquals(1, actionsOf(CancelAttempt.class, cancellation).size());
+    assertTrue(attemptEnd.isEmpty());
+    assertTrue(dispatcher.fireTimers(arrival, dispatcher.now + 20 * SECOND).isEmpty());
+  }
+}
--- /dev/null
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -0,0 +1,88 @@
+package loomreel.decision;
+
+import static loomreel.decision.DispatcherHarness.SECOND;
+import static loomreel.decision.DispatcherHarness.attempts;
+import static loomreel.decision.DispatcherHarness.loadReport;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loomreel.decision.Action.StartAttempt;
+import loomreel.decision.Endpoint.State;
+import loomreel.decision.Event.EndpointSnapshot;
+import loomreel.decision.Settings.LoadReporting;
+import org.junit.jupiter.api.Test;
+
+/** How much dispatchers send to workers that warm up. */
+class SlowStartTest {
+  @Test
+  void aColdWorkerGetsItsFractionOfTheMeanLoadFromAllDispatchersTogether() {
+    int dispatchers = 30;
+    int attemptsAtCold = 0;
+    int allAttempts = 0;
+    long start = 100 * SECOND;
+    for (int seed = 0; seed < dispatchers; seed++) {
+      DispatcherHarness dispatcher =
+          new DispatcherHarness(
+              DispatcherHarness.settings(
+                  dispatchers, true, false, LoadReporting.WITH_ANSWERS, false),
+              seed);
+      dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
+      for (int i = 0; i < 400; i++) {
+        if (i == 200) {
+          dispatcher.updateEndpoint(7, State.READY, dispatcher.now);
+        }
+        for (StartAttempt attempt :
+            attempts(dispatcher.arrive("r" + i, "key" + i, DispatcherHarness.READ))) {
+          if (dispatcher.now < start + 22 * SECOND) {
+            allAttempts++;
+            attemptsAtCold += i >= 200 && attempt.workerId().equals("w07") ? 1 : 0;
+          }
+          dispatcher.endAttempt("r" + i, 0, attempt.workerId(), AttemptOutcome.OK);
+        }
+        dispatcher.now += SECOND / 10;
+      }
+    }
+
+    double atWarm = 2.0 * dispatchers * 10 / 20;
+    assertTrue(
+        attemptsAtCold <= atWarm * 3 * 0.28,
+        attemptsAtCold + " attempts in the first two seconds, a warm worker gets " + atWarm);
+    assertTrue(allAttempts > 5000);
+  }
+
+  /** A dispatcher that has just started has to use them, and must not overload them. */
+  @Test
+  void aFleetThatIsAllColdGetsTheWorkThatItsSlotsCanDo() {
+    DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
+    dispatcher.handle(
+        new EndpointSnapshot(
+            List.of(
+                DispatcherHarness.endpoint(0, State.READY, dispatcher.now),
+                DispatcherHarness.endpoint(1, State.READY, dispatcher.now))));
+    double workPerRequest = 20_000;
+    double work = 0;
+    double capacity = 0;
+    for (int i = 0; i < 200; i++) {
+      dispatcher.now += SECOND / 100;
+      for (String worker : List.of("w00", "w01")) {
+        dispatcher.reportHealth(worker, loadReport(0, 0, 4));
+      }
+      // Two workers of four slots that do 0.45 of the work at the least; a cold worker has 0.2 of
+      // its capacity, which grows to 1 over 2000 rounds.
+      capacity += 2 * 4 * 0.45 * (0.2 + 0.8 * i / 2000) * SECOND / 100;
+      String id = "r" + i;
+      List<StartAttempt> sent =
+          attempts(
+              dispatcher.handle(
+                  dispatcher.request(id, null, DispatcherHarness.READ, workPerRequest)));
+      work += sent.size() * workPerRequest;
+      for (StartAttempt attempt : sent) {
+        dispatcher.endAttempt(id, 0, attempt.workerId(), AttemptOutcome.OK);
+      }
+    }
+
+    double overload = DispatcherHarness.RULES.overloadMultiple() * capacity;
+    assertTrue(work > capacity, "sent " + work + " of " + capacity);
+    assertTrue(work < overload, "sent " + work + " of " + capacity);
+  }
+}
--- /dev/null
+++ b/src/test/java/loomreel/decision/WorkerSelectionTest.java
@@ -0,0 +1,186 @@
+package loomreel.decision;
+
+import static loomreel.decision.DispatcherHarness.SECOND;
+import static loomreel.decision.DispatcherHarness.attempts;
+import static loomreel.decision.DispatcherHarness.loadReport;
+import static loomreel.decision.DispatcherHarness.onlyAttempt;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import loomreel.decision.Action.StartAttempt;
+import loomreel.decision.Event.AttemptProgressed;
+import loomreel.decision.Event.EndpointSnapshot;
+import loomreel.decision.Settings.LoadReporting;
+import org.junit.jupiter.api.Test;
+
+/** Which worker gets a request, where no health checks are made. */
+class WorkerSelectionTest {
+  @Test
+  void aKeyGoesToOneWorkerFromEveryDispatcherWhileItIsUnderTheThreshold() {
+    Map<String, String> workerByKey = new HashMap<>();
+    for (int seed = 0; seed < 3; seed++) {
+      DispatcherHarness dispatcher =
+          new DispatcherHarness(
+              DispatcherHarness.settings(3, true, false, LoadReporting.WITH_ANSWERS, false), seed);
+      dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
+      for (int i = 0; i < 40; i++) {
+        String key = "key" + i;
+        String id = seed + "-" + i;
+
+        String worker = dispatcher.workerFor(id, key, DispatcherHarness.READ);
+
+        assertEquals(workerByKey.computeIfAbsent(key, absent -> worker), worker);
+        dispatcher.endAttempt(id, 0, worker, AttemptOutcome.OK);
+        dispatcher.now += SECOND / 5;
+      }
+    }
+    assertTrue(new HashSet<>(workerByKey.values()).size() > 10, "keys spread over the fleet");
+  }
+
+  @Test
+  void aFullFirstCandidateIsReplacedByTheSecondAndFullCandidatesByTheFallback() {
+    DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
+    Set<String> used = new HashSet<>();
+    for (int i = 0; i < 3; i++) {
+      String worker = dispatcher.workerFor("r" + i, "key", DispatcherHarness.READ);
+
+      assertTrue(used.add(worker), "a worker that reported no free slot is not selected");
+      dispatcher.succeed("r" + i, worker, loadReport(4, 8, 0));
+    }
+  }
+
+  @Test
+  void requestsWithoutAKeySpread() {
+    DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
+
+    Set<String> used = new HashSet<>();
+    for (int i = 0; i < 30; i++) {
+      used.add(dispatcher.workerFor("r" + i, null, DispatcherHarness.READ));
+    }
+
+    assertTrue(used.size() > 8);
+  }
+
+  @Test
+  void aClassRunsOnlyOnWorkersOfItsKind() {
+    DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
+    for (int i = 0; i < 30; i++) {
+      String key = i % 2 == 0 ? "key" + i : null;
+
+      String worker = dispatcher.workerFor("r" + i, key, DispatcherHarness.BIG_ONLY);
+
+      assertEquals(0, DispatcherHarness.number(worker) % 3);
+      dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
+    }
+  }
+
+  @Test
+  void aSingleWorkerGetsEveryRequest() {
+    DispatcherHarness dispatcher = DispatcherHarness.withWorkers(1);
+
+    assertEquals("w00", dispatcher.workerFor("a", "key", DispatcherHarness.READ));
+  }
+
+  @Test
+  void withoutWorkersARequestIsQueuedUntilOneJoins() {
+    DispatcherHarness dispatcher = new DispatcherHarness();
+    List<Action> arrival = dispatcher.arrive("b", "key", DispatcherHarness.READ);
+    assertTrue(attempts(arrival).isEmpty());
+
+    dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(1)));
+
+    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.now + SECOND);
+    assertEquals("w00", attempts(later).get(0).workerId());
+  }
+
+  @Test
+  void growthMovesFewKeys() {
+    Map<String, String> workerByKey = new HashMap<>();
+    int moved = 0;
+    for (int workers = 20; workers <= 22; workers += 2) {
+      DispatcherHarness dispatcher = DispatcherHarness.withWorkers(workers);
+      for (int key = 0; key < 200; key++) {
+        String worker = dispatcher.workerFor("r" + key, "key" + key, DispatcherHarness.READ);
+        String previous = workerByKey.putIfAbsent("key" + key, worker);
+        moved += previous == null || previous.equals(worker) ? 0 : 1;
+        dispatcher.endAttempt("r" + key, 0, worker, AttemptOutcome.OK);
+        dispatcher.now += SECOND / 2;
+      }
+    }
+
+    assertTrue(moved > 0 && moved < 50, "moved " + moved);
+  }
+
+  @Test
+  void aHotKeySpreadsOverManyWorkersThoughOneDispatcherSeesLittleOfIt() {
+    DispatcherHarness dispatcher =
+        new DispatcherHarness(
+            DispatcherHarness.settings(50, true, false, LoadReporting.WITH_ANSWERS, false), 3);
+    dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(40)));
+
+    Set<String> used = new HashSet<>();
+    for (int i = 0; i < 200; i++) {
+      String worker = dispatcher.workerFor("r" + i, "hot", DispatcherHarness.READ);
+      used.add(worker);
+      dispatcher.handle(new AttemptProgressed("r" + i, 0));
+      dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
+      dispatcher.now += SECOND / 20;
+    }
+
+    assertTrue(used.size() > 10, "used " + used.size());
+  }
+
+  /** Without load reports, slow starts are the only evidence of other dispatchers' load. */
+  @Test
+  void withoutLoadReportsASlowStartCountsAsLoadForAWhile() {
+    DispatcherHarness dispatcher =
+        new DispatcherHarness(
+            DispatcherHarness.settings(3, true, false, LoadReporting.NONE, false), 3);
+    dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
+    String loaded = dispatcher.workerFor("a", "key", DispatcherHarness.READ);
+    dispatcher.now += SECOND / 5;
+    dispatcher.handle(new AttemptProgressed("a", 0));
+    dispatcher.endAttempt("a", 0, loaded, AttemptOutcome.OK);
+
+    String other = dispatcher.workerFor("b", "key", DispatcherHarness.READ);
+    dispatcher.endAttempt("b", 0, other, AttemptOutcome.OK);
+    dispatcher.now += 5 * SECOND;
+    String later = dispatcher.workerFor("c", "key", DispatcherHarness.READ);
+
+    assertNotEquals(loaded, other);
+    assertEquals(loaded, later);
+  }
+
+  /** Incident ie4bf55: retries met the same few full workers while others had capacity. */
+  @Test
+  void aQueuedRequestMovesDownTheRanking() {
+    DispatcherHarness dispatcher = new DispatcherHarness();
+    dispatcher.now += 30 * SECOND;
+    dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(40)));
+    Set<String> full = new HashSet<>();
+    List<Action> queued = null;
+    for (int i = 0; queued == null && i < 30; i++) {
+      List<Action> arrival = dispatcher.arrive("r" + i, "key", DispatcherHarness.READ);
+      if (attempts(arrival).isEmpty()) {
+        queued = arrival;
+      } else {
+        String worker = onlyAttempt(arrival).workerId();
+        full.add(worker);
+        dispatcher.succeed("r" + i, worker, loadReport(4, 8, 0));
+      }
+    }
+    assertFalse(queued == null, "the first workers of the key's ranking were never all full");
+
+    List<StartAttempt> later = attempts(dispatcher.fireTimers(queued, dispatcher.now + SECOND / 3));
+
+    assertEquals(1, later.size());
+    assertFalse(full.contains(later.get(0).workerId()));
+  }
+}
