--- a/src/test/java/loomreel/program/SteppedServer.java
+++ b/src/test/java/loomreel/program/StepControlledServer.java
@@ -9,6 +9,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -23,7 +24,7 @@
  * line that it would trace is one. What a test puts there happens on the loop's own thread, so that
  * nothing else does meanwhile.
  */
-final class SteppedServer extends Stage {
+final class StepControlledServer extends DispatcherHarness {
   /** Something that a test does between two steps of the dispatcher. */
   interface Crossing {
     void happen() throws Exception;
@@ -47,19 +48,23 @@
   private final BlockingQueue<Throwable> faults = new LinkedBlockingQueue<>();
   private final int port;
 
-  SteppedServer(int workerCount, UnaryOperator<String> change) throws Exception {
+  StepControlledServer(int workerCount, UnaryOperator<String> change) throws Exception {
     this(workerCount, change, null);
   }
 
-  /** A dispatcher with these settings, or with those of {@link Stage} where they are null. */
-  SteppedServer(int workerCount, UnaryOperator<String> change, String settings) throws Exception {
+  /**
+   * A dispatcher with these settings, or with those of {@link DispatcherHarness} where they are
+   * null.
+   */
+  StepControlledServer(int workerCount, UnaryOperator<String> change, String settings)
+      throws Exception {
     super(workerCount);
     Path file = Files.createTempFile("loomreel", ".json");
     Files.writeString(
         file, change.apply(settings == null ? configuration(false) : configuration(settings)));
     ServeConfig config = ServeConfig.read(Map.of("BALANCER_CONFIG", file.toString()));
     Files.delete(file);
-    server = new Server(config, null, new Steps());
+    server = new Server(config, Optional.empty(), Optional.of(new Steps()));
     port = server.port();
     thread =
         new Thread(
