--- a/src/main/java/loomreel/discovery/EndpointListCall.java
+++ b/src/main/java/loomreel/discovery/EndpointListCall.java
@@ -10,13 +10,13 @@
   private final EndpointWatcher watcher;
   private final long deadline;
 
-  /** Whether the head of an answer with a list has come. */
-  private boolean isAnswerBegun;
+  /** Whether the head of a response with a list has arrived. */
+  private boolean isResponseStarted;
 
   /**
    * Creates a call.
    *
-   * @param deadline when it is given up, in microseconds of the event loop's clock
+   * @param deadline when it times out, in microseconds of the event loop's clock
    */
   EndpointListCall(EndpointWatcher watcher, long deadline) {
     this.watcher = watcher;
@@ -29,18 +29,18 @@
   }
 
   @Override
-  public boolean suffices(int status) {
-    isAnswerBegun = status == HttpStatus.OK;
+  public boolean headReceived(int status) {
+    isResponseStarted = status == HttpStatus.OK;
     return false;
   }
 
   @Override
-  public void answered(HttpMessage message) {
-    watcher.answered(message);
+  public void responseReceived(HttpMessage message) {
+    watcher.responseReceived(message);
   }
 
   @Override
-  public void broken(AttemptOutcome outcome) {
-    watcher.broken(outcome, isAnswerBegun);
+  public void failed(AttemptOutcome outcome) {
+    watcher.callFailed(outcome, isResponseStarted);
   }
 }
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -137,7 +137,7 @@
   }
 
   /** The call in flight was answered. */
-  void answered(HttpMessage message) {
+  void responseReceived(HttpMessage message) {
     endCall();
     lastCallSilent = false;
     try {
@@ -151,11 +151,12 @@
   /**
    * The call in flight has ended without an answer.
    *
-   * @param isAnswerBegun whether a part of an answer with a list had come
+   * @param isResponseStarted whether a part of an answer with a list had come
    */
-  void broken(AttemptOutcome outcome, boolean isAnswerBegun) {
+  void callFailed(AttemptOutcome outcome, boolean isResponseStarted) {
     endCall();
-    failed(outcome.toString(), WatchTimeouts.Failure.of(outcome, isAnswerBegun, lastCallSilent));
+    failed(
+        outcome.toString(), WatchTimeouts.Failure.of(outcome, isResponseStarted, lastCallSilent));
   }
 
   private void endCall() {
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -59,15 +59,15 @@
     /**
      * Classifies the outcome of a call.
      *
-     * @param isAnswerBegun whether a part of an answer with a list had come
+     * @param isResponseStarted whether a part of an answer with a list had come
      * @param wasSilentBefore whether the call before this one was silent
      */
-    static Failure of(AttemptOutcome outcome, boolean isAnswerBegun, boolean wasSilentBefore) {
+    static Failure of(AttemptOutcome outcome, boolean isResponseStarted, boolean wasSilentBefore) {
       if (outcome == AttemptOutcome.TIMEOUT
           || (wasSilentBefore && outcome == AttemptOutcome.CONNECT_FAILED)) {
         return SILENT;
       }
-      return isAnswerBegun ? INVALID_ANSWER : UNAVAILABLE;
+      return isResponseStarted ? INVALID_ANSWER : UNAVAILABLE;
     }
   }
 
--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -60,7 +60,8 @@
   }
 
   /**
-   * Uses only new connections, to this address, from now on: the peer has moved, restarted or gone.
+   * Uses only new connections, to this address, from now on: the peer has moved, restarted or been
+   * removed.
    */
   public void moveTo(InetSocketAddress newAddress) {
     address = newAddress;
@@ -71,8 +72,8 @@
   /**
    * Sends a request. The request's buffers are released here in any case.
    *
-   * @return the connection that carries the exchange, or null where none is available; the exchange
-   *     has failed then
+   * @return the connection of the exchange, or null where none is available; the exchange has
+   *     failed then
    */
   public PooledConnection call(Bytes request, HttpExchange exchange) {
     closeStale();
@@ -84,7 +85,7 @@
     }
     if (connection == null) {
       request.release();
-      exchange.broken(AttemptOutcome.CONNECT_FAILED);
+      exchange.failed(AttemptOutcome.CONNECT_FAILED);
       return null;
     }
     connection.send(request, exchange, loop.now() + connectTimeout);
@@ -93,7 +94,7 @@
 
   /** Opens a connection, or returns null where that is impossible. */
   private PooledConnection open() {
-    if (!descriptorQuota.makeRoom()) {
+    if (!descriptorQuota.ensureCapacity()) {
       log.warn("no descriptor available " + logFields());
       return null;
     }
@@ -138,7 +139,7 @@
   }
 
   /**
-   * Takes a connection back whose exchange is complete.
+   * Returns a connection to the pool whose exchange is complete.
    *
    * @param duplicateHarmless whether a duplicate of its last response, taken for the response to
    *     the next request, would prove nothing wrong
--- a/src/main/java/loomreel/http/DescriptorQuota.java
+++ b/src/main/java/loomreel/http/DescriptorQuota.java
@@ -28,7 +28,7 @@
   }
 
   /** Whether a connection may be opened; closes an idle one if necessary. */
-  boolean makeRoom() {
+  boolean ensureCapacity() {
     if (openCount >= limit && !idleConnections.isEmpty()) {
       idleConnections.peekFirst().close();
     }
--- a/src/main/java/loomreel/http/HttpConnection.java
+++ b/src/main/java/loomreel/http/HttpConnection.java
@@ -10,8 +10,7 @@
 public abstract class HttpConnection extends ByteConnection {
   protected final HttpMessageParser parser;
 
-  /** Whether more bytes were read together with the message that is being received, behind it. */
-  protected boolean surplus;
+  private boolean hasPipelinedInput;
 
   /**
    * Takes ownership of a channel.
@@ -27,6 +26,11 @@
     parser = new HttpMessageParser(loop.pool(), receivesRequests);
   }
 
+  /** Whether bytes behind the message that is being received were read together with it. */
+  protected final boolean hasPipelinedInput() {
+    return hasPipelinedInput;
+  }
+
   /** Called with each complete message; its body is to be released by this method. */
   protected abstract void received(HttpMessage message);
 
@@ -34,7 +38,7 @@
   protected void headReceived(int status) {}
 
   /** Called when the input is not a valid message. */
-  protected abstract void malformed(BadMessageException why);
+  protected abstract void malformed(BadMessageException error);
 
   /** Whether another message may be parsed now; else the remaining input is discarded. */
   protected boolean acceptsMessages() {
@@ -46,7 +50,7 @@
     try {
       while (!isClosed() && acceptsMessages() && in.hasRemaining()) {
         HttpMessage message = parser.feed(in);
-        surplus = in.hasRemaining();
+        hasPipelinedInput = in.hasRemaining();
         if (message != null) {
           received(message);
         } else {
@@ -68,7 +72,7 @@
   /** Completes a response whose body ends with the connection. */
   @Override
   protected void inputEnded() {
-    HttpMessage last = parser.end();
+    HttpMessage last = parser.inputEnded();
     if (last != null) {
       received(last);
     }
--- a/src/main/java/loomreel/http/HttpMessage.java
+++ b/src/main/java/loomreel/http/HttpMessage.java
@@ -31,14 +31,15 @@
 
   /** Whether the status of a response is 2xx. */
   boolean isSuccessful() {
-    return status() / 100 == 2;
+    return HttpStatus.isSuccessful(status());
   }
 
-  /** The value of the first header with that name, in lower case, or null. */
+  /** The value of the first header with that name, in lower case; null if there is none. */
   public String header(String name) {
     return find(headers, name);
   }
 
+  /** The value of a name in a list of names and values; null if there is none. */
   static String find(List<String> headers, String name) {
     for (int i = 0; i < headers.size(); i += 2) {
       if (headers.get(i).equals(name)) {
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -1,7 +1,7 @@
 package loomreel.http;
 
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
+import java.util.regex.Pattern;
 import loomreel.io.BufferPool;
 import loomreel.io.Bytes;
 
@@ -29,8 +29,12 @@
   /** The limit for the line with a chunk's size in bytes. */
   private static final int MAX_CHUNK_LINE = 256;
 
-  /** The last four bytes of every head: two line ends. */
-  private static final int END_OF_HEAD = 0x0d0a0d0a;
+  private static final int HEXADECIMAL = 16;
+  private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
+  private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,15}");
+  private static final String CHUNKED = "chunked";
+  private static final String EXPECT_HEADER = "expect";
+  private static final String EXPECTS_CONTINUE = "100-continue";
 
   private enum State {
     HEAD,
@@ -44,17 +48,10 @@
 
   private final BufferPool pool;
   private final boolean parsesRequests;
+  private final HeadReader headReader;
+  private final LineReader lineReader = new LineReader();
   private State state = State.HEAD;
 
-  /** The bytes of an incomplete head; null before its first byte and after its last. */
-  private Bytes headBytes;
-
-  /** The last four bytes of the incomplete head. */
-  private int lastFourBytes;
-
-  /** The line of chunked coding or trailer that is being read. */
-  private final StringBuilder line = new StringBuilder();
-
   /** The length of all trailer lines so far. */
   private int trailerLength;
 
@@ -80,11 +77,12 @@
   public HttpMessageParser(BufferPool pool, boolean parsesRequests) {
     this.pool = pool;
     this.parsesRequests = parsesRequests;
+    headReader = new HeadReader(pool);
   }
 
   /** Whether no byte of a message has arrived. */
   public boolean atStart() {
-    return state == State.HEAD && headBytes == null;
+    return state == State.HEAD && headReader.isEmpty();
   }
 
   /** Whether a response's head has arrived without its end; true once per response. */
@@ -103,7 +101,7 @@
   public boolean expectsContinue() {
     return state != State.HEAD
         && body.length() == 0
-        && "100-continue".equalsIgnoreCase(head.header("expect"));
+        && EXPECTS_CONTINUE.equalsIgnoreCase(head.header(EXPECT_HEADER));
   }
 
   /**
@@ -130,16 +128,13 @@
   }
 
   /** The response that the end of the connection completes, or null where there is none. */
-  public HttpMessage end() {
+  public HttpMessage inputEnded() {
     return state == State.BODY_UNTIL_CLOSE ? completeMessage() : null;
   }
 
   /** Returns the buffers of an incomplete message to the pool. */
   public void release() {
-    if (headBytes != null) {
-      headBytes.release();
-      headBytes = null;
-    }
+    headReader.release();
     if (body != null) {
       body.release();
       body = null;
@@ -150,7 +145,6 @@
     HttpMessage message = new HttpMessage(head.startLine(), head.headers(), body, keepAlive);
     state = State.HEAD;
     body = null;
-    line.setLength(0);
     trailerLength = 0;
     headUnreported = false;
     return message;
@@ -158,50 +152,15 @@
 
   /** Reads the head; returns whether it completes a message without a body. */
   private boolean readHead(ByteBuffer in) throws BadMessageException {
-    if (headBytes == null) {
-      lastFourBytes = 0;
-      skipLineEnds(in);
-      if (!in.hasRemaining()) {
-        return false;
-      }
-      headBytes = new Bytes(pool);
-    }
-    appendHeadBytes(in);
-    if (lastFourBytes != END_OF_HEAD) {
+    String text = headReader.read(in);
+    if (text == null) {
       return false;
     }
-    String text = new String(headBytes.toArray(), StandardCharsets.ISO_8859_1);
-    headBytes.release();
-    headBytes = null;
     head = HttpHead.parse(text, parsesRequests);
     keepAlive = head.keepAlive();
     return !beginBody();
   }
 
-  /** Skips empty lines before a message. */
-  private static void skipLineEnds(ByteBuffer in) {
-    while (in.hasRemaining() && (in.get(in.position()) == '\r' || in.get(in.position()) == '\n')) {
-      in.get();
-    }
-  }
-
-  /** Consumes bytes up to the end of the head. */
-  private void appendHeadBytes(ByteBuffer in) throws BadMessageException {
-    int start = in.position();
-    while (in.hasRemaining() && lastFourBytes != END_OF_HEAD) {
-      byte next = in.get();
-      if (next == '\n' && (lastFourBytes & 0xff) != '\r') {
-        throw new BadMessageException(HttpStatus.BAD_REQUEST, "a line does not end in CRLF");
-      }
-      lastFourBytes = (lastFourBytes << Byte.SIZE) | (next & 0xff);
-    }
-    int size = in.position() - start;
-    if (headBytes.length() + size > BufferPool.SIZE) {
-      throw new BadMessageException(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too large");
-    }
-    headBytes.append(in.slice(start, size), size);
-  }
-
   /**
    * Determines from the head how the body is framed, and enters the state that reads it.
    *
@@ -211,7 +170,7 @@
   private boolean beginBody() throws BadMessageException {
     body = new Bytes(pool);
     int status = parsesRequests ? HttpStatus.OK : head.status();
-    boolean interim = status / 100 == 1;
+    boolean interim = HttpStatus.isInformational(status);
     headUnreported = !interim;
     String contentLength = head.contentLength();
     String transferEncoding = head.transferEncoding();
@@ -241,14 +200,14 @@
     if (contentLength != null) {
       throw new BadMessageException(HttpStatus.BAD_REQUEST, "both a length and a coding");
     }
-    if (!transferEncoding.equalsIgnoreCase("chunked")) {
+    if (!transferEncoding.equalsIgnoreCase(CHUNKED)) {
       throw new BadMessageException(HttpStatus.NOT_IMPLEMENTED, "coding not supported");
     }
     state = State.CHUNK_SIZE;
   }
 
   private void beginFixedBody(String contentLength) throws BadMessageException {
-    if (!contentLength.matches("[0-9]{1,18}")) {
+    if (!CONTENT_LENGTH.matcher(contentLength).matches()) {
       throw new BadMessageException(HttpStatus.BAD_REQUEST, "malformed length");
     }
     if (Long.parseLong(contentLength) > MAX_BODY) {
@@ -287,30 +246,28 @@
   }
 
   private boolean readChunkSize(ByteBuffer in) throws BadMessageException {
-    if (readLine(in)) {
-      beginChunk();
+    if (lineReader.read(in, MAX_CHUNK_LINE, HttpStatus.BAD_REQUEST)) {
+      beginChunk(lineReader.take());
     }
     return false;
   }
 
-  private void beginChunk() throws BadMessageException {
-    int extensionStart = line.indexOf(";");
-    String size =
-        (extensionStart < 0 ? line.toString() : line.substring(0, extensionStart)).strip();
-    line.setLength(0);
-    if (!size.matches("[0-9a-fA-F]{1,15}")) {
+  private void beginChunk(String line) throws BadMessageException {
+    int extensionStart = line.indexOf(';');
+    String size = (extensionStart < 0 ? line : line.substring(0, extensionStart)).strip();
+    if (!CHUNK_SIZE.matcher(size).matches()) {
       throw new BadMessageException(HttpStatus.BAD_REQUEST, "malformed chunk size");
     }
-    if (Long.parseLong(size, 16) > MAX_BODY - body.length()) {
+    if (Long.parseLong(size, HEXADECIMAL) > MAX_BODY - body.length()) {
       throw new BadMessageException(HttpStatus.CONTENT_TOO_LARGE, "body too large");
     }
-    missingBytes = Integer.parseInt(size, 16);
+    missingBytes = Integer.parseInt(size, HEXADECIMAL);
     state = missingBytes == 0 ? State.TRAILER : State.CHUNK_DATA;
   }
 
   private boolean readChunkEnd(ByteBuffer in) throws BadMessageException {
-    if (readLine(in)) {
-      if (line.length() > 0) {
+    if (lineReader.read(in, MAX_CHUNK_LINE, HttpStatus.BAD_REQUEST)) {
+      if (!lineReader.take().isEmpty()) {
         throw new BadMessageException(
             HttpStatus.BAD_REQUEST, "a chunk does not end where it should");
       }
@@ -321,44 +278,17 @@
 
   /** Reads and ignores trailer lines; returns whether the empty line that ends them is read. */
   private boolean readTrailer(ByteBuffer in) throws BadMessageException {
-    if (!readLine(in)) {
+    if (!lineReader.read(in, BufferPool.SIZE, HttpStatus.HEADER_FIELDS_TOO_LARGE)) {
       return false;
     }
-    if (line.length() == 0) {
+    String line = lineReader.take();
+    if (line.isEmpty()) {
       return true;
     }
     trailerLength += line.length();
     if (trailerLength > BufferPool.SIZE) {
       throw new BadMessageException(HttpStatus.HEADER_FIELDS_TOO_LARGE, "trailers too large");
     }
-    line.setLength(0);
-    return false;
-  }
-
-  /** Reads a line; returns whether its end, which is not part of it, is read. */
-  private boolean readLine(ByteBuffer in) throws BadMessageException {
-    boolean trailer = state == State.TRAILER;
-    int limit = trailer ? BufferPool.SIZE : MAX_CHUNK_LINE;
-    while (in.hasRemaining()) {
-      char next = (char) (in.get() & 0xff);
-      if (next == '\n') {
-        removeCarriageReturn();
-        return true;
-      }
-      line.append(next);
-      if (line.length() > limit) {
-        throw new BadMessageException(
-            trailer ? HttpStatus.HEADER_FIELDS_TOO_LARGE : HttpStatus.BAD_REQUEST, "line too long");
-      }
-    }
     return false;
   }
-
-  private void removeCarriageReturn() throws BadMessageException {
-    int last = line.length() - 1;
-    if (last < 0 || line.charAt(last) != '\r') {
-      throw new BadMessageException(HttpStatus.BAD_REQUEST, "a line does not end in CRLF");
-    }
-    line.setLength(last);
-  }
 }
--- a/src/main/java/loomreel/http/HttpStatus.java
+++ b/src/main/java/loomreel/http/HttpStatus.java
@@ -21,8 +21,23 @@
 
   private HttpStatus() {}
 
+  /** Whether a status is that of an interim response. */
+  static boolean isInformational(int status) {
+    return statusClass(status) == 1;
+  }
+
+  /** Whether a status says that the request was processed. */
+  static boolean isSuccessful(int status) {
+    return statusClass(status) == 2;
+  }
+
   /** Whether a status says that the request was wrong. */
   public static boolean isClientError(int status) {
-    return status >= 400 && status < 500;
+    return statusClass(status) == 4;
+  }
+
+  /** The first digit of a status. */
+  private static int statusClass(int status) {
+    return status / 100;
   }
 }
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -9,11 +9,10 @@
 import loomreel.io.EventLoop;
 
 /**
- * A client connection of a {@link ConnectionPool}, which owns it. It carries one exchange at a
- * time.
+ * A client connection of a {@link ConnectionPool}, which owns it. It has one exchange at a time.
  */
 public final class PooledConnection extends HttpConnection {
-  /** How many connect timeouts the rest of a response may take once its head suffices. */
+  /** How many connect timeouts the rest of a response may take once its head is sufficient. */
   private static final int BODY_CONNECT_TIMEOUTS = 2;
 
   private final ConnectionPool pool;
@@ -99,13 +98,14 @@
     if (exchange != null) {
       timer.cancel();
       timer = loop.schedule(exchange.deadline(), this::timedOut);
-      exchange.written();
+      exchange.requestWritten();
     }
   }
 
   private void timedOut() {
     failExchange(hasSent() ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
-    // Other connections to this machine are probably dead, too, and would be reset once it is back.
+    // Other connections to this machine are probably dead, too, and would be reset once it is up
+    // again.
     pool.closeIdle();
   }
 
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Whether the request is written whole: from there on it may have run. */
+  /** Whether the request is written completely: from there on it may have run. */
   public boolean hasSent() {
     return isConnected() && out.length() == 0;
   }
@@ -142,16 +142,16 @@
     exchange = null;
     close();
     if (failed != null) {
-      failed.broken(outcome);
+      failed.failed(outcome);
     }
   }
 
   @Override
   protected void received(HttpMessage message) {
-    HttpExchange answered = exchange;
+    HttpExchange completed = exchange;
     exchange = null;
     pool.recordReuse(idleBeforeSend, false);
-    if (answered == null || surplus) {
+    if (completed == null || hasPipelinedInput()) {
       // More than one response to a request: no later byte can be matched to an exchange.
       pool.recordUnsolicitedResponse();
       close();
@@ -161,30 +161,30 @@
       timer.cancel();
       pool.release(this, message.isSuccessful());
     }
-    if (answered != null) {
-      answered.answered(message);
+    if (completed != null) {
+      completed.responseReceived(message);
     }
     message.body().release();
   }
 
-  /** Limits the wait for the body where the head suffices. */
+  /** Limits the wait for the body where the head is sufficient. */
   @Override
   protected void headReceived(int status) {
-    if (exchange != null && out.length() == 0 && exchange.suffices(status)) {
+    if (exchange != null && out.length() == 0 && exchange.headReceived(status)) {
       timer.cancel();
       long bodyDeadline = loop.now() + BODY_CONNECT_TIMEOUTS * pool.connectTimeout();
       timer = loop.schedule(Math.min(exchange.deadline(), bodyDeadline), this::timedOut);
     }
   }
 
-  /** Processes input that has arrived, so that a response is not missed when it is given up. */
+  /** Processes input that has arrived, so that a response is not missed when its exchange ends. */
   public void readPending() {
     readNow();
   }
 
   @Override
-  protected void malformed(BadMessageException why) {
-    pool.logMalformedResponse(why);
+  protected void malformed(BadMessageException error) {
+    pool.logMalformedResponse(error);
     failExchange(AttemptOutcome.RESET);
   }
 
--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -215,7 +215,7 @@
    * @return whether the client is still there
    */
   private boolean readPendingInput() {
-    if (surplus) {
+    if (hasPipelinedInput()) {
       // Read earlier than what the channel holds.
       bufferPipelined(currentInput);
     }
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -166,21 +166,21 @@
     }
 
     @Override
-    public void answered(HttpMessage message) {}
+    public void responseReceived(HttpMessage message) {}
 
     @Override
-    public void broken(AttemptOutcome outcome) {}
+    public void failed(AttemptOutcome outcome) {}
   }
 
   /** A call whose response, or lack of one, says whether the worker can be reached. */
   private class ReachabilityCheck extends ShortCall {
     @Override
-    public void answered(HttpMessage message) {
+    public void responseReceived(HttpMessage message) {
       reachability.reachable();
     }
 
     @Override
-    public void broken(AttemptOutcome outcome) {
+    public void failed(AttemptOutcome outcome) {
       reportFailure(outcome);
     }
   }
@@ -190,8 +190,8 @@
     private final long sentAt = dispatcher.loop().now();
 
     @Override
-    public void answered(HttpMessage message) {
-      super.answered(message);
+    public void responseReceived(HttpMessage message) {
+      super.responseReceived(message);
       if (message.status() != HttpStatus.OK) {
         dispatcher.healthChecked(endpoint.id(), AttemptOutcome.ERROR, sentAt, null);
         return;
@@ -204,8 +204,8 @@
     }
 
     @Override
-    public void broken(AttemptOutcome outcome) {
-      super.broken(outcome);
+    public void failed(AttemptOutcome outcome) {
+      super.failed(outcome);
       dispatcher.healthChecked(endpoint.id(), outcome, sentAt, null);
     }
   }
--- a/src/main/java/loomreel/upstream/JobCall.java
+++ b/src/main/java/loomreel/upstream/JobCall.java
@@ -46,7 +46,7 @@
   }
 
   @Override
-  public void written() {
+  public void requestWritten() {
     attempt.requestWritten();
   }
 
@@ -55,7 +55,7 @@
    * change that.
    */
   @Override
-  public boolean suffices(int status) {
+  public boolean headReceived(int status) {
     if (status == HttpStatus.ACCEPTED && !isAccepted) {
       isAccepted = true;
       subchannel.reachability().reachable();
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public void answered(HttpMessage message) {
+  public void responseReceived(HttpMessage message) {
     connection = null;
     if (isAccepted) {
       return;
@@ -97,7 +97,7 @@
   }
 
   @Override
-  public void broken(AttemptOutcome outcome) {
+  public void failed(AttemptOutcome outcome) {
     connection = null;
     if (!isAccepted) {
       subchannel.reportFailure(outcome);
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -75,13 +75,13 @@
           }
 
           @Override
-          public void answered(HttpMessage message) {
+          public void responseReceived(HttpMessage message) {
             statuses.add(message.status());
             next(furtherCalls);
           }
 
           @Override
-          public void broken(AttemptOutcome outcome) {
+          public void failed(AttemptOutcome outcome) {
             statuses.add(-1);
             next(furtherCalls);
           }
--- a/src/test/java/loomreel/http/HttpMessageParserTest.java
+++ b/src/test/java/loomreel/http/HttpMessageParserTest.java
@@ -61,7 +61,7 @@
   void aResponseWithoutLengthEndsWithItsConnection() throws Exception {
     assertNull(responses.feed(bytes("HTTP/1.1 200 OK\r\n\r\nabc")));
 
-    HttpMessage message = responses.end();
+    HttpMessage message = responses.inputEnded();
 
     assertEquals("abc", body(message));
     assertFalse(message.keepAlive());
@@ -71,7 +71,7 @@
   void aConnectionThatEndsWithinAFixedBodyCompletesNothing() throws Exception {
     assertNull(responses.feed(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc")));
 
-    assertNull(responses.end());
+    assertNull(responses.inputEnded());
   }
 
   @Test
