--- a/src/main/java/loomreel/benchmark/Benchmark.java
+++ b/src/main/java/loomreel/benchmark/Benchmark.java
@@ -2,20 +2,18 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
-import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicReference;
 import loomreel.standin.DaemonProcess;
-import loomreel.standin.ExecutionLog;
 import loomreel.standin.FaktoryClient;
-import loomreel.standin.HttpWorker;
 
 /**
  * Measures one daemon's HTTP and Faktory servers in one run: pushes, round trips, and HTTP's
  * latency beside a flood of batches.
  */
 public final class Benchmark {
+  static final String MAX_HEAP = "-Xmx1g";
+
   private static final int[] CONNECTIONS = {1, 4, 16, 64};
   private static final int WORKER_SLOTS = 64;
   private static final int ROUND_TRIPS = 20_000;
@@ -37,13 +35,8 @@
 
   /** Runs all measurements, in about a minute and a half. */
   public void run() throws IOException, InterruptedException {
-    AtomicReference<InetSocketAddress> callbackAddress = new AtomicReference<>();
-    try (HttpWorker httpWorker =
-            new HttpWorker("w0", callbackAddress::get, WORKER_SLOTS, 0, new ExecutionLog());
-        DaemonProcess daemon =
-            new DaemonProcess(
-                DaemonProcess.writeSettings(settings(httpWorker.address())), "-Xmx1g")) {
-      callbackAddress.set(daemon.http());
+    try (BenchmarkWorker httpWorker = new BenchmarkWorker(WORKER_SLOTS);
+        DaemonProcess daemon = httpWorker.startDaemon(settings(httpWorker), MAX_HEAP)) {
       // The worker registers with its first FETCH; its labels give its kind.
       NoOpFaktoryWorker faktoryWorker =
           new NoOpFaktoryWorker(daemon.faktory(), "pages", WORKER_SLOTS);
@@ -56,27 +49,19 @@
     }
   }
 
-  private static String settings(String httpWorker) {
-    return """
-    name: "measured"
-    listen: {http: "127.0.0.1:0", operators: "127.0.0.1:0"}
-    classes: {
-    	render: {repeat: "free", target: "2s", deadline: "4s", kind: "http"}
-    	batch: {repeat: "free", target: "2s", deadline: "4s", kind: "faktory"}
-    }
-    workers: w0: {address: "%s", kind: "http"}
-    rules: cold_from: 1.0
-    limits: {memory: "1GiB", descriptors: 4096}
-    faktory: {
-    	listen: "127.0.0.1:0"
-    	queues: {pages: class: "batch", later: class: "batch"}
-    	workers: cold: false
-    	backlog: {jobs: 1000000, bytes: "1GiB"}
-    	may_mutate: true
-    	spool: "none"
-    }
-    """
-        .formatted(httpWorker);
+  private static String settings(BenchmarkWorker httpWorker) {
+    return httpWorker.settings(
+        """
+        	render: {repeat: "free", target: "2s", deadline: "4s", kind: "http"}
+        	batch: {repeat: "free", target: "2s", deadline: "4s", kind: "faktory"}
+        """,
+        """
+        	queues: {pages: class: "batch", later: class: "batch"}
+        	workers: cold: false
+        	backlog: {jobs: 1000000, bytes: "1GiB"}
+        	may_mutate: true
+        	spool: "none"
+        """);
   }
 
   private void measureThroughput(DaemonProcess daemon) throws IOException, InterruptedException {
@@ -99,7 +84,7 @@
     }
   }
 
-  /** Deletes all jobs that wait. */
+  /** Deletes all waiting jobs. */
   private static void flush(DaemonProcess daemon) throws IOException {
     try (FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
       client.callExpectingOk("FLUSH");
--- a/src/main/java/loomreel/benchmark/BenchmarkJobs.java
+++ b/src/main/java/loomreel/benchmark/BenchmarkJobs.java
@@ -5,9 +5,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The jobs of a benchmark: small, alike, and with ids of their own. Safe for several threads. */
+/** The jobs of a benchmark: small, equal but for their unique ids. Safe for several threads. */
 final class BenchmarkJobs {
-  /** A time at which a scheduled job is due long after any benchmark. */
+  /** A due time long after any benchmark. */
   private static final String FAR_FUTURE = "2099-01-01T00:00:00Z";
 
   private final AtomicLong lastNumber = new AtomicLong(1_000_000_000L);
@@ -27,12 +27,12 @@
     return json(id, queue, "");
   }
 
-  /** A job that only waits, as Faktory's JSON. */
+  /** A job that is not due during the benchmark, as Faktory's JSON. */
   static String scheduledJson(String id, String queue) {
     return json(id, queue, ",\"at\":\"" + FAR_FUTURE + "\"");
   }
 
-  /** A PUSHB command with so many jobs that only wait. */
+  /** A PUSHB command with jobs that are not due during the benchmark. */
   static String scheduledBatch(int size, String queue, Supplier<String> ids) {
     return Stream.generate(ids)
         .limit(size)
@@ -40,6 +40,13 @@
         .collect(Collectors.joining(",", "PUSHB [", "]"));
   }
 
+  /** The first text field of this name, found without a parser to spend little processor time. */
+  static String textField(String json, String name) {
+    String prefix = "\"" + name + "\":\"";
+    int start = json.indexOf(prefix) + prefix.length();
+    return json.substring(start, json.indexOf('"', start));
+  }
+
   private static String json(String id, String queue, String moreFields) {
     return "{\"jid\":\""
         + id
--- a/src/main/java/loomreel/benchmark/FaktoryJobMeasurement.java
+++ b/src/main/java/loomreel/benchmark/FaktoryJobMeasurement.java
@@ -10,21 +10,21 @@
 import loomreel.standin.BackgroundThreads;
 import loomreel.standin.DaemonProcess;
 import loomreel.standin.FaktoryClient;
-import org.HdrHistogram.Histogram;
 
 /**
- * One measurement of Faktory jobs from PUSH to ACK, as a client library's worker takes them: one
- * worker id, and connections that each FETCH, ACK and FETCH again. One instance measures once.
+ * One measurement of Faktory jobs from PUSH to ACK, with a worker as in a client library: one
+ * worker id, and connections that each FETCH and ACK in turn. One instance measures once.
  */
 final class FaktoryJobMeasurement {
   private static final int MAX_CLIENTS = 16;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final DaemonProcess daemon;
   private final BenchmarkJobs jobs;
   private final int jobCount;
   private final String queue;
   private final Map<String, Long> pushNanosById = new ConcurrentHashMap<>();
-  private final Histogram latencyMicros = new Histogram(3);
+  private final LatencyRecorder latency = new LatencyRecorder();
   private final CountDownLatch remainingAcks;
   private final AtomicInteger remainingPushes;
 
@@ -37,7 +37,7 @@
     remainingPushes = new AtomicInteger(jobCount);
   }
 
-  /** Measures with a worker of so many connections, and clients that push as fast as answered. */
+  /** Measures with a worker of {@code fetchConnections}, and clients that push without pause. */
   JobBenchmark.Throughput run(int fetchConnections) throws IOException, InterruptedException {
     List<FaktoryClient> connections = new ArrayList<>();
     String workerId = "measured-" + jobs.nextNumber();
@@ -53,11 +53,11 @@
       BackgroundThreads.start(this::pushJobs);
     }
     remainingAcks.await();
-    double seconds = (System.nanoTime() - startNanos) / 1e9;
+    double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     for (FaktoryClient connection : connections) {
       connection.close();
     }
-    return new JobBenchmark.Throughput(jobCount / seconds, latencyMicros);
+    return new JobBenchmark.Throughput(jobCount / seconds, latency);
   }
 
   private void pushJobs() throws IOException {
@@ -73,20 +73,11 @@
   private void fetchAndAcknowledge(FaktoryClient connection) throws IOException {
     while (remainingAcks.getCount() > 0) {
       if (connection.call("FETCH " + queue) instanceof String job) {
-        connection.callExpectingOk("ACK {\"jid\":\"" + textField(job, "jid") + "\"}");
-        long pushNanos = pushNanosById.get(textField(job, "client_jid"));
-        synchronized (latencyMicros) {
-          latencyMicros.recordValue((System.nanoTime() - pushNanos) / 1000);
-        }
+        connection.callExpectingOk("ACK {\"jid\":\"" + BenchmarkJobs.textField(job, "jid") + "\"}");
+        long pushNanos = pushNanosById.get(BenchmarkJobs.textField(job, "client_jid"));
+        latency.recordSince(pushNanos);
         remainingAcks.countDown();
       }
     }
   }
-
-  /** The first text field of this name, read without a parser to leave the time to the daemon. */
-  private static String textField(String json, String name) {
-    String prefix = "\"" + name + "\":\"";
-    int start = json.indexOf(prefix) + prefix.length();
-    return json.substring(start, json.indexOf('"', start));
-  }
 }
--- a/src/main/java/loomreel/benchmark/JobBenchmark.java
+++ b/src/main/java/loomreel/benchmark/JobBenchmark.java
@@ -2,22 +2,14 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardOpenOption;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicReference;
 import loomreel.standin.BackgroundThreads;
 import loomreel.standin.DaemonProcess;
-import loomreel.standin.ExecutionLog;
 import loomreel.standin.FaktoryClient;
-import loomreel.standin.HttpWorker;
 import loomreel.standin.TemporaryDirectory;
-import org.HdrHistogram.Histogram;
 
 /**
  * Measures Faktory jobs from PUSH to ACK at one daemon with durable storage. Beside it, in the same
@@ -26,11 +18,8 @@
 public final class JobBenchmark {
   private static final int[] FETCH_CONNECTIONS = {1, 10, 100};
   private static final int HTTP_SLOTS = 256;
-  private static final int FSYNCS = 300;
-  private static final int FSYNC_BYTES = 300;
   private static final int BATCH_SIZE = 1000;
   private static final int FIRST_WAITING_ID = 1_000_000;
-  private static final String MAX_HEAP = "-Xmx1g";
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final PrintStream out;
@@ -39,7 +28,7 @@
   private final BenchmarkJobs jobs = new BenchmarkJobs();
 
   /** The result of one measurement. */
-  record Throughput(double jobsPerSecond, Histogram latencyMicros) {}
+  record Throughput(double jobsPerSecond, LatencyRecorder latency) {}
 
   /**
    * Creates a benchmark.
@@ -56,43 +45,32 @@
 
   /** Runs all measurements. */
   public void run() throws IOException, InterruptedException {
-    AtomicReference<InetSocketAddress> callbackAddress = new AtomicReference<>();
     try (TemporaryDirectory spool = new TemporaryDirectory();
-        HttpWorker httpWorker =
-            new HttpWorker("w0", callbackAddress::get, HTTP_SLOTS, 0, new ExecutionLog())) {
-      String settings = settings(httpWorker.address(), spool.path());
-      try (DaemonProcess daemon =
-          new DaemonProcess(DaemonProcess.writeSettings(settings), MAX_HEAP)) {
-        callbackAddress.set(daemon.http());
+        BenchmarkWorker httpWorker = new BenchmarkWorker(HTTP_SLOTS)) {
+      String settings = settings(httpWorker, spool.path());
+      try (DaemonProcess daemon = httpWorker.startDaemon(settings, Benchmark.MAX_HEAP)) {
         measureThroughput(daemon);
         pushWaitingJobs(daemon);
         daemon.kill();
       }
-      measureFsync(spool.path().resolve("raw"));
+      DiskSyncBenchmark.run(out, spool.path().resolve("raw"));
       measureRestart(settings);
     }
   }
 
-  private static String settings(String httpWorker, Path spool) {
-    return """
-    name: "measured"
-    listen: {http: "127.0.0.1:0", operators: "127.0.0.1:0"}
-    classes: {
-    	web: {repeat: "free", target: "2s", deadline: "4s", kind: "http"}
-    	render: {repeat: "free", target: "2s", deadline: "4s", kind: "faktory"}
-    	record: {repeat: "single_shot", target: "2s", deadline: "4s", kind: "faktory"}
-    }
-    workers: w0: {address: "%s", kind: "http"}
-    rules: cold_from: 1.0
-    limits: {memory: "1GiB", descriptors: 4096}
-    faktory: {
-    	listen: "127.0.0.1:0"
-    	queues: {pages: class: "render", entries: class: "record", later: class: "render"}
-    	backlog: {jobs: 1000000, bytes: "256MiB"}
-    	spool: "%s"
-    }
-    """
-        .formatted(httpWorker, spool);
+  private static String settings(BenchmarkWorker httpWorker, Path spool) {
+    return httpWorker.settings(
+        """
+        	web: {repeat: "free", target: "2s", deadline: "4s", kind: "http"}
+        	render: {repeat: "free", target: "2s", deadline: "4s", kind: "faktory"}
+        	record: {repeat: "single_shot", target: "2s", deadline: "4s", kind: "faktory"}
+        """,
+        """
+        	queues: {pages: class: "render", entries: class: "record", later: class: "render"}
+        	backlog: {jobs: 1000000, bytes: "256MiB"}
+        	spool: "%s"
+        """
+            .formatted(spool));
   }
 
   private void measureThroughput(DaemonProcess daemon) throws IOException, InterruptedException {
@@ -117,15 +95,15 @@
         connections,
         durability,
         faktory.jobsPerSecond(),
-        faktory.latencyMicros().getValueAtPercentile(50) / 1e3,
-        faktory.latencyMicros().getValueAtPercentile(99) / 1e3,
+        faktory.latency().percentileMillis(50),
+        faktory.latency().percentileMillis(99),
         http.jobsPerSecond(),
         faktory.jobsPerSecond() / http.jobsPerSecond());
   }
 
   private Throughput measureHttp(DaemonProcess daemon, int connections)
       throws InterruptedException {
-    Histogram latencyMicros = new Histogram(3);
+    LatencyRecorder latency = new LatencyRecorder();
     AtomicInteger remaining = new AtomicInteger(jobCount);
     CountDownLatch running = new CountDownLatch(connections);
     long startNanos = System.nanoTime();
@@ -136,9 +114,7 @@
               while (remaining.getAndDecrement() > 0) {
                 long sentNanos = System.nanoTime();
                 client.submit("/web", jobs.nextNumber());
-                synchronized (latencyMicros) {
-                  latencyMicros.recordValue((System.nanoTime() - sentNanos) / 1000);
-                }
+                latency.recordSince(sentNanos);
               }
             } finally {
               running.countDown();
@@ -147,7 +123,7 @@
     }
     running.await();
     double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
-    return new Throughput(jobCount / seconds, latencyMicros);
+    return new Throughput(jobCount / seconds, latency);
   }
 
   private void pushWaitingJobs(DaemonProcess daemon) throws IOException {
@@ -188,27 +164,7 @@
   private static String[] restartFlags() {
     Path archive = Path.of(System.getProperty("java.class.path")).resolveSibling("loomreel.jsa");
     return Files.exists(archive)
-        ? new String[] {MAX_HEAP, "-XX:SharedArchiveFile=" + archive, "-Xlog:disable"}
-        : new String[] {MAX_HEAP};
-  }
-
-  /** Measures what the disk itself takes for a record and an fsync, one after another. */
-  private void measureFsync(Path file) throws IOException {
-    Histogram latencyMicros = new Histogram(3);
-    try (FileChannel channel =
-        FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-      for (int i = 0; i < FSYNCS; i++) {
-        long startNanos = System.nanoTime();
-        channel.write(ByteBuffer.allocate(FSYNC_BYTES));
-        channel.force(false);
-        latencyMicros.recordValue((System.nanoTime() - startNanos) / 1000);
-      }
-    }
-    out.printf(
-        "the disk's own write and fsync of %d bytes: p50 %.2f ms, p99 %.2f ms, %.0f a second%n",
-        FSYNC_BYTES,
-        latencyMicros.getValueAtPercentile(50) / 1e3,
-        latencyMicros.getValueAtPercentile(99) / 1e3,
-        1e6 / latencyMicros.getMean());
+        ? new String[] {Benchmark.MAX_HEAP, "-XX:SharedArchiveFile=" + archive, "-Xlog:disable"}
+        : new String[] {Benchmark.MAX_HEAP};
   }
 }
--- a/src/main/java/loomreel/benchmark/LatencyBenchmark.java
+++ b/src/main/java/loomreel/benchmark/LatencyBenchmark.java
@@ -10,7 +10,6 @@
 import java.util.concurrent.locks.LockSupport;
 import loomreel.standin.DaemonProcess;
 import loomreel.standin.FaktoryClient;
-import org.HdrHistogram.Histogram;
 
 /**
  * Measures the latency of HTTP jobs that are submitted at fixed times, beside connections that push
@@ -27,7 +26,7 @@
 
   private final DaemonProcess daemon;
   private final BenchmarkJobs jobs;
-  private final Histogram latencyMicros = new Histogram(3);
+  private final LatencyRecorder latency = new LatencyRecorder();
 
   private LatencyBenchmark(DaemonProcess daemon, BenchmarkJobs jobs) {
     this.daemon = daemon;
@@ -51,17 +50,17 @@
       throws InterruptedException {
     LatencyBenchmark benchmark = new LatencyBenchmark(daemon, jobs);
     double pushesPerSecond = benchmark.measure(batchConnections);
-    Histogram latency = benchmark.latencyMicros;
+    LatencyRecorder latency = benchmark.latency;
     out.printf(
         "%-36s %7.2f %7.2f %7.2f %12.0f%n",
         name,
-        latency.getValueAtPercentile(50) / 1e3,
-        latency.getValueAtPercentile(99) / 1e3,
-        latency.getMaxValue() / 1e3,
+        latency.percentileMillis(50),
+        latency.percentileMillis(99),
+        latency.maxMillis(),
         pushesPerSecond);
   }
 
-  /** Fills the histogram; the jobs a second that were pushed in batches meanwhile. */
+  /** Records latencies; returns the jobs per second that were pushed in batches meanwhile. */
   private double measure(int batchConnections) throws InterruptedException {
     AtomicBoolean stopped = new AtomicBoolean();
     AtomicLong pushed = new AtomicLong();
@@ -97,9 +96,7 @@
         long dueNanos = startNanos + job * NANOS_PER_SECOND / JOBS_PER_SECOND;
         parkUntil(dueNanos);
         client.submit("/render", jobs.nextNumber());
-        synchronized (latencyMicros) {
-          latencyMicros.recordValue((System.nanoTime() - dueNanos) / 1000);
-        }
+        latency.recordSince(dueNanos);
       }
     }
   }
--- a/src/main/java/loomreel/benchmark/NoOpFaktoryWorker.java
+++ b/src/main/java/loomreel/benchmark/NoOpFaktoryWorker.java
@@ -11,7 +11,6 @@
 final class NoOpFaktoryWorker implements AutoCloseable {
   private static final String WORKER_ID = "measured";
   private static final long HEARTBEAT_INTERVAL_MS = 5000;
-  private static final String ID_FIELD = "\"jid\":\"";
 
   private final List<FaktoryClient> connections = new ArrayList<>();
 
@@ -40,8 +39,7 @@
       throws IOException {
     while (true) {
       if (connection.call("FETCH " + queue) instanceof String job) {
-        int start = job.indexOf(ID_FIELD) + ID_FIELD.length();
-        String id = job.substring(start, job.indexOf('"', start));
+        String id = BenchmarkJobs.textField(job, "jid");
         connection.callExpectingOk("ACK {\"jid\":\"" + id + "\"}");
       }
     }
--- a/src/main/java/loomreel/benchmark/ThroughputMeter.java
+++ b/src/main/java/loomreel/benchmark/ThroughputMeter.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Measures how often a second several connections together complete an operation. */
+/** Measures the rate at which several connections together complete an operation. */
 final class ThroughputMeter {
   private static final long WARM_UP_MS = 1000;
   private static final long MEASUREMENT_MS = 3000;
@@ -24,7 +24,7 @@
     Operation connect() throws IOException;
   }
 
-  /** The operations a second of so many connections, each on a thread of its own. */
+  /** The operations per second of all connections, each on a thread of its own. */
   static long measure(int connections, Connector connector) throws InterruptedException {
     AtomicLong completed = new AtomicLong();
     AtomicBoolean stopped = new AtomicBoolean();
--- a/src/main/java/loomreel/chaos/ChaosFaktoryClient.java
+++ b/src/main/java/loomreel/chaos/ChaosFaktoryClient.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Collection;
@@ -12,22 +13,28 @@
 
 /**
  * A Faktory client of a chaos run: pushes its jobs on schedule, one by one and in batches, and
- * repeats what a cut connection left unanswered.
+ * retries the commands that were unanswered when a connection was cut.
  */
 final class ChaosFaktoryClient {
   private static final int MAX_BATCH = 20;
-  private static final int ROUTING_KEYS = 50;
+
+  /** One push of so many is a batch, on average. */
+  private static final int PUSHES_PER_BATCH = 4;
+
   private static final int MAX_PRIORITY = 9;
   private static final long RECONNECT_DELAY_MS = 20;
 
-  /** How the reply begins to a job id that is in use: the job was taken before. */
+  /** Separates the random numbers of clients and protocols. */
+  private static final long SEED_FACTOR = 37;
+
+  /** The start of the reply to a job id that is in use: the job was accepted before. */
   private static final String NOT_UNIQUE = "NOTUNIQUE";
 
-  private final int number;
   private final InetSocketAddress daemon;
   private final Collection<String> pushedJobIds;
   private final ChaosFindings findings;
   private final SplittableRandom random;
+  private final ChaosJobSource jobSource;
 
   /** The present connection, for the fault injector to cut; null before the first. */
   private final AtomicReference<FaktoryClient> connection = new AtomicReference<>();
@@ -36,8 +43,7 @@
    * Creates a client.
    *
    * @param number the client's number among those of its kind
-   * @param pushedJobIds where it adds the ids of jobs that the daemon took; safe for several
-   *     threads
+   * @param pushedJobIds collects the ids of jobs that the daemon accepted; safe for several threads
    */
   ChaosFaktoryClient(
       int number,
@@ -45,23 +51,23 @@
       InetSocketAddress daemon,
       Collection<String> pushedJobIds,
       ChaosFindings findings) {
-    this.number = number;
     this.daemon = daemon;
     this.pushedJobIds = pushedJobIds;
     this.findings = findings;
-    random = new SplittableRandom(seed * 37 + number);
+    random = new SplittableRandom(seed * SEED_FACTOR + number);
+    jobSource = new ChaosJobSource(random, "fak", number);
   }
 
-  /** Pushes so many jobs, and returns when the daemon has taken all of them. */
+  /** Pushes jobs over a time, and returns when the daemon has accepted all of them. */
   void run(int jobs, int seconds) throws IOException, InterruptedException {
     JobSchedule schedule = new JobSchedule(jobs, seconds);
     connect();
     int next = 0;
     while (next < jobs) {
       schedule.await(next);
-      int size = random.nextInt(4) == 0 ? Math.min(MAX_BATCH, jobs - next) : 1;
+      int size = random.nextInt(PUSHES_PER_BATCH) == 0 ? Math.min(MAX_BATCH, jobs - next) : 1;
       ArrayNode batch = newBatch(next, size);
-      pushUntilTaken(batch);
+      pushUntilAccepted(batch);
       batch.forEach(job -> pushedJobIds.add(job.path("jid").asText()));
       findings.jobsSubmitted(size);
       next += size;
@@ -86,21 +92,20 @@
   private ArrayNode newBatch(int firstJob, int size) {
     ArrayNode batch = FaktoryClient.JSON.createArrayNode();
     for (int job = firstJob; job < firstJob + size; job++) {
-      ChaosJobClass jobClass = ChaosJobClass.of(random.nextBoolean());
-      String serial = jobClass.serial("fak", number, job);
-      var json = batch.addObject();
-      json.put("jid", ChaosRun.jobId(serial));
+      ChaosJob next = jobSource.next(job);
+      ObjectNode json = batch.addObject();
+      json.put("jid", ChaosRun.jobId(next.serial()));
       json.put("jobtype", "Make");
-      json.put("queue", jobClass.queue());
+      json.put("queue", next.jobClass().queue());
       json.put("priority", 1 + random.nextInt(MAX_PRIORITY));
-      json.putArray("args").add(serial);
-      json.putObject("custom").put("key", "k" + random.nextInt(ROUTING_KEYS));
+      json.putArray("args").add(next.serial());
+      json.putObject("custom").put("key", jobSource.nextRoutingKey());
     }
     return batch;
   }
 
-  /** Pushes until all jobs are known to be taken: a reply may be lost with its connection. */
-  private void pushUntilTaken(ArrayNode batch) throws IOException, InterruptedException {
+  /** Pushes until all jobs are known to be accepted: a cut connection may lose the reply. */
+  private void pushUntilAccepted(ArrayNode batch) throws IOException, InterruptedException {
     while (true) {
       try {
         push(batch);
--- a/src/main/java/loomreel/chaos/ChaosHttpClient.java
+++ b/src/main/java/loomreel/chaos/ChaosHttpClient.java
@@ -29,14 +29,18 @@
   private static final int MAX_IN_FLIGHT = 16;
 
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(30);
-  private static final int ROUTING_KEYS = 50;
 
-  private final int number;
+  /** Separates the random numbers of clients and protocols. */
+  private static final long SEED_FACTOR = 31;
+
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   private final HttpClient http;
   private final InetSocketAddress daemon;
   private final ExecutionLog executions;
   private final ChaosFindings findings;
   private final SplittableRandom random;
+  private final ChaosJobSource jobSource;
 
   /**
    * Creates a client.
@@ -51,15 +55,15 @@
       InetSocketAddress daemon,
       ExecutionLog executions,
       ChaosFindings findings) {
-    this.number = number;
     this.http = http;
     this.daemon = daemon;
     this.executions = executions;
     this.findings = findings;
-    random = new SplittableRandom(seed * 31 + number);
+    random = new SplittableRandom(seed * SEED_FACTOR + number);
+    jobSource = new ChaosJobSource(random, "http", number);
   }
 
-  /** Submits so many jobs, and returns when each has its response. */
+  /** Submits jobs over a time, and returns when each has its response. */
   void run(int jobs, int seconds) throws IOException, InterruptedException {
     JobSchedule schedule = new JobSchedule(jobs, seconds);
     List<CompletableFuture<Void>> inFlight = new ArrayList<>();
@@ -74,17 +78,20 @@
   }
 
   private CompletableFuture<Void> submit(int job) {
-    ChaosJobClass jobClass = ChaosJobClass.of(random.nextBoolean());
-    String serial = jobClass.serial("http", number, job);
+    ChaosJob next = jobSource.next(job);
     HttpRequest request =
         HttpRequest.newBuilder(
                 URI.create(
-                    "http://127.0.0.1:" + daemon.getPort() + "/" + jobClass.className() + "/page"))
+                    "http://127.0.0.1:"
+                        + daemon.getPort()
+                        + "/"
+                        + next.jobClass().className()
+                        + "/page"))
             .header("X-Call-Id", HexFormat.of().toHexDigits(random.nextLong()))
             .header("X-Budget-Ms", "" + BUDGET_MS)
-            .header("X-Route-Hash", "k" + random.nextInt(ROUTING_KEYS))
+            .header("X-Route-Hash", jobSource.nextRoutingKey())
             .timeout(REQUEST_TIMEOUT)
-            .POST(HttpRequest.BodyPublishers.ofString(serial))
+            .POST(HttpRequest.BodyPublishers.ofString(next.serial()))
             .build();
     long sentNanos = System.nanoTime();
     findings.jobsSubmitted(1);
@@ -92,9 +99,9 @@
         .handle(
             (response, failure) -> {
               if (failure == null) {
-                check(jobClass, serial, response, (System.nanoTime() - sentNanos) / 1_000_000);
+                check(next, response, (System.nanoTime() - sentNanos) / NANOS_PER_MILLI);
               } else {
-                findings.violation(serial + " has no response: " + failure);
+                findings.violation(next.serial() + " has no response: " + failure);
               }
               return null;
             });
@@ -111,10 +118,10 @@
                     : CompletableFuture.failedFuture(failure));
   }
 
-  private void check(
-      ChaosJobClass jobClass, String serial, HttpResponse<String> response, long elapsedMs) {
+  private void check(ChaosJob job, HttpResponse<String> response, long elapsedMs) {
+    String serial = job.serial();
     int status = response.statusCode();
-    findings.jobEnded("HTTP", jobClass, endName(status));
+    findings.jobEnded("HTTP", job.jobClass(), endName(status));
     if (elapsedMs > BUDGET_MS + LATENESS_TOLERANCE_MS) {
       findings.violation(serial + " was answered after " + elapsedMs + " ms");
     }
@@ -126,7 +133,7 @@
         }
       }
       case 503 -> {
-        if (jobClass == ChaosJobClass.RECORD && runs > 0) {
+        if (job.jobClass() == ChaosJobClass.RECORD && runs > 0) {
           findings.violation(serial + " was rejected although it ran");
         }
       }
--- a/src/main/java/loomreel/cli/JsonLogging.java
+++ b/src/main/java/loomreel/cli/JsonLogging.java
@@ -5,7 +5,6 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.classic.util.LogbackMDCAdapter;
 import ch.qos.logback.core.ConsoleAppender;
-import java.text.MessageFormat;
 import java.util.ResourceBundle;
 import org.slf4j.Logger;
 
@@ -43,7 +42,7 @@
   }
 
   /** Forwards {@link System.Logger} to SLF4J. */
-  private record Slf4jLogger(Logger delegate) implements System.Logger {
+  private record Slf4jLogger(Logger delegate) implements FormattingLogger {
     @Override
     public String getName() {
       return delegate.getName();
@@ -70,14 +69,5 @@
         delegate.atLevel(slf4jLevel(level)).setCause(thrown).log(text);
       }
     }
-
-    @Override
-    public void log(Level level, ResourceBundle bundle, String format, Object... values) {
-      log(
-          level,
-          bundle,
-          values == null || values.length == 0 ? format : MessageFormat.format(format, values),
-          (Throwable) null);
-    }
   }
 }
--- a/src/main/java/loomreel/cli/SystemLoggers.java
+++ b/src/main/java/loomreel/cli/SystemLoggers.java
@@ -1,7 +1,6 @@
 package loomreel.cli;
 
 import java.io.PrintStream;
-import java.text.MessageFormat;
 import java.time.Instant;
 import java.util.ResourceBundle;
 import java.util.function.Function;
@@ -28,7 +27,7 @@
     return factory.apply(name);
   }
 
-  private record StderrLogger(String name) implements System.Logger {
+  private record StderrLogger(String name) implements FormattingLogger {
     @Override
     public String getName() {
       return name;
@@ -51,14 +50,5 @@
         }
       }
     }
-
-    @Override
-    public void log(Level level, ResourceBundle bundle, String format, Object... values) {
-      log(
-          level,
-          bundle,
-          values == null || values.length == 0 ? format : MessageFormat.format(format, values),
-          (Throwable) null);
-    }
   }
 }
