--- a/src/main/java/loomreel/core/Rpc.java
+++ b/src/main/java/loomreel/core/Rpc.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 import loomreel.decision.AttemptOutcome;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /**
  * A client's call, from its acceptance until it is completed and its attempts have ended. Owns its
@@ -40,7 +40,7 @@
   private final String target;
   private final String contentType;
   private final String idempotencyKey;
-  private final Bytes body;
+  private final ByteQueue body;
   private final long deadline;
   private final Caller caller;
   private final DispatcherMetrics metrics;
@@ -54,7 +54,7 @@
       String target,
       String contentType,
       String idempotencyKey,
-      Bytes body,
+      ByteQueue body,
       long deadline,
       Caller caller,
       DispatcherMetrics metrics) {
@@ -199,7 +199,7 @@
   }
 
   /** The request body; owned by this call and released on its completion. */
-  public Bytes body() {
+  public ByteQueue body() {
     return body;
   }
 
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -11,7 +11,7 @@
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
 import loomreel.http.PooledConnection;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
@@ -99,7 +99,7 @@
     connection = calling ? carrier : null;
   }
 
-  private Bytes request(boolean waitsForChange) {
+  private ByteQueue request(boolean waitsForChange) {
     String query =
         waitsForChange
             ? "?"
@@ -111,7 +111,7 @@
                 + "="
                 + timeouts.maxWait() / MICROS_PER_MILLI
             : "";
-    Bytes request = new Bytes(loop.pool());
+    ByteQueue request = new ByteQueue(loop.pool());
     request.append(HttpHeaders.request("GET", ENDPOINTS_PATH + query, hostAndPort(), 0));
     return request;
   }
--- a/src/main/java/loomreel/faktory/FaktoryConnection.java
+++ b/src/main/java/loomreel/faktory/FaktoryConnection.java
@@ -14,7 +14,7 @@
 import loomreel.faktory.worker.WorkerConnection;
 import loomreel.faktory.worker.WorkerRegistry;
 import loomreel.io.ByteConnection;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
@@ -58,7 +58,7 @@
   private final LineReader lines;
 
   /** Commands that arrived while another was under way. */
-  private final Bytes pipelined;
+  private final ByteQueue pipelined;
 
   private ConnectionState state = ConnectionState.AWAITING_HELLO;
 
@@ -89,7 +89,7 @@
     this.context = context;
     this.challenge = challenge;
     lines = new LineReader(loop.pool(), MAX_HELLO_BYTES);
-    pipelined = new Bytes(loop.pool());
+    pipelined = new ByteQueue(loop.pool());
     inputTimer = closeWithErrorAfter(TIMEOUT_MICROS, "HELLO took too long");
   }
 
--- a/src/main/java/loomreel/faktory/protocol/LineReader.java
+++ b/src/main/java/loomreel/faktory/protocol/LineReader.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /** Reads commands, one a line, from bytes that arrive split anywhere. */
 public final class LineReader {
@@ -18,7 +18,7 @@
   }
 
   private final BufferPool bufferPool;
-  private final Bytes line;
+  private final ByteQueue line;
   private int maxLineBytes;
 
   /**
@@ -30,7 +30,7 @@
   public LineReader(BufferPool bufferPool, int maxLineBytes) {
     this.bufferPool = bufferPool;
     this.maxLineBytes = maxLineBytes;
-    line = new Bytes(bufferPool);
+    line = new ByteQueue(bufferPool);
   }
 
   /** Limits lines to so many bytes, from the next one on. */
--- a/src/main/java/loomreel/faktory/protocol/Reply.java
+++ b/src/main/java/loomreel/faktory/protocol/Reply.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /** A reply to a command, as RESP (the Redis serialization protocol) frames it. */
 public sealed interface Reply {
@@ -16,7 +16,7 @@
   int MAX_TEXT_CHARS = 256;
 
   /** Appends the encoded reply. */
-  void appendTo(Bytes out);
+  void appendTo(ByteQueue out);
 
   /** The error {@code ERR message}. */
   static ErrorReply error(String message) {
@@ -45,7 +45,7 @@
    */
   record SimpleString(String text) implements Reply {
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append(("+" + text + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
   }
@@ -57,7 +57,7 @@
    */
   record ErrorReply(String message) implements Reply {
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append(("-" + sanitize(message) + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
   }
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append(("$" + value.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
       out.append(value);
       out.append(LINE_END);
@@ -83,7 +83,7 @@
   /** The null bulk string. */
   record Nil() implements Reply {
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append("$-1\r\n".getBytes(StandardCharsets.US_ASCII));
     }
   }
--- a/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
@@ -14,7 +14,7 @@
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
 import loomreel.faktory.storage.JobPersistence;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.EventLoop;
 
 /**
@@ -151,7 +151,7 @@
     recentAttempts.add(id, job);
     Settings.RequestClass requestClass = classes.get(spec.requestClass());
     long deadline = Math.min(loop.now() + requestClass.deadline(), spec.deadline());
-    Bytes body = new Bytes(loop.pool());
+    ByteQueue body = new ByteQueue(loop.pool());
     body.append(job.payload);
     Rpc rpc =
         new Rpc(
--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import loomreel.decision.AttemptOutcome;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
@@ -74,7 +74,7 @@
    * @return the connection that carries the exchange, or null where none is available; the exchange
    *     has failed then
    */
-  public PooledConnection call(Bytes request, HttpExchange exchange) {
+  public PooledConnection call(ByteQueue request, HttpExchange exchange) {
     closeStale();
     PooledConnection connection = pollReusable();
     if (connection == null) {
--- a/src/main/java/loomreel/http/HttpMessage.java
+++ b/src/main/java/loomreel/http/HttpMessage.java
@@ -1,7 +1,7 @@
 package loomreel.http;
 
 import java.util.List;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /**
  * A complete request or response.
@@ -13,7 +13,7 @@
  * @param keepAlive whether the connection may carry another message
  */
 public record HttpMessage(
-    List<String> startLine, List<String> headers, Bytes body, boolean keepAlive) {
+    List<String> startLine, List<String> headers, ByteQueue body, boolean keepAlive) {
   /** The method of a request. */
   public String method() {
     return startLine.get(0);
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /**
  * An incremental parser of HTTP/1.1 requests or responses, which may be split anywhere. Owns the
@@ -47,7 +47,7 @@
   private State state = State.HEAD;
 
   /** The bytes of an incomplete head; null before its first byte and after its last. */
-  private Bytes headBytes;
+  private ByteQueue headBytes;
 
   /** The last four bytes of the incomplete head. */
   private int lastFourBytes;
@@ -62,7 +62,7 @@
   private HttpHead head;
 
   /** The body so far; null in state HEAD, except after an interim response. */
-  private Bytes body;
+  private ByteQueue body;
 
   private boolean keepAlive;
 
@@ -164,7 +164,7 @@
       if (!in.hasRemaining()) {
         return false;
       }
-      headBytes = new Bytes(pool);
+      headBytes = new ByteQueue(pool);
     }
     appendHeadBytes(in);
     if (lastFourBytes != END_OF_HEAD) {
@@ -209,7 +209,7 @@
    *     interim response the head of the final one
    */
   private boolean beginBody() throws BadMessageException {
-    body = new Bytes(pool);
+    body = new ByteQueue(pool);
     int status = parsesRequests ? HttpStatus.OK : head.status();
     boolean interim = status / 100 == 1;
     headUnreported = !interim;
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 import loomreel.decision.AttemptOutcome;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.EventLoop;
 
 /**
@@ -81,7 +81,7 @@
    * @param request its buffers are released here
    * @param connectDeadline when to give up connecting; matters only for a new connection
    */
-  void send(Bytes request, HttpExchange next, long connectDeadline) {
+  void send(ByteQueue request, HttpExchange next, long connectDeadline) {
     exchange = next;
     sentAt = loop.now();
     idleBeforeSend = idleSince == 0 ? 0 : sentAt - idleSince;
--- a/src/main/java/loomreel/ingress/PipelinedInput.java
+++ b/src/main/java/loomreel/ingress/PipelinedInput.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import loomreel.http.HttpMessageParser;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /**
  * The bytes that a client sends behind the request that is being served (HTTP pipelining).
@@ -21,12 +21,12 @@
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
   private final BufferPool pool;
-  private final Bytes buffered;
+  private final ByteQueue buffered;
   private int discardedBytes;
 
   PipelinedInput(BufferPool pool) {
     this.pool = pool;
-    buffered = new Bytes(pool);
+    buffered = new ByteQueue(pool);
   }
 
   /**
--- a/src/main/java/loomreel/io/ByteConnection.java
+++ b/src/main/java/loomreel/io/ByteConnection.java
@@ -15,7 +15,7 @@
   protected final SocketChannel channel;
 
   /** The bytes that are still to be written. */
-  protected final Bytes out;
+  protected final ByteQueue out;
 
   private final SelectionKey selectionKey;
   private boolean connected;
@@ -33,7 +33,7 @@
     this.loop = loop;
     this.channel = channel;
     this.connected = connected;
-    out = new Bytes(loop.pool());
+    out = new ByteQueue(loop.pool());
     selectionKey =
         channel.register(
             loop.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
--- a/src/main/java/loomreel/io/Bytes.java
+++ b/src/main/java/loomreel/io/ByteQueue.java
@@ -10,7 +10,7 @@
  * A queue of bytes in pooled buffers: appended at the end, written from the front. Owns its buffers
  * until they are written or {@link #release} is called. Used on the event loop's thread only.
  */
-public final class Bytes {
+public final class ByteQueue {
   private final BufferPool pool;
 
   /** In write mode: each one's position is the end of its data. */
@@ -26,7 +26,7 @@
    *
    * @param pool where its buffers come from and return to
    */
-  public Bytes(BufferPool pool) {
+  public ByteQueue(BufferPool pool) {
     this.pool = pool;
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** Appends a copy of the content of another queue. */
-  public void append(Bytes other) {
+  public void append(ByteQueue other) {
     int offset = other.frontOffset;
     for (ByteBuffer buffer : other.buffers) {
       ByteBuffer data = buffer.duplicate().flip().position(offset);
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -16,7 +16,7 @@
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
 import loomreel.http.JobHeader;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.RateLimitedLogger;
 
 /**
@@ -90,7 +90,7 @@
       return null;
     }
     Rpc rpc = attempt.rpc();
-    Bytes request = request("POST", rpc.target(), rpc.body().length(), jobHeaders(attempt));
+    ByteQueue request = request("POST", rpc.target(), rpc.body().length(), jobHeaders(attempt));
     request.append(rpc.body());
     JobCall call = new JobCall(this, attempt);
     call.setConnection(pool.call(request, call));
@@ -141,8 +141,8 @@
     log.warn("unexpected job response " + this + " status=" + status);
   }
 
-  private Bytes request(String method, String target, int length, String... headers) {
-    Bytes request = new Bytes(dispatcher.loop().pool());
+  private ByteQueue request(String method, String target, int length, String... headers) {
+    ByteQueue request = new ByteQueue(dispatcher.loop().pool());
     request.append(HttpHeaders.request(method, target, hostAndPort(), length, headers));
     return request;
   }
--- a/src/test/java/loomreel/faktory/protocol/ReplyTest.java
+++ b/src/test/java/loomreel/faktory/protocol/ReplyTest.java
@@ -4,13 +4,13 @@
 
 import java.nio.charset.StandardCharsets;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import org.junit.jupiter.api.Test;
 
 /** The bytes of replies. */
 class ReplyTest {
   private static String encoded(Reply reply) {
-    Bytes out = new Bytes(new BufferPool(4));
+    ByteQueue out = new ByteQueue(new BufferPool(4));
     reply.appendTo(out);
     return new String(out.toArray(), StandardCharsets.UTF_8);
   }
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import loomreel.decision.AttemptOutcome;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 import loomreel.standin.BackgroundThreads;
@@ -64,7 +64,7 @@
   }
 
   private void call(EventLoop loop, ConnectionPool pool, int furtherCalls) {
-    Bytes request = new Bytes(loop.pool());
+    ByteQueue request = new ByteQueue(loop.pool());
     request.append("GET / HTTP/1.1\r\n\r\n");
     pool.call(
         request,
--- a/src/test/java/loomreel/ingress/JobRequestTest.java
+++ b/src/test/java/loomreel/ingress/JobRequestTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import loomreel.http.HttpMessage;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,7 +20,7 @@
 
   private static Optional<JobRequest> parse(String... namesAndValues) {
     List<String> headers = new ArrayList<>(List.of(namesAndValues));
-    Bytes body = new Bytes(new BufferPool(1));
+    ByteQueue body = new ByteQueue(new BufferPool(1));
     return JobRequest.parse(
         new HttpMessage(List.of("POST", "/copy", "HTTP/1.1"), headers, body, true));
   }
--- a/src/test/java/loomreel/io/BytesTest.java
+++ b/src/test/java/loomreel/io/ByteQueueTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 
 /** A queue of bytes that spans several pooled buffers. */
-class BytesTest {
+class ByteQueueTest {
   private static final int LENGTH = 2 * BufferPool.SIZE + 100;
 
   private final BufferPool pool = new BufferPool(3);
-  private final Bytes bytes = new Bytes(pool);
+  private final ByteQueue bytes = new ByteQueue(pool);
   private final byte[] content = new byte[LENGTH];
 
-  BytesTest() {
+  ByteQueueTest() {
     for (int i = 0; i < LENGTH; i++) {
       content[i] = (byte) (i * 31 + i / 256);
     }
@@ -70,7 +70,7 @@
     channel.capacity = 10;
     bytes.writeTo(channel);
 
-    Bytes copy = new Bytes(pool);
+    ByteQueue copy = new ByteQueue(pool);
     copy.append(bytes);
 
     assertArrayEquals(Arrays.copyOfRange(content, 10, LENGTH), copy.toArray());
