--- a/src/main/java/loomreel/chaos/ChaosHttpClient.java
+++ b/src/main/java/loomreel/chaos/ChaosHttpClient.java
@@ -22,7 +22,7 @@
   /** The time that a request allows for its response. */
   private static final int BUDGET_MS = 3000;
 
-  /** How much later a response may come before it counts as late: the machine may be busy. */
+  /** How much later than its budget a response may arrive: the machine may be busy. */
   private static final int LATENESS_TOLERANCE_MS = 1500;
 
   /** Requests in flight at a time: fewer than the connections that the daemon keeps idle. */
--- a/src/main/java/loomreel/chaos/ChaosRun.java
+++ b/src/main/java/loomreel/chaos/ChaosRun.java
@@ -16,8 +16,8 @@
 
 /**
  * A chaos test of one daemon on loopback: clients and workers of both protocols, while workers are
- * killed and connections cut at times that come from a seed. The invariants are checked at the end,
- * whatever happened. One instance runs once.
+ * killed and connections cut at times drawn from a seed. The invariants are checked at the end. One
+ * instance runs once.
  */
 public final class ChaosRun {
   /** The password of the daemon's Faktory server. */
@@ -57,7 +57,7 @@
   /**
    * Runs the plan.
    *
-   * @param progress where a line of progress goes, or null
+   * @param progress receives a line of progress; null for none
    * @throws IOException if the daemon cannot be started
    */
   public ChaosResult run(PrintStream progress) throws IOException, InterruptedException {
@@ -72,7 +72,7 @@
       }
       checkInvariants(workers);
       if (daemon.shutDown() != EXIT_CODE_SIGTERM) {
-        findings.violation("the daemon did not shut down as asked");
+        findings.violation("the daemon did not shut down on SIGTERM");
       }
       return findings.result(workers.servedByKind());
     }
--- a/src/main/java/loomreel/chaos/ChaosWorkers.java
+++ b/src/main/java/loomreel/chaos/ChaosWorkers.java
@@ -60,7 +60,7 @@
     return faktoryWorkers.get(worker);
   }
 
-  /** Starts a new Faktory worker at a position; its predecessor is left as it is. */
+  /** Starts a new Faktory worker at a position; its predecessor is not changed. */
   void replaceFaktory(int worker) {
     replacements++;
     faktoryWorkers.set(worker, startFaktory("f" + worker + "-" + replacements));
--- a/src/main/java/loomreel/chaos/FaultInjector.java
+++ b/src/main/java/loomreel/chaos/FaultInjector.java
@@ -12,16 +12,22 @@
 
 /**
  * Injects faults into a chaos run, one after another, until its thread is interrupted: kills
- * workers, quiets them, takes them out of use, and cuts clients' connections. Which and when comes
- * from a seed.
+ * workers, quiets them, disables them, and cuts clients' connections. Which and when is drawn from
+ * a seed.
  */
 final class FaultInjector {
-  /** The rule: no new jobs so long after operators disabled a worker. */
+  /** No new jobs may be sent after this time since operators disabled a worker. */
   private static final long DISABLE_GRACE_MS = 3000;
 
   private static final int MIN_PAUSE_MS = 100;
   private static final int PAUSE_SPREAD_MS = 500;
   private static final int KINDS_OF_FAULTS = 5;
+  private static final int MIN_HTTP_RESTART_MS = 100;
+  private static final int HTTP_RESTART_SPREAD_MS = 600;
+  private static final int FAKTORY_RESTART_SPREAD_MS = 500;
+  private static final long QUIET_MS = 1000;
+  private static final int MIN_DISABLED_MS = 200;
+  private static final int DISABLED_SPREAD_MS = 4000;
 
   private final SplittableRandom random;
   private final HttpClient http;
@@ -77,14 +83,14 @@
   private void killHttpWorker(int worker) throws IOException, InterruptedException {
     findings.faultInjected("HTTP worker killed");
     workers.http(worker).close();
-    Thread.sleep(100 + random.nextInt(600));
+    Thread.sleep(MIN_HTTP_RESTART_MS + random.nextInt(HTTP_RESTART_SPREAD_MS));
     workers.http(worker).restart();
   }
 
   private void killFaktoryWorker(int worker) throws InterruptedException {
     findings.faultInjected("Faktory worker killed");
     workers.faktory(worker).close();
-    Thread.sleep(random.nextInt(500));
+    Thread.sleep(random.nextInt(FAKTORY_RESTART_SPREAD_MS));
     workers.replaceFaktory(worker);
   }
 
@@ -93,7 +99,7 @@
     FaktoryWorker quiet = workers.faktory(worker);
     quiet.quiet();
     workers.replaceFaktory(worker);
-    Thread.sleep(1000);
+    Thread.sleep(QUIET_MS);
     quiet.close();
   }
 
@@ -107,7 +113,7 @@
     findings.faultInjected("HTTP worker disabled by operators");
     callAdminServer("down", ChaosWorkers.httpId(worker));
     workers.http(worker).expectNoJobsAfterMillis(DISABLE_GRACE_MS);
-    Thread.sleep(200 + random.nextInt(4000));
+    Thread.sleep(MIN_DISABLED_MS + random.nextInt(DISABLED_SPREAD_MS));
     workers.http(worker).expectJobs();
     callAdminServer("up", ChaosWorkers.httpId(worker));
   }
--- a/src/main/java/loomreel/cli/ExitCodes.java
+++ b/src/main/java/loomreel/cli/ExitCodes.java
@@ -2,7 +2,7 @@
 
 /** The exit codes of the program's commands. */
 final class ExitCodes {
-  /** The command did what it was asked for. */
+  /** The command succeeded. */
   static final int OK = 0;
 
   /** The command failed while it ran. */
--- a/src/main/java/loomreel/cli/Main.java
+++ b/src/main/java/loomreel/cli/Main.java
@@ -39,9 +39,8 @@
    */
   public static void main(String[] args) {
     if (args.length == 1 && args[0].equals("serve")) {
-      // The platform starts the program so. There are no options to parse, and loading picocli
-      // would take a quarter of the processor time of a start, which a fleet that is restarted at
-      // once has to wait for.
+      // The platform's command line has no options, and loading picocli would make each start of a
+      // fleet slower.
       System.exit(new ServeCommand().call());
     }
     System.exit(new CommandLine(new Main()).execute(args));
--- a/src/main/java/loomreel/io/Acceptor.java
+++ b/src/main/java/loomreel/io/Acceptor.java
@@ -9,12 +9,12 @@
 /**
  * The accept loop of one listening socket.
  *
- * <p>A failing {@code accept} (usually: no file descriptor left) leaves the connection in the
+ * <p>If {@code accept} fails, usually for lack of a file descriptor, the connection remains in the
  * kernel's queue and the socket readable, so a retry without a delay would spin the event loop.
  * Accepting therefore pauses for {@link #RETRY_DELAY_MICROS} after a failure.
  *
- * <p>The listening socket stays the property of the caller, or of the {@link EventLoop}, which
- * closes every registered channel when it is closed.
+ * <p>The listening socket remains owned by the caller, or of the {@link EventLoop}, which closes
+ * every registered channel when it is closed.
  */
 public final class Acceptor implements EventLoop.Handler {
   /** The owner of the accepted connections. */
@@ -39,7 +39,7 @@
 
   private final EventLoop loop;
   private final ServerSocketChannel listener;
-  private final int maxPerTurn;
+  private final int maxPerIteration;
   private final RateLimitedLogger log;
   private final ConnectionHandler handler;
   private final SelectionKey key;
@@ -49,19 +49,19 @@
    * Registers a listening socket, from which nothing is accepted before {@link #start}.
    *
    * @param listener bound and non-blocking
-   * @param maxPerTurn how many connections to accept in one turn of the event loop at most
+   * @param maxPerIteration the most connections to accept in one iteration of the event loop
    * @throws IOException if the socket cannot be registered with the selector
    */
   public Acceptor(
       EventLoop loop,
       ServerSocketChannel listener,
-      int maxPerTurn,
+      int maxPerIteration,
       RateLimitedLogger log,
       ConnectionHandler handler)
       throws IOException {
     this.loop = loop;
     this.listener = listener;
-    this.maxPerTurn = maxPerTurn;
+    this.maxPerIteration = maxPerIteration;
     this.log = log;
     this.handler = handler;
     key = listener.register(loop.selector(), 0, this);
@@ -114,7 +114,7 @@
   @Override
   public void ready(SelectionKey selected) {
     try {
-      for (int count = 0; count < maxPerTurn && isAccepting(); count++) {
+      for (int count = 0; count < maxPerIteration && isAccepting(); count++) {
         SocketChannel channel = listener.accept();
         if (channel == null) {
           return;
--- a/src/main/java/loomreel/io/ByteQueue.java
+++ b/src/main/java/loomreel/io/ByteQueue.java
@@ -24,7 +24,7 @@
   /**
    * Creates an empty queue.
    *
-   * @param pool where its buffers come from and return to
+   * @param pool the owner of the buffers
    */
   public ByteQueue(BufferPool pool) {
     this.pool = pool;
--- a/src/main/java/loomreel/io/EventLoop.java
+++ b/src/main/java/loomreel/io/EventLoop.java
@@ -6,9 +6,9 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
 import java.util.Optional;
-import java.util.PriorityQueue;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.function.Consumer;
 
 /**
  * A single-threaded event loop: one selector, one clock and the timers. Everything that belongs to
@@ -36,7 +36,7 @@
     /** Null once the timer is cancelled. */
     private Runnable task;
 
-    private Timer(long dueAt, long sequence, Runnable task) {
+    Timer(long dueAt, long sequence, Runnable task) {
       this.dueAt = dueAt;
       this.sequence = sequence;
       this.task = task;
@@ -47,10 +47,24 @@
       task = null;
     }
 
-    private boolean isCancelled() {
+    boolean isCancelled() {
       return task == null;
     }
 
+    long dueAt() {
+      return dueAt;
+    }
+
+    /** The task, or null once the timer is cancelled. */
+    Runnable task() {
+      return task;
+    }
+
+    /** Whether it is due and was scheduled before the timer with a sequence number. */
+    boolean isDue(long now, long endSequence) {
+      return dueAt <= now && sequence < endSequence;
+    }
+
     @Override
     public int compareTo(Timer other) {
       return dueAt != other.dueAt
@@ -66,16 +80,16 @@
   private final TraceWriter trace;
 
   private final ByteBuffer scratch = ByteBuffer.allocateDirect(BufferPool.SIZE);
-  private final PriorityQueue<Timer> timers = new PriorityQueue<>();
+  private final TimerQueue timers = new TimerQueue();
+  private final Consumer<Runnable> guardedRunner = this::runGuarded;
   private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.io.loop");
 
-  /** What turns the monotonic clock into Unix time. */
+  /** Added to the monotonic clock, it gives Unix time. */
   private final long clockOffsetMicros =
       System.currentTimeMillis() * MICROS_PER_MILLI - System.nanoTime() / NANOS_PER_MICRO;
 
   private long now = readClock();
-  private long nextTimerSequence;
   private boolean stopped;
   private long longestIterationMicros;
 
@@ -114,9 +128,7 @@
 
   /** Schedules a task for a time in microseconds of this loop's clock; it may run later. */
   public Timer schedule(long dueAt, Runnable task) {
-    Timer timer = new Timer(dueAt, nextTimerSequence++, task);
-    timers.add(timer);
-    return timer;
+    return timers.schedule(dueAt, task);
   }
 
   /** Runs a task on the loop's thread in its next iteration. May be called on any thread. */
@@ -146,7 +158,7 @@
     now = readClock();
     runPostedTasks();
     handleReadyChannels();
-    runDueTimers();
+    timers.runDue(now, guardedRunner);
     if (trace != null) {
       trace.flush();
     }
@@ -155,10 +167,8 @@
 
   /** Waits until a channel is ready, a timer is due or a task is posted. */
   private void select() throws IOException {
-    while (!timers.isEmpty() && timers.peek().isCancelled()) {
-      timers.poll();
-    }
-    long waitMicros = timers.isEmpty() ? MAX_WAIT_MICROS : timers.peek().dueAt - readClock();
+    timers.removeCancelled();
+    long waitMicros = timers.isEmpty() ? MAX_WAIT_MICROS : timers.firstDueAt() - readClock();
     if (waitMicros <= 0) {
       selector.selectNow();
     } else {
@@ -181,20 +191,6 @@
     selector.selectedKeys().clear();
   }
 
-  private void runDueTimers() {
-    // Timers that these tasks schedule wait for the next iteration, so that one that reschedules
-    // itself cannot starve the sockets.
-    long endSequence = nextTimerSequence;
-    while (!timers.isEmpty()
-        && timers.peek().dueAt <= now
-        && timers.peek().sequence < endSequence) {
-      Timer timer = timers.poll();
-      if (!timer.isCancelled()) {
-        runGuarded(timer.task);
-      }
-    }
-  }
-
   /** Closes every registered channel, and the selector; to be called after {@link #run()}. */
   @Override
   public void close() throws IOException {
@@ -212,8 +208,8 @@
   }
 
   /**
-   * Runs a task of one connection or timer. A fault in it is logged and must not end the process
-   * with all its other calls.
+   * Runs a task of one connection or timer. An exception is logged and does not end the process,
+   * which serves other calls.
    */
   private void runGuarded(Runnable task) {
     try {
--- a/src/main/java/loomreel/io/RateLimitedLogger.java
+++ b/src/main/java/loomreel/io/RateLimitedLogger.java
@@ -6,6 +6,10 @@
 /**
  * A logger that writes ten lines a second at most, so that clients and workers cannot flood the
  * log. The number of suppressed lines is logged with the first line of a later second.
+ *
+ * <p>Callers build the complete text. Message patterns of {@link System.Logger} are not used:
+ * {@link java.text.MessageFormat} would be loaded at each start, and it groups the digits of
+ * numbers.
  */
 public final class RateLimitedLogger {
   private static final int MAX_LINES_PER_SECOND = 10;
--- a/src/main/java/loomreel/io/TraceWriter.java
+++ b/src/main/java/loomreel/io/TraceWriter.java
@@ -7,10 +7,10 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes the events of one dispatcher as JSON lines, which {@code loomreel tally} summarizes over a
- * fleet. Tracing is off by default: {@link EventLoop#trace} is null then, and callers check that
- * before they build the arguments of a line. Used on the event loop's thread only. Tests subclass
- * it to act between two events.
+ * Writes the events of one dispatcher as JSON lines, which {@code loomreel trace-summary}
+ * summarizes over a fleet. Tracing is off by default: {@link EventLoop#trace} is null then, and
+ * callers check that before they build the arguments of a line. Used on the event loop's thread
+ * only. Tests subclass it to act between two events.
  */
 public class TraceWriter {
   private static final double DECIMALS = 1000.0;
--- a/src/main/java/loomreel/standin/DaemonProcess.java
+++ b/src/main/java/loomreel/standin/DaemonProcess.java
@@ -123,7 +123,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    throw new IOException("the daemon never said \"" + text + "\" but:\n" + seen);
+    throw new IOException("the daemon never logged \"" + text + "\" but:\n" + seen);
   }
 
   /**
--- a/src/main/java/loomreel/standin/FaktoryWorker.java
+++ b/src/main/java/loomreel/standin/FaktoryWorker.java
@@ -15,6 +15,11 @@
 public final class FaktoryWorker implements AutoCloseable {
   private static final long HEARTBEAT_INTERVAL_MS = 500;
 
+  /** The delay of the heartbeat that reports the quiet state. */
+  private static final long UNREPORTED_STATE_DELAY_MS = 1;
+
+  private static final long RECONNECT_DELAY_MS = 100;
+
   private final String wid;
   private final InetSocketAddress server;
   private final String password;
@@ -43,14 +48,14 @@
       String password,
       int slots,
       long workMs,
-      ExecutionLog stamps,
+      ExecutionLog executions,
       String... queues) {
     this.wid = wid;
     this.server = server;
     this.password = password;
     this.slots = slots;
     this.workMs = workMs;
-    this.executions = stamps;
+    this.executions = executions;
     this.queues = String.join(" ", queues);
     for (int i = 0; i < slots; i++) {
       start(this::fetchJobs);
@@ -75,7 +80,7 @@
                   }
                 } catch (IOException e) {
                   // The server is unreachable or closed the connection.
-                  pause(100);
+                  pause(RECONNECT_DELAY_MS);
                 } catch (InterruptedException e) {
                   return;
                 }
@@ -97,10 +102,10 @@
 
   private void fetchJobs(FaktoryClient link) throws IOException, InterruptedException {
     while (!stopped) {
-      long asked = System.nanoTime();
+      long fetchedNanos = System.nanoTime();
       Object answer = link.call("FETCH " + queues);
       if (answer instanceof String text) {
-        if (asked > quietSince) {
+        if (fetchedNanos > quietSince) {
           jobsAfterQuiet.incrementAndGet();
         }
         JsonNode job = FaktoryClient.JSON.readTree(text);
@@ -132,17 +137,17 @@
       if (isQuietReported && quietSince == Long.MAX_VALUE) {
         quietSince = System.nanoTime();
       }
-      Thread.sleep(quiet && !isQuietReported ? 1 : HEARTBEAT_INTERVAL_MS);
+      Thread.sleep(quiet && !isQuietReported ? UNREPORTED_STATE_DELAY_MS : HEARTBEAT_INTERVAL_MS);
     }
   }
 
-  /** A job's serial number, whichever kind of client it comes from. */
+  /** A job's serial number, for the jobs of both kinds of clients. */
   public static String serial(JsonNode job) {
     JsonNode first = job.path("args").path(0);
     return first.isObject() ? first.path("body").asText() : first.asText();
   }
 
-  /** Tells the server that the worker is quiet, and goes on fetching: no job may come. */
+  /** Reports the worker as quiet, and continues to fetch: the server must send no job. */
   public void quiet() {
     quiet = true;
     threads.get(threads.size() - 1).interrupt();
@@ -154,7 +159,7 @@
     return quietSince != Long.MAX_VALUE;
   }
 
-  /** How many jobs came by a FETCH that was sent after the quiet state was acknowledged. */
+  /** How many jobs were sent on a FETCH that was sent after the quiet state was acknowledged. */
   public int jobsAfterQuiet() {
     return jobsAfterQuiet.get();
   }
--- a/src/main/java/loomreel/standin/HttpWorker.java
+++ b/src/main/java/loomreel/standin/HttpWorker.java
@@ -31,6 +31,10 @@
   private static final int WAITING_PER_SLOT = 4;
   private static final int MAX_CALLBACK_ATTEMPTS = 10;
   private static final int CALLBACK_TIMEOUT_MS = 2000;
+  private static final long CALLBACK_RETRY_DELAY_MS = 100;
+  private static final int BACKLOG = 256;
+  private static final int ANY_PORT = 0;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final String id;
   private final Supplier<InetSocketAddress> dispatcher;
@@ -57,14 +61,14 @@
       Supplier<InetSocketAddress> dispatcher,
       int slots,
       long workMs,
-      ExecutionLog stamps)
+      ExecutionLog executions)
       throws IOException {
     this.id = id;
     this.dispatcher = dispatcher;
     this.slots = slots;
     this.workMs = workMs;
-    this.executions = stamps;
-    port = listen(0);
+    this.executions = executions;
+    port = listen(ANY_PORT);
   }
 
   private int listen(int at) throws IOException {
@@ -77,10 +81,11 @@
             TimeUnit.SECONDS,
             new ArrayBlockingQueue<>(WAITING_PER_SLOT * slots),
             r -> daemon(r, id + " jobs"));
-    server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), at), 256);
+    server =
+        HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), at), BACKLOG);
     server.setExecutor(calls);
-    ThreadPoolExecutor mine = jobs;
-    server.createContext("/", exchange -> call(exchange, mine));
+    ThreadPoolExecutor currentJobs = jobs;
+    server.createContext("/", exchange -> call(exchange, currentJobs));
     server.start();
     return server.getAddress().getPort();
   }
@@ -96,7 +101,7 @@
     return "127.0.0.1:" + port;
   }
 
-  private void call(HttpExchange exchange, ThreadPoolExecutor mine) throws IOException {
+  private void call(HttpExchange exchange, ThreadPoolExecutor currentJobs) throws IOException {
     byte[] body = exchange.getRequestBody().readAllBytes();
     String path = exchange.getRequestURI().getPath();
     int status = 200;
@@ -106,18 +111,18 @@
           .set(
               "X-Load-Report",
               "TEXT queue="
-                  + mine.getQueue().size()
+                  + currentJobs.getQueue().size()
                   + ", inflight="
-                  + (mine.getQueue().size() + mine.getActiveCount())
+                  + (currentJobs.getQueue().size() + currentJobs.getActiveCount())
                   + ", x0="
-                  + (slots - mine.getActiveCount()));
+                  + (slots - currentJobs.getActiveCount()));
     } else if (exchange.getRequestMethod().equals("POST")) {
       if (System.nanoTime() > noJobsExpectedSince) {
         unexpectedJobs.incrementAndGet();
       }
       String call = exchange.getRequestHeaders().getFirst("X-Call-Id");
       try {
-        mine.execute(() -> run(call, serial(new String(body, StandardCharsets.UTF_8))));
+        currentJobs.execute(() -> run(call, serial(new String(body, StandardCharsets.UTF_8))));
         status = 202;
       } catch (RejectedExecutionException e) {
         status = 503;
@@ -132,7 +137,7 @@
     try {
       return body.startsWith("{") ? FaktoryWorker.serial(FaktoryClient.JSON.readTree(body)) : body;
     } catch (IOException e) {
-      throw new IllegalStateException("a job that is no JSON: " + body, e);
+      throw new IllegalStateException("a job that is not JSON: " + body, e);
     }
   }
 
@@ -149,7 +154,7 @@
               .put("result", "made " + serial)
               .toString();
       for (int i = 0; i < MAX_CALLBACK_ATTEMPTS && !sendCallback(callback); i++) {
-        Thread.sleep(100);
+        Thread.sleep(CALLBACK_RETRY_DELAY_MS);
       }
       jobsServed.incrementAndGet();
     } catch (InterruptedException e) {
@@ -179,9 +184,9 @@
     }
   }
 
-  /** Counts jobs that come later than this as unexpected: operators have disabled the worker. */
+  /** Counts jobs that arrive later than this as unexpected: operators have disabled the worker. */
   public void expectNoJobsAfterMillis(long graceMillis) {
-    noJobsExpectedSince = System.nanoTime() + graceMillis * 1_000_000;
+    noJobsExpectedSince = System.nanoTime() + graceMillis * NANOS_PER_MILLI;
   }
 
   /** Stops counting jobs as unexpected: operators have enabled the worker again. */
@@ -189,7 +194,7 @@
     noJobsExpectedSince = Long.MAX_VALUE;
   }
 
-  /** How many jobs came while none was expected. */
+  /** How many jobs arrived while none was expected. */
   public int unexpectedJobs() {
     return unexpectedJobs.get();
   }
--- a/src/main/java/loomreel/tracing/JobEnd.java
+++ b/src/main/java/loomreel/tracing/JobEnd.java
@@ -14,7 +14,7 @@
   REJECTED_WHILE_QUEUED,
   /** Rejected after at least one attempt that did not run or is safe to repeat. */
   REJECTED_AFTER_ATTEMPT,
-  /** Answered with an error that does not tell what ran. */
+  /** Answered with an error after which the job may have run. */
   FAILED,
   /** Cancelled by its client. */
   CANCELLED,
--- a/src/main/java/loomreel/tracing/OpenJob.java
+++ b/src/main/java/loomreel/tracing/OpenJob.java
@@ -9,7 +9,11 @@
   private final long arrivedAtMicros;
   private final double latencyObjectiveMicros;
   private int attempts;
+
+  /** Null before the first attempt. */
   private String lastWorkerId;
+
+  /** Null before the first attempt has ended. */
   private String lastOutcome;
 
   /**
@@ -57,7 +61,7 @@
     return unixMicros - arrivedAtMicros;
   }
 
-  /** What is reported of the job if it ends so at this time. */
+  /** The report on the job if it ends at this time. */
   UnsuccessfulJob report(JobEnd end, Optional<String> reason, long unixMicros) {
     return new UnsuccessfulJob(
         node,
--- a/src/main/java/loomreel/tracing/TraceSummary.java
+++ b/src/main/java/loomreel/tracing/TraceSummary.java
@@ -11,15 +11,15 @@
 import java.util.TreeMap;
 
 /**
- * Adds up the trace lines of a fleet: counts by second, counts by worker, and the jobs that were
- * not served in time. Lines may come dispatcher by dispatcher; those of one dispatcher must come in
- * their order. A job is held until it has ended; unsuccessful jobs are held for good. For one
+ * Aggregates the trace lines of a fleet: counts by second, counts by worker, and the jobs that were
+ * not served in time. Lines may be added dispatcher by dispatcher; those of one dispatcher must be
+ * added in order. A job is stored until it has ended, an unsuccessful one until the end. For one
  * thread.
  */
 public final class TraceSummary {
   /**
-   * A job without an answer for longer than this, in microseconds, counts as lost: the longest that
-   * a client waits (5 s), and a margin.
+   * A job without a response for longer than this counts as lost: the longest time that a client
+   * waits (5 s), and a margin.
    */
   private static final long LOST_AFTER_MICROS = 5_500_000;
 
@@ -34,7 +34,7 @@
   private final double stretch;
 
   /**
-   * Creates an empty summary. A job counts as late when its answer comes after the latency
+   * Creates an empty summary. A job counts as late when its response was sent after the latency
    * objective plus {@code stretch} times its expected work.
    *
    * @param latencyObjectiveMicros microseconds
@@ -44,7 +44,7 @@
     this.stretch = stretch;
   }
 
-  /** Counts a line; kinds that the summary has no use for are ignored. */
+  /** Counts a line; other kinds are ignored. */
   public void add(TraceLine line) {
     lastLineByNode.put(line.node(), line.unixMicros());
     switch (line.kind()) {
--- a/src/main/java/loomreel/tracing/UnsuccessfulJob.java
+++ b/src/main/java/loomreel/tracing/UnsuccessfulJob.java
@@ -8,8 +8,8 @@
  * @param node the dispatcher that had it
  * @param attempts how many attempts were made
  * @param lastAttempt empty where there was none
- * @param reason the decision module's reason for giving the job up, in words; empty where the trace
- *     gives none
+ * @param reason the decision module's reason for ending the job, in words; empty where the trace
+ *     has none
  * @param arrivedAtMicros Unix time
  * @param durationMicros from its arrival to its end, or to the last line of its dispatcher
  */
--- a/src/main/java/loomreel/tracing/package-info.java
+++ b/src/main/java/loomreel/tracing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads the trace lines that dispatchers write with {@code serve --trace}, and adds up those of a
- * whole fleet.
+ * Reads the trace lines that dispatchers write with {@code serve --trace}, and aggregates those of
+ * a fleet.
  */
 package loomreel.tracing;
--- a/src/main/java/loomreel/wal/GroupCommitter.java
+++ b/src/main/java/loomreel/wal/GroupCommitter.java
@@ -12,17 +12,17 @@
 import java.util.function.LongConsumer;
 
 /**
- * Owns the thread that waits for the disk. What is requested while it waits is done together with
- * the next fsync (group commit).
+ * Owns the thread that waits for the disk. Requests that arrive during an fsync share the next one
+ * (group commit).
  */
 final class GroupCommitter {
   /** A message from the log's thread to the thread of this class. */
   private sealed interface Request {}
 
-  /** Asks for what was written to a file up to a position of the log to be synced. */
+  /** Requests a sync of what was written to a file up to a position of the log. */
   private record Sync(FileChannel channel, long position) implements Request {}
 
-  /** Asks for the same, and for the file to be closed afterwards. */
+  /** Requests the same, and closes the file afterwards. */
   private record SyncAndClose(FileChannel channel, long position) implements Request {}
 
   /** Ends the thread after what was requested before. */
@@ -55,12 +55,12 @@
     requests.add(new Sync(channel, position));
   }
 
-  /** Hands over a file to which nothing more is written; it is synced and closed. */
+  /** Passes ownership of a file to which nothing more is written; it is synced and closed. */
   void retire(FileChannel channel, long position) {
     requests.add(new SyncAndClose(channel, position));
   }
 
-  /** Finishes what was requested, and waits for the thread to end. */
+  /** Completes all requests, and waits for the thread to end. */
   void close() {
     requests.add(new Stop());
     try {
@@ -83,8 +83,8 @@
       try {
         sync(batch);
       } catch (IOException e) {
-        // After a failed fsync the system may have dropped the pages, and a later one succeeds all
-        // the same: nothing is reported as synced again.
+        // After a failed fsync the kernel may have dropped the pages, yet a later one can succeed:
+        // nothing is reported as synced again.
         hasFailed = true;
         onFailure.accept(e);
       }
--- a/src/main/java/loomreel/wal/LogRecord.java
+++ b/src/main/java/loomreel/wal/LogRecord.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of a record in a segment: four bytes of length, four bytes of CRC-32C over the content,
- * and the content. Numbers are big-endian.
+ * The format of a record in a segment: four bytes of length, four bytes of CRC-32C over the
+ * content, and the content. Numbers are big-endian.
  */
 final class LogRecord {
   private static final int CHECKSUM_OFFSET = Integer.BYTES;
@@ -14,13 +14,13 @@
   /** Bytes before the content. */
   static final int HEADER_BYTES = 2 * Integer.BYTES;
 
-  /** A greater length cannot have been written, so that its bytes are no record. */
+  /** A header with a greater length is no record. */
   static final int MAX_CONTENT_BYTES = 1 << 20;
 
   private LogRecord() {}
 
   /**
-   * Returns a record as it stands in a segment.
+   * Returns a record in the format of a segment.
    *
    * @throws IllegalArgumentException if the content is empty or too long to be read back
    */
@@ -39,7 +39,7 @@
    * Reads the content of the record that begins at the position of a segment, and moves the
    * position to its end.
    *
-   * @return empty where no whole record begins there; the position stays as it is then
+   * @return empty where no complete record begins there; the position does not change then
    */
   static Optional<byte[]> readNext(ByteBuffer segment) {
     if (segment.remaining() < HEADER_BYTES) {
--- a/src/main/java/loomreel/wal/SegmentDirectory.java
+++ b/src/main/java/loomreel/wal/SegmentDirectory.java
@@ -30,7 +30,7 @@
   /** Linux gives each boot of the machine an id of its own. */
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-  /** Stands for the boot id where the system has none; equals no boot. */
+  /** Replaces the boot id where the system has none; equals no other boot id. */
   private static final String UNKNOWN_BOOT_ID = "unknown";
 
   private final Path directory;
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Locks a directory for this process, and creates it where it is missing.
+   * Locks a directory for this process, and creates it if necessary.
    *
-   * @throws IOException if it cannot be used, or another process holds it
+   * @throws IOException if it cannot be used, or another process has locked it
    */
   static SegmentDirectory lock(Path directory) throws IOException {
     Files.createDirectories(directory);
@@ -100,7 +100,7 @@
   /**
    * Reads the header of a segment, and moves the position past it.
    *
-   * @return the boot id in it, or empty where there is no header; the position stays as it is then
+   * @return the boot id in it, or empty where there is no header; the position does not change then
    */
   static Optional<String> readHeader(ByteBuffer segment) {
     int end = 0;
@@ -122,12 +122,12 @@
     return otherBootId.equals(bootId) && !bootId.equals(UNKNOWN_BOOT_ID);
   }
 
-  /** Creates a segment that holds its header alone; the caller owns its file. */
+  /** Creates a segment with nothing but a header; the caller owns its file. */
   FileChannel create(int segment) throws IOException {
     FileChannel channel =
         FileChannel.open(file(segment), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     channel.write(ByteBuffer.wrap(header()));
-    // Without a sync of the directory, a loss of power may take the file's name.
+    // Without a sync of the directory, a power failure may remove the file's name.
     try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
       names.force(true);
     }
@@ -148,7 +148,7 @@
     Files.deleteIfExists(file(segment));
   }
 
-  /** Lets the lock go. */
+  /** Releases the lock. */
   @Override
   public void close() throws IOException {
     lockFile.close();
--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -6,16 +6,15 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.file.Path;
-import java.util.ArrayDeque;
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.Executor;
 
 /**
- * A log of records in the segments of a directory that one process holds at a time.
+ * A log of records in the segments of a directory, which one process at a time has locked.
  *
  * <p>Once {@link #write} has returned without a {@link #fault}, all records survive the end of the
- * process; once {@link #whenSynced} has run its action, they survive a loss of power. All methods
+ * process; once {@link #whenSynced} has run its action, they survive a power failure. All methods
  * are called on one thread, on which the actions run as well; a thread of {@link GroupCommitter}
  * waits for the disk.
  */
@@ -26,21 +25,22 @@
      * Called for each record.
      *
      * @param segment the number of the segment that holds it
-     * @param sameBoot whether the machine has run on since it was written; if not, later records
-     *     may be missing
+     * @param sameBoot whether the machine has not rebooted since it was written; otherwise later
+     *     records may be missing
      * @throws IOException if the content cannot be used; reading ends with it
      */
     void record(int segment, boolean sameBoot, byte[] content) throws IOException;
   }
 
-  /** An action that runs once the log is synced up to a position. */
-  private record Waiter(long position, Runnable action) {}
-
-  /** Buffered records are written beyond this size, asked for or not. */
+  /** Buffered records are written beyond this size without a request. */
   private static final int BUFFER_BYTES = 256 * 1024;
 
   private static final int FIRST_SEGMENT = 1;
 
+  // Faktory's clients receive these texts in error replies.
+  private static final String WRITE_FAILED = "cannot be written: ";
+  private static final String SYNC_FAILED = "the disk does not take it over: ";
+
   private final SegmentDirectory directory;
   private final long segmentBytes;
   private final GroupCommitter committer;
@@ -48,7 +48,7 @@
   /** Sizes in bytes of all segments, by their numbers. */
   private final TreeMap<Integer, Long> segmentSizes;
 
-  private final ArrayDeque<Waiter> waiters = new ArrayDeque<>();
+  private final SyncWaiters waiters = new SyncWaiters();
 
   /** Records that are appended and not yet written. */
   private ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
@@ -62,11 +62,8 @@
   /** Up to which of these a sync has been requested. */
   private long requestedPosition;
 
-  /** Up to which of these the log is synced. */
-  private long syncedPosition;
-
-  /** Why records cannot be kept, or null where they can. */
-  private String fault;
+  /** The reason why records cannot be stored; empty where they can. */
+  private Optional<String> fault = Optional.empty();
 
   /** Whether a sync has failed, after which the fault stays. */
   private boolean hasSyncFailed;
@@ -74,11 +71,11 @@
   private int truncatedBytes;
 
   /**
-   * Locks the directory of a log, and creates it where it is missing.
+   * Locks the directory of a log, and creates it if necessary.
    *
    * @param segmentBytes a segment that has grown beyond this is followed by another
    * @param loop runs actions on the thread that calls this log
-   * @throws IOException if the directory cannot be used, or another process holds it
+   * @throws IOException if the directory cannot be used, or another process has locked it
    */
   public WriteAheadLog(Path directory, long segmentBytes, Executor loop) throws IOException {
     this.directory = SegmentDirectory.lock(directory);
@@ -86,14 +83,14 @@
     segmentSizes = new TreeMap<>(this.directory.sizes());
     committer =
         new GroupCommitter(
-            position -> loop.execute(() -> synced(position)),
+            position -> loop.execute(() -> waiters.synced(position)),
             failure -> loop.execute(() -> syncFailed(failure)));
   }
 
   /**
    * Reads all records of earlier processes, in order, and opens a segment for this process. A
-   * segment is read up to its first byte that belongs to no whole record: a process that is killed
-   * leaves its last one cut anywhere.
+   * segment is read up to the first byte that belongs to no complete record: a process that is
+   * killed may leave its last one truncated.
    *
    * @throws IOException if a segment cannot be read, or none can be opened
    */
@@ -118,7 +115,7 @@
     }
   }
 
-  /** Bytes at the ends of earlier processes' segments that belonged to no whole record. */
+  /** Bytes at the ends of earlier processes' segments that belonged to no complete record. */
   public int truncatedBytes() {
     return truncatedBytes;
   }
@@ -147,9 +144,9 @@
     return segmentSizes.values().stream().mapToLong(Long::longValue).sum() + buffer.position();
   }
 
-  /** Why records cannot be kept at present; empty where they can. */
+  /** The reason why records cannot be stored at present; empty where they can. */
   public Optional<String> fault() {
-    return Optional.ofNullable(fault);
+    return fault;
   }
 
   /**
@@ -173,8 +170,8 @@
   }
 
   /**
-   * Writes all appended records to the operating system. Where that fails they stay buffered, the
-   * next call tries again, and {@link #fault()} says why.
+   * Writes all appended records to the operating system. If that fails, they stay buffered for the
+   * next call, and {@link #fault()} has the reason.
    */
   public void write() {
     if (buffer.position() == 0) {
@@ -190,27 +187,23 @@
       }
       buffer.clear();
       segmentSizes.put(segment, sizeBefore + length);
-      fault = hasSyncFailed ? fault : null;
+      fault = hasSyncFailed ? fault : Optional.empty();
       if (sizeBefore + length > segmentBytes) {
         openNextSegment();
       }
     } catch (IOException e) {
-      // Unless all of it was written: the next call writes over the part that was.
+      // Unless all of it was written, the next call overwrites the part that was.
       if (buffer.limit() == length) {
         buffer.position(length).limit(buffer.capacity());
       }
-      fault = "cannot be written: " + e.getMessage();
+      fault = Optional.of(WRITE_FAILED + e.getMessage());
     }
   }
 
-  /** Writes, and runs an action once all records appended so far survive a loss of power. */
+  /** Writes, and runs an action once all records appended so far survive a power failure. */
   public void whenSynced(Runnable action) {
     sync();
-    if (appendedPosition <= syncedPosition) {
-      action.run();
-    } else {
-      waiters.add(new Waiter(appendedPosition, action));
-    }
+    waiters.runWhenSynced(appendedPosition, action);
   }
 
   /** Writes, and requests a sync without waiting for it. */
@@ -222,21 +215,14 @@
     }
   }
 
-  private void synced(long position) {
-    syncedPosition = position;
-    while (!waiters.isEmpty() && waiters.peek().position() <= position) {
-      waiters.poll().action().run();
-    }
-  }
-
   private void syncFailed(IOException failure) {
     hasSyncFailed = true;
-    fault = "the disk does not take it over: " + failure.getMessage();
+    fault = Optional.of(SYNC_FAILED + failure.getMessage());
   }
 
   /**
-   * Removes the oldest segment. Only the oldest may go: a later record may revoke one of an earlier
-   * segment, which must not outlive it.
+   * Removes the oldest segment. Only the oldest can be removed: a later record may revoke one of an
+   * earlier segment, and must not be removed before it.
    *
    * @throws IllegalStateException if it is the current segment
    * @throws UncheckedIOException if its file cannot be deleted
@@ -255,10 +241,10 @@
   }
 
   /**
-   * Writes and syncs all records, and lets the directory go. Actions that still wait do not run any
-   * more.
+   * Writes and syncs all records, and unlocks the directory. Actions that are still waiting do not
+   * run any more.
    *
-   * @throws IOException if records cannot be kept
+   * @throws IOException if records cannot be stored
    */
   @Override
   public void close() throws IOException {
@@ -269,8 +255,8 @@
       channel.close();
     }
     directory.close();
-    if (fault != null) {
-      throw new IOException(fault);
+    if (fault.isPresent()) {
+      throw new IOException(fault.get());
     }
   }
 }
--- a/src/test/java/loomreel/chaos/ChaosRunTest.java
+++ b/src/test/java/loomreel/chaos/ChaosRunTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients and copy workers of both kinds at one daemon. */
+/** Clients and workers of both protocols at one daemon. */
 @Timeout(180)
 class ChaosRunTest {
-  /** The short form of {@code loomreel chaos}; what must hold holds whatever the times are. */
+  /** A short run of {@code loomreel chaos}. */
   @Test
-  void everyJobHasOneEndAndNoIssueRunsTwice() throws Exception {
+  void everyJobHasOneEndAndNoNonIdempotentJobRunsTwice() throws Exception {
     long seed = 7;
     System.out.println("seed " + seed);
     ChaosResult result = new ChaosRun(new ChaosRun.Plan(seed, 1200, 5, true)).run(null);
@@ -41,14 +41,14 @@
     name: "t"
     listen: {http: "127.0.0.1:0", operators: "127.0.0.1:0"}
     classes: {
-    	copy: {repeat: "free", target: "20s", deadline: "20s"}
-    	issue: {repeat: "single_shot", target: "20s", deadline: "20s"}
+    	render: {repeat: "free", target: "20s", deadline: "20s"}
+    	record: {repeat: "single_shot", target: "20s", deadline: "20s"}
     }
     rules: cold_from: 1.0
     %s
     faktory: {
     	listen: "127.0.0.1:0"
-    	queues: {copies: class: "copy", renewals: class: "issue"}
+    	queues: {pages: class: "render", entries: class: "record"}
     	workers: {fetch_wait: "300ms", cold: false}
     	spool: "%s"
     }
@@ -57,16 +57,15 @@
   }
 
   /**
-   * SIGTERM while an HTTP client's job is at a Faktory worker: it is served, and then the daemon
-   * leaves.
+   * SIGTERM while an HTTP client's job is at a Faktory worker: it is served before the daemon ends.
    */
   @Test
-  void aStopWaitsForAnHttpJobAtAFaktoryWorker() throws Exception {
+  void aShutdownWaitsForAnHttpJobAtAFaktoryWorker() throws Exception {
     Path directory = Files.createTempDirectory("loomreel");
     try (DaemonProcess daemon =
             new DaemonProcess(DaemonProcess.writeSettings(settings("", directory.resolve("s"))));
         FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w")) {
-      assertEquals(null, worker.call("FETCH renewals"));
+      assertEquals(null, worker.call("FETCH entries"));
       CompletableFuture<HttpResponse<String>> answer =
           HttpClient.newHttpClient()
               .sendAsync(
@@ -74,7 +73,7 @@
                           URI.create(
                               "http://127.0.0.1:"
                                   + daemon.http().getPort()
-                                  + "/issue/certificate?n=1"))
+                                  + "/record/certificate?n=1"))
                       .header("X-Call-Id", "00000000000000aa")
                       .header("X-Budget-Ms", "20000")
                       .POST(HttpRequest.BodyPublishers.ofString("serial-1"))
@@ -82,50 +81,50 @@
                   HttpResponse.BodyHandlers.ofString());
       Object fetched = null;
       while (fetched == null) {
-        fetched = worker.call("FETCH renewals");
+        fetched = worker.call("FETCH entries");
       }
       JsonNode job = new com.fasterxml.jackson.databind.ObjectMapper().readTree((String) fetched);
       assertEquals("certificate", job.path("jobtype").asText());
-      assertEquals("/issue/certificate?n=1", job.path("args").path(0).path("target").asText());
+      assertEquals("/record/certificate?n=1", job.path("args").path(0).path("target").asText());
       assertEquals("serial-1", FaktoryWorker.serial(job));
       daemon.requestShutdown();
       daemon.awaitLog("graceful shutdown started");
       worker.callExpectingOk(
-          "ACK {\"jid\":\"" + job.path("jid").asText() + "\",\"result\":\"stamped\"}");
-      assertEquals("stamped", answer.join().body());
+          "ACK {\"jid\":\"" + job.path("jid").asText() + "\",\"result\":\"made\"}");
+      assertEquals("made", answer.join().body());
       assertEquals(143, daemon.shutDown());
     }
   }
 
   /**
-   * SIGTERM while a Faktory client's job is at an HTTP worker, and others wait: these are done by
-   * the next process.
+   * SIGTERM while a Faktory client's job is at an HTTP worker, and others wait: they are executed
+   * by the next process.
    */
   @Test
   void aRestartLosesNoJob() throws Exception {
     Path directory = Files.createTempDirectory("loomreel");
     Path spool = directory.resolve("spool");
-    ExecutionLog stamps = new ExecutionLog();
-    AtomicReference<InetSocketAddress> news = new AtomicReference<>();
-    try (HttpWorker worker = new HttpWorker("w0", news::get, 1, 400, stamps)) {
+    ExecutionLog executions = new ExecutionLog();
+    AtomicReference<InetSocketAddress> callbackAddress = new AtomicReference<>();
+    try (HttpWorker worker = new HttpWorker("w0", callbackAddress::get, 1, 400, executions)) {
       String settings = settings("workers: w0: address: \"" + worker.address() + "\"", spool);
       try (DaemonProcess first = new DaemonProcess(DaemonProcess.writeSettings(settings));
           FaktoryClient client = new FaktoryClient(first.faktory(), null, null)) {
-        news.set(first.http());
+        callbackAddress.set(first.http());
         for (int i = 0; i < 6; i++) {
           client.callExpectingOk(
               "PUSH {\"jid\":\"restart-"
                   + i
-                  + "\",\"jobtype\":\"Make\",\"queue\":\"renewals\",\"args\":[\"s"
+                  + "\",\"jobtype\":\"Make\",\"queue\":\"entries\",\"args\":[\"s"
                   + i
                   + "\"]"
                   + (i >= 4 ? ",\"at\":\"2099-01-01T00:00:00Z\"" : "")
                   + "}");
         }
-        while (stamps.executions("s0")
-                + stamps.executions("s1")
-                + stamps.executions("s2")
-                + stamps.executions("s3")
+        while (executions.executions("s0")
+                + executions.executions("s1")
+                + executions.executions("s2")
+                + executions.executions("s3")
             == 0) {
           Thread.sleep(5);
         }
@@ -134,9 +133,9 @@
       assertTrue(Files.exists(spool));
       try (DaemonProcess second = new DaemonProcess(DaemonProcess.writeSettings(settings));
           FaktoryClient client = new FaktoryClient(second.faktory(), null, null)) {
-        news.set(second.http());
+        callbackAddress.set(second.http());
         for (int i = 0; i < 4; i++) {
-          while (stamps.executions("s" + i) == 0) {
+          while (executions.executions("s" + i) == 0) {
             Thread.sleep(5);
           }
         }
@@ -145,7 +144,7 @@
         assertEquals("scheduled", client.callForJson("TRACK GET restart-5").path("state").asText());
         assertEquals(0, tasks.path("Dead").path("size").asInt(), tasks.toString());
       }
-      assertEquals(java.util.Set.of(), stamps.executedRepeatedly("s"));
+      assertEquals(java.util.Set.of(), executions.executedRepeatedly("s"));
     }
   }
 }
--- a/src/test/java/loomreel/wal/WriteAheadLogTest.java
+++ b/src/test/java/loomreel/wal/WriteAheadLogTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Records that were written are read back, up to the last whole one. */
+/** Records that were written are read back, up to the last complete one. */
 @Timeout(60)
 class WriteAheadLogTest {
   private static final long SEGMENT = 1 << 20;
@@ -44,18 +44,18 @@
     return directory.resolve(String.format("%010d.journal", number));
   }
 
-  /** As a kill may leave it, or a disk that has written half of what it was given. */
+  /** As a killed process may leave it, or a disk that has written only a part. */
   @Test
-  void aSegmentCutAtAnyByteGivesItsWholeRecords() throws Exception {
+  void aSegmentCutAtAnyByteYieldsItsCompleteRecords() throws Exception {
     List<String> written = List.of("first", "the second, which is longer", "3");
     try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT)) {
       add(log, written.toArray(new String[0]));
     }
-    byte[] whole = Files.readAllBytes(segment(1));
+    byte[] complete = Files.readAllBytes(segment(1));
     int recordsStart =
-        whole.length - written.stream().mapToInt(r -> r.length() + LogRecord.HEADER_BYTES).sum();
-    for (int length = 0; length <= whole.length; length++) {
-      Files.write(segment(1), Arrays.copyOf(whole, length));
+        complete.length - written.stream().mapToInt(r -> r.length() + LogRecord.HEADER_BYTES).sum();
+    for (int length = 0; length <= complete.length; length++) {
+      Files.write(segment(1), Arrays.copyOf(complete, length));
       List<String> read = new ArrayList<>();
       try (WriteAheadLog log = open(read, SEGMENT)) {
         int end = recordsStart;
@@ -66,7 +66,7 @@
         }
         assertEquals(written.subList(0, fit), read, "cut at " + length);
         assertEquals(length < recordsStart ? length : length - end, log.truncatedBytes());
-        // What is added now stands behind it, in a segment of its own.
+        // Later records follow in a segment of their own.
         add(log, "later");
       }
       List<String> again = new ArrayList<>();
@@ -113,35 +113,35 @@
   /** An action for what is synced already runs at once. */
   @Test
   void syncActionsRunInOrderOnTheLoop() throws Exception {
-    List<Integer> told = new ArrayList<>();
+    List<Integer> completed = new ArrayList<>();
     try (WriteAheadLog log = open(new ArrayList<>(), 200)) {
       for (int i = 0; i < 50; i++) {
         int number = i;
         add(log, "record " + i);
-        log.whenSynced(() -> told.add(number));
+        log.whenSynced(() -> completed.add(number));
       }
-      assertTrue(told.isEmpty(), "never before the loop has its turn");
-      while (told.size() < 50) {
+      assertTrue(completed.isEmpty(), "actions run on the loop only");
+      while (completed.size() < 50) {
         loop.poll(30, TimeUnit.SECONDS).run();
       }
       for (int i = 0; i < 50; i++) {
-        assertEquals(i, told.get(i));
+        assertEquals(i, completed.get(i));
       }
-      log.whenSynced(() -> told.add(50));
-      assertEquals(51, told.size());
+      log.whenSynced(() -> completed.add(50));
+      assertEquals(51, completed.size());
       assertEquals(Optional.empty(), log.fault());
     }
   }
 
   @Test
-  void oneProcessHoldsADirectory() throws Exception {
+  void oneProcessLocksADirectory() throws Exception {
     try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT)) {
       assertThrows(IOException.class, () -> new WriteAheadLog(directory, SEGMENT, loop::add));
-      add(log, "kept");
+      add(log, "stored");
     }
     List<String> read = new ArrayList<>();
     open(read, SEGMENT).close();
-    assertEquals(List.of("kept"), read);
+    assertEquals(List.of("stored"), read);
   }
 
   /** After a restart of the machine, the last records may be missing. */
