--- a/src/test/java/loomreel/program/ClientDisconnectTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -5,7 +5,6 @@
 
 import java.io.IOException;
 import java.net.Socket;
-import java.util.function.UnaryOperator;
 import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -35,8 +34,7 @@
   void aJobIsNotSentOnAConnectionThatComesUpAfterItsClientLeft(boolean reset, boolean cancelling)
       throws Exception {
     try (StepControlledServer server =
-            new StepControlledServer(
-                1, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":" + cancelling));
+            new StepControlledServer(1, new TestConfiguration().cancellation(cancelling));
         StalledListener late = server.workers.get(0).stall()) {
       SubmittedJob job = server.submit("/issue", "");
       assertEquals(job.id(), server.awaitStep(Step.ATTEMPT_STARTED).field("id"));
@@ -58,8 +56,7 @@
   @Test
   void aFurtherAttemptIsTakenBackAsWell() throws Exception {
     try (StepControlledServer server =
-        new StepControlledServer(
-            2, c -> c.replace("\"Cancelling\":true", "\"Cancelling\":false"))) {
+        new StepControlledServer(2, new TestConfiguration().cancellation(false))) {
       SubmittedJob job = server.submit("/copy", "");
       int at = server.awaitAttemptWorker();
       HttpMessage post = server.workers.get(at).nextRequest();
@@ -82,7 +79,7 @@
   @ParameterizedTest
   @ValueSource(ints = {20_000, 100_000, 250_000})
   void theEndIsSeenBehindMuchThatWasSentAhead(int size) throws Exception {
-    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+    try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       server.workers.get(0).nextRequest().respond(202, "");
       server.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
@@ -103,7 +100,7 @@
    */
   @Test
   void aFloodBehindARequestIsCutOff() throws Exception {
-    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+    try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       server.workers.get(0).nextRequest().respond(202, "");
       server.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
@@ -134,7 +131,7 @@
    */
   @Test
   void aRequestIsAnsweredHoweverMuchComesBehindIt() throws Exception {
-    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity())) {
+    try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       HttpMessage post = server.workers.get(0).nextRequest();
       post.respond(202, "");
@@ -153,7 +150,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aRequestWhoseClientLeftBeforeItWasReadIsNotServed(boolean much) throws Exception {
-    try (StepControlledServer server = new StepControlledServer(1, UnaryOperator.identity());
+    try (StepControlledServer server = new StepControlledServer(1);
         Socket client = server.connect()) {
       server.awaitPendingInputRead();
       server.drainSteps();
@@ -174,10 +171,7 @@
   void ofABurstOnlyThoseAreSentOnWhoseClientsAreThere() throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(
-                1,
-                c ->
-                    c.replace("\"Cancelling\":true", "\"Cancelling\":false")
-                        .replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":20"));
+                1, new TestConfiguration().cancellation(false).connectTimeoutSeconds(20));
         StalledListener late = server.workers.get(0).stall()) {
       SubmittedJob[] jobs = new SubmittedJob[4];
       for (int i = 0; i < jobs.length; i++) {
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -31,7 +31,7 @@
 
   private static StepControlledServer server() throws Exception {
     // 24 connections may come in, and 8 of them rest.
-    return new StepControlledServer(1, c -> c.replace("\"sockets\":1024", "\"sockets\":64"));
+    return new StepControlledServer(1, new TestConfiguration().descriptorLimit(64));
   }
 
   /** A client that rests, and what makes the server end its connection. */
--- a/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -3,11 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import loomreel.program.EndpointList.Extent;
+import loomreel.program.EndpointList.Health;
 import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.EnumSource;
 
 /**
  * A connection to a copy worker that comes up late, when what was to go out on it may not go any
@@ -15,8 +17,30 @@
  */
 @Timeout(120)
 class DelayedWorkerConnectionTest {
-  private static String lateConnections(String settings) {
-    return settings.replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":25");
+  /** How an endpoint list takes the first of two workers out of use. */
+  private enum Removal {
+    DRAINING,
+    DELETED,
+    /** A complete list does not have it. */
+    MISSING;
+
+    EndpointList change(DispatcherHarness harness) {
+      if (this == MISSING) {
+        return new EndpointList(43, Extent.COMPLETE)
+            .with("w1", harness.workers.get(1).address(), Health.SERVING);
+      }
+      return harness.endpointList(43, Extent.CHANGES, Health.valueOf(name()), Health.SERVING);
+    }
+  }
+
+  /** Connections may take longer than any test. */
+  private static TestConfiguration longConnectTimeout() {
+    return new TestConfiguration().connectTimeoutSeconds(25);
+  }
+
+  /** The first worker serves at the start, and the second one drains. */
+  private static TestConfiguration secondWorkerDrains() {
+    return longConnectTimeout().knownHealth(Health.SERVING, Health.DRAINING);
   }
 
   /**
@@ -24,24 +48,13 @@
    * outlast it.
    */
   @ParameterizedTest
-  @ValueSource(strings = {"DRAINING", "DELETED", "missing"})
-  void whatHasNotLeftForADrainingCopyWorkerGoesElsewhere(String how) throws Exception {
-    try (StepControlledServer server =
-            new StepControlledServer(
-                2,
-                c -> lateConnections(c).replaceFirst("SERVING(.*?)SERVING", "SERVING$1DRAINING"));
+  @EnumSource(Removal.class)
+  void whatHasNotLeftForADrainingCopyWorkerGoesElsewhere(Removal removal) throws Exception {
+    try (StepControlledServer server = new StepControlledServer(2, secondWorkerDrains());
         StalledListener late = server.workers.get(0).stall()) {
       SubmittedJob job = server.submit("/issue", "");
       assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
-      String list =
-          server.endpointList(
-              43, how.equals("missing"), how.equals("missing") ? "SERVING" : how, "SERVING");
-      server
-          .discovery
-          .nextRequest()
-          .respond(
-              200,
-              how.equals("missing") ? list.replaceFirst("\\{\"host\":\"w0\".*?\\},", "") : list);
+      removal.change(server).respondTo(server.discovery.nextRequest());
       assertEquals(
           "MOOT", server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(), "it never ran");
       server.serveNextJob(1, "elsewhere");
@@ -53,17 +66,13 @@
   /** An operator has taken it out of use, for a repair perhaps. */
   @Test
   void whatHasNotLeftForACopyWorkerThatIsTakenDownGoesElsewhere() throws Exception {
-    try (StepControlledServer server =
-            new StepControlledServer(
-                2,
-                c -> lateConnections(c).replaceFirst("SERVING(.*?)SERVING", "SERVING$1DRAINING"));
+    try (StepControlledServer server = new StepControlledServer(2, secondWorkerDrains());
         StalledListener late = server.workers.get(0).stall()) {
       SubmittedJob job = server.submit("/issue", "");
       assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
       server
-          .discovery
-          .nextRequest()
-          .respond(200, server.endpointList(43, false, "SERVING", "SERVING"));
+          .endpointList(43, Extent.CHANGES, Health.SERVING, Health.SERVING)
+          .respondTo(server.discovery.nextRequest());
       server.discovery.nextRequest();
       server.disableWorker("w0");
       server.serveNextJob(1, "elsewhere");
@@ -81,9 +90,9 @@
     try (StepControlledServer server =
         new StepControlledServer(
             2,
-            c ->
-                lateConnections(ServeTest.keyedClass(c))
-                    .replace("\"WindowS\":15", "\"WindowS\":0.8"))) {
+            longConnectTimeout()
+                .requestClasses(
+                    RequestClass.hold(0.8), RequestClass.copy(), RequestClass.issue()))) {
       SubmittedJob job = server.submitWithKey("/hold/1", "a-key");
       StepControlledServer.ReachedStep first = server.awaitStep(Step.ATTEMPT_STARTED);
       int at = first.field("worker").equals("w0") ? 0 : 1;
--- a/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -6,6 +6,8 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import loomreel.program.EndpointList.Extent;
+import loomreel.program.EndpointList.Health;
 import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -18,7 +20,7 @@
  */
 @Timeout(120)
 class DiscoveryRecoveryTest {
-  private static final int ROOM = 64;
+  private static final int DESCRIPTORS = 64;
 
   /**
    * As many idle clients as may come in, and more, leave the watch, the copy workers and call-backs
@@ -27,14 +29,14 @@
   @Test
   void idleClientsDoNotKeepTheWatchFromComingBack() throws Exception {
     try (StepControlledServer server =
-        new StepControlledServer(2, c -> c.replace("\"sockets\":1024", "\"sockets\":" + ROOM))) {
+        new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTORS))) {
       HttpMessage watch = server.discovery.nextRequest();
       int port = server.discovery.socketAddress().getPort();
       server.discovery.close();
       watch.connection().close();
       server.awaitStep(Step.WATCH_FAILED);
       List<Socket> idle = new ArrayList<>();
-      for (int i = 0; i < 2 * ROOM; i++) {
+      for (int i = 0; i < 2 * DESCRIPTORS; i++) {
         idle.add(server.connect());
         HttpIo.write(
             idle.get(i), i % 3 == 0 ? "" : "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -46,7 +48,7 @@
       server.discovery = new StubHttpServer(port);
       HttpMessage back = server.discovery.nextRequest();
       assertTrue(back.startLine().contains("?from=41&"), back.startLine());
-      back.respond(200, server.endpointList(43, false, "DRAINING", "SERVING"));
+      server.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(back);
       assertTrue(server.discovery.nextRequest().startLine().contains("?from=43&"));
       server.assertAllServedBy(1, 8);
       for (Socket client : idle) {
@@ -63,14 +65,15 @@
   @ValueSource(strings = {"cut", "nonsense", "older"})
   void aSpoiltListIsAskedForAgainAtOnceHoweverManyFailuresCameBefore(String how) throws Exception {
     try (StepControlledServer server =
-        new StepControlledServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":4"))) {
+        new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(4))) {
       for (int i = 0; i < 3; i++) {
         server.discovery.nextRequest().respond(503, "");
       }
       HttpMessage watch = server.discovery.nextRequest();
       server.drainSteps();
+      int sequence = how.equals("older") ? 40 : 43;
       String list =
-          server.endpointList(how.equals("older") ? 40 : 43, false, "DRAINING", "SERVING");
+          server.endpointList(sequence, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson();
       switch (how) {
         case "cut" -> {
           HttpIo.write(
@@ -89,7 +92,7 @@
           server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)),
           "the module's back-off is for outages");
       assertEquals(how.equals("older"), !again.startLine().contains("?from="), again.startLine());
-      again.respond(200, server.endpointList(43, true, "DRAINING", "SERVING"));
+      server.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(again);
       server.discovery.nextRequest();
       server.assertAllServedBy(1, 8);
     }
@@ -102,7 +105,7 @@
   @ValueSource(booleans = {false, true})
   void aMoveIsFollowedAtOnceAlsoDuringAnOutage(boolean down) throws Exception {
     try (StepControlledServer server =
-            new StepControlledServer(2, c -> c.replace("\"AskWithinS\":0.5", "\"AskWithinS\":60"));
+            new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(60));
         StubHttpServer next = new StubHttpServer()) {
       HttpMessage watch = server.discovery.nextRequest();
       if (down) {
@@ -113,7 +116,7 @@
       server.moveDiscovery(next.socketAddress());
       HttpMessage whole = next.nextRequest();
       assertEquals("GET /registry/instances HTTP/1.1", whole.startLine());
-      whole.respond(200, server.endpointList(7, true, "DRAINING", "SERVING"));
+      server.endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(whole);
       assertTrue(next.nextRequest().startLine().contains("?from=7&"));
       server.assertAllServedBy(1, 8);
     }
--- a/src/test/java/loomreel/program/DispatcherHarness.java
+++ b/src/test/java/loomreel/program/DispatcherHarness.java
@@ -8,22 +8,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
+import loomreel.program.EndpointList.Extent;
+import loomreel.program.EndpointList.Health;
 
 /**
  * The surroundings of a dispatcher under test: stub discovery, stub workers named w0, w1 and so on,
  * and clients.
  */
 abstract class DispatcherHarness implements AutoCloseable {
-  private static final String SETTINGS =
-      """
-            {"Balancers":1,"Discovery":"ask","Locality":"n","TickS":0.004,"Specifics":{"TellsStart":false},
-             "RequestClasses":[{"Name":"copy","TargetS":20,"DeadlineS":20,"Repeat":"free","Value":5},
-              {"Name":"issue","TargetS":20,"DeadlineS":20,"Repeat":"single_shot","Value":2}],
-             "PolicyLimits":{"MaxAttempts":4,"Cancelling":true,"SecondCopies":true,"Probing":%s,"RetryAfter":true,
-              "MaxRetryAfterS":1.5,"ConnectTimeoutS":5,"ConnIdleS":60},"Telemetry":{"How":"%s"},
-             "Invariants":{"StopSendingWithinS":3,"AskWithinS":0.5,"ColdFrom":0.2,"ColdS":20,"TipMultiple":3,
-              "FallS":2,"AnswerSlackS":0.016}}""";
-
   /** The head of a readiness check, without its Content-Length. */
   static final String READINESS_HEAD = "GET /health/ready HTTP/1.1\r\nHost: x\r\n";
 
@@ -33,6 +25,9 @@
   /** The deadline of jobs that name none of their own. */
   static final int DEADLINE_MILLIS = 20_000;
 
+  /** The sequence number of the endpoint list that is known at the start. */
+  private static final int KNOWN_SEQUENCE = 41;
+
   private static final AtomicInteger JOB_IDS = new AtomicInteger();
 
   StubHttpServer discovery = new StubHttpServer();
@@ -47,41 +42,20 @@
   /** The port on which the dispatcher accepts clients. */
   abstract int port();
 
-  /** What the dispatcher is configured with, before the test changes it. */
-  String configuration(boolean probing) {
-    return configuration(SETTINGS.formatted(probing, probing ? "probe" : "none"));
-  }
-
-  /** The same with settings of the test's own. */
-  String configuration(String settings) {
-    return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-        + discovery.address()
-        + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
-        + "\"known\":"
-        + endpointList(41, true, "SERVING")
-        + ",\"settings\":"
-        + settings
-        + "}";
-  }
-
-  /**
-   * All copy workers, w0, w1 and so on, in the given states; where none is left the last one serves
-   * on.
-   */
-  String endpointList(int seq, boolean whole, String... health) {
-    StringBuilder hosts = new StringBuilder();
+  /** A copy of a configuration with discovery and the endpoint list that is known at the start. */
+  TestConfiguration complete(TestConfiguration configuration) {
+    EndpointList known = endpointList(KNOWN_SEQUENCE, Extent.COMPLETE, configuration.knownHealth());
+    return configuration.copy().discoveryAddress(discovery.address()).knownEndpoints(known);
+  }
+
+  /** A list of all workers; the last health that is given holds for all further workers too. */
+  EndpointList endpointList(int sequence, Extent extent, Health... health) {
+    EndpointList list = new EndpointList(sequence, extent);
     for (int i = 0; i < workers.size(); i++) {
-      hosts
-          .append(i == 0 ? "" : ",")
-          .append("{\"host\":\"w")
-          .append(i)
-          .append("\",\"dial\":\"")
-          .append(workers.get(i).address())
-          .append("\",\"site\":\"n\",\"class\":\"k\",\"block\":0,\"health\":\"")
-          .append(health[Math.min(i, health.length - 1)])
-          .append("\",\"share\":1.0,\"born_ms\":0}");
+      Health ofWorker = health[Math.min(i, health.length - 1)];
+      list.with("w" + i, workers.get(i).address(), ofWorker);
     }
-    return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}";
+    return list;
   }
 
   /** Connects as a client. */
--- a/src/test/java/loomreel/program/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/DispatcherProcess.java
@@ -11,7 +11,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import java.util.function.UnaryOperator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
@@ -37,6 +36,7 @@
   final List<Integer> managementPorts = new ArrayList<>();
 
   private final Path configurationFile = Files.createTempFile("loomreel", ".json");
+  private final TestConfiguration configuration;
   private final BufferedReader log;
   private final int port;
 
@@ -47,25 +47,21 @@
   }
 
   /** A dispatcher with the standard configuration. */
-  DispatcherProcess(int workerCount, boolean probing) throws IOException {
-    this(workerCount, probing, settings -> settings);
+  DispatcherProcess(int workerCount) throws IOException {
+    this(workerCount, new TestConfiguration());
   }
 
-  /** A dispatcher with a changed configuration. */
-  DispatcherProcess(int workerCount, boolean probing, UnaryOperator<String> change)
-      throws IOException {
-    this(workerCount, probing, change, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
+  /** A dispatcher with a configuration of the test. */
+  DispatcherProcess(int workerCount, TestConfiguration configuration) throws IOException {
+    this(workerCount, configuration, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
   }
 
   private DispatcherProcess(
-      int workerCount,
-      boolean probing,
-      UnaryOperator<String> change,
-      Listener listener,
-      List<String> flags)
+      int workerCount, TestConfiguration requested, Listener listener, List<String> flags)
       throws IOException {
     super(workerCount);
-    configure(change.apply(configuration(probing)));
+    configuration = complete(requested);
+    writeConfiguration(configuration.toJson());
     ProcessBuilder builder =
         listener == Listener.SUPERVISED
             ? ProgramCommand.superviseServe(configurationFile, discovery.address(), flags)
@@ -77,43 +73,30 @@
       startInstance();
     }
     port = awaitLoggedPort("listening for clients address");
-    if (change.apply("{\"name\"").contains("mgmt")) {
+    if (configuration.hasManagementApi()) {
       managementPorts.add(awaitLoggedPort("admin server listening address"));
     }
   }
 
   /** A dispatcher with a management API. */
   static DispatcherProcess managed(int workerCount) throws IOException {
-    return new DispatcherProcess(
-        workerCount,
-        false,
-        DispatcherProcess::withOperators,
-        Listener.OWNED,
-        ProgramCommand.FAST_START_FLAGS);
+    return new DispatcherProcess(workerCount, new TestConfiguration().managementApi());
   }
 
   /** A dispatcher with a management API under a supervisor. */
   static DispatcherProcess supervised(int workerCount) throws IOException {
-    return new DispatcherProcess(
-        workerCount,
-        false,
-        DispatcherProcess::withOperators,
-        Listener.SUPERVISED,
-        ProgramCommand.FAST_START_FLAGS);
+    return supervised(workerCount, ProgramCommand.FAST_START_FLAGS);
   }
 
   /** The same with the JVM flags of {@code deploy/balancer.toml}. */
   static DispatcherProcess deployed(int workerCount) throws IOException {
-    return new DispatcherProcess(
-        workerCount,
-        false,
-        DispatcherProcess::withOperators,
-        Listener.SUPERVISED,
-        ProgramCommand.deployedFlags());
+    return supervised(workerCount, ProgramCommand.deployedFlags());
   }
 
-  private static String withOperators(String configuration) {
-    return configuration.replace("{\"name\"", "{\"mgmt\":\"127.0.0.1:0\",\"name\"");
+  private static DispatcherProcess supervised(int workerCount, List<String> flags)
+      throws IOException {
+    TestConfiguration configuration = new TestConfiguration().managementApi();
+    return new DispatcherProcess(workerCount, configuration, Listener.SUPERVISED, flags);
   }
 
   private void startInstance() throws IOException {
@@ -166,17 +149,22 @@
   StubHttpServer moveDiscovery() throws Exception {
     StubHttpServer previous = discovery;
     discovery = new StubHttpServer();
-    configure(configured().replace(previous.address(), discovery.address()));
-    signal("HUP");
+    reload(configuration.discoveryAddress(discovery.address()).toJson());
     return previous;
   }
 
-  String configured() throws IOException {
-    return Files.readString(configurationFile);
+  /** A copy of the configuration with which the dispatcher was started. */
+  TestConfiguration configuration() {
+    return configuration.copy();
+  }
+
+  /** Replaces the text of the configuration file, and has the dispatcher read it. */
+  void reload(String text) throws Exception {
+    writeConfiguration(text);
+    signal("HUP");
   }
 
-  /** Replaces the text of the configuration file; the dispatcher reads it at SIGHUP. */
-  void configure(String text) throws IOException {
+  private void writeConfiguration(String text) throws IOException {
     Files.writeString(configurationFile, text);
   }
 
--- a/src/test/java/loomreel/program/HttpIo.java
+++ b/src/test/java/loomreel/program/HttpIo.java
@@ -21,6 +21,15 @@
     return InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
   }
 
+  /** Lines of a message, each with its line break. */
+  static String lines(String... lines) {
+    StringBuilder text = new StringBuilder();
+    for (String line : lines) {
+      text.append(line).append("\r\n");
+    }
+    return text.toString();
+  }
+
   /** Connects to a port of this machine; reads time out after {@link #TIMEOUT_MILLIS}. */
   static Socket connect(int port) throws IOException {
     Socket socket = new Socket(loopback(), port);
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -35,7 +35,7 @@
   @ParameterizedTest
   @EnumSource(Rest.class)
   void aJobIsTakenOnceTheHeadSaysSo(Rest rest) throws Exception {
-    try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
+    try (StepControlledServer server = new StepControlledServer(2)) {
       SubmittedJob job = server.submit("/issue", "");
       int at = server.awaitAttemptWorker();
       HttpMessage post = server.workers.get(at).nextRequest();
@@ -59,8 +59,7 @@
   @Test
   void aBodyThatNeverComesHoldsNoConnection() throws Exception {
     try (StepControlledServer server =
-        new StepControlledServer(
-            1, c -> c.replace("\"ConnectTimeoutS\":5", "\"ConnectTimeoutS\":0.25"))) {
+        new StepControlledServer(1, new TestConfiguration().connectTimeoutSeconds(0.25))) {
       SubmittedJob job = server.submit("/issue", "");
       HttpMessage post = server.workers.get(0).nextRequest();
       HttpIo.write(post.connection(), "HTTP/1.1 202 x\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -73,7 +72,7 @@
   /** Half a refusal proves nothing: an issue may have run. */
   @Test
   void aRefusalThatIsCutIsNoProof() throws Exception {
-    try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
+    try (StepControlledServer server = new StepControlledServer(2)) {
       SubmittedJob job = server.submit("/issue", "");
       int at = server.awaitAttemptWorker();
       HttpMessage post = server.workers.get(at).nextRequest();
@@ -91,7 +90,7 @@
    */
   @Test
   void aCancelThatCrossesThe202IsSaidAfterIt() throws Exception {
-    try (StepControlledServer server = new StepControlledServer(1, c -> c)) {
+    try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       HttpMessage post = server.workers.get(0).nextRequest();
       server.onStep(Step.CANCELLATION_SENT, () -> post.respond(202, ""));
@@ -105,7 +104,7 @@
   /** `done` crosses the end of its attempt: it is answered, and acted on once if at all. */
   @Test
   void doneThatCrossesALostAttemptIsActedOnOnce() throws Exception {
-    try (StepControlledServer server = new StepControlledServer(2, c -> c)) {
+    try (StepControlledServer server = new StepControlledServer(2)) {
       SubmittedJob job = server.submit("/copy", "");
       int at = server.awaitAttemptWorker();
       HttpMessage first = server.workers.get(at).nextRequest();
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -15,6 +15,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import loomreel.program.EndpointList.Extent;
+import loomreel.program.EndpointList.Health;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -42,8 +44,7 @@
       program.workers.get(program.awaitWorkerWithRequest()).nextRequest().respond(500, "");
       assertEquals(500, job.response().status());
       assertEquals(503, program.submit(program.connect(), "/copy", 1, "").response().status());
-      program.configure("{");
-      program.signal("HUP");
+      program.reload("{");
       program.awaitLog("configuration reload rejected");
       int[] figures = {1, 0, 1, 0, 0, 1, 3, 0, 2, 0, 1};
       String[] names = {
@@ -138,10 +139,11 @@
       assertEquals(200, program.callManagement(0, "POST", "copy-workers/down", "w0").status());
       assertEquals(1, program.statistic(0, "hosts_down"));
       program
-          .discovery
-          .nextRequest()
-          .respond(200, program.endpointList(43, false, "DELETED", "SERVING"));
-      program.discovery.nextRequest().respond(200, program.endpointList(44, false, "SERVING"));
+          .endpointList(43, Extent.CHANGES, Health.DELETED, Health.SERVING)
+          .respondTo(program.discovery.nextRequest());
+      program
+          .endpointList(44, Extent.CHANGES, Health.SERVING)
+          .respondTo(program.discovery.nextRequest());
       program.discovery.nextRequest();
       program.assertAllServedBy(1, 8);
       assertEquals(200, program.callManagement(0, "POST", "copy-workers/up", "w0").status());
--- a/src/test/java/loomreel/program/SampleDeploymentsTest.java
+++ b/src/test/java/loomreel/program/SampleDeploymentsTest.java
@@ -44,7 +44,7 @@
   /** The settings that a dispatcher of such a site is given. */
   // Not split yet; listed in docs/ROADMAP.md.
   @SuppressWarnings("checkstyle:MethodLength")
-  private static String settings(JsonNode site) {
+  private static ObjectNode settings(JsonNode site) {
     ObjectNode root = TOML.createObjectNode();
     root.put("Balancers", 3)
         .put("Discovery", site.at("/discovery/mode").asText())
@@ -99,7 +99,7 @@
         .put("TipMultiple", rules.get("fall_multiple").asDouble())
         .put("FallS", rules.get("fall_ms").asDouble() / 1000)
         .put("AnswerSlackS", 0.016);
-    return root.toString();
+    return root;
   }
 
   /** What a copy worker is handed next; where it is only asked for its load, it has room. */
@@ -130,7 +130,8 @@
     JsonNode type = site.get("class").get(position);
     String effect = type.get("effect").asText();
     int[] at = new int[1];
-    try (StepControlledServer server = new StepControlledServer(3, c -> c, settings(site))) {
+    try (StepControlledServer server =
+        new StepControlledServer(3, new TestConfiguration().deploymentSettings(settings(site)))) {
       for (boolean reset : new boolean[] {false, true}) {
         SubmittedJob job =
             server.submitWithKey("/" + type.get("name").asText() + "/1", "key-" + reset);
--- a/src/test/java/loomreel/program/ServeTest.java
+++ b/src/test/java/loomreel/program/ServeTest.java
@@ -17,10 +17,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loomreel.program.EndpointList.Extent;
+import loomreel.program.EndpointList.Health;
+import loomreel.program.TestConfiguration.DiscoveryMode;
+import loomreel.program.TestConfiguration.LoadReports;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The real program, met as clients, copy workers and discovery meet it. */
@@ -30,7 +35,7 @@
 class ServeTest {
   @Test
   void aJobGoesOutUnchangedAndItsResultComesBack() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
       SubmittedJob job = program.submit("/copy/page?n=1", "the body");
       HttpMessage post = program.workers.get(0).nextRequest();
@@ -49,13 +54,6 @@
     }
   }
 
-  static String keyedClass(String settings) {
-    return settings.replace(
-        "\"RequestClasses\":[",
-        "\"RequestClasses\":[{\"Name\":\"hold\",\"TargetS\":20,"
-            + "\"DeadlineS\":20,\"Repeat\":\"guarded\",\"Group\":\"zone\",\"WindowS\":15,\"Value\":3},");
-  }
-
   /**
    * The copy workers tell repeats by the key: without one a repeat would be a second run, so there
    * is none.
@@ -63,7 +61,12 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aKeyedJobIsSentAgainUnderItsKeyAndNeverWithoutOne(boolean keyed) throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::keyedClass);
+    try (DispatcherProcess program =
+            new DispatcherProcess(
+                2,
+                new TestConfiguration()
+                    .requestClasses(
+                        RequestClass.hold(15), RequestClass.copy(), RequestClass.issue()));
         Socket client = program.connect()) {
       String key = "5c0f6e1a-2b3d, \"x\"; ~";
       HttpIo.write(
@@ -89,10 +92,8 @@
     }
   }
 
-  private static String pushed(String settings) {
-    return settings
-        .replace("\"Discovery\":\"ask\"", "\"Discovery\":\"push\"")
-        .replace("\"StopSendingWithinS\":3", "\"StopSendingWithinS\":5");
+  private static TestConfiguration pushed() {
+    return new TestConfiguration().discoveryMode(DiscoveryMode.PUSH).drainGraceSeconds(5);
   }
 
   /**
@@ -114,14 +115,18 @@
    */
   @Test
   void aPushedListIsTakenBeforeTheFirstJobGoesOut() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
+    try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
       HttpMessage whole = program.discovery.nextRequest();
       assertEquals("GET /registry/instances HTTP/1.1", whole.startLine());
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         jobs.add(program.submit("/copy/" + i, ""));
       }
-      String list = program.endpointList(7, true, "DRAINING", "SERVING").replace(",", ",\n  ");
+      String list =
+          program
+              .endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING)
+              .toJson()
+              .replace(",", ",\n  ");
       whole.respond(200, list);
       untilItHas(program, 7, list);
       for (int i = 0; i < jobs.size(); i++) {
@@ -141,22 +146,32 @@
   @ParameterizedTest
   @ValueSource(strings = {"silent", "503", "closed", "cut"})
   void aPushedListIsAskedForAgainOnANewConnectionWithinTheGrace(String how) throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
-      HttpMessage watch = untilItHas(program, 41, program.endpointList(41, true, "SERVING"));
+    try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
+      HttpMessage watch =
+          untilItHas(
+              program, 41, program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson());
       for (int i = 0; i < 3; i++) {
         int hold = Integer.parseInt(watch.startLine().replaceAll(".*hold_ms=(\\d+).*", "$1"));
         assertTrue(watch.startLine().contains("?from=41&") && hold <= 2500, watch.startLine());
         switch (how) {
           case "503" -> watch.respond(503, "");
           case "cut" ->
-              watch.respond(200, program.endpointList(44, true, "DRAINING").substring(0, 40));
+              watch.respond(
+                  200,
+                  program
+                      .endpointList(44, Extent.COMPLETE, Health.DRAINING)
+                      .toJson()
+                      .substring(0, 40));
           case "closed" -> watch.connection().close();
           default -> program.discovery.awaitClosed(watch.connection());
         }
         watch = program.discovery.nextRequest();
       }
-      watch.respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
-      untilItHas(program, 43, program.endpointList(43, false, "DRAINING", "SERVING"));
+      program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(watch);
+      untilItHas(
+          program,
+          43,
+          program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson());
       program.assertAllServedBy(1, 8);
     }
   }
@@ -166,7 +181,7 @@
    */
   @Test
   void aSilentAgentIsNotWaitedForForEver() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false, ServeTest::pushed)) {
+    try (DispatcherProcess program = new DispatcherProcess(1, pushed())) {
       program.discovery.nextRequest();
       SubmittedJob job = program.submit("/copy", "");
       assertTrue(program.awaitLog("discovery agent silent").contains("last known endpoint list"));
@@ -181,19 +196,25 @@
    */
   @Test
   void aListThatComesLateOnASilentWatchIsNotTaken() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false, ServeTest::pushed)) {
-      HttpMessage silent = untilItHas(program, 41, program.endpointList(41, true, "SERVING"));
+    try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
+      HttpMessage silent =
+          untilItHas(
+              program, 41, program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson());
       program.discovery.awaitClosed(silent.connection());
       try {
-        silent.respond(200, program.endpointList(50, true, "SERVING", "DRAINING"));
+        program
+            .endpointList(50, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
+            .respondTo(silent);
       } catch (SocketException gone) {
         // That is as good as not being read.
       }
       program
-          .discovery
-          .nextRequest()
-          .respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
-      untilItHas(program, 43, program.endpointList(43, false, "DRAINING", "SERVING"));
+          .endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING)
+          .respondTo(program.discovery.nextRequest());
+      untilItHas(
+          program,
+          43,
+          program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson());
       program.assertAllServedBy(1, 8);
     }
   }
@@ -204,10 +225,12 @@
    */
   @Test
   void aListThatIsAnsweredTwiceCountsOnce() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
       HttpMessage watch = program.discovery.nextRequest();
-      String first = program.endpointList(43, false, "DRAINING", "SERVING");
-      String second = program.endpointList(44, false, "SERVING", "DRAINING");
+      String first =
+          program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson();
+      String second =
+          program.endpointList(44, Extent.CHANGES, Health.SERVING, Health.DRAINING).toJson();
       HttpIo.write(
           watch.connection(),
           "HTTP/1.1 200 x\r\nContent-Length: "
@@ -231,7 +254,7 @@
    */
   @Test
   void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       for (int i = 0; i < 4; i++) {
         SubmittedJob job = program.submit("/issue", "");
         HttpMessage post = program.workers.get(0).nextRequest();
@@ -251,7 +274,7 @@
   /** A call-back may overtake the 202, come again, or name a job that nobody knows (any more). */
   @Test
   void newsIsActedOnOnceAndAlwaysAnswered() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob first = program.submit("/copy", "");
       HttpMessage post = program.workers.get(0).nextRequest();
       assertEquals(
@@ -289,7 +312,7 @@
   })
   void anotherAttemptIsMadeAsClassAndOutcomeAllow(String requestClass, String outcome, int status)
       throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/" + requestClass, "b");
       int at = program.awaitWorkerWithRequest();
       HttpMessage post = program.workers.get(at).nextRequest();
@@ -321,7 +344,11 @@
     // Short targets, so that a copy worker which handed a job back is tried again soon.
     try (DispatcherProcess program =
         new DispatcherProcess(
-            1, false, s -> s.replace("\"TargetS\":20", "\"TargetS\":0.1,\"AimStretch\":1000"))) {
+            1,
+            new TestConfiguration()
+                .requestClasses(
+                    RequestClass.copy().withLatencyObjective(0.1, 1000),
+                    RequestClass.issue().withLatencyObjective(0.1, 1000)))) {
       SubmittedJob job = program.submit("/issue", "");
       program.workers.get(0).nextRequest().respond(202, "");
       program.reportStatus(job.id(), "w0", "returned", "");
@@ -334,7 +361,7 @@
 
   @Test
   void aCopyWorkerThatCannotBeReachedIsPassedOver() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
       program.workers.get(0).close();
       for (int i = 0; i < 6; i++) {
         SubmittedJob job = program.submit("/issue", "");
@@ -351,7 +378,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aSilentCopyWorkerCostsNoMoreThanTheDeadline(boolean accepts) throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit(program.connect(), "/copy", 2000, "");
       HttpMessage post = program.workers.get(0).nextRequest();
       if (accepts) {
@@ -367,7 +394,7 @@
 
   @Test
   void aClientThatLeavesEndsItsJob() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit("/copy", "");
       program.workers.get(0).nextRequest().respond(202, "");
       // Only after a call-back of its own is it sure that the 202 has been read.
@@ -382,7 +409,7 @@
   /** Requests sent ahead on one connection are answered one by one, in their order. */
   @Test
   void requestsSentAheadWaitTheirTurn() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket socket = program.connect()) {
       String[] ids = new String[3];
       for (int i = 0; i < ids.length; i++) {
@@ -405,7 +432,7 @@
   @Test
   void idleConnectionsAreClosedBeforeTheOtherSideDoes() throws Exception {
     try (DispatcherProcess program =
-        new DispatcherProcess(1, false, s -> s.replace("\"ConnIdleS\":60", "\"ConnIdleS\":1"))) {
+        new DispatcherProcess(1, new TestConfiguration().idleConnectionSeconds(1))) {
       SubmittedJob job = program.submit("/copy", "");
       HttpMessage post = program.workers.get(0).nextRequest();
       post.respond(202, "");
@@ -421,7 +448,7 @@
    */
   @Test
   void connectionsThatAreResetWhenUsedAgainAreKeptForLess() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "first");
       assertEquals("first", job.response().body());
@@ -445,9 +472,11 @@
 
   @Test
   void aCopyWorkerThatMovesIsCalledWhereItIsNow() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       StubHttpServer before = program.workers.set(0, new StubHttpServer());
-      program.discovery.nextRequest().respond(200, program.endpointList(42, true, "SERVING"));
+      program
+          .endpointList(42, Extent.COMPLETE, Health.SERVING)
+          .respondTo(program.discovery.nextRequest());
       program.discovery.nextRequest();
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "moved");
@@ -459,7 +488,7 @@
 
   @Test
   void bodiesComeWholeHoweverTheyAreCut() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket socket = program.connect()) {
       String request =
           "POST /copy HTTP/1.1\r\nHost: x\r\nX-Call-Id: 00000000000000aa\r\nX-Budget-Ms: 20000\r\n"
@@ -511,7 +540,7 @@
       {"413", job + id + budget + "Transfer-Encoding: chunked\r\n\r\n10001\r\n"},
       {"431", job + "X-Long: " + "y".repeat(9000) + "\r\n\r\n"}
     };
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       for (String[] c : cases) {
         try (Socket socket = program.connect()) {
           HttpIo.write(socket, c[1]);
@@ -525,12 +554,12 @@
 
   @Test
   void theListIsWatchedAndADrainingCopyWorkerGetsNothingNew() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
       HttpMessage watch = program.discovery.nextRequest();
       assertTrue(
           watch.startLine().startsWith("GET /registry/instances?from=41&hold_ms="),
           watch.startLine());
-      watch.respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
+      program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(watch);
       HttpMessage next = program.discovery.nextRequest();
       assertTrue(next.startLine().contains("from=43&"), next.startLine());
       assertSame(watch.connection(), next.connection());
@@ -540,11 +569,12 @@
 
   @Test
   void aListThatNamesACopyWorkerTwiceHoldsByItsLastWord() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
-      String draining = program.endpointList(43, true, "DRAINING", "SERVING");
-      String serving = program.endpointList(43, true, "SERVING", "SERVING");
-      String first = serving.substring(serving.indexOf('[') + 1, serving.lastIndexOf(']'));
-      program.discovery.nextRequest().respond(200, draining.replace("[", "[" + first + ","));
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
+      EndpointList serving =
+          program.endpointList(43, Extent.COMPLETE, Health.SERVING, Health.SERVING);
+      EndpointList draining =
+          program.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING);
+      serving.withAllOf(draining).respondTo(program.discovery.nextRequest());
       assertTrue(program.discovery.nextRequest().startLine().contains("from=43&"));
       program.assertAllServedBy(1, 8);
     }
@@ -556,19 +586,17 @@
    */
   @Test
   void anOlderListIsNotTakenAndTheWholeOneIsAskedFor() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
       program
-          .discovery
-          .nextRequest()
-          .respond(200, program.endpointList(43, false, "DRAINING", "SERVING"));
+          .endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING)
+          .respondTo(program.discovery.nextRequest());
       program
-          .discovery
-          .nextRequest()
-          .respond(200, program.endpointList(42, true, "SERVING", "DRAINING"));
+          .endpointList(42, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
+          .respondTo(program.discovery.nextRequest());
       HttpMessage whole = program.discovery.nextRequest();
       assertTrue(whole.startLine().startsWith("GET /registry/instances HTTP"), whole.startLine());
       program.assertAllServedBy(1, 8);
-      whole.respond(200, program.endpointList(7, true, "SERVING", "DRAINING"));
+      program.endpointList(7, Extent.COMPLETE, Health.SERVING, Health.DRAINING).respondTo(whole);
       assertTrue(
           program.discovery.nextRequest().startLine().contains("from=7&"),
           "its count is the one that holds now");
@@ -585,14 +613,19 @@
   @ParameterizedTest
   @ValueSource(strings = {"503", "nonsense", "cut", "closed", "silent"})
   void aLostWatchIsStartedAgain(String how) throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       HttpMessage watch = program.discovery.nextRequest();
       switch (how) {
         case "503" -> watch.respond(503, "");
         case "silent" -> {}
         case "nonsense" -> watch.respond(200, "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}");
         case "cut" ->
-            watch.respond(200, program.endpointList(44, true, "DRAINING").substring(0, 40));
+            watch.respond(
+                200,
+                program
+                    .endpointList(44, Extent.COMPLETE, Health.DRAINING)
+                    .toJson()
+                    .substring(0, 40));
         default -> watch.connection().close();
       }
       assertTrue(program.discovery.nextRequest().startLine().contains("from=41&"));
@@ -608,7 +641,7 @@
    */
   @Test
   void aNewConfigurationMovesTheWatchAtOnce() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/copy", "");
       HttpMessage old = program.discovery.nextRequest();
       for (int seq : new int[] {7, 3}) {
@@ -616,8 +649,8 @@
           before.awaitClosed(old.connection());
           HttpMessage whole = program.discovery.nextRequest();
           assertEquals("GET /registry/instances HTTP/1.1", whole.startLine());
-          whole.respond(
-              200, program.endpointList(seq, true, seq == 7 ? "SERVING" : "DRAINING", "SERVING"));
+          Health first = seq == 7 ? Health.SERVING : Health.DRAINING;
+          program.endpointList(seq, Extent.COMPLETE, first, Health.SERVING).respondTo(whole);
           old = program.discovery.nextRequest();
           assertTrue(old.startLine().contains("?from=" + seq + "&"), old.startLine());
           assertFalse(before.hasPendingRequest());
@@ -633,30 +666,48 @@
     }
   }
 
+  /** A change that needs a restart, and the field that the log names. */
+  private enum RestartOnlyChange {
+    CLASS_NAME("settings"),
+    POLL_INTERVAL("settings"),
+    DESCRIPTOR_LIMIT("limits.sockets"),
+    DISPATCHER_NAME("name");
+
+    private final String field;
+
+    RestartOnlyChange(String field) {
+      this.field = field;
+    }
+
+    TestConfiguration applyTo(TestConfiguration configuration) {
+      return switch (this) {
+        case CLASS_NAME -> {
+          RequestClass renamed = RequestClass.issue().withName("sell");
+          yield configuration.requestClasses(RequestClass.copy(), renamed);
+        }
+        case POLL_INTERVAL -> configuration.discoveryPollIntervalSeconds(0.7);
+        case DESCRIPTOR_LIMIT -> configuration.descriptorLimit(512);
+        case DISPATCHER_NAME -> configuration.name("n1");
+      };
+    }
+  }
+
   /** It may be another customer's file: neither its settings nor its discovery may turn up here. */
   @ParameterizedTest
-  @CsvSource({
-    "\"Name\":\"issue\",\"Name\":\"sell\",settings",
-    "\"AskWithinS\":0.5,\"AskWithinS\":0.7,settings",
-    "\"sockets\":1024,\"sockets\":512,limits.sockets",
-    "\"name\":\"n0\",\"name\":\"n1\",name"
-  })
-  void aNewConfigurationThatChangesMoreThanItMayKeepsTheOldWhole(
-      String from, String to, String field) throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+  @EnumSource(RestartOnlyChange.class)
+  void aNewConfigurationThatChangesMoreThanItMayKeepsTheOldWhole(RestartOnlyChange change)
+      throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1);
         StubHttpServer other = new StubHttpServer()) {
       HttpMessage watch = program.discovery.nextRequest();
-      program.configure(
-          program
-              .configured()
-              .replace(program.discovery.address(), other.address())
-              .replace(from, to));
-      program.signal("HUP");
+      program.reload(
+          change.applyTo(program.configuration().discoveryAddress(other.address())).toJson());
       String said = program.awaitLog("configuration reload rejected");
       assertTrue(
-          said.endsWith("the old configuration stays reason=restart required to change " + field),
+          said.endsWith(
+              "the old configuration stays reason=restart required to change " + change.field),
           said);
-      watch.respond(200, program.endpointList(42, true, "SERVING"));
+      program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(watch);
       assertTrue(program.discovery.nextRequest().startLine().contains("?from=42&"));
       SubmittedJob job = program.submit("/issue", "");
       program.serveNextJob(0, "as before");
@@ -667,15 +718,14 @@
 
   @Test
   void aBadNewConfigurationChangesNothing() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       HttpMessage watch = program.discovery.nextRequest();
-      program.configure("{\"name\":");
-      program.signal("HUP");
+      program.reload("{\"name\":");
       assertTrue(
           program
               .awaitLog("configuration reload rejected")
               .contains("the old configuration stays"));
-      watch.respond(200, program.endpointList(42, true, "SERVING"));
+      program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(watch);
       assertTrue(program.discovery.nextRequest().startLine().contains("?from=42&"));
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "as before");
@@ -689,7 +739,7 @@
   @Test
   void clientsThatTakeAllTheRoomDoNotShutTheNewsOut() throws Exception {
     try (DispatcherProcess program =
-        new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":52"))) {
+        new DispatcherProcess(1, new TestConfiguration().descriptorLimit(52))) {
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 11; i++) {
         jobs.add(program.submit("/copy", ""));
@@ -717,7 +767,7 @@
   @Test
   void connectionsThatSayNothingDoNotPushOthersOut() throws Exception {
     try (DispatcherProcess program =
-        new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
+        new DispatcherProcess(1, new TestConfiguration().descriptorLimit(64))) {
       SubmittedJob first = program.submit("/copy", "");
       program.serveNextJob(0, "first");
       assertEquals("first", first.response().body());
@@ -742,7 +792,7 @@
   @Test
   void connectionsThatAskOnceAndStayAreNotKeptForLong() throws Exception {
     try (DispatcherProcess program =
-        new DispatcherProcess(1, false, c -> c.replace("\"sockets\":1024", "\"sockets\":64"))) {
+        new DispatcherProcess(1, new TestConfiguration().descriptorLimit(64))) {
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         jobs.add(program.submit("/copy", ""));
@@ -769,7 +819,7 @@
   /** A client that repeats at once what was wrong must not take the processor from the others. */
   @Test
   void whoRepeatsWhatWasWrongIsReadLessOften() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket socket = program.connect()) {
       long start = System.nanoTime();
       HttpIo.write(socket, "GET /nowhere HTTP/1.1\r\n\r\n".repeat(5));
@@ -782,7 +832,8 @@
 
   @Test
   void loadIsAskedForWhereProbesAreAllowed() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, true)) {
+    try (DispatcherProcess program =
+        new DispatcherProcess(1, new TestConfiguration().loadReports(LoadReports.POLLED))) {
       SubmittedJob job = program.submit("/copy", "");
       HttpMessage probe = program.workers.get(0).nextRequest();
       assertEquals("GET /stats HTTP/1.1", probe.startLine());
@@ -798,7 +849,7 @@
    */
   @Test
   void aStopServesWhatWasTakenAndThenEnds() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob before = program.submit("/copy", "");
       program.serveNextJob(0, "first");
       assertEquals("first", before.response().body());
@@ -825,7 +876,7 @@
    */
   @Test
   void aStopAnswersWhatWasSentAheadOnOneConnection() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket ahead = program.connect()) {
       SubmittedJob idle = program.submit("/copy", "");
       program.serveNextJob(0, "idle");
--- a/src/test/java/loomreel/program/StepControlledServer.java
+++ b/src/test/java/loomreel/program/StepControlledServer.java
@@ -15,7 +15,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.function.UnaryOperator;
 import loomreel.config.ServeConfig;
 import loomreel.io.TraceWriter;
 import loomreel.server.Server;
@@ -81,18 +80,16 @@
   private final BlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
   private final int port;
 
-  /** A dispatcher with a changed configuration. */
-  StepControlledServer(int workerCount, UnaryOperator<String> change) throws Exception {
-    this(workerCount, change, null);
+  /** A dispatcher with the standard configuration. */
+  StepControlledServer(int workerCount) throws Exception {
+    this(workerCount, new TestConfiguration());
   }
 
-  /** The same with other settings; null for those of {@link DispatcherHarness}. */
-  StepControlledServer(int workerCount, UnaryOperator<String> change, String settings)
-      throws Exception {
+  /** A dispatcher with a configuration of the test. */
+  StepControlledServer(int workerCount, TestConfiguration configuration) throws Exception {
     super(workerCount);
     Path file = Files.createTempFile("loomreel", ".json");
-    Files.writeString(
-        file, change.apply(settings == null ? configuration(false) : configuration(settings)));
+    Files.writeString(file, complete(configuration).toJson());
     ServeConfig config = ServeConfig.read(Map.of("BALANCER_CONFIG", file.toString()));
     Files.delete(file);
     server = new Server(config, null, new StepRecorder());
--- a/src/test/java/loomreel/program/TranscriptTest.java
+++ b/src/test/java/loomreel/program/TranscriptTest.java
@@ -11,6 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loomreel.program.EndpointList.Extent;
+import loomreel.program.EndpointList.Health;
 import loomreel.program.HotRestartRelay.Sender;
 import loomreel.standin.DaemonProcess;
 import org.junit.jupiter.api.Test;
@@ -84,14 +86,14 @@
   }
 
   /** Discovery answers a call with a list; its own bytes are not recorded, as they hold ports. */
-  private void list(HttpMessage call, String list) throws IOException {
+  private void list(HttpMessage call, EndpointList list) throws IOException {
     transcript.event("discovery answers with a list");
-    call.respond(200, list);
+    list.respondTo(call);
   }
 
   @Test
   void jobsAreServed() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect()) {
       transcript.receive(DISCOVERY, program.discovery.nextRequest());
       call(program.port(), CLIENT, "GET /health/ready", "");
@@ -114,7 +116,7 @@
 
   @Test
   void jobsAreRejected() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect();
         Socket other = program.connect()) {
       transcript.send(CLIENT, client, DispatcherHarness.jobRequest("/copy", FIRST_ID, 1, "", ""));
@@ -141,7 +143,7 @@
 
   @Test
   void aJobIsRetriedAtAnotherWorker() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, false);
+    try (DispatcherProcess program = new DispatcherProcess(2);
         Socket client = program.connect()) {
       transcript.send(CLIENT, client, job("/issue", FIRST_ID));
       int first = program.awaitWorkerWithRequest();
@@ -157,7 +159,7 @@
 
   @Test
   void aJobIsCancelledByItsClient() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false)) {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
       try (Socket client = program.connect()) {
         accepted(program, client, job("/copy", FIRST_ID));
         // The answer to a callback shows that the worker's 202 has been read.
@@ -173,14 +175,14 @@
 
   @Test
   void aReloadMovesTheWatchToAnotherDiscovery() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect()) {
       HttpMessage watch = transcript.receive(DISCOVERY, program.discovery.nextRequest());
       transcript.event("SIGHUP");
       program.moveDiscovery().awaitClosed(watch.connection());
       transcript.event(Transcript.PROGRAM + " closes the connection of discovery");
       HttpMessage whole = transcript.receive("new discovery", program.discovery.nextRequest());
-      list(whole, program.endpointList(7, true, "SERVING"));
+      list(whole, program.endpointList(7, Extent.COMPLETE, Health.SERVING));
       transcript.receive("new discovery", program.discovery.nextRequest());
       accepted(program, client, job("/copy", FIRST_ID));
       callback(program, FIRST_ID, "done", ",\"result\":\"after\"");
@@ -191,7 +193,7 @@
 
   @Test
   void aDrainAnswersWhatIsInFlight() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, false);
+    try (DispatcherProcess program = new DispatcherProcess(1);
         Socket idle = program.connect();
         Socket client = program.connect()) {
       accepted(program, idle, job("/copy", FIRST_ID));
