--- a/src/main/java/loomreel/cli/TrainArchiveCommand.java
+++ b/src/main/java/loomreel/cli/TrainArchiveCommand.java
@@ -2,10 +2,11 @@
 
 import java.io.IOException;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
-import loomreel.standin.ClassArchiveTraining;
+import loomreel.training.ClassArchiveTraining;
 import picocli.CommandLine.Command;
 
 /** {@code train-archive}: the training run for the JVM's archive of classes. */
@@ -34,7 +35,7 @@
               },
               "client");
       client.setDaemon(true);
-      return DispatcherRunner.run(config, null, false, server -> {}, client::start);
+      return DispatcherRunner.run(config, Optional.empty(), false, server -> {}, client::start);
     }
   }
 }
--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -9,8 +9,8 @@
  * and reads no clock. For use by one thread.
  *
  * <p>{@link RequestScheduler} places requests, {@link WorkerSelector} chooses workers, {@link
- * RetryPolicy} says what may be repeated, {@link AdmissionController} what is rejected and {@link
- * HealthCheckPolicy} whose load is asked for.
+ * RetryPolicy} decides what may be repeated, {@link AdmissionController} what is rejected and
+ * {@link HealthCheckPolicy} whose load is queried.
  */
 public final class DispatchPolicy {
   private PolicyState state;
@@ -29,7 +29,7 @@
    * @param actions where actions are added
    * @throws NullPointerException if the event or the list is null
    * @throws IllegalArgumentException if time runs backwards
-   * @throws IllegalStateException if the first event is not a start, or a start comes without a
+   * @throws IllegalStateException if the first event is not a start, or on a second start without a
    *     stop
    */
   public void on(Event event, long now, List<Action> actions) {
@@ -55,8 +55,8 @@
   private void start(Event.Start event, long now, List<Action> actions) {
     context = new PolicyContext(event.settings(), new SplittableRandom(event.seed()));
     context.begin(now, actions);
-    double capacityShare = state == null ? 1 : state.slowStart.capacityShare();
-    state = new PolicyState(context, capacityShare);
+    double capacityFraction = state == null ? 1 : state.slowStart.capacityFraction();
+    state = new PolicyState(context, capacityFraction);
     handler = new PolicyEventHandler(state);
     started = true;
   }
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -11,7 +11,7 @@
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
 import loomreel.http.PooledConnection;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
@@ -37,6 +37,12 @@
   /** No version is known, so the whole list is requested; versions count from 0. */
   private static final long NO_VERSION = -1;
 
+  private static final String ENDPOINTS_PATH = "/registry/instances";
+  private static final String VERSION_PARAMETER = "from";
+  private static final String MAX_WAIT_MILLIS_PARAMETER = "hold_ms";
+
+  private static final long MICROS_PER_MILLI = 1000;
+
   private final EventLoop loop;
   private final ConnectionPool discovery;
   private final Listener listener;
@@ -93,11 +99,20 @@
     connection = calling ? carrier : null;
   }
 
-  private Bytes request(boolean waitsForChange) {
+  private ByteQueue request(boolean waitsForChange) {
     String query =
-        waitsForChange ? "?from=" + version + "&hold_ms=" + timeouts.maxWait() / 1000 : "";
-    Bytes request = new Bytes(loop.pool());
-    request.append(HttpHeaders.request("GET", "/registry/instances" + query, hostAndPort(), 0));
+        waitsForChange
+            ? "?"
+                + VERSION_PARAMETER
+                + "="
+                + version
+                + "&"
+                + MAX_WAIT_MILLIS_PARAMETER
+                + "="
+                + timeouts.maxWait() / MICROS_PER_MILLI
+            : "";
+    ByteQueue request = new ByteQueue(loop.pool());
+    request.append(HttpHeaders.request("GET", ENDPOINTS_PATH + query, hostAndPort(), 0));
     return request;
   }
 
@@ -122,7 +137,7 @@
   }
 
   /** The call in flight was answered. */
-  void answered(HttpMessage message) {
+  void responseReceived(HttpMessage message) {
     endCall();
     lastCallSilent = false;
     try {
@@ -136,11 +151,12 @@
   /**
    * The call in flight has ended without an answer.
    *
-   * @param isAnswerBegun whether a part of an answer with a list had come
+   * @param isResponseStarted whether a part of an answer with a list had come
    */
-  void broken(AttemptOutcome outcome, boolean isAnswerBegun) {
+  void callFailed(AttemptOutcome outcome, boolean isResponseStarted) {
     endCall();
-    failed(outcome.toString(), WatchTimeouts.Failure.of(outcome, isAnswerBegun, lastCallSilent));
+    failed(
+        outcome.toString(), WatchTimeouts.Failure.of(outcome, isResponseStarted, lastCallSilent));
   }
 
   private void endCall() {
--- a/src/main/java/loomreel/faktory/Reply.java
+++ b/src/main/java/loomreel/faktory/protocol/Reply.java
@@ -1,11 +1,11 @@
-package loomreel.faktory;
+package loomreel.faktory.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /** A reply to a command, as RESP (the Redis serialization protocol) frames it. */
-sealed interface Reply {
+public sealed interface Reply {
   /** The command has been carried out, and there is nothing to say. */
   Reply OK = new SimpleString("OK");
 
@@ -16,7 +16,7 @@
   int MAX_TEXT_CHARS = 256;
 
   /** Appends the encoded reply. */
-  void appendTo(Bytes out);
+  void appendTo(ByteQueue out);
 
   /** The error {@code ERR message}. */
   static ErrorReply error(String message) {
@@ -25,7 +25,7 @@
 
   /** A JSON document as a bulk string. */
   static Reply json(JsonNode document) {
-    return new BulkString(PayloadValidator.toBytes(document));
+    return new BulkString(Json.toBytes(document));
   }
 
   /** Cuts a text of a client to {@link #MAX_TEXT_CHARS}. */
@@ -45,7 +45,7 @@
    */
   record SimpleString(String text) implements Reply {
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append(("+" + text + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
   }
@@ -57,7 +57,7 @@
    */
   record ErrorReply(String message) implements Reply {
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append(("-" + sanitize(message) + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
   }
@@ -68,12 +68,12 @@
     private final byte[] value;
 
     /** Wraps bytes, which must not change afterwards. */
-    BulkString(byte[] value) {
+    public BulkString(byte[] value) {
       this.value = value;
     }
 
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append(("$" + value.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
       out.append(value);
       out.append(LINE_END);
@@ -83,7 +83,7 @@
   /** The null bulk string. */
   record Nil() implements Reply {
     @Override
-    public void appendTo(Bytes out) {
+    public void appendTo(ByteQueue out) {
       out.append("$-1\r\n".getBytes(StandardCharsets.US_ASCII));
     }
   }
--- a/src/main/java/loomreel/http/HttpMessage.java
+++ b/src/main/java/loomreel/http/HttpMessage.java
@@ -1,7 +1,7 @@
 package loomreel.http;
 
 import java.util.List;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /**
  * A complete request or response.
@@ -13,7 +13,7 @@
  * @param keepAlive whether the connection may carry another message
  */
 public record HttpMessage(
-    List<String> startLine, List<String> headers, Bytes body, boolean keepAlive) {
+    List<String> startLine, List<String> headers, ByteQueue body, boolean keepAlive) {
   /** The method of a request. */
   public String method() {
     return startLine.get(0);
@@ -31,14 +31,15 @@
 
   /** Whether the status of a response is 2xx. */
   boolean isSuccessful() {
-    return status() / 100 == 2;
+    return HttpStatus.isSuccessful(status());
   }
 
-  /** The value of the first header with that name, in lower case, or null. */
+  /** The value of the first header with that name, in lower case; null if there is none. */
   public String header(String name) {
     return find(headers, name);
   }
 
+  /** The value of a name in a list of names and values; null if there is none. */
   static String find(List<String> headers, String name) {
     for (int i = 0; i < headers.size(); i += 2) {
       if (headers.get(i).equals(name)) {
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -15,7 +15,8 @@
 import loomreel.http.HttpHeaders;
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
-import loomreel.io.Bytes;
+import loomreel.http.JobHeader;
+import loomreel.io.ByteQueue;
 import loomreel.io.RateLimitedLogger;
 
 /**
@@ -27,6 +28,9 @@
   /** The time limit of a health check or cancellation, in connect timeouts. */
   private static final int SHORT_CALL_TIMEOUT_FACTOR = 2;
 
+  private static final String JOBS_PATH = "/jobs/";
+  private static final String LOAD_PATH = "/stats";
+
   private final Dispatcher dispatcher;
   private final RateLimitedLogger log;
   private final ConnectionPool pool;
@@ -82,11 +86,11 @@
   @Override
   public ActiveCall start(CallAttempt attempt) {
     if (!attempt.mayStart()) {
-      attempt.end(AttemptOutcome.FULL, null);
+      attempt.end(AttemptOutcome.REJECTED, null);
       return null;
     }
     Rpc rpc = attempt.rpc();
-    Bytes request = request("POST", rpc.target(), rpc.body().length(), jobHeaders(attempt));
+    ByteQueue request = request("POST", rpc.target(), rpc.body().length(), jobHeaders(attempt));
     request.append(rpc.body());
     JobCall call = new JobCall(this, attempt);
     call.setConnection(pool.call(request, call));
@@ -97,30 +101,30 @@
     Rpc rpc = attempt.rpc();
     long budgetMillis = Math.max(1, (attempt.deadline() - attempt.sentAt()) / 1000);
     List<String> headers = new ArrayList<>();
-    headers.add("X-Call-Id: " + rpc.id());
-    headers.add("X-Budget-Ms: " + budgetMillis);
+    headers.add(JobHeader.CALL_ID.line(rpc.id()));
+    headers.add(JobHeader.BUDGET_MILLIS.line(budgetMillis));
     if (rpc.contentType() != null) {
       headers.add("Content-Type: " + rpc.contentType());
     }
     if (rpc.idempotencyKey() != null) {
-      headers.add("Idempotency-Key: " + rpc.idempotencyKey());
+      headers.add(JobHeader.IDEMPOTENCY_KEY.line(rpc.idempotencyKey()));
     }
     return headers.toArray(String[]::new);
   }
 
   /** Requests the end of a job; the attempt has ended here, so the response does not matter. */
   void cancelJob(String callId) {
-    pool.call(request("DELETE", "/jobs/" + callId, 0), new ShortCall());
+    pool.call(request("DELETE", JOBS_PATH + callId, 0), new ShortCall());
   }
 
   @Override
   public void checkHealth() {
-    pool.call(request("GET", "/stats", 0), new HealthCheck());
+    pool.call(request("GET", LOAD_PATH, 0), new HealthCheck());
   }
 
   /** Checks whether the worker can be reached; only the reachability listener hears of it. */
   void checkReachability() {
-    pool.call(request("GET", "/stats", 0), new ReachabilityCheck());
+    pool.call(request("GET", LOAD_PATH, 0), new ReachabilityCheck());
   }
 
   /**
@@ -137,8 +141,8 @@
     log.warn("unexpected job response " + this + " status=" + status);
   }
 
-  private Bytes request(String method, String target, int length, String... headers) {
-    Bytes request = new Bytes(dispatcher.loop().pool());
+  private ByteQueue request(String method, String target, int length, String... headers) {
+    ByteQueue request = new ByteQueue(dispatcher.loop().pool());
     request.append(HttpHeaders.request(method, target, hostAndPort(), length, headers));
     return request;
   }
@@ -162,21 +166,21 @@
     }
 
     @Override
-    public void answered(HttpMessage message) {}
+    public void responseReceived(HttpMessage message) {}
 
     @Override
-    public void broken(AttemptOutcome outcome) {}
+    public void failed(AttemptOutcome outcome) {}
   }
 
   /** A call whose response, or lack of one, says whether the worker can be reached. */
   private class ReachabilityCheck extends ShortCall {
     @Override
-    public void answered(HttpMessage message) {
+    public void responseReceived(HttpMessage message) {
       reachability.reachable();
     }
 
     @Override
-    public void broken(AttemptOutcome outcome) {
+    public void failed(AttemptOutcome outcome) {
       reportFailure(outcome);
     }
   }
@@ -186,13 +190,13 @@
     private final long sentAt = dispatcher.loop().now();
 
     @Override
-    public void answered(HttpMessage message) {
-      super.answered(message);
+    public void responseReceived(HttpMessage message) {
+      super.responseReceived(message);
       if (message.status() != HttpStatus.OK) {
         dispatcher.healthChecked(endpoint.id(), AttemptOutcome.ERROR, sentAt, null);
         return;
       }
-      String header = message.header("x-load-report");
+      String header = JobHeader.LOAD_REPORT.valueIn(message);
       String load =
           header != null ? header : new String(message.body().toArray(), StandardCharsets.UTF_8);
       dispatcher.healthChecked(
@@ -200,8 +204,8 @@
     }
 
     @Override
-    public void broken(AttemptOutcome outcome) {
-      super.broken(outcome);
+    public void failed(AttemptOutcome outcome) {
+      super.failed(outcome);
       dispatcher.healthChecked(endpoint.id(), outcome, sentAt, null);
     }
   }
--- a/src/main/java/loomreel/upstream/JobCall.java
+++ b/src/main/java/loomreel/upstream/JobCall.java
@@ -6,6 +6,7 @@
 import loomreel.http.HttpExchange;
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
+import loomreel.http.JobHeader;
 import loomreel.http.PooledConnection;
 
 /**
@@ -45,7 +46,7 @@
   }
 
   @Override
-  public void written() {
+  public void requestWritten() {
     attempt.requestWritten();
   }
 
@@ -54,7 +55,7 @@
    * change that.
    */
   @Override
-  public boolean suffices(int status) {
+  public boolean headReceived(int status) {
     if (status == HttpStatus.ACCEPTED && !isAccepted) {
       isAccepted = true;
       subchannel.reachability().reachable();
@@ -64,7 +65,7 @@
   }
 
   @Override
-  public void answered(HttpMessage message) {
+  public void responseReceived(HttpMessage message) {
     connection = null;
     if (isAccepted) {
       return;
@@ -86,17 +87,17 @@
     int status = message.status();
     boolean isRejected =
         (status == HttpStatus.SERVICE_UNAVAILABLE || status == HttpStatus.GATEWAY_TIMEOUT)
-            && "1".equals(message.header("x-rejected"));
+            && JobHeader.IS_REJECTED.isSetIn(message);
     if (!isRejected && status != HttpStatus.INTERNAL_SERVER_ERROR) {
       subchannel.logUnexpectedStatus(status);
     }
     attempt.end(
-        isRejected ? AttemptOutcome.FULL : AttemptOutcome.ERROR,
-        LoadReport.parse(message.header("x-load-report")).orElse(null));
+        isRejected ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR,
+        LoadReport.parse(JobHeader.LOAD_REPORT.valueIn(message)).orElse(null));
   }
 
   @Override
-  public void broken(AttemptOutcome outcome) {
+  public void failed(AttemptOutcome outcome) {
     connection = null;
     if (!isAccepted) {
       subchannel.reportFailure(outcome);
--- a/src/test/java/loomreel/faktory/ReplyTest.java
+++ b/src/test/java/loomreel/faktory/protocol/ReplyTest.java
@@ -1,16 +1,16 @@
-package loomreel.faktory;
+package loomreel.faktory.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.nio.charset.StandardCharsets;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import org.junit.jupiter.api.Test;
 
 /** The bytes of replies. */
 class ReplyTest {
   private static String encoded(Reply reply) {
-    Bytes out = new Bytes(new BufferPool(4));
+    ByteQueue out = new ByteQueue(new BufferPool(4));
     reply.appendTo(out);
     return new String(out.toArray(), StandardCharsets.UTF_8);
   }
@@ -20,7 +20,7 @@
     assertEquals("+OK\r\n", encoded(Reply.OK));
     assertEquals("$-1\r\n", encoded(Reply.NIL));
     assertEquals("-ERR unknown worker\r\n", encoded(Reply.error("unknown worker")));
-    assertEquals("$2\r\n{}\r\n", encoded(Reply.json(PayloadValidator.JSON.createObjectNode())));
+    assertEquals("$2\r\n{}\r\n", encoded(Reply.json(Json.MAPPER.createObjectNode())));
   }
 
   @Test
--- a/src/test/java/loomreel/program/StepControlledServer.java
+++ b/src/test/java/loomreel/program/StepControlledServer.java
@@ -11,6 +11,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -92,7 +93,7 @@
     Files.writeString(file, complete(configuration).toJson());
     ServeConfig config = ServeConfig.read(Map.of("BALANCER_CONFIG", file.toString()));
     Files.delete(file);
-    server = new Server(config, null, new StepRecorder());
+    server = new Server(config, Optional.empty(), Optional.of(new StepRecorder()));
     port = server.port();
     loopThread = new Thread(this::runLoop, "step-controlled server");
     loopThread.setDaemon(true);
@@ -231,7 +232,7 @@
 
   private void setDisabled(String worker) {
     try {
-      server.setWorkerDisabled(worker, true);
+      server.adminOperations().setWorkerDisabled(worker, true);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
