--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -6,8 +6,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import java.util.Optional;
-import loomreel.core.DispatcherMetrics;
 import loomreel.core.Rpc;
 import loomreel.core.UnavailableStatus;
 import loomreel.http.BadMessageException;
@@ -16,19 +14,18 @@
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
 import loomreel.io.EventLoop;
-import loomreel.upstream.JobStatusUpdate;
 
 /**
  * An accepted HTTP connection: of a client that submits jobs, of a worker that sends job status
- * updates, or of the platform's readiness check. Serves one request at a time; {@link
- * ConnectionState} has its states and their transitions.
+ * updates, or of the platform's readiness check. Processes one request at a time, which {@link
+ * RequestHandler} handles; {@link ConnectionState} has its states and their transitions.
  *
- * <p>Owned by {@link HttpIngress}, which hears of its close.
+ * <p>Owned by {@link HttpIngress}, which is notified of its close.
  */
 final class ClientConnection extends HttpConnection implements Rpc.Caller {
-  /** What becomes of a request that is received in part when its connection is to close. */
+  /** How a request that is received in part is handled when its connection is to close. */
   enum PartialRequest {
-    /** The rest of it is awaited and it is served. */
+    /** The rest of it is awaited, and it is processed. */
     AWAIT,
     /** It is rejected with status 408. */
     REJECT
@@ -36,31 +33,33 @@
 
   private static final String NO_HEADER = "";
   private static final byte[] NO_BODY = new byte[0];
+  private static final double MICROS_PER_SECOND = 1e6;
 
   /**
    * The time limit of the first request, counted from the connection's start, so that sending byte
-   * by byte gains nothing; of each further request; of writing a response; and of the client's
+   * by byte does not extend it; of each further request; of writing a response; and of the client's
    * close after the last response.
    */
   private static final long TIMEOUT_MICROS = 2_000_000;
 
-  /** The pause after a 4xx response, which slows down clients that repeat an error at once. */
+  /** The pause after a 4xx response, which limits the rate of clients that repeat an error. */
   private static final long ERROR_PAUSE_MICROS = 100_000;
 
   private final HttpIngress ingress;
+  private final RequestHandler handler;
   private final PipelinedInput pipelined;
   private ConnectionState state = ConnectionState.READING;
 
   /** The job that is being processed; null if there is none. */
   private Rpc rpc;
 
-  /** The input that is being parsed: behind a complete request it has what was read along. */
+  /** The input that is being parsed: it may have pipelined input behind a complete request. */
   private ByteBuffer currentInput;
 
-  /** Whether a worker is at the other end. */
+  /** Whether the peer is a worker. */
   private boolean fromWorker;
 
-  /** The timeout or pause that runs; null if there is none. */
+  /** The pending timeout or pause; null if there is none. */
   private EventLoop.Timer timer;
 
   /**
@@ -68,14 +67,17 @@
    *
    * @throws IOException if it cannot be registered with the event loop
    */
-  ClientConnection(EventLoop loop, SocketChannel channel, HttpIngress ingress) throws IOException {
+  ClientConnection(
+      EventLoop loop, SocketChannel channel, HttpIngress ingress, RequestHandler handler)
+      throws IOException {
     super(loop, channel, true, true);
     this.ingress = ingress;
+    this.handler = handler;
     pipelined = new PipelinedInput(loop.pool());
     startTimeout();
   }
 
-  /** Whether a worker is at the other end. */
+  /** Whether the peer is a worker. */
   boolean isFromWorker() {
     return fromWorker;
   }
@@ -161,62 +163,17 @@
     if (!message.keepAlive()) {
       apply(ConnectionState.Event.CLOSE_REQUESTED);
     }
-    RequestRoute route = RequestRoute.of(message.target(), ingress.classes.keySet());
-    switch (route.kind()) {
-      case READINESS_CHECK -> handleReadinessCheck(message);
-      case STATUS_UPDATE -> handleStatusUpdate(message);
-      case JOB -> handleJob(message, ingress.classes.get(route.requestClass()));
-      case UNKNOWN -> respondAndRelease(message, HttpStatus.NOT_FOUND, NO_HEADER);
-    }
-  }
-
-  private void handleReadinessCheck(HttpMessage message) {
-    if (!message.method().equals("GET") && !message.method().equals("HEAD")) {
-      respondAndRelease(message, HttpStatus.METHOD_NOT_ALLOWED, "Allow: GET, HEAD");
-    } else {
-      int status = ingress.gate.acceptsClients() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE;
-      respondAndRelease(message, status, NO_HEADER);
-    }
-  }
-
-  private void handleJob(HttpMessage message, int requestClass) {
-    if (!message.method().equals("POST")) {
-      respondAndRelease(message, HttpStatus.METHOD_NOT_ALLOWED, "Allow: POST");
-      return;
-    }
-    if (!ingress.hasJobCapacity()) {
-      ingress
-          .dispatcher
-          .metrics()
-          .recordDisposition(requestClass, DispatcherMetrics.Disposition.BUSY);
-      apply(ConnectionState.Event.CLOSE_REQUESTED);
-      rejected(ingress.noCapacity());
-      message.body().release();
-      return;
-    }
-    Optional<JobRequest> request =
-        JobRequest.parse(message).filter(job -> !ingress.dispatcher.inUse(job.callId()));
-    if (request.isEmpty()) {
-      message.body().release();
-      respond(HttpStatus.BAD_REQUEST, NO_BODY, NO_HEADER);
-      return;
-    }
-    ingress.markProven(this);
-    if (readPendingInput()) {
-      submit(message, requestClass, request.get());
-    } else {
-      message.body().release();
-    }
+    handler.handle(message, this);
   }
 
   /**
-   * Reads all that has come by now, behind the current request.
+   * Reads all input that has arrived by now behind the current request.
    *
-   * @return whether the client is still there
+   * @return whether the connection is still open
    */
-  private boolean readPendingInput() {
+  boolean readPendingInput() {
     if (hasPipelinedInput()) {
-      // Read earlier than what the channel holds.
+      // It precedes the input that is still in the channel.
       bufferPipelined(currentInput);
     }
     boolean mayHaveMore = true;
@@ -226,51 +183,30 @@
     return state.isOpen();
   }
 
-  private void submit(HttpMessage message, int requestClass, JobRequest job) {
-    long deadline = loop.now() + 1000 * job.budgetMillis();
-    rpc =
-        new Rpc(
-            job.callId(),
-            requestClass,
-            message.target(),
-            null,
-            job.idempotencyKey(),
-            message.body(),
-            deadline,
-            this,
-            ingress.dispatcher.metrics());
-    int tenant = ingress.tenants.getOrDefault(job.tenant(), -1);
-    ingress.dispatcher.accept(rpc, job.toEvent(requestClass, tenant, deadline));
-  }
-
-  private void handleStatusUpdate(HttpMessage message) {
-    if (!message.method().equals("POST")) {
-      respondAndRelease(message, HttpStatus.METHOD_NOT_ALLOWED, "Allow: POST");
-      return;
-    }
-    byte[] body = message.body().toArray();
-    Optional<JobStatusUpdate> update = JobStatusUpdate.parse(body);
-    if (update.isEmpty()) {
-      ingress.log.warn("malformed job status update");
-      respondAndRelease(message, HttpStatus.BAD_REQUEST, NO_HEADER);
-      return;
-    }
+  /** Sets the job that is being processed, whose end this connection responds with. */
+  void setRpc(Rpc newRpc) {
+    rpc = newRpc;
+  }
+
+  /** Lets the connection end after the response to the current request. */
+  void closeAfterResponse() {
+    apply(ConnectionState.Event.CLOSE_REQUESTED);
+  }
+
+  /** The client has sent a job or a job status update. */
+  void markProven() {
     ingress.markProven(this);
+  }
+
+  /** Records that the peer is a worker. */
+  void markFromWorker() {
     fromWorker = true;
-    if (ingress.dispatcher.isActive(update.get().callId())) {
-      // Responded to first: a worker repeats what is unanswered, and the rest may take a while.
-      respond(HttpStatus.OK, NO_BODY, NO_HEADER);
-      update.get().applyTo(ingress.dispatcher);
-    } else {
-      // Responded to once the other process has it: nobody would repeat what is lost on the way.
-      ingress.gate.forwardStatusUpdate(body, this::statusUpdateForwarded);
-    }
-    message.body().release();
   }
 
-  private void statusUpdateForwarded() {
+  /** The other process has handled the status update that was received last. */
+  void statusUpdateForwarded() {
     if (!isClosed()) {
-      respond(HttpStatus.OK, NO_BODY, NO_HEADER);
+      respond(HttpStatus.OK);
     }
   }
 
@@ -284,25 +220,35 @@
     String retryAfter =
         status.retryAfter() == 0
             ? NO_HEADER
-            : String.format(Locale.ROOT, "Retry-After: %.3f", status.retryAfter() / 1e6);
-    respond(HttpStatus.SERVICE_UNAVAILABLE, NO_BODY, retryAfter);
+            : String.format(
+                Locale.ROOT, "Retry-After: %.3f", status.retryAfter() / MICROS_PER_SECOND);
+    respond(HttpStatus.SERVICE_UNAVAILABLE, retryAfter);
   }
 
   @Override
   public void failed() {
-    respond(HttpStatus.INTERNAL_SERVER_ERROR, NO_BODY, NO_HEADER);
+    respond(HttpStatus.INTERNAL_SERVER_ERROR);
+  }
+
+  /** Starts a response without a body. */
+  void respond(int status) {
+    respond(status, NO_BODY, NO_HEADER);
   }
 
-  private void respondAndRelease(HttpMessage message, int status, String header) {
+  /**
+   * Starts a response without a body.
+   *
+   * @param header a header line without its line end
+   */
+  void respond(int status, String header) {
     respond(status, NO_BODY, header);
-    message.body().release();
   }
 
   /** Starts a response, the last one if the connection is to close. */
   private void respond(int status, byte[] body, String header) {
-    // Pipelined input was accepted, so it is served before the connection closes.
+    // Pipelined requests were accepted, so they are processed before the connection closes.
     boolean isFinal =
-        state.isFinal() || (ingress.gate.isFinalResponse(fromWorker) && pipelined.isEmpty());
+        state.isFinal() || (ingress.isFinalResponse(fromWorker) && pipelined.isEmpty());
     if (isFinal) {
       startResponse(ConnectionState.Event.FINAL_RESPONSE_STARTED, status, body, header);
     } else if (HttpStatus.isClientError(status)) {
@@ -312,7 +258,7 @@
     }
   }
 
-  /** Starts the last response: nothing that follows on the connection can be parsed. */
+  /** Starts the last response: no further input of the connection can be parsed. */
   private void respondAndClose(int status) {
     startResponse(ConnectionState.Event.FINAL_RESPONSE_STARTED, status, NO_BODY, NO_HEADER);
   }
@@ -335,7 +281,7 @@
 
   @Override
   protected void malformed(BadMessageException error) {
-    ingress.log.info("malformed request reason=" + error.getMessage());
+    ingress.logMalformedRequest(error);
     ingress.markBusy(this);
     respondAndClose(error.status());
   }
@@ -367,7 +313,7 @@
 
   private void resumeReading() {
     if (!pipelined.isEmpty()) {
-      // Before anything is read from the channel, which came later.
+      // It precedes the input that is still in the channel.
       bytesReceived(ByteBuffer.wrap(pipelined.takeAll()));
     }
     if (state == ConnectionState.READING && parser.atStart()) {
@@ -376,10 +322,11 @@
   }
 
   /**
-   * Closes the connection gracefully if it is between two requests. What has come is read first,
-   * and a request that is complete is served, so that as few requests as possible cross the close.
+   * Closes the connection gracefully if it is between two requests. Input that has arrived is read
+   * first, and a complete request is processed, so that as few requests as possible cross the
+   * close.
    *
-   * @param partialRequest what becomes of a request that is received in part
+   * @param partialRequest how a request that is received in part is handled
    */
   void closeIfIdle(PartialRequest partialRequest) {
     if (state != ConnectionState.READING) {
@@ -399,9 +346,9 @@
   }
 
   /**
-   * Ends the output; the input is discarded until the client closes or {@link #TIMEOUT_MICROS} are
-   * over. Closing at once would reset the connection if there is unread input, and the client could
-   * lose the response.
+   * Ends the output; the input is discarded until the client closes or {@link #TIMEOUT_MICROS} have
+   * passed. Closing at once would reset the connection if there is unread input, and the client
+   * could lose the response.
    */
   private void shutDownOutput() {
     ingress.markHalfClosed(this);
@@ -427,7 +374,7 @@
     if (rpc != null) {
       Rpc cancelled = rpc;
       rpc = null;
-      ingress.dispatcher.cancel(cancelled);
+      handler.cancel(cancelled);
     }
   }
 
--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -6,33 +6,33 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Keeps the number of client connections within the file descriptors that are granted: evicts the
- * connections that can be spared before the limit is reached, and pauses accepting at the limit.
+ * Keeps the number of client connections within the file descriptors that are granted: evicts
+ * unproven and idle connections before the limit is reached, and pauses accepting at the limit.
  *
  * <p>Connections are shut down gracefully, so that a response that is still unread is not lost;
  * only at the limit the oldest one is closed at once.
  */
 final class ConnectionLimiter {
-  /** How long a new connection may have its first request unread, in microseconds. */
+  /** How long a new connection has for its first request, in microseconds. */
   static final long UNPROVEN_GRACE_MICROS = 100_000;
 
-  /** The share of the connections that is reserved for proven ones while unproven ones crowd in. */
-  private static final double PROVEN_SHARE = 0.5;
+  /** The fraction of the connections that unproven ones cannot evict proven ones from. */
+  private static final double PROVEN_FRACTION = 0.5;
 
   /**
-   * The share of all descriptors that idle connections may hold. Clients may send one request on
-   * each connection and keep it; they hold a third of the descriptors at most, and those that they
-   * keep idle are missing for their next jobs.
+   * The fraction of all descriptors that idle connections may hold. Clients may send one request on
+   * each connection and leave it open; a third of the descriptors is for them, and those of idle
+   * connections are not available to their next jobs.
    */
-  private static final double IDLE_SHARE = 1 / 8.0;
+  private static final double MAX_IDLE_FRACTION = 1 / 8.0;
 
   private static final int MIN_IDLE_LIMIT = 4;
 
   /**
-   * The share of the connections that is kept free, so that clients have the time to close their
+   * The fraction of the connections that stays free, so that clients have the time to close their
    * side of a connection that was shut down.
    */
-  private static final double RESERVED_SHARE = 1 / 16.0;
+  private static final double RESERVED_FRACTION = 1 / 16.0;
 
   private final EventLoop loop;
   private final ConnectionRegistry registry;
@@ -54,15 +54,15 @@
   /** Sets the limits and enforces them, unless accepting is paused or stopped. */
   void setCapacity(int connections, int grantedDescriptors) {
     maxConnections = connections;
-    maxIdle = (int) Math.max(MIN_IDLE_LIMIT, grantedDescriptors * IDLE_SHARE);
+    maxIdle = (int) Math.max(MIN_IDLE_LIMIT, grantedDescriptors * MAX_IDLE_FRACTION);
     if (acceptor.isAccepting()) {
-      makeRoom();
+      evictExcess();
     }
   }
 
-  /** Evicts connections while fewer than the reserved share are free; called after each accept. */
-  void makeRoom() {
-    int reserved = (int) Math.max(1, maxConnections * RESERVED_SHARE);
+  /** Evicts connections while fewer than the reserved ones are free; called after each accept. */
+  void evictExcess() {
+    int reserved = (int) Math.max(1, maxConnections * RESERVED_FRACTION);
     int excess = registry.activeCount() - maxConnections + reserved;
     while (excess > 0) {
       Optional<ClientConnection> victim = pollEvictable();
@@ -95,12 +95,12 @@
 
   /**
    * Removes and returns the connection to evict next: the oldest unproven one, unless its first
-   * request may just be unread. Clients that open connections by the hundred must not displace
-   * those that bring jobs and status updates. Where the proven ones exceed their share, it is the
-   * longest idle, or there would be no room to tell the two kinds apart.
+   * request may just be unread. Clients that open many connections must not displace those that
+   * send jobs and status updates. Where the proven ones exceed their fraction, it is the longest
+   * idle one, so that new connections have the time to prove themselves.
    */
   private Optional<ClientConnection> pollEvictable() {
-    if (registry.idleCount() > 0 && (registry.unprovenCount() == 0 || provenExceedShare())) {
+    if (registry.idleCount() > 0 && (registry.unprovenCount() == 0 || provenExceedFraction())) {
       return Optional.of(pollLongestIdle());
     }
     Optional<ClientConnection> oldest =
@@ -116,8 +116,8 @@
     return oldest;
   }
 
-  private boolean provenExceedShare() {
-    return registry.activeCount() - registry.unprovenCount() > maxConnections * PROVEN_SHARE;
+  private boolean provenExceedFraction() {
+    return registry.activeCount() - registry.unprovenCount() > maxConnections * PROVEN_FRACTION;
   }
 
   private ClientConnection pollLongestIdle() {
--- a/src/main/java/loomreel/ingress/ConnectionRegistry.java
+++ b/src/main/java/loomreel/ingress/ConnectionRegistry.java
@@ -13,9 +13,9 @@
  * The open client connections, and which of them are unproven, idle or half-closed. Bookkeeping
  * only: it neither opens nor closes a connection.
  *
- * <p>A connection is <em>unproven</em> until it brings a job or a job status update, <em>idle</em>
- * while it has no request, and <em>half-closed</em> once its output is shut down and the client's
- * close is awaited. All times are in microseconds of the event loop's clock.
+ * <p>A connection is <em>unproven</em> until it has sent a job or a job status update,
+ * <em>idle</em> while it has no request, and <em>half-closed</em> once its output is shut down and
+ * the client's close is awaited. All times are in microseconds of the event loop's clock.
  */
 final class ConnectionRegistry {
   /** A connection and the time since when it is in its present category. */
@@ -62,7 +62,7 @@
     halfClosed.put(connection, now);
   }
 
-  /** Whether a connection has brought something, or has been open without that since a time. */
+  /** Whether a connection is proven, or was accepted at a time or before it. */
   boolean isProvenOrOpenSince(ClientConnection connection, long time) {
     Long acceptedAt = unproven.get(connection);
     return acceptedAt == null || acceptedAt <= time;
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -3,30 +3,28 @@
 import java.io.IOException;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
-import java.util.HashMap;
-import java.util.Map;
 import loomreel.core.Dispatcher;
 import loomreel.core.Ingress;
-import loomreel.core.UnavailableStatus;
 import loomreel.decision.Settings;
+import loomreel.http.BadMessageException;
 import loomreel.io.Acceptor;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The HTTP front: accepts the connections of clients with jobs and of workers with job status
+ * The HTTP ingress: accepts the connections of clients with jobs and of workers with job status
  * updates. {@link ConnectionLimiter} bounds their number.
  *
  * <p>Used on the event loop's thread only. It owns its {@link ClientConnection}s; the listening
  * socket belongs to the event loop.
  */
 public final class HttpIngress implements Ingress {
-  /** What the life cycle of the process means for connections and their requests. */
+  /** Which connections and jobs the process accepts in its present state. */
   public interface AdmissionGate {
-    /** Whether clients should use this process, as told by its readiness check. */
+    /** Whether clients should use this process, as its readiness check reports. */
     boolean acceptsClients();
 
-    /** Whether jobs are accepted; if not, other processes have capacity for them now. */
+    /** Whether jobs are accepted; if not, other processes accept them. */
     boolean acceptsJobs();
 
     /** Whether every connection is closed when it falls idle. */
@@ -35,7 +33,7 @@
     /**
      * Whether a response is the last one on its connection.
      *
-     * @param fromWorker whether the connection is a worker's
+     * @param fromWorker whether the peer is a worker
      */
     boolean isFinalResponse(boolean fromWorker);
 
@@ -43,31 +41,25 @@
      * Forwards a job status update for a job that is unknown here to the other process.
      *
      * @param body the update as it was received
-     * @param completed called when nothing more is to be done for it
+     * @param completed called when the other process has handled it, or has disconnected
      */
     void forwardStatusUpdate(byte[] body, Runnable completed);
   }
 
-  /** {@code Retry-After} of a job that is rejected for lack of capacity, in microseconds. */
-  private static final long RETRY_AFTER_MICROS = 500_000;
-
   private static final int MAX_ACCEPTS_PER_TURN = 64;
 
-  final Map<String, Integer> classes = new HashMap<>();
-  final Map<String, Integer> tenants = new HashMap<>();
-  final Dispatcher dispatcher;
-  final AdmissionGate gate;
-  final RateLimitedLogger log = new RateLimitedLogger("loomreel.ingress");
+  private final AdmissionGate gate;
+  private final RequestHandler requestHandler;
+  private final RateLimitedLogger log = new RateLimitedLogger("loomreel.ingress");
   private final EventLoop loop;
   private final ConnectionRegistry registry = new ConnectionRegistry();
   private final Acceptor acceptor;
   private final ConnectionLimiter limiter;
   private int accepted;
   private int requestTimeouts;
-  private int jobsWithoutCapacity;
 
   /**
-   * Creates a front that accepts no connection before {@link #open}.
+   * Creates an ingress that accepts no connection before {@link #open}.
    *
    * @param listener bound and non-blocking
    * @throws IOException if the listener cannot be registered with the event loop
@@ -75,15 +67,9 @@
   public HttpIngress(
       Dispatcher dispatcher, Settings settings, ServerSocketChannel listener, AdmissionGate gate)
       throws IOException {
-    this.dispatcher = dispatcher;
     loop = dispatcher.loop();
     this.gate = gate;
-    for (Settings.RequestClass requestClass : settings.classes()) {
-      classes.put(requestClass.name(), classes.size());
-    }
-    for (Settings.Tenant tenant : settings.tenants()) {
-      tenants.put(tenant.name(), tenants.size());
-    }
+    requestHandler = new RequestHandler(dispatcher, settings, gate, log);
     acceptor = new Acceptor(loop, listener, MAX_ACCEPTS_PER_TURN, log, this::accept);
     limiter = new ConnectionLimiter(loop, registry, acceptor, log);
   }
@@ -96,7 +82,7 @@
   /**
    * Sets how many connections may be open.
    *
-   * @param grantedDescriptors the process's file descriptors, of which a share may be idle
+   * @param grantedDescriptors the process's file descriptors, a fraction of which may be idle
    *     connections
    */
   public void setCapacity(int connections, int grantedDescriptors) {
@@ -119,7 +105,7 @@
 
   /**
    * Closes all idle connections. One that was opened a moment ago has the time to send its first
-   * request, so this is to be called repeatedly until no connection is left.
+   * request, so this is to be called repeatedly until no connection is open.
    */
   @Override
   public void beginDrain() {
@@ -132,8 +118,8 @@
   }
 
   /**
-   * Whether a connection is open: its client has no response yet, or may not have read it, and the
-   * end of the process would lose it.
+   * Whether a connection is open: its client may not have received the response yet, and the end of
+   * the process would lose it.
    */
   @Override
   public boolean hasPendingWork() {
@@ -159,16 +145,16 @@
         + " timeouts="
         + requestTimeouts
         + " jobs_without_capacity="
-        + jobsWithoutCapacity;
+        + requestHandler.jobsWithoutCapacity();
   }
 
   private void accept(SocketChannel channel) throws IOException {
     try {
-      ClientConnection connection = new ClientConnection(loop, channel, this);
+      ClientConnection connection = new ClientConnection(loop, channel, this, requestHandler);
       registry.add(connection, loop.now());
       accepted++;
     } finally {
-      limiter.makeRoom();
+      limiter.evictExcess();
     }
   }
 
@@ -177,22 +163,16 @@
     requestTimeouts++;
   }
 
-  /** Whether another job may be accepted; counts it if not. */
-  boolean hasJobCapacity() {
-    boolean available = gate.acceptsJobs() && dispatcher.hasCapacity();
-    jobsWithoutCapacity += available ? 0 : 1;
-    return available;
+  /** Whether a response that starts now is the last one on its connection. */
+  boolean isFinalResponse(boolean fromWorker) {
+    return gate.isFinalResponse(fromWorker);
   }
 
-  /**
-   * The status of a job that is rejected for lack of capacity: while clients are sent away, other
-   * processes have capacity for it at once.
-   */
-  UnavailableStatus noCapacity() {
-    return new UnavailableStatus(gate.acceptsJobs() ? RETRY_AFTER_MICROS : 0, "no room");
+  void logMalformedRequest(BadMessageException error) {
+    log.info("malformed request reason=" + error.getMessage());
   }
 
-  /** A connection has brought a job or a job status update. */
+  /** A connection has received a job or a job status update. */
   void markProven(ClientConnection connection) {
     registry.markProven(connection);
   }
--- a/src/main/java/loomreel/ingress/PipelinedInput.java
+++ b/src/main/java/loomreel/ingress/PipelinedInput.java
@@ -9,7 +9,7 @@
  * The bytes that a client sends behind the request that is being served (HTTP pipelining).
  *
  * <p>They are buffered up to a bound and discarded beyond it. Discarded input still has to be read:
- * the end of the stream, which says that the client has gone, lies behind it.
+ * the end of the stream, by which a client disconnects, comes after it.
  *
  * <p>Owned by one {@link ClientConnection}, which calls {@link #release} when it closes.
  */
@@ -17,7 +17,7 @@
   /** Enough for one more request of the largest size. */
   private static final int MAX_BUFFERED_BYTES = HttpMessageParser.MAX_BODY + BufferPool.SIZE;
 
-  /** Input beyond this is not read at all, which costs nothing. */
+  /** Input beyond this is not read at all. */
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
   private final BufferPool pool;
@@ -46,12 +46,12 @@
     return false;
   }
 
-  /** Discards input that comes when nothing is served any more. */
+  /** Discards input that arrives after the last request was processed. */
   void discard(ByteBuffer in) {
     discardedBytes += in.remaining();
   }
 
-  /** Whether more was discarded than one connection is allowed to send in vain. */
+  /** Whether more was discarded than the limit for one connection. */
   boolean exceedsDiscardLimit() {
     return discardedBytes > MAX_DISCARDED_BYTES;
   }
--- /dev/null
+++ b/src/main/java/loomreel/ingress/RequestHandler.java
@@ -0,0 +1,177 @@
+package loomreel.ingress;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import loomreel.core.Dispatcher;
+import loomreel.core.DispatcherMetrics;
+import loomreel.core.Rpc;
+import loomreel.core.UnavailableStatus;
+import loomreel.decision.Settings;
+import loomreel.http.HttpMessage;
+import loomreel.http.HttpStatus;
+import loomreel.io.RateLimitedLogger;
+import loomreel.upstream.JobStatusUpdate;
+
+/**
+ * Handles the requests of all {@link ClientConnection}s: readiness checks, jobs and job status
+ * updates. It releases the body of each request that it does not pass to the dispatcher.
+ */
+final class RequestHandler {
+  /** {@code Retry-After} of a job that is rejected for lack of capacity, in microseconds. */
+  private static final long RETRY_AFTER_MICROS = 500_000;
+
+  private static final long MICROS_PER_MILLI = 1000;
+
+  /** The index of the tenant of a job that names none, or an unknown one. */
+  private static final int NO_TENANT = -1;
+
+  private final Dispatcher dispatcher;
+  private final HttpIngress.AdmissionGate gate;
+  private final RateLimitedLogger log;
+
+  /** The indices of the request classes in the settings, by name. */
+  private final Map<String, Integer> classes = new HashMap<>();
+
+  /** The indices of the tenants in the settings, by name. */
+  private final Map<String, Integer> tenants = new HashMap<>();
+
+  private int jobsWithoutCapacity;
+
+  RequestHandler(
+      Dispatcher dispatcher,
+      Settings settings,
+      HttpIngress.AdmissionGate gate,
+      RateLimitedLogger log) {
+    this.dispatcher = dispatcher;
+    this.gate = gate;
+    this.log = log;
+    for (Settings.RequestClass requestClass : settings.classes()) {
+      classes.put(requestClass.name(), classes.size());
+    }
+    for (Settings.Tenant tenant : settings.tenants()) {
+      tenants.put(tenant.name(), tenants.size());
+    }
+  }
+
+  /** How many jobs were rejected for lack of capacity since the start. */
+  int jobsWithoutCapacity() {
+    return jobsWithoutCapacity;
+  }
+
+  /** Handles a request, to which the connection responds now or later. */
+  void handle(HttpMessage request, ClientConnection connection) {
+    RequestRoute route = RequestRoute.of(request.target(), classes.keySet());
+    switch (route.kind()) {
+      case READINESS_CHECK -> handleReadinessCheck(request, connection);
+      case STATUS_UPDATE -> handleStatusUpdate(request, connection);
+      case JOB -> handleJob(request, classes.get(route.requestClass()), connection);
+      case UNKNOWN -> respondAndRelease(request, connection, HttpStatus.NOT_FOUND);
+    }
+  }
+
+  /** Cancels a job whose client has disconnected, or sends too much. */
+  void cancel(Rpc rpc) {
+    dispatcher.cancel(rpc);
+  }
+
+  private void handleReadinessCheck(HttpMessage request, ClientConnection connection) {
+    if (!request.method().equals("GET") && !request.method().equals("HEAD")) {
+      rejectMethod(request, connection, "GET, HEAD");
+    } else {
+      int status = gate.acceptsClients() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE;
+      respondAndRelease(request, connection, status);
+    }
+  }
+
+  private void handleJob(HttpMessage request, int requestClass, ClientConnection connection) {
+    if (!request.method().equals("POST")) {
+      rejectMethod(request, connection, "POST");
+      return;
+    }
+    if (!gate.acceptsJobs() || !dispatcher.hasCapacity()) {
+      rejectForLackOfCapacity(request, requestClass, connection);
+      return;
+    }
+    Optional<JobRequest> job =
+        JobRequest.parse(request).filter(parsed -> !dispatcher.inUse(parsed.callId()));
+    if (job.isEmpty()) {
+      request.body().release();
+      connection.respond(HttpStatus.BAD_REQUEST);
+      return;
+    }
+    connection.markProven();
+    if (connection.readPendingInput()) {
+      submit(request, requestClass, job.get(), connection);
+    } else {
+      request.body().release();
+    }
+  }
+
+  /** While clients are sent away, other processes have capacity at once: no Retry-After then. */
+  private void rejectForLackOfCapacity(
+      HttpMessage request, int requestClass, ClientConnection connection) {
+    jobsWithoutCapacity++;
+    dispatcher.metrics().recordDisposition(requestClass, DispatcherMetrics.Disposition.BUSY);
+    connection.closeAfterResponse();
+    long retryAfterMicros = gate.acceptsJobs() ? RETRY_AFTER_MICROS : 0;
+    connection.rejected(new UnavailableStatus(retryAfterMicros, "no room"));
+    request.body().release();
+  }
+
+  private void submit(
+      HttpMessage request, int requestClass, JobRequest job, ClientConnection connection) {
+    long deadline = dispatcher.loop().now() + MICROS_PER_MILLI * job.budgetMillis();
+    Rpc rpc =
+        new Rpc(
+            job.callId(),
+            requestClass,
+            request.target(),
+            null,
+            job.idempotencyKey(),
+            request.body(),
+            deadline,
+            connection,
+            dispatcher.metrics());
+    connection.setRpc(rpc);
+    int tenant = tenants.getOrDefault(job.tenant(), NO_TENANT);
+    dispatcher.accept(rpc, job.toEvent(requestClass, tenant, deadline));
+  }
+
+  private void handleStatusUpdate(HttpMessage request, ClientConnection connection) {
+    if (!request.method().equals("POST")) {
+      rejectMethod(request, connection, "POST");
+      return;
+    }
+    byte[] body = request.body().toArray();
+    Optional<JobStatusUpdate> update = JobStatusUpdate.parse(body);
+    if (update.isEmpty()) {
+      log.warn("malformed job status update");
+      respondAndRelease(request, connection, HttpStatus.BAD_REQUEST);
+      return;
+    }
+    connection.markProven();
+    connection.markFromWorker();
+    if (dispatcher.isActive(update.get().callId())) {
+      // Responded to first: a worker repeats what is unanswered, and the rest may take a while.
+      connection.respond(HttpStatus.OK);
+      update.get().applyTo(dispatcher);
+    } else {
+      // Responded to once the other process has it: a lost update would not be repeated.
+      gate.forwardStatusUpdate(body, connection::statusUpdateForwarded);
+    }
+    request.body().release();
+  }
+
+  private static void rejectMethod(
+      HttpMessage request, ClientConnection connection, String allowedMethods) {
+    connection.respond(HttpStatus.METHOD_NOT_ALLOWED, "Allow: " + allowedMethods);
+    request.body().release();
+  }
+
+  private static void respondAndRelease(
+      HttpMessage request, ClientConnection connection, int status) {
+    connection.respond(status);
+    request.body().release();
+  }
+}
--- a/src/main/java/loomreel/ingress/RequestRoute.java
+++ b/src/main/java/loomreel/ingress/RequestRoute.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /**
- * What a request asks for, by its path.
+ * The kind of a request, by its path.
  *
  * @param requestClass the name of a job's request class; the first segment of the path otherwise
  */
