--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -18,7 +18,7 @@
 /**
  * An accepted HTTP connection: of a client that submits jobs, of a worker that sends job status
  * updates, or of the platform's readiness check. Processes one request at a time, which {@link
- * RequestHandler} handles; {@link ConnectionState} has its states and their transitions.
+ * RequestHandler} handles; {@link ClientConnectionState} has its states and their transitions.
  *
  * <p>Owned by {@link HttpIngress}, which is notified of its close.
  */
@@ -48,7 +48,7 @@
   private final HttpIngress ingress;
   private final RequestHandler handler;
   private final PipelinedInput pipelined;
-  private ConnectionState state = ConnectionState.READING;
+  private ClientConnectionState state = ClientConnectionState.READING;
 
   /** The job that is being processed; null if there is none. */
   private Rpc rpc;
@@ -82,13 +82,13 @@
     return fromWorker;
   }
 
-  private void apply(ConnectionState.Event event) {
+  private void apply(ClientConnectionState.Event event) {
     state = state.on(event);
   }
 
   @Override
   protected boolean acceptsMessages() {
-    return state == ConnectionState.READING;
+    return state == ClientConnectionState.READING;
   }
 
   @Override
@@ -98,7 +98,7 @@
       pauseReading(pipelined.exceedsDiscardLimit());
       return;
     }
-    if (state == ConnectionState.READING) {
+    if (state == ClientConnectionState.READING) {
       parse(in);
     }
     if (state.isOpen()) {
@@ -109,11 +109,11 @@
   private void parse(ByteBuffer in) {
     currentInput = in;
     super.bytesReceived(in);
-    if (timer == null && state == ConnectionState.READING && !parser.atStart()) {
+    if (timer == null && state == ClientConnectionState.READING && !parser.atStart()) {
       ingress.markBusy(this);
       startTimeout();
     }
-    if (state == ConnectionState.READING && parser.expectsContinue()) {
+    if (state == ClientConnectionState.READING && parser.expectsContinue()) {
       out.append("HTTP/1.1 100 Continue\r\n\r\n");
       flush();
     }
@@ -127,7 +127,7 @@
     if (pipelined.add(in)) {
       return;
     }
-    apply(ConnectionState.Event.CLOSE_REQUESTED);
+    apply(ClientConnectionState.Event.CLOSE_REQUESTED);
     if (pipelined.exceedsDiscardLimit() && rpc != null) {
       cancelJob();
       respondAndClose(HttpStatus.CONTENT_TOO_LARGE);
@@ -141,7 +141,7 @@
 
   private void timedOut() {
     ingress.recordTimeout();
-    if (state == ConnectionState.READING && !parser.atStart()) {
+    if (state == ClientConnectionState.READING && !parser.atStart()) {
       respondAndClose(HttpStatus.REQUEST_TIMEOUT);
     } else {
       close();
@@ -159,9 +159,9 @@
   protected void received(HttpMessage message) {
     cancelTimer();
     ingress.markBusy(this);
-    apply(ConnectionState.Event.REQUEST_RECEIVED);
+    apply(ClientConnectionState.Event.REQUEST_RECEIVED);
     if (!message.keepAlive()) {
-      apply(ConnectionState.Event.CLOSE_REQUESTED);
+      apply(ClientConnectionState.Event.CLOSE_REQUESTED);
     }
     handler.handle(message, this);
   }
@@ -190,7 +190,7 @@
 
   /** Lets the connection end after the response to the current request. */
   void closeAfterResponse() {
-    apply(ConnectionState.Event.CLOSE_REQUESTED);
+    apply(ClientConnectionState.Event.CLOSE_REQUESTED);
   }
 
   /** The client has sent a job or a job status update. */
@@ -250,20 +250,21 @@
     boolean isFinal =
         state.isFinal() || (ingress.isFinalResponse(fromWorker) && pipelined.isEmpty());
     if (isFinal) {
-      startResponse(ConnectionState.Event.FINAL_RESPONSE_STARTED, status, body, header);
+      startResponse(ClientConnectionState.Event.FINAL_RESPONSE_STARTED, status, body, header);
     } else if (HttpStatus.isClientError(status)) {
-      startResponse(ConnectionState.Event.ERROR_RESPONSE_STARTED, status, body, header);
+      startResponse(ClientConnectionState.Event.ERROR_RESPONSE_STARTED, status, body, header);
     } else {
-      startResponse(ConnectionState.Event.RESPONSE_STARTED, status, body, header);
+      startResponse(ClientConnectionState.Event.RESPONSE_STARTED, status, body, header);
     }
   }
 
   /** Starts the last response: no further input of the connection can be parsed. */
   private void respondAndClose(int status) {
-    startResponse(ConnectionState.Event.FINAL_RESPONSE_STARTED, status, NO_BODY, NO_HEADER);
+    startResponse(ClientConnectionState.Event.FINAL_RESPONSE_STARTED, status, NO_BODY, NO_HEADER);
   }
 
-  private void startResponse(ConnectionState.Event event, int status, byte[] body, String header) {
+  private void startResponse(
+      ClientConnectionState.Event event, int status, byte[] body, String header) {
     rpc = null;
     apply(event);
     List<String> headers = new ArrayList<>(2);
@@ -293,7 +294,7 @@
       return;
     }
     cancelTimer();
-    apply(ConnectionState.Event.RESPONSE_WRITTEN);
+    apply(ClientConnectionState.Event.RESPONSE_WRITTEN);
     switch (state) {
       case READING -> resumeReading();
       case PAUSED -> timer = loop.schedule(loop.now() + ERROR_PAUSE_MICROS, this::pauseEnded);
@@ -303,8 +304,8 @@
 
   private void pauseEnded() {
     timer = null;
-    apply(ConnectionState.Event.PAUSE_ENDED);
-    if (state == ConnectionState.READING) {
+    apply(ClientConnectionState.Event.PAUSE_ENDED);
+    if (state == ClientConnectionState.READING) {
       resumeReading();
     } else {
       shutDownOutput();
@@ -316,7 +317,7 @@
       // It precedes the input that is still in the channel.
       bytesReceived(ByteBuffer.wrap(pipelined.takeAll()));
     }
-    if (state == ConnectionState.READING && parser.atStart()) {
+    if (state == ClientConnectionState.READING && parser.atStart()) {
       ingress.markIdle(this);
     }
   }
@@ -329,16 +330,16 @@
    * @param partialRequest how a request that is received in part is handled
    */
   void closeIfIdle(PartialRequest partialRequest) {
-    if (state != ConnectionState.READING) {
+    if (state != ClientConnectionState.READING) {
       return;
     }
     trace("letgo");
     readNow();
-    if (state != ConnectionState.READING) {
+    if (state != ClientConnectionState.READING) {
       return;
     }
     if (parser.atStart()) {
-      apply(ConnectionState.Event.OUTPUT_SHUT_DOWN);
+      apply(ClientConnectionState.Event.OUTPUT_SHUT_DOWN);
       shutDownOutput();
     } else if (partialRequest == PartialRequest.REJECT) {
       respondAndClose(HttpStatus.REQUEST_TIMEOUT);
@@ -383,7 +384,7 @@
     if (!isClosed()) {
       cancelJob();
       super.close();
-      apply(ConnectionState.Event.CLOSED);
+      apply(ClientConnectionState.Event.CLOSED);
       pipelined.release();
       cancelTimer();
       ingress.remove(this);
--- a/src/main/java/loomreel/ingress/ConnectionState.java
+++ b/src/main/java/loomreel/ingress/ClientConnectionState.java
@@ -49,7 +49,7 @@
  *   <tr><td>any</td><td>{@link Event#CLOSED}</td><td>{@link #CLOSED}</td></tr>
  * </table>
  */
-enum ConnectionState {
+enum ClientConnectionState {
   /** Waits for a request, or has received a part of one. */
   READING,
   /** A complete request has been received and its response has not been started. */
@@ -98,7 +98,7 @@
    *
    * @throws IllegalStateException if the event is impossible in this state
    */
-  ConnectionState on(Event event) {
+  ClientConnectionState on(Event event) {
     if (event == Event.CLOSED) {
       return CLOSED;
     }
@@ -140,7 +140,7 @@
     };
   }
 
-  private ConnectionState afterResponse() {
+  private ClientConnectionState afterResponse() {
     return switch (this) {
       case RESPONDING -> READING;
       case RESPONDING_ERROR -> PAUSED;
--- a/src/main/java/loomreel/ingress/package-info.java
+++ b/src/main/java/loomreel/ingress/package-info.java
@@ -3,7 +3,7 @@
  * send job status updates, and answers the readiness check.
  *
  * <p>{@link loomreel.ingress.HttpIngress} is the entry point. {@code ClientConnection} serves the
- * requests of one connection and follows the states of {@code ConnectionState}; {@code
+ * requests of one connection and follows the states of {@code ClientConnectionState}; {@code
  * ConnectionRegistry} knows the open connections and {@code ConnectionLimiter} bounds their number.
  * Everything runs on the event loop's thread.
  */
--- a/src/test/java/loomreel/ingress/ConnectionStateTest.java
+++ b/src/test/java/loomreel/ingress/ClientConnectionStateTest.java
@@ -1,28 +1,28 @@
 package loomreel.ingress;
 
-import static loomreel.ingress.ConnectionState.CLOSED;
-import static loomreel.ingress.ConnectionState.HALF_CLOSED;
-import static loomreel.ingress.ConnectionState.PAUSED;
-import static loomreel.ingress.ConnectionState.PAUSED_FINAL;
-import static loomreel.ingress.ConnectionState.PROCESSING;
-import static loomreel.ingress.ConnectionState.PROCESSING_FINAL;
-import static loomreel.ingress.ConnectionState.READING;
-import static loomreel.ingress.ConnectionState.RESPONDING;
-import static loomreel.ingress.ConnectionState.RESPONDING_ERROR;
-import static loomreel.ingress.ConnectionState.RESPONDING_FINAL;
+import static loomreel.ingress.ClientConnectionState.CLOSED;
+import static loomreel.ingress.ClientConnectionState.HALF_CLOSED;
+import static loomreel.ingress.ClientConnectionState.PAUSED;
+import static loomreel.ingress.ClientConnectionState.PAUSED_FINAL;
+import static loomreel.ingress.ClientConnectionState.PROCESSING;
+import static loomreel.ingress.ClientConnectionState.PROCESSING_FINAL;
+import static loomreel.ingress.ClientConnectionState.READING;
+import static loomreel.ingress.ClientConnectionState.RESPONDING;
+import static loomreel.ingress.ClientConnectionState.RESPONDING_ERROR;
+import static loomreel.ingress.ClientConnectionState.RESPONDING_FINAL;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.util.EnumMap;
 import java.util.EnumSet;
 import java.util.Map;
-import loomreel.ingress.ConnectionState.Event;
+import loomreel.ingress.ClientConnectionState.Event;
 import org.junit.jupiter.api.Test;
 
-/** The transition table of {@link ConnectionState}, entry by entry. */
-class ConnectionStateTest {
-  private static final Map<ConnectionState, Map<Event, ConnectionState>> TABLE =
-      new EnumMap<>(ConnectionState.class);
+/** The transition table of {@link ClientConnectionState}, entry by entry. */
+class ClientConnectionStateTest {
+  private static final Map<ClientConnectionState, Map<Event, ClientConnectionState>> TABLE =
+      new EnumMap<>(ClientConnectionState.class);
 
   static {
     put(READING, Event.REQUEST_RECEIVED, PROCESSING);
@@ -44,12 +44,12 @@
     put(PAUSED, Event.CLOSE_REQUESTED, PAUSED_FINAL);
     put(PAUSED_FINAL, Event.CLOSE_REQUESTED, PAUSED_FINAL);
     put(PAUSED_FINAL, Event.PAUSE_ENDED, HALF_CLOSED);
-    for (ConnectionState state : ConnectionState.values()) {
+    for (ClientConnectionState state : ClientConnectionState.values()) {
       put(state, Event.CLOSED, CLOSED);
     }
   }
 
-  private static void put(ConnectionState state, Event event, ConnectionState next) {
+  private static void put(ClientConnectionState state, Event event, ClientConnectionState next) {
     TABLE.computeIfAbsent(state, key -> new EnumMap<>(Event.class)).put(event, next);
   }
 
@@ -63,7 +63,7 @@
 
   @Test
   void everyOtherEventIsRejected() {
-    for (ConnectionState state : ConnectionState.values()) {
+    for (ClientConnectionState state : ClientConnectionState.values()) {
       for (Event event : EnumSet.complementOf(EnumSet.copyOf(TABLE.get(state).keySet()))) {
         IllegalStateException error =
             assertThrows(
@@ -75,25 +75,25 @@
 
   @Test
   void aConnectionIsOpenUntilItsOutputIsShutDown() {
-    for (ConnectionState state : ConnectionState.values()) {
+    for (ClientConnectionState state : ClientConnectionState.values()) {
       assertEquals(state != HALF_CLOSED && state != CLOSED, state.isOpen(), state.toString());
     }
   }
 
   @Test
   void aConnectionClosesAfterTheCurrentRequestInTheFinalStatesOnly() {
-    EnumSet<ConnectionState> finalStates =
+    EnumSet<ClientConnectionState> finalStates =
         EnumSet.of(PROCESSING_FINAL, RESPONDING_FINAL, PAUSED_FINAL);
-    for (ConnectionState state : ConnectionState.values()) {
+    for (ClientConnectionState state : ClientConnectionState.values()) {
       assertEquals(finalStates.contains(state), state.isFinal(), state.toString());
     }
   }
 
   @Test
   void aResponseIsBeingWrittenInTheRespondingStatesOnly() {
-    EnumSet<ConnectionState> responding =
+    EnumSet<ClientConnectionState> responding =
         EnumSet.of(RESPONDING, RESPONDING_ERROR, RESPONDING_FINAL);
-    for (ConnectionState state : ConnectionState.values()) {
+    for (ClientConnectionState state : ClientConnectionState.values()) {
       assertEquals(responding.contains(state), state.isResponding(), state.toString());
     }
   }
