--- a/src/main/java/loomreel/standin/NoOpFaktoryWorker.java
+++ b/src/main/java/loomreel/benchmark/NoOpFaktoryWorker.java
@@ -1,15 +1,16 @@
-package loomreel.standin;
+package loomreel.benchmark;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import loomreel.standin.BackgroundThreads;
+import loomreel.standin.FaktoryClient;
 
 /** A Faktory worker that acknowledges each job at once, as fast as its connections allow. */
 final class NoOpFaktoryWorker implements AutoCloseable {
   private static final String WORKER_ID = "measured";
   private static final long HEARTBEAT_INTERVAL_MS = 5000;
-  private static final String ID_FIELD = "\"jid\":\"";
 
   private final List<FaktoryClient> connections = new ArrayList<>();
 
@@ -38,8 +39,7 @@
       throws IOException {
     while (true) {
       if (connection.call("FETCH " + queue) instanceof String job) {
-        int start = job.indexOf(ID_FIELD) + ID_FIELD.length();
-        String id = job.substring(start, job.indexOf('"', start));
+        String id = BenchmarkJobs.textField(job, "jid");
         connection.callExpectingOk("ACK {\"jid\":\"" + id + "\"}");
       }
     }
--- a/src/main/java/loomreel/standin/ChaosRun.java
+++ b/src/main/java/loomreel/chaos/ChaosRun.java
@@ -1,4 +1,4 @@
-package loomreel.standin;
+package loomreel.chaos;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -9,11 +9,15 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loomreel.standin.DaemonProcess;
+import loomreel.standin.ExecutionLog;
+import loomreel.standin.FaktoryClient;
+import loomreel.standin.TemporaryDirectory;
 
 /**
  * A chaos test of one daemon on loopback: clients and workers of both protocols, while workers are
- * killed and connections cut at times that come from a seed. The invariants are checked at the end,
- * whatever happened. One instance runs once.
+ * killed and connections cut at times drawn from a seed. The invariants are checked at the end. One
+ * instance runs once.
  */
 public final class ChaosRun {
   /** The password of the daemon's Faktory server. */
@@ -53,7 +57,7 @@
   /**
    * Runs the plan.
    *
-   * @param progress where a line of progress goes, or null
+   * @param progress receives a line of progress; null for none
    * @throws IOException if the daemon cannot be started
    */
   public ChaosResult run(PrintStream progress) throws IOException, InterruptedException {
@@ -68,7 +72,7 @@
       }
       checkInvariants(workers);
       if (daemon.shutDown() != EXIT_CODE_SIGTERM) {
-        findings.violation("the daemon did not shut down as asked");
+        findings.violation("the daemon did not shut down on SIGTERM");
       }
       return findings.result(workers.servedByKind());
     }
--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -143,8 +143,13 @@
     /** A poll is answered within this time, or abandoned. Microseconds. */
     private static final long MAX_POLL_DURATION_MICROS = 1_500_000;
 
+    /** The longest wait after a failed poll is at most this part of the poll interval. */
+    private static final int INTERVAL_PART_NUMERATOR = 6;
+
+    private static final int INTERVAL_PART_DENOMINATOR = 10;
+
     /**
-     * The longest wait after a failed poll. Sends to draining workers break the rules {@link
+     * The longest wait after a failed poll. Attempts at draining workers violate the rules {@link
      * #NOTIFICATION_LIMIT_MICROS} and the grace after discovery can be reached again. Two waits and
      * two polls have to fit into that, because discovery may reject the first poll after an outage;
      * and the wait stays under the poll interval.
@@ -153,7 +158,7 @@
      */
     public long maxPollBackoff() {
       return Math.min(
-          pollInterval * 6 / 10,
+          pollInterval * INTERVAL_PART_NUMERATOR / INTERVAL_PART_DENOMINATOR,
           (NOTIFICATION_LIMIT_MICROS + drainGrace) / 2 - MAX_POLL_DURATION_MICROS);
     }
   }
@@ -165,7 +170,7 @@
    * @param hedging whether a second attempt may be open beside a first
    * @param cancellation whether attempts may be cancelled
    * @param healthChecks whether the load of workers may be queried
-   * @param retryAfter whether a rejection may say when to retry
+   * @param retryAfter whether a rejection may carry a time to retry
    * @param maxRetryAfter the longest such time, in microseconds
    */
   public record Limits(
@@ -176,7 +181,7 @@
       boolean retryAfter,
       long maxRetryAfter) {}
 
-  /** Where load reports come from: nowhere, the answers of workers, or their health checks. */
+  /** Which responses of workers carry load reports: none, answers or those to health checks. */
   public enum LoadReporting {
     NONE,
     WITH_ANSWERS,
@@ -250,7 +255,7 @@
       return this;
     }
 
-    /** Sets where load reports come from. */
+    /** Sets which responses of workers carry load reports. */
     public Builder loadReporting(LoadReporting newValue) {
       loadReporting = newValue;
       return this;
--- a/src/main/java/loomreel/faktory/TrackCommands.java
+++ b/src/main/java/loomreel/faktory/TrackCommands.java
@@ -10,7 +10,7 @@
 import loomreel.faktory.protocol.Reply;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.scheduling.RecentAttempts;
-import loomreel.faktory.worker.FaktoryWorkerPool;
+import loomreel.faktory.worker.AttemptReports;
 
 /** TRACK: clients read the state of a job, workers report its progress. */
 final class TrackCommands {
@@ -18,11 +18,11 @@
   private static final String SET = "SET ";
 
   private final RecentAttempts jobs;
-  private final FaktoryWorkerPool workers;
+  private final AttemptReports reports;
 
-  TrackCommands(RecentAttempts jobs, FaktoryWorkerPool workers) {
+  TrackCommands(RecentAttempts jobs, AttemptReports reports) {
     this.jobs = jobs;
-    this.workers = workers;
+    this.reports = reports;
   }
 
   /**
@@ -42,13 +42,14 @@
 
   private Reply recordProgress(FaktoryConnection connection, JsonNode progress) {
     String id = progress.path("jid").asText("");
-    workers.progress(connection.worker(), id);
+    reports.progressed(connection.worker(), id);
     Optional<Job> job = jobs.findJob(id);
     if (job.isEmpty()) {
       return ConsumerCommands.jobNotFound(id);
     }
-    job.get().percent = progress.path("percent").asText("");
-    job.get().description = Reply.truncate(progress.path("desc").asText(""));
+    job.get()
+        .setProgress(
+            progress.path("percent").asText(""), Reply.truncate(progress.path("desc").asText("")));
     return Reply.OK;
   }
 
@@ -61,22 +62,22 @@
 
   private static void describe(Job job, ObjectNode status) {
     status
-        .put("state", stateName(job.state))
-        .put("percent", job.percent)
-        .put("desc", job.description)
-        .put("failures", job.failures)
-        .put("updated_at", Instant.ofEpochMilli(job.updatedAt / 1000).toString());
-    if (!job.reason.isEmpty()) {
-      status.put("reason", job.reason);
+        .put("state", stateName(job.state()))
+        .put("percent", job.percent())
+        .put("desc", job.description())
+        .put("failures", job.failures())
+        .put("updated_at", Instant.ofEpochMilli(job.updatedAt() / 1000).toString());
+    if (!job.reason().isEmpty()) {
+      status.put("reason", job.reason());
     }
-    if (job.state == Job.State.DEAD) {
-      status.put("may_have_run", job.mayHaveRun);
+    if (job.state() == Job.State.DEAD) {
+      status.put("may_have_run", job.mayHaveRun());
     }
-    if (!job.evidence.isEmpty()) {
-      status.put("evidence", job.evidence);
+    if (!job.evidence().isEmpty()) {
+      status.put("evidence", job.evidence());
     }
-    if (job.result != null) {
-      status.put("result", new String(job.result, StandardCharsets.UTF_8));
+    if (job.result() != null) {
+      status.put("result", new String(job.result(), StandardCharsets.UTF_8));
     }
   }
 
--- a/src/main/java/loomreel/http/HeadReader.java
+++ b/src/main/java/loomreel/http/HeadReader.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /**
  * Collects the bytes of a message's head, up to the empty line that ends it. Owns the buffers of an
@@ -16,7 +16,7 @@
   private final BufferPool pool;
 
   /** The bytes of an incomplete head; null before its first byte and after its last. */
-  private Bytes bytes;
+  private ByteQueue bytes;
 
   /** The last four bytes of the incomplete head. */
   private int lastFourBytes;
@@ -43,7 +43,7 @@
       if (!in.hasRemaining()) {
         return null;
       }
-      bytes = new Bytes(pool);
+      bytes = new ByteQueue(pool);
     }
     append(in);
     if (lastFourBytes != END_OF_HEAD) {
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.regex.Pattern;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /**
  * An incremental parser of HTTP/1.1 requests or responses, which may be split anywhere. Owns the
@@ -59,7 +59,7 @@
   private HttpHead head;
 
   /** The body so far; null in state HEAD, except after an interim response. */
-  private Bytes body;
+  private ByteQueue body;
 
   private boolean keepAlive;
 
@@ -168,7 +168,7 @@
    *     interim response the head of the final one
    */
   private boolean beginBody() throws BadMessageException {
-    body = new Bytes(pool);
+    body = new ByteQueue(pool);
     int status = parsesRequests ? HttpStatus.OK : head.status();
     boolean interim = HttpStatus.isInformational(status);
     headUnreported = !interim;
