--- a/src/main/java/loomreel/faktory/PipelinedCommands.java
+++ b/src/main/java/loomreel/faktory/PipelinedCommands.java
@@ -2,17 +2,17 @@
 
 import java.nio.ByteBuffer;
 import loomreel.io.BufferPool;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 
 /** The bytes that a client sends behind a command whose reply is not complete. */
 final class PipelinedCommands {
   /** The client's input is not read while more than this is buffered. */
   private static final int MAX_BYTES = 64 * 1024;
 
-  private final Bytes buffered;
+  private final ByteQueue buffered;
 
   PipelinedCommands(BufferPool bufferPool) {
-    buffered = new Bytes(bufferPool);
+    buffered = new ByteQueue(bufferPool);
   }
 
   /** Buffers all that remains of the input. */
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -16,7 +16,7 @@
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
 import loomreel.http.JobHeader;
-import loomreel.io.Bytes;
+import loomreel.io.ByteQueue;
 import loomreel.io.RateLimitedLogger;
 
 /**
@@ -91,7 +91,7 @@
       return null;
     }
     Rpc rpc = attempt.rpc();
-    Bytes request = request("POST", rpc.target(), rpc.body().length(), jobHeaders(attempt));
+    ByteQueue request = request("POST", rpc.target(), rpc.body().length(), jobHeaders(attempt));
     request.append(rpc.body());
     JobCall call = new JobCall(this, attempt);
     call.setConnection(pool.call(request, call));
@@ -142,8 +142,8 @@
     log.warn("unexpected job response " + this + " status=" + status);
   }
 
-  private Bytes request(String method, String target, int length, String... headers) {
-    Bytes request = new Bytes(dispatcher.loop().pool());
+  private ByteQueue request(String method, String target, int length, String... headers) {
+    ByteQueue request = new ByteQueue(dispatcher.loop().pool());
     request.append(HttpHeaders.request(method, target, hostAndPort(), length, headers));
     return request;
   }
@@ -167,21 +167,21 @@
     }
 
     @Override
-    public void answered(HttpMessage message) {}
+    public void responseReceived(HttpMessage message) {}
 
     @Override
-    public void broken(AttemptOutcome outcome) {}
+    public void failed(AttemptOutcome outcome) {}
   }
 
   /** A call whose response, or lack of one, says whether the worker can be reached. */
   private class ReachabilityCheck extends ShortCall {
     @Override
-    public void answered(HttpMessage message) {
+    public void responseReceived(HttpMessage message) {
       reachability.reachable();
     }
 
     @Override
-    public void broken(AttemptOutcome outcome) {
+    public void failed(AttemptOutcome outcome) {
       reportFailure(outcome);
     }
   }
@@ -191,8 +191,8 @@
     private final long sentAt = dispatcher.loop().now();
 
     @Override
-    public void answered(HttpMessage message) {
-      super.answered(message);
+    public void responseReceived(HttpMessage message) {
+      super.responseReceived(message);
       if (message.status() != HttpStatus.OK) {
         dispatcher.healthChecked(endpoint.id(), AttemptOutcome.ERROR, sentAt, null);
         return;
@@ -205,8 +205,8 @@
     }
 
     @Override
-    public void broken(AttemptOutcome outcome) {
-      super.broken(outcome);
+    public void failed(AttemptOutcome outcome) {
+      super.failed(outcome);
       dispatcher.healthChecked(endpoint.id(), outcome, sentAt, null);
     }
   }
--- /dev/null
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -0,0 +1,140 @@
+package loomreel.decision;
+
+import static loomreel.decision.DispatcherHarness.SECOND;
+import static loomreel.decision.DispatcherHarness.actionsOf;
+import static loomreel.decision.DispatcherHarness.attempts;
+import static loomreel.decision.DispatcherHarness.failureDomain;
+import static loomreel.decision.DispatcherHarness.onlyAttempt;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loomreel.decision.Action.Fail;
+import loomreel.decision.Action.Reject;
+import loomreel.decision.Action.StartAttempt;
+import loomreel.decision.Event.AttemptProgressed;
+import loomreel.decision.Event.RequestArrived;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+class RetryPolicyTest {
+  private static final int KEYS = 60;
+
+  private final DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
+
+  /** Starts a first attempt, which runs for a tenth of a second; then it ends. */
+  private List<Action> endFirstAttempt(int requestClass, AttemptOutcome outcome) {
+    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", requestClass));
+    dispatcher.now += SECOND / 10;
+    dispatcher.handle(new AttemptProgressed("a", 0));
+    return dispatcher.endAttempt("a", 0, first.workerId(), outcome);
+  }
+
+  @ParameterizedTest
+  @EnumSource(
+      value = AttemptOutcome.class,
+      names = {"OK", "TIMEOUT"},
+      mode = EnumSource.Mode.EXCLUDE)
+  void idempotentWorkIsRetriedAfterAnyOutcome(AttemptOutcome outcome) {
+    List<Action> actions = endFirstAttempt(DispatcherHarness.READ, outcome);
+
+    assertEquals(1, attempts(actions).size(), "after " + outcome);
+  }
+
+  @ParameterizedTest
+  @EnumSource(
+      value = AttemptOutcome.class,
+      names = {"OK", "TIMEOUT"},
+      mode = EnumSource.Mode.EXCLUDE)
+  void nonIdempotentWorkIsRetriedOnlyIfItNeverRan(AttemptOutcome outcome) {
+    List<Action> actions = endFirstAttempt(DispatcherHarness.ISSUE, outcome);
+
+    if (outcome.neverRan()) {
+      assertEquals(1, attempts(actions).size(), "after " + outcome);
+    } else {
+      assertTrue(attempts(actions).isEmpty(), "work that may have run is not repeated");
+      assertEquals(
+          List.of(new Fail("a", RejectionReason.RETRIES_EXHAUSTED)),
+          actionsOf(Fail.class, actions));
+      assertTrue(actionsOf(Reject.class, actions).isEmpty());
+    }
+  }
+
+  @ParameterizedTest
+  @EnumSource(
+      value = AttemptOutcome.class,
+      names = {"OK", "TIMEOUT"},
+      mode = EnumSource.Mode.EXCLUDE)
+  void keyedWorkThatMayHaveRunIsRetriedInItsFailureDomain(AttemptOutcome outcome) {
+    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.PAY));
+    dispatcher.now += SECOND / 10;
+    dispatcher.handle(new AttemptProgressed("a", 0));
+
+    List<Action> actions = dispatcher.endAttempt("a", 0, first.workerId(), outcome);
+
+    if (outcome.neverRan()) {
+      assertEquals(1, attempts(actions).size(), "after " + outcome);
+    } else {
+      List<StartAttempt> retries =
+          attempts(actions).isEmpty()
+              ? attempts(dispatcher.fireTimers(actions, dispatcher.now + SECOND / 2))
+              : attempts(actions);
+      for (StartAttempt retry : retries) {
+        assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
+      }
+    }
+  }
+
+  @Test
+  void keyedWorkIsRetriedInItsFailureDomainAndDeduplicationWindow() {
+    long window = DispatcherHarness.CLASSES.get(DispatcherHarness.PAY).deduplicationWindow();
+    int retries = 0;
+    for (int key = 0; key < KEYS; key++) {
+      DispatcherHarness keyed = DispatcherHarness.withWorkers(20);
+      StartAttempt first = onlyAttempt(keyed.arrive("a", "key" + key, DispatcherHarness.PAY));
+      long sentAt = keyed.now;
+      boolean isInWindow = key % 2 == 0;
+      keyed.now += isInWindow ? SECOND / 100 : window;
+
+      List<Action> atOnce = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
+      List<StartAttempt> later = attempts(keyed.fireTimers(atOnce, keyed.now + 6 * SECOND));
+
+      for (StartAttempt retry : later) {
+        assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
+      }
+      assertTrue(
+          isInWindow || (attempts(atOnce).isEmpty() && later.isEmpty()),
+          "after the window of " + sentAt);
+      retries += attempts(atOnce).size() + later.size();
+    }
+    assertTrue(retries > 0, "some key has a second worker of its failure domain as a candidate");
+  }
+
+  /** Workers cannot deduplicate it, so it is treated as work that is not idempotent. */
+  @Test
+  void aKeyedRequestWithoutAnIdempotencyKeyIsNotRetried() {
+    for (int key = 0; key < KEYS; key++) {
+      DispatcherHarness keyed = DispatcherHarness.withWorkers(20);
+      RequestArrived request =
+          new RequestArrived(
+              "a",
+              "key" + key,
+              1,
+              DispatcherHarness.PAY,
+              -1,
+              keyed.now + 10 * SECOND,
+              false,
+              Double.NaN,
+              null,
+              false);
+      StartAttempt first = onlyAttempt(keyed.handle(request));
+      keyed.now += SECOND / 100;
+
+      List<Action> actions = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
+
+      assertEquals(1, actionsOf(Fail.class, actions).size());
+      assertTrue(attempts(keyed.fireTimers(actions, keyed.now + 6 * SECOND)).isEmpty());
+    }
+  }
+}
