--- a/src/main/java/loomreel/faktory/ConsumerCommands.java
+++ b/src/main/java/loomreel/faktory/ConsumerCommands.java
@@ -90,8 +90,7 @@
       return Reply.error("unknown worker");
     }
     JsonNode state = beat.path("current_state");
-    workers.heartbeat(
-        worker, state.isTextual() ? state.asText() : null, beat.path("rss_kb").asLong(0));
+    workers.heartbeat(worker, state.isTextual() ? state.asText() : null);
     if (!scheduler.isDraining()
         || settings.shutdownRequest() == FaktorySettings.ShutdownRequest.NONE) {
       return Reply.OK;
--- a/src/main/java/loomreel/faktory/JobIntake.java
+++ b/src/main/java/loomreel/faktory/JobIntake.java
@@ -6,8 +6,8 @@
 import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.protocol.Reply;
-import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.JobSpec;
 import loomreel.faktory.queue.PushRejection;
 import loomreel.faktory.scheduling.JobScheduler;
 import loomreel.faktory.storage.JobPersistence;
@@ -49,7 +49,7 @@
       return rejected(full.get());
     }
     try {
-      Job.Spec spec = payloads.validate(job);
+      JobSpec spec = payloads.validate(job);
       byte[] payload = Json.toBytes(job);
       if (payload.length > JobPayloadReader.MAX_PAYLOAD_BYTES) {
         return rejected("a job of over " + JobPayloadReader.MAX_PAYLOAD_BYTES + " bytes");
@@ -64,14 +64,14 @@
     return new PushResult.Rejected(Reply.error(message), false);
   }
 
-  private PushResult enqueue(Job.Spec spec, byte[] payload) {
+  private PushResult enqueue(JobSpec spec, byte[] payload) {
     boolean isSynced = persistence.isSynced(spec.requestClass());
     Optional<PushRejection> rejection = queue.push(spec, payload, loop.now());
     if (rejection.isPresent()) {
       return new PushResult.Rejected(PushErrors.of(rejection.get(), queue.limits()), isSynced);
     }
     scheduler.wakeUpAt(Math.max(spec.at(), loop.now()));
-    if (spec.deadline() < Long.MAX_VALUE) {
+    if (spec.hasDeadline()) {
       scheduler.wakeUpAt(spec.deadline());
     }
     return new PushResult.Accepted(isSynced);
--- a/src/main/java/loomreel/faktory/payload/JobPayloadReader.java
+++ b/src/main/java/loomreel/faktory/payload/JobPayloadReader.java
@@ -10,7 +10,7 @@
 import java.time.OffsetDateTime;
 import java.util.Map;
 import java.util.Set;
-import loomreel.faktory.queue.Job;
+import loomreel.faktory.queue.JobSpec;
 import loomreel.settings.FaktorySettings;
 
 /**
@@ -56,7 +56,7 @@
    *
    * @throws InvalidPayloadException if it does not match the schema, or {@link #read} rejects it
    */
-  public Job.Spec validate(JsonNode job) throws InvalidPayloadException {
+  public JobSpec validate(JsonNode job) throws InvalidPayloadException {
     Set<ValidationMessage> errors = schema.validate(job);
     if (!errors.isEmpty()) {
       throw new InvalidPayloadException(errors.iterator().next().getMessage());
@@ -69,12 +69,12 @@
    *
    * @throws InvalidPayloadException if these settings have no such queue, or a time is malformed
    */
-  public Job.Spec read(JsonNode job) throws InvalidPayloadException {
+  public JobSpec read(JsonNode job) throws InvalidPayloadException {
     String queueName = job.path(PayloadFields.QUEUE).asText(PayloadFields.DEFAULT_QUEUE);
     FaktorySettings.Queue queue = queue(queueName);
     String type = job.path(PayloadFields.JOB_TYPE).asText();
     JsonNode custom = job.path(PayloadFields.CUSTOM);
-    return new Job.Spec(
+    return new JobSpec(
         job.path(PayloadFields.JID).asText(),
         queueName,
         type,
--- a/src/main/java/loomreel/faktory/queue/Job.java
+++ b/src/main/java/loomreel/faktory/queue/Job.java
@@ -66,48 +66,6 @@
     }
   }
 
-  /**
-   * What is known of a job from its payload.
-   *
-   * @param jid the client's id of the job
-   * @param queue the queue that it was pushed to
-   * @param type the jobtype
-   * @param requestClass position of its class in the settings
-   * @param tenant position of its tenant in the settings, or -1 for none
-   * @param key the data that a worker needs for it, which it may have cached; null for none
-   * @param slots how many slots of a worker it occupies
-   * @param work its cost in microseconds at speed 1, or NaN where it is not known
-   * @param priority 1 to 9, the highest first
-   * @param retry how many failures are followed by a retry; with 0 a dead job is not retained
-   *     either, -1 never retries
-   * @param at earliest start, in microseconds of Unix time; 0 for at once
-   * @param deadline the time after which it is not worth starting, in microseconds of Unix time;
-   *     {@link Long#MAX_VALUE} for none
-   */
-  public record Spec(
-      String jid,
-      String queue,
-      String type,
-      int requestClass,
-      int tenant,
-      String key,
-      double slots,
-      double work,
-      int priority,
-      int retry,
-      long at,
-      long deadline) {
-    /** The specification of a job of which only the jid is known. */
-    public static Spec of(String jid) {
-      return new Spec(jid, "", "", 0, -1, null, 1, Double.NaN, 0, 0, 0, Long.MAX_VALUE);
-    }
-
-    /** Whether the job has a deadline of its own. */
-    boolean hasDeadline() {
-      return deadline < Long.MAX_VALUE;
-    }
-  }
-
   /**
    * The fields that change together with the state, as they are stored.
    *
@@ -131,7 +89,7 @@
   /** A job that is not in the log. */
   private static final int NO_SEGMENT = -1;
 
-  public final Spec spec;
+  public final JobSpec spec;
 
   /** Null once the job has ended and is not retained as dead. */
   byte[] payload;
@@ -166,7 +124,7 @@
    *
    * @param payload as pushed; not copied
    */
-  public Job(Spec spec, byte[] payload, long arrivalOrder) {
+  public Job(JobSpec spec, byte[] payload, long arrivalOrder) {
     this.spec = spec;
     this.payload = payload;
     this.arrivalOrder = arrivalOrder;
@@ -174,7 +132,7 @@
 
   /** Creates a job that has no state yet, with the fields of a stored one. */
   public static Job restored(
-      Spec spec, byte[] payload, long arrivalOrder, Snapshot stored, boolean mayHaveRun) {
+      JobSpec spec, byte[] payload, long arrivalOrder, Snapshot stored, boolean mayHaveRun) {
     Job job = new Job(spec, payload, arrivalOrder);
     job.dueMicros = stored.dueMicros();
     job.failures = stored.failures();
@@ -185,7 +143,7 @@
   /** Creates a job that never enters a queue and stays in the state in which it was stored. */
   public static Job unusable(
       String jid, byte[] payload, long arrivalOrder, Snapshot stored, boolean handedOut) {
-    Job job = restored(Spec.of(jid), payload, arrivalOrder, stored, stored.mayHaveRun());
+    Job job = restored(JobSpec.of(jid), payload, arrivalOrder, stored, stored.mayHaveRun());
     job.state = stored.state();
     job.reason = stored.reason();
     job.updatedAt = stored.updatedAt();
@@ -206,7 +164,7 @@
   }
 
   /** The specification that the payload contains. */
-  public Spec spec() {
+  public JobSpec spec() {
     return spec;
   }
 
--- a/src/main/java/loomreel/faktory/queue/JobQueue.java
+++ b/src/main/java/loomreel/faktory/queue/JobQueue.java
@@ -62,7 +62,7 @@
    * @param payload as pushed; not copied
    * @return why the job is rejected; empty where it is accepted
    */
-  public Optional<PushRejection> push(Job.Spec spec, byte[] payload, long now) {
+  public Optional<PushRejection> push(JobSpec spec, byte[] payload, long now) {
     ended.removeOutdated(now);
     Optional<PushRejection> rejection = rejectionOf(spec, payload, now);
     if (rejection.isPresent()) {
@@ -81,7 +81,7 @@
     return Optional.empty();
   }
 
-  private Optional<PushRejection> rejectionOf(Job.Spec spec, byte[] payload, long now) {
+  private Optional<PushRejection> rejectionOf(JobSpec spec, byte[] payload, long now) {
     if (table.isLive(spec.jid())) {
       return Optional.of(PushRejection.JID_IN_USE);
     }
@@ -211,7 +211,7 @@
     if (!ended.isRetained(endedAtMicros, now) || find(jid) != null) {
       return;
     }
-    Job job = new Job(Job.Spec.of(jid), null, nextArrivalOrder++);
+    Job job = new Job(JobSpec.of(jid), null, nextArrivalOrder++);
     job.state = state;
     job.updatedAt = endedAtMicros;
     ended.addRestored(job);
--- a/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
@@ -14,6 +14,7 @@
 import loomreel.faktory.queue.ConcurrencyLimiter;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.JobSpec;
 import loomreel.faktory.queue.WeightedRoundRobin;
 import loomreel.faktory.storage.JobPersistence;
 import loomreel.io.ByteQueue;
@@ -155,7 +156,7 @@
       return;
     }
     Job job = attempt.job();
-    Job.Spec spec = job.spec();
+    JobSpec spec = job.spec();
     String id = newAttemptId();
     recentAttempts.add(id, job);
     Settings.RequestClass requestClass = classes.get(spec.requestClass());
@@ -178,7 +179,7 @@
   }
 
   private static Event.RequestArrived arrival(String id, Job job, long deadline) {
-    Job.Spec spec = job.spec();
+    JobSpec spec = job.spec();
     boolean isRetry = job.failures() > 0;
     boolean hasIdempotencyKey = true;
     return new Event.RequestArrived(
--- a/src/main/java/loomreel/faktory/storage/StoredJob.java
+++ b/src/main/java/loomreel/faktory/storage/StoredJob.java
@@ -6,6 +6,7 @@
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
+import loomreel.faktory.queue.JobSpec;
 import loomreel.faktory.queue.StateReasons;
 
 /**
@@ -37,7 +38,7 @@
   private boolean handedOut;
 
   /** The specification of the payload under these settings; null where it cannot be used. */
-  private Job.Spec spec;
+  private JobSpec spec;
 
   /** Why these settings cannot use the payload, where spec is null. */
   private String unusableReason;
@@ -158,7 +159,7 @@
   }
 
   /** The specification of a usable payload. */
-  Job.Spec spec() {
+  JobSpec spec() {
     return spec;
   }
 
--- a/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
+++ b/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
@@ -26,6 +26,11 @@
   /** How long after its time an attempt without a report still occupies a slot, in microseconds. */
   private static final long SLOT_GRACE_MICROS = 5_000_000;
 
+  /** Labels of a worker for its zone and its kind. */
+  private static final String ZONE_LABEL = "site";
+
+  private static final String KIND_LABEL = "kind";
+
   /** Cell of an endpoint that belongs to none. */
   private static final int NO_CELL = -1;
 
@@ -59,8 +64,8 @@
     endpoint =
         new Endpoint(
             FaktoryWorkerPool.PREFIX + worker.wid(),
-            labels.getOrDefault("site", context.defaultZone()),
-            labels.getOrDefault("kind", ""),
+            labels.getOrDefault(ZONE_LABEL, context.defaultZone()),
+            labels.getOrDefault(KIND_LABEL, ""),
             NO_CELL,
             Endpoint.State.READY,
             worker.startedAt,
--- a/src/main/java/loomreel/faktory/worker/FaktoryWorkerPool.java
+++ b/src/main/java/loomreel/faktory/worker/FaktoryWorkerPool.java
@@ -182,9 +182,8 @@
    * Handles a BEAT.
    *
    * @param state the state that the worker reports: quiet, terminate or null
-   * @param rssKb the memory that it reports to use, which nothing depends on
    */
-  public void heartbeat(WorkerRegistry.Worker worker, String state, long rssKb) {
+  public void heartbeat(WorkerRegistry.Worker worker, String state) {
     if (registry.recordHeartbeat(worker, state, loop.now())) {
       log.info("worker draining wid=" + worker.wid() + " state=" + state);
       drain(worker);
--- a/src/test/java/loomreel/faktory/queue/JobQueueTest.java
+++ b/src/test/java/loomreel/faktory/queue/JobQueueTest.java
@@ -27,9 +27,9 @@
       new JobQueue(
           new QueueLimits(100, 10_000, 15 * SECOND, 600 * SECOND, 50), new SplittableRandom(1));
 
-  private static Job.Spec spec(
+  private static JobSpec spec(
       String jid, String queue, int priority, int retry, long at, long deadline) {
-    return new Job.Spec(jid, queue, "T", 0, -1, null, 1, Double.NaN, priority, retry, at, deadline);
+    return new JobSpec(jid, queue, "T", 0, -1, null, 1, Double.NaN, priority, retry, at, deadline);
   }
 
   private Job pushAndStart(String jid, int retry, long now) {
@@ -213,7 +213,7 @@
     private void push() {
       String jid = "j" + random.nextInt(60);
       boolean isKnown = queue.find(jid) != null;
-      Job.Spec spec =
+      JobSpec spec =
           spec(
               jid,
               "q" + random.nextInt(3),
--- a/src/test/java/loomreel/faktory/storage/StoredQueue.java
+++ b/src/test/java/loomreel/faktory/storage/StoredQueue.java
@@ -17,6 +17,7 @@
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.JobSpec;
 import loomreel.faktory.queue.QueueLimits;
 import loomreel.settings.FaktorySettings;
 import loomreel.wal.WriteAheadLog;
@@ -132,9 +133,9 @@
   Job pushTo(JobQueue target, String jid, String queueName, long at) throws Exception {
     String text =
         "{\"jid\":\"" + jid + "\",\"jobtype\":\"T\",\"queue\":\"" + queueName + "\",\"args\":[1]}";
-    Job.Spec known = payloads.read(Json.read(text));
-    Job.Spec spec =
-        new Job.Spec(
+    JobSpec known = payloads.read(Json.read(text));
+    JobSpec spec =
+        new JobSpec(
             jid,
             queueName,
             "T",
