--- a/src/test/java/loomreel/core/ExternalNamesTest.java
+++ b/src/test/java/loomreel/core/ExternalNamesTest.java
@@ -9,24 +9,24 @@
 import loomreel.decision.RejectionReason;
 import org.junit.jupiter.api.Test;
 
-/** The names of version 0.2, which trace lines and Faktory's TRACK keep. */
+/** The names of version 0.2, which are part of trace lines and of Faktory's TRACK. */
 class ExternalNamesTest {
   @Test
-  void outcomesKeepTheirNamesInTraceLines() {
+  void outcomesHaveTheirNamesOfTraceLines() {
     assertEquals(
         List.of("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "MOOT"),
         Arrays.stream(AttemptOutcome.values()).map(ExternalNames::of).toList());
   }
 
   @Test
-  void endpointStatesKeepTheirNamesInTraceLines() {
+  void endpointStatesHaveTheirNamesOfTraceLines() {
     assertEquals(
         List.of("READY", "DRAINING", "GONE"),
         Arrays.stream(Endpoint.State.values()).map(ExternalNames::of).toList());
   }
 
   @Test
-  void reasonsKeepTheirNamesInTraceLines() {
+  void reasonsHaveTheirNamesOfTraceLines() {
     assertEquals(
         List.of(
             "CAME_TOO_LATE",
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void reasonsKeepTheirWordsForCallers() {
+  void reasonsHaveTheirWordsForCallers() {
     assertEquals("came too late", ExternalNames.inWords(RejectionReason.ARRIVED_TOO_LATE));
     assertEquals("no worker", ExternalNames.inWords(RejectionReason.NO_ELIGIBLE_WORKER));
   }
--- a/src/test/java/loomreel/decision/PollBackoffTest.java
+++ b/src/test/java/loomreel/decision/PollBackoffTest.java
@@ -15,7 +15,7 @@
   private final SplittableRandom random = new SplittableRandom(1);
 
   @Test
-  void theFirstPollComesWithinAPartOfTheInterval() {
+  void theFirstPollIsMadeWithinAPartOfTheInterval() {
     for (int i = 0; i < 1000; i++) {
       long time = backoff.firstPollAt(100, random);
 
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void anAnswerStartsTheBackoffAnew() {
+  void anAnswerResetsTheBackoff() {
     backoff.pollStarted(0);
     for (int failures = 0; failures < 5; failures++) {
       backoff.nextPollAt(0, random);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aCallAsLongAsTheLimitStartsTheBackoffAnew() {
+  void aCallAsLongAsTheLimitResetsTheBackoff() {
     backoff.pollStarted(0);
     for (int failures = 0; failures < 5; failures++) {
       backoff.nextPollAt(0, random);
--- a/src/test/java/loomreel/decision/RendezvousRankingTest.java
+++ b/src/test/java/loomreel/decision/RendezvousRankingTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aWorkerThatGoesMovesOnlyItsOwnKeys() {
+  void aRemovedWorkerMovesOnlyItsOwnKeys() {
     WorkerState[] before = workers(10);
     WorkerState[] after = Arrays.copyOf(before, 9);
 
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aWeightScalesAWorkersShareOfTheKeys() {
+  void aWeightScalesAWorkersFractionOfTheKeys() {
     WorkerState[] workers = {worker("light", 1), worker("heavy", 3)};
     RendezvousRanking weighted = new RendezvousRanking(true);
 
--- a/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
@@ -6,13 +6,13 @@
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
-import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Batches of the simulator's protocol, from input to reply. */
 class SimulatorAdapterTest {
   private static final String SETUP =
       "{\"Balancers\":1,\"Discovery\":\"push\",\"Locality\":\"n\",\"TickS\":0.004,"
@@ -52,14 +52,14 @@
   }
 
   @Test
-  void anEmptyBatchAndNoBatchAreAnswered() throws Exception {
+  void anEmptyBatchIsAnsweredAndNoBatchIsNot() throws Exception {
     assertEquals("", run(""));
     assertEquals(
         "{\"batch\":1,\"parts\":[]}\n", run("{\"SimTimeS\":8.4,\"batch\":1,\"parts\":[]}\n"));
   }
 
   @Test
-  void aRequestIsSentAndAnsweredUnderItsOwnNames() throws Exception {
+  void actionsAreWrittenInTheNamesOfTheWire() throws Exception {
     String out =
         run(
             batch(1, 10, UP)
@@ -69,6 +69,7 @@
                     11,
                     "{\"kind\":\"ReportBack\",\"MsgId\":\"00aa\",\"Executor\":\"e.a\",\"How\":11,\"Leg\":0,"
                         + "\"TookS\":0.5,\"Remark\":null,\"Finished\":false,\"Usage\":null}"));
+
     List<String> lines = out.lines().toList();
     assertEquals(3, lines.size());
     assertEquals("{\"batch\":1,\"parts\":[{\"I\":3,\"out\":[]}]}", lines.get(0));
@@ -82,25 +83,29 @@
   }
 
   @Test
-  void aListNumberMeansTheLastListDefinedBeforeIt() throws Exception {
+  void aListNumberRefersToTheLastListDefinedBeforeIt() throws Exception {
     String other = LIST.replace("e.a", "e.b").replace("warm_copy", "total");
+
     String out = run(batch(1, 10, UP + "," + other) + batch(2, 10.5, inbound("00aa")));
+
     assertTrue(out.contains("\"Executor\":\"e.b\""), out);
   }
 
   @Test
-  void aStopAndANewStartInOneBatchForgetEverything() throws Exception {
+  void aStopAndAStartInOneBatchResetTheDispatcher() throws Exception {
     String out =
         run(
             batch(1, 10, UP)
                 + batch(2, 10.5, inbound("00aa"))
                 + batch(3, 11, "{\"kind\":\"Stop\"}," + UP + "," + inbound("00ab")));
+
     assertTrue(out.lines().toList().get(2).contains("\"MsgId\":\"00ab\""), out);
   }
 
   @Test
-  void aFailureInsideTheModuleIsSentAsFatal() throws Exception {
+  void aFailureOfThePolicyIsWrittenAsFatal() throws Exception {
     String out = run(batch(1, 10, UP) + batch(2, 9, inbound("00aa")));
+
     assertTrue(
         out.contains(
             "{\"kind\":\"Fatal\",\"Words\":\"java.lang.IllegalArgumentException: time runs"),
@@ -125,13 +130,15 @@
         "{\"SimTimeS\":11,\"batch\":2,\"parts\":[{\"I\":3,\"events\":[7]}]} | an event is not an"
             + " object"
       })
-  void badInputIsNamedAndOnlyWholeRepliesAreWritten(String line, String message) {
+  void malformedInputIsReportedAndOnlyCompleteRepliesAreWritten(String line, String message) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] input = (batch(1, 10, UP) + line.strip() + "\n").getBytes(StandardCharsets.UTF_8);
+
     MalformedBatchException e =
         assertThrows(
             MalformedBatchException.class,
             () -> new SimulatorAdapter(new ByteArrayInputStream(input), out).run());
+
     assertTrue(e.getMessage().contains(message), e.getMessage());
     assertTrue(
         e.getMessage().contains("after batch 1") || e.getMessage().contains("in batch 2"),
@@ -141,7 +148,7 @@
   }
 
   @Test
-  void equalEventsGiveEqualActions() throws IOException, Exception {
+  void equalEventsGiveEqualActions() throws Exception {
     StringBuilder input = new StringBuilder(batch(1, 10, UP));
     for (int i = 2; i < 200; i++) {
       input.append(batch(i, 10 + i / 100.0, inbound(String.format("%04x", i))));
--- a/src/test/java/loomreel/simulator/WireEventReaderTest.java
+++ b/src/test/java/loomreel/simulator/WireEventReaderTest.java
@@ -52,6 +52,7 @@
   })
   void outcomesAreErrnoValues(int code, AttemptOutcome outcome) throws Exception {
     WireEvent event = read("StatusBack", Map.of("Executor", "e.a", "How", code, "TookS", 0.5));
+
     assertEquals(new WireEvent.HealthCheckCompleted("e.a", outcome, 500_000, null), event);
   }
 
@@ -61,11 +62,12 @@
         assertThrows(
             MalformedBatchException.class,
             () -> read("StatusBack", Map.of("Executor", "e.a", "How", 7)));
+
     assertEquals("StatusBack with unknown outcome 7", failure.getMessage());
   }
 
   @Test
-  void marksTellRetriesAndExpectedWork() throws Exception {
+  void marksAreBitsForExpectedWorkAndRetries() throws Exception {
     assertTrue(Double.isNaN(request(0).expectedWork()));
     assertEquals(250_000, request(1).expectedWork());
     assertEquals(false, request(1).clientRetry());
@@ -77,6 +79,7 @@
   @Test
   void aRequestWithoutOptionalFieldsHasDefaults() throws Exception {
     WireEvent.RequestReceived request = request(0);
+
     assertEquals(null, request.key());
     assertEquals(1, request.slots());
     assertEquals(null, request.tenantName());
