--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -48,7 +48,9 @@
     } else {
       context.begin(now, actions);
       started = !(event instanceof Event.Stop);
-      event.deliverTo(handler);
+      if (started) {
+        handler.handle(event);
+      }
     }
   }
 
--- a/src/main/java/loomreel/decision/Event.java
+++ b/src/main/java/loomreel/decision/Event.java
@@ -4,87 +4,20 @@
 
 /** What a dispatcher observes and reports to the policy. Times are microseconds. */
 public sealed interface Event {
-  /** Calls the handler's method for this type of event. */
-  void deliverTo(Handler handler);
-
-  /** Handles each type of event but the start and the stop. */
-  interface Handler {
-    /** Handles {@link EndpointSnapshot}. */
-    void onEndpointSnapshot(EndpointSnapshot event);
-
-    /** Handles {@link EndpointUpdate}. */
-    void onEndpointUpdate(EndpointUpdate event);
-
-    /** Handles {@link WatchFailed}. */
-    void onWatchFailed(WatchFailed event);
-
-    /** Handles {@link RequestArrived}. */
-    void onRequestArrived(RequestArrived event);
-
-    /** Handles {@link RequestCancelled}. */
-    void onRequestCancelled(RequestCancelled event);
-
-    /** Handles {@link AttemptProgressed}. */
-    void onAttemptProgressed(AttemptProgressed event);
-
-    /** Handles {@link AttemptEnded}. */
-    void onAttemptEnded(AttemptEnded event);
-
-    /** Handles {@link HealthChecked}. */
-    void onHealthChecked(HealthChecked event);
-
-    /** Handles {@link WorkerDisabled}. */
-    void onWorkerDisabled(WorkerDisabled event);
-
-    /** Handles {@link WorkerEnabled}. */
-    void onWorkerEnabled(WorkerEnabled event);
-
-    /** Handles {@link CapacityFractionChanged}. */
-    void onCapacityFractionChanged(CapacityFractionChanged event);
-
-    /** Handles {@link TimerFired}. */
-    void onTimerFired(TimerFired event);
-  }
-
   /** The dispatcher starts, with these settings and a seed of its own for random numbers. */
-  record Start(long seed, Settings settings) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      // The policy handles this itself: a handler lives from a start to a stop.
-    }
-  }
+  record Start(long seed, Settings settings) implements Event {}
 
   /** The dispatcher stops; its state is void. */
-  record Stop() implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      // The policy handles this itself: a handler lives from a start to a stop.
-    }
-  }
+  record Stop() implements Event {}
 
   /** The complete endpoint list: a worker that is missing from it has been removed. */
-  record EndpointSnapshot(List<Endpoint> endpoints) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onEndpointSnapshot(this);
-    }
-  }
+  record EndpointSnapshot(List<Endpoint> endpoints) implements Event {}
 
   /** Changes to the endpoint list. */
-  record EndpointUpdate(List<Endpoint> endpoints) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onEndpointUpdate(this);
-    }
-  }
+  record EndpointUpdate(List<Endpoint> endpoints) implements Event {}
 
   /** A poll or watch of the endpoint list has failed; the last list stays valid. */
-  record WatchFailed() implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onWatchFailed(this);
-    }
-  }
+  record WatchFailed() implements Event {}
 
   /**
    * A request has arrived.
@@ -133,28 +66,13 @@
           null,
           true);
     }
-
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onRequestArrived(this);
-    }
   }
 
   /** The client has disconnected, or its deadline has passed: no answer is needed any more. */
-  record RequestCancelled(String requestId) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onRequestCancelled(this);
-    }
-  }
+  record RequestCancelled(String requestId) implements Event {}
 
   /** The worker reports that an attempt's job has started, or has made progress. */
-  record AttemptProgressed(String requestId, int attemptNumber) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onAttemptProgressed(this);
-    }
-  }
+  record AttemptProgressed(String requestId, int attemptNumber) implements Event {}
 
   /**
    * An attempt has ended.
@@ -171,12 +89,7 @@
       boolean answered,
       long duration,
       WorkerLoad load)
-      implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onAttemptEnded(this);
-    }
-  }
+      implements Event {}
 
   /**
    * A health check has ended.
@@ -185,49 +98,24 @@
    * @param load the load report, or null
    */
   record HealthChecked(String workerId, AttemptOutcome outcome, long duration, WorkerLoad load)
-      implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onHealthChecked(this);
-    }
-  }
+      implements Event {}
 
   /**
    * An operator has disabled a worker: it gets no new attempts, whatever its state in the endpoint
    * list.
    */
-  record WorkerDisabled(String workerId) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onWorkerDisabled(this);
-    }
-  }
+  record WorkerDisabled(String workerId) implements Event {}
 
   /** An operator has enabled a worker again; it may have restarted since it was disabled. */
-  record WorkerEnabled(String workerId) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onWorkerEnabled(this);
-    }
-  }
+  record WorkerEnabled(String workerId) implements Event {}
 
   /**
    * Another process serves as the same dispatcher, or does so no longer.
    *
    * @param fraction the fraction of the dispatcher's slow-start allowance that this process may use
    */
-  record CapacityFractionChanged(double fraction) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onCapacityFractionChanged(this);
-    }
-  }
+  record CapacityFractionChanged(double fraction) implements Event {}
 
   /** A timer that {@link Action.SetTimer} requested has fired. */
-  record TimerFired(long token) implements Event {
-    @Override
-    public void deliverTo(Handler handler) {
-      handler.onTimerFired(this);
-    }
-  }
+  record TimerFired(long token) implements Event {}
 }
--- a/src/main/java/loomreel/decision/PolicyEventHandler.java
+++ b/src/main/java/loomreel/decision/PolicyEventHandler.java
@@ -18,7 +18,7 @@
  * Handles the events of one dispatcher from its start to its stop: brings the state up to date,
  * then has the {@link RequestScheduler} act on it.
  */
-final class PolicyEventHandler implements Event.Handler {
+final class PolicyEventHandler {
   private final PolicyContext context;
   private final PolicyState state;
   private final EndpointUpdater endpoints;
@@ -36,14 +36,43 @@
     endpoints.start();
   }
 
-  @Override
-  public void onEndpointSnapshot(EndpointSnapshot event) {
-    state.workers.markAllRemoved();
-    updateEndpoints(event.endpoints());
+  /**
+   * Handles one event.
+   *
+   * @throws IllegalStateException if its type is unknown, or it is a start
+   */
+  void handle(Event event) {
+    if (event instanceof AttemptEnded end) {
+      onAttemptEnded(end);
+    } else if (event instanceof TimerFired timer) {
+      onTimerFired(timer);
+    } else if (event instanceof RequestArrived arrival) {
+      onRequestArrived(arrival);
+    } else if (event instanceof AttemptProgressed progress) {
+      onAttemptProgressed(progress);
+    } else if (event instanceof HealthChecked check) {
+      onHealthChecked(check);
+    } else if (event instanceof RequestCancelled cancellation) {
+      onRequestCancelled(cancellation);
+    } else if (event instanceof EndpointUpdate update) {
+      updateEndpoints(update.endpoints());
+    } else if (event instanceof EndpointSnapshot snapshot) {
+      onEndpointSnapshot(snapshot);
+    } else if (event instanceof WatchFailed) {
+      endpoints.pollFailed();
+    } else if (event instanceof WorkerDisabled disabled) {
+      state.workers.disable(disabled.workerId(), context.now());
+    } else if (event instanceof WorkerEnabled enabled) {
+      endpoints.enable(enabled.workerId());
+    } else if (event instanceof CapacityFractionChanged change) {
+      state.slowStart.setCapacityFraction(change.fraction());
+    } else {
+      throw new IllegalStateException("unknown event: " + event);
+    }
   }
 
-  @Override
-  public void onEndpointUpdate(EndpointUpdate event) {
+  private void onEndpointSnapshot(EndpointSnapshot event) {
+    state.workers.markAllRemoved();
     updateEndpoints(event.endpoints());
   }
 
@@ -52,44 +81,21 @@
     update.forEach(scheduler::retryQueueIfPulled);
   }
 
-  @Override
-  public void onWatchFailed(WatchFailed event) {
-    endpoints.pollFailed();
-  }
-
-  @Override
-  public void onWorkerDisabled(WorkerDisabled event) {
-    state.workers.disable(event.workerId(), context.now());
-  }
-
-  @Override
-  public void onWorkerEnabled(WorkerEnabled event) {
-    endpoints.enable(event.workerId());
-  }
-
-  @Override
-  public void onCapacityFractionChanged(CapacityFractionChanged event) {
-    state.slowStart.setCapacityFraction(event.fraction());
-  }
-
-  @Override
-  public void onRequestArrived(RequestArrived event) {
+  private void onRequestArrived(RequestArrived event) {
     Settings.RequestClass requestClass = context.settings().classes().get(event.classIndex());
     PendingRequest request = state.requests.add(event, requestClass);
     state.slowStart.recordArrival(request);
     scheduler.admit(request);
   }
 
-  @Override
-  public void onRequestCancelled(RequestCancelled event) {
+  private void onRequestCancelled(RequestCancelled event) {
     PendingRequest request = state.requests.get(event.requestId());
     if (request != null) {
       scheduler.endWithoutAnswer(request);
     }
   }
 
-  @Override
-  public void onAttemptProgressed(AttemptProgressed event) {
+  private void onAttemptProgressed(AttemptProgressed event) {
     AttemptState attempt = state.requests.openAttempt(event.requestId(), event.attemptNumber());
     if (attempt == null) {
       return;
@@ -101,8 +107,7 @@
     }
   }
 
-  @Override
-  public void onAttemptEnded(AttemptEnded event) {
+  private void onAttemptEnded(AttemptEnded event) {
     AttemptState attempt = state.requests.openAttempt(event.requestId(), event.attemptNumber());
     if (attempt == null) {
       return;
@@ -117,8 +122,7 @@
     scheduler.retryQueueIfPulled(attempt.worker.endpoint());
   }
 
-  @Override
-  public void onHealthChecked(HealthChecked event) {
+  private void onHealthChecked(HealthChecked event) {
     WorkerState worker = state.workers.get(event.workerId());
     if (worker != null) {
       worker.healthCheckEnded();
@@ -127,8 +131,7 @@
     }
   }
 
-  @Override
-  public void onTimerFired(TimerFired event) {
+  private void onTimerFired(TimerFired event) {
     if (event.token() == PolicyState.POLL_TIMER) {
       endpoints.poll();
     } else if (event.token() == PolicyState.QUEUE_TIMER) {
--- a/src/test/java/loomreel/arch/ArrowsTest.java
+++ b/src/test/java/loomreel/arch/ArrowsTest.java
@@ -25,12 +25,12 @@
 /** Arrows between packages go one way. */
 @AnalyzeClasses(packages = "loomreel", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArrowsTest {
-  /** The decisions know nobody. */
+  /** The decision module depends on no other package. */
   @ArchTest static final ArchRule DECISION = knowsOnly("decision");
 
   @ArchTest static final ArchRule LOOP = knowsOnly("io");
 
-  /** Whoever may speak to the core speaks a protocol; the core itself speaks none. */
+  /** Protocols depend on the core; the core depends on no protocol. */
   @ArchTest static final ArchRule CORE = knowsOnly("core", "decision", "io");
 
   @ArchTest static final ArchRule HTTP = knowsOnly("http", "io", "decision");
--- a/src/test/java/loomreel/decision/DispatchPolicyTest.java
+++ b/src/test/java/loomreel/decision/DispatchPolicyTest.java
@@ -1,11 +1,15 @@
 package loomreel.decision;
 
 import static loomreel.decision.DispatcherHarness.attempts;
+import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
+import java.util.stream.Collectors;
 import loomreel.decision.Event.AttemptProgressed;
 import loomreel.decision.Event.HealthChecked;
 import loomreel.decision.Event.RequestCancelled;
@@ -80,4 +84,31 @@
     assertTrue(unknown.isEmpty());
     assertTrue(ended.isEmpty());
   }
+
+  @Test
+  void everyTypeOfEventIsHandled() {
+    List<Event> events =
+        List.of(
+            new Event.EndpointSnapshot(DispatcherHarness.endpoints(2)),
+            new Event.EndpointUpdate(DispatcherHarness.endpoints(3)),
+            new WatchFailed(),
+            dispatcher.request("a", "key", DispatcherHarness.READ, Double.NaN),
+            new AttemptProgressed("a", 0),
+            new Event.AttemptEnded("a", 0, "w00", AttemptOutcome.OK, true, 1000, null),
+            new RequestCancelled("a"),
+            new HealthChecked("w00", AttemptOutcome.OK, 10, null),
+            new Event.WorkerDisabled("w00"),
+            new Event.WorkerEnabled("w00"),
+            new Event.CapacityFractionChanged(0.5),
+            new TimerFired(PolicyState.POLL_TIMER),
+            new Stop(),
+            new Start(3, dispatcher.settings));
+
+    for (Event event : events) {
+      assertDoesNotThrow(() -> dispatcher.handle(event));
+    }
+
+    Set<Class<?>> handled = events.stream().map(Event::getClass).collect(Collectors.toSet());
+    assertEquals(Set.of(Event.class.getPermittedSubclasses()), handled);
+  }
 }
