--- a/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
+++ b/src/main/java/loomreel/faktory/storage/SpoolPersistence.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
 import loomreel.io.EventLoop;
@@ -19,6 +19,8 @@
   /** How often changes are synced that need not be durable at once, in microseconds. */
   private static final long SYNC_INTERVAL_MICROS = 100_000;
 
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   private final EventLoop loop;
   private final DurableJobStore store;
 
@@ -38,7 +40,7 @@
       FaktorySettings settings,
       DurableJobStore.RequestClasses classes,
       JobQueue queue,
-      PayloadValidator payloads,
+      JobPayloadReader payloads,
       RateLimitedLogger log)
       throws IOException {
     Path directory = Path.of(settings.spoolDirectory());
@@ -60,7 +62,7 @@
         "spool restored jobs="
             + jobs
             + " duration_ms="
-            + (System.nanoTime() - startedNanos) / 1_000_000
+            + (System.nanoTime() - startedNanos) / NANOS_PER_MILLI
             + " truncated_bytes="
             + store.truncatedBytes()
             + " directory="
@@ -86,7 +88,7 @@
 
   @Override
   public Optional<String> rejectionReason() {
-    return Optional.ofNullable(store.rejectionReason());
+    return store.rejectionReason();
   }
 
   @Override
