--- a/src/main/java/loomreel/admin/AdminConnection.java
+++ b/src/main/java/loomreel/admin/AdminConnection.java
@@ -11,11 +11,14 @@
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
 import loomreel.io.EventLoop;
+import loomreel.io.RateLimitedLogger;
+import loomreel.process.AdminOperations;
 
 /**
- * A connection with one request of an operator: it is answered at once, and the connection closes.
+ * A connection with one request of an operator: the response is sent at once, and the connection
+ * closes.
  *
- * <p>Owned by {@link AdminServer}, which hears of its close.
+ * <p>Owned by {@link AdminServer}, which is notified of its close.
  */
 final class AdminConnection extends HttpConnection {
   /** The time limit of the request, and then of the client's close, in microseconds. */
@@ -24,6 +27,8 @@
   private static final String NO_BODY = "";
 
   private final AdminServer server;
+  private final AdminOperations operations;
+  private final RateLimitedLogger log;
   private boolean responded;
   private EventLoop.Timer timeout;
 
@@ -32,9 +37,17 @@
    *
    * @throws IOException if it cannot be registered with the event loop
    */
-  AdminConnection(EventLoop loop, SocketChannel channel, AdminServer server) throws IOException {
+  AdminConnection(
+      EventLoop loop,
+      SocketChannel channel,
+      AdminServer server,
+      AdminOperations operations,
+      RateLimitedLogger log)
+      throws IOException {
     super(loop, channel, true, true);
     this.server = server;
+    this.operations = operations;
+    this.log = log;
     timeout =
         loop.schedule(
             loop.now() + TIMEOUT_MICROS, () -> respond(HttpStatus.REQUEST_TIMEOUT, NO_BODY));
@@ -70,7 +83,7 @@
         case STOP_DRAIN -> setDraining(route, false);
       }
     } catch (IOException e) {
-      server.log.warn(
+      log.warn(
           "admin request not applied, it cannot be stored path="
               + route.path()
               + " reason="
@@ -80,30 +93,29 @@
   }
 
   private void respondReadiness() {
-    boolean isReady = server.operations.isReady();
+    boolean isReady = operations.isReady();
     respond(isReady ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, NO_BODY);
   }
 
   private void respondStats() {
-    String metrics = MetricsJson.write(server.operations.metrics());
+    String metrics = MetricsJson.write(operations.metrics());
     respond(HttpStatus.OK, metrics, "Content-Type: application/json");
   }
 
   private void setWorkerDisabled(AdminRoute route, String workerId, boolean disabled)
       throws IOException {
-    boolean isKnown = server.operations.setWorkerDisabled(workerId, disabled);
-    server.log.info(
-        "admin request path=" + route.path() + " worker=" + workerId + " known=" + isKnown);
+    boolean isKnown = operations.setWorkerDisabled(workerId, disabled);
+    log.info("admin request path=" + route.path() + " worker=" + workerId + " known=" + isKnown);
     respond(isKnown ? HttpStatus.OK : HttpStatus.NOT_FOUND, NO_BODY);
   }
 
   private void setDraining(AdminRoute route, boolean draining) throws IOException {
-    server.log.info("admin request path=" + route.path());
-    server.operations.setClientDrain(draining);
+    log.info("admin request path=" + route.path());
+    operations.setClientDrain(draining);
     respond(HttpStatus.OK, NO_BODY);
   }
 
-  /** Sends the response; if there was one already, which is a timeout, closes. */
+  /** Sends the response; if one was sent before, closes: the request timed out. */
   private void respond(int status, String body, String... headers) {
     if (responded) {
       close();
--- a/src/main/java/loomreel/admin/AdminServer.java
+++ b/src/main/java/loomreel/admin/AdminServer.java
@@ -21,21 +21,21 @@
  */
 public final class AdminServer {
   /**
-   * The connections that may be open; another one replaces the oldest, which has sent no request so
-   * far.
+   * The connections that may be open; another one replaces the oldest, which has sent no request
+   * yet.
    */
   private static final int MAX_CONNECTIONS = 8;
 
   /** Connections that wait in the kernel's queue. */
   private static final int BACKLOG = 128;
 
-  final AdminOperations operations;
-  final RateLimitedLogger log = new RateLimitedLogger("loomreel.admin");
+  private final AdminOperations operations;
+  private final RateLimitedLogger log = new RateLimitedLogger("loomreel.admin");
   private final EventLoop loop;
   private final Set<AdminConnection> open = new LinkedHashSet<>();
 
   /**
-   * Binds the address and starts accepting; requests are answered once the event loop runs.
+   * Binds the address and starts accepting; requests are handled once the event loop runs.
    *
    * @throws IOException if the address cannot be bound
    */
@@ -47,7 +47,7 @@
     listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     listener.configureBlocking(false);
     listener.bind(address, BACKLOG);
-    // The queue is short, so it is emptied in one turn.
+    // The queue is short, so it is accepted completely in one iteration.
     new Acceptor(loop, listener, Integer.MAX_VALUE, log, this::accept).start();
     log.info("admin server listening address=" + listener.getLocalAddress());
   }
@@ -56,9 +56,9 @@
     if (open.size() >= MAX_CONNECTIONS) {
       open.iterator().next().close();
     }
-    AdminConnection connection = new AdminConnection(loop, channel, this);
+    AdminConnection connection = new AdminConnection(loop, channel, this, operations, log);
     open.add(connection);
-    // A request that has come already is answered before another connection can replace this one.
+    // A request that has arrived already is handled before another connection can replace this one.
     connection.readNow();
   }
 
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -17,14 +17,14 @@
 
 /**
  * Watches discovery's endpoint list by long polling: one call after the other, each of which waits
- * for a change of the list. {@link WatchTimeouts} says how long, and when a failed call is retried.
+ * for a change of the list. {@link WatchTimeouts} has the time limits and the times of retries.
  *
  * <p>Used on the event loop's thread only.
  */
 public final class EndpointWatcher {
   /** Receives the results of the watch. */
   public interface Listener {
-    /** Discovery has answered with an endpoint list, or with changes to the last one. */
+    /** Discovery has sent an endpoint list, or with changes to the last one. */
     void endpointsReceived(EndpointList result);
 
     /**
@@ -34,7 +34,7 @@
     void watchFailed();
   }
 
-  /** No version is known, so the whole list is requested; versions count from 0. */
+  /** No version is known, so the complete list is requested; versions count from 0. */
   private static final long NO_VERSION = -1;
 
   private static final String ENDPOINTS_PATH = "/registry/instances";
@@ -62,7 +62,7 @@
 
   private boolean lastCallSilent;
 
-  /** What carries the call in flight; null if there is none. */
+  /** The connection of the call in flight; null if there is none. */
   private PooledConnection connection;
 
   /**
@@ -79,12 +79,12 @@
     this.loop = loop;
     this.discovery = discovery;
     this.timeouts = timeouts;
-    // What an agent holds counts as known by everybody, whatever its versions: request all of it.
+    // The list of an agent counts as known whatever its version, so the complete one is requested.
     this.version = timeouts.pushed() ? NO_VERSION : version;
     this.listener = listener;
   }
 
-  /** Starts a watch, unless one is on. */
+  /** Starts a watch, unless one is active. */
   public void watch() {
     if (calling) {
       return;
@@ -94,9 +94,9 @@
     trace("listcall", "from");
     boolean waitsForChange = version != NO_VERSION;
     EndpointListCall call = new EndpointListCall(this, timeouts.deadline(calledAt, waitsForChange));
-    PooledConnection carrier = discovery.call(request(waitsForChange), call);
+    PooledConnection opened = discovery.call(request(waitsForChange), call);
     // The call may have failed already.
-    connection = calling ? carrier : null;
+    connection = calling ? opened : null;
   }
 
   private ByteQueue request(boolean waitsForChange) {
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Watches discovery at another address, at once: what the new one has counts as known 4 s later.
-   * The call in flight is abandoned. Versions may differ there, so the whole list is requested.
+   * Watches discovery at another address, at once: its list counts as known 4 s later. The call in
+   * flight is abandoned. Versions may differ there, so the complete list is requested.
    */
   public void moveTo(InetSocketAddress address) {
     if (connection != null) {
@@ -136,7 +136,7 @@
     watch();
   }
 
-  /** The call in flight was answered. */
+  /** The response to the call in flight was received. */
   void responseReceived(HttpMessage message) {
     endCall();
     lastCallSilent = false;
@@ -149,9 +149,9 @@
   }
 
   /**
-   * The call in flight has ended without an answer.
+   * The call in flight has ended without a complete response.
    *
-   * @param isResponseStarted whether a part of an answer with a list had come
+   * @param isResponseStarted whether a part of a response with a list had arrived
    */
   void callFailed(AttemptOutcome outcome, boolean isResponseStarted) {
     endCall();
@@ -167,8 +167,8 @@
   private EndpointList parseNewer(HttpMessage message) throws InvalidEndpointListException {
     EndpointList list = parse(message);
     if (list.sequence() < version) {
-      // Its changes may have been undone since, and a worker that drains would be sent to again.
-      // The whole list is accepted next: discovery may have lost its count.
+      // It may lack later changes, such as a worker that is draining. The complete list is accepted
+      // next, whatever its version: discovery may have restarted its count.
       String reason = "version " + list.sequence() + " after " + version;
       version = NO_VERSION;
       throw new InvalidEndpointListException(reason);
@@ -191,7 +191,7 @@
   private void accept(EndpointList list) {
     version = list.sequence();
     trace("listed", "seq");
-    // The next call first: the watch counts as broken if it is late.
+    // The next call first: the watch counts as failed if it is late.
     watch();
     if (list.complete() || !list.endpoints().isEmpty()) {
       listener.endpointsReceived(list);
@@ -210,7 +210,7 @@
     }
   }
 
-  /** Retries at a time; the connection of a silent call is closed, so this is on a new one. */
+  /** Retries at a time; the connection of a silent call is closed, so this uses a new one. */
   private void watchAt(long time) {
     if (time <= loop.now()) {
       watch();
--- a/src/main/java/loomreel/discovery/InvalidEndpointListException.java
+++ b/src/main/java/loomreel/discovery/InvalidEndpointListException.java
@@ -1,6 +1,6 @@
 package loomreel.discovery;
 
-/** Discovery has answered with something that is no valid, current endpoint list. */
+/** Discovery has sent something that is not a valid, current endpoint list. */
 final class InvalidEndpointListException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -7,18 +7,18 @@
 /**
  * The timing of the endpoint watch: how long a call to discovery may wait, when it counts as
  * silent, and when a failed one is retried, so that a change is known before sending to a draining
- * worker would break the rules. A pure function of the rules; all times in microseconds.
+ * worker would violate the rules. A pure function of the rules; all times in microseconds.
  *
- * <p>From the operators' pages on the endpoint list:
+ * <p>The rules of the platform on the endpoint list:
  *
  * <ul>
- *   <li>A call that falls silent is broken. What it misses counts as known {@link
- *       #KNOWN_AFTER_SILENCE} after the silence began, or {@link #KNOWN_AFTER_WAIT} after the
- *       call's wait is over, if that is later, whether or not it arrived.
- *   <li>Whatever came of our calls, a change counts as known {@link #KNOWN_AFTER_SILENCE} after
- *       discovery had it and could be reached.
- *   <li>Where lists are pushed to an agent, what the agent has counts as known at once, watched or
- *       not, and after an outage too.
+ *   <li>A call whose connection is silent has failed. A change that it misses counts as known
+ *       {@link #KNOWN_AFTER_SILENCE} after the silence began, or {@link #KNOWN_AFTER_WAIT} after
+ *       the call's wait is over, if that is later, whether or not it arrived.
+ *   <li>Whatever the outcome of our calls, a change counts as known {@link #KNOWN_AFTER_SILENCE}
+ *       after discovery had it and could be reached.
+ *   <li>Where lists are pushed to an agent, the list of the agent counts as known at once, watched
+ *       or not, and after an outage too.
  *   <li>From then on sending to a draining worker is allowed for {@link Rules#drainGrace()} more.
  * </ul>
  *
@@ -28,38 +28,36 @@
  * Rules#maxPollBackoff()} at most, and a quarter of that after a call that lasted as long as that.
  * So the next call is made by {@code maxWait + responseTimeout + maxPollBackoff / 4}, and one that
  * followed a short call by {@code maxPollBackoff} and the duration of the short one. Both leave
- * more than half a second of {@code KNOWN_AFTER_SILENCE} and the grace for the answer, at every
- * grace (WatchTimeoutsTest goes through the sequences).
+ * more than half a second of {@code KNOWN_AFTER_SILENCE} and the grace for the response, at every
+ * grace (WatchTimeoutsTest tests the sequences).
  *
  * @param pushed whether lists are pushed to an agent on this machine, which is the one called
  * @param maxWait how long a call may wait for a change
- * @param responseTimeout how long after that wait the answer may take; then the call is silent
+ * @param responseTimeout how long after that wait the response may take; then the call is silent
  * @param retryInterval the least time from one call to the next where the first was silent, or
  *     failed at an agent
- * @param invalidAnswerRetryInterval the same where the first was answered with an invalid list, or
- *     in part
+ * @param invalidResponseRetryInterval the same where the response to the first was an invalid list,
+ *     or incomplete
  */
 public record WatchTimeouts(
     boolean pushed,
     long maxWait,
     long responseTimeout,
     long retryInterval,
-    long invalidAnswerRetryInterval) {
-  /** What a failed call says of discovery. */
+    long invalidResponseRetryInterval) {
+  /** The state of discovery that a failed call indicates. */
   enum Failure {
     /** It did not respond, or after a call without response no connection is established either. */
     SILENT,
-    /**
-     * It answered with an invalid list, one older than the list that is known, or a part of one.
-     */
-    INVALID_ANSWER,
+    /** It sent an invalid list, one older than the list that is known, or a part of one. */
+    INVALID_RESPONSE,
     /** It is overloaded or down. */
     UNAVAILABLE;
 
     /**
      * Classifies the outcome of a call.
      *
-     * @param isResponseStarted whether a part of an answer with a list had come
+     * @param isResponseStarted whether a part of a response with a list had arrived
      * @param wasSilentBefore whether the call before this one was silent
      */
     static Failure of(AttemptOutcome outcome, boolean isResponseStarted, boolean wasSilentBefore) {
@@ -67,7 +65,7 @@
           || (wasSilentBefore && outcome == AttemptOutcome.CONNECT_FAILED)) {
         return SILENT;
       }
-      return isResponseStarted ? INVALID_ANSWER : UNAVAILABLE;
+      return isResponseStarted ? INVALID_RESPONSE : UNAVAILABLE;
     }
   }
 
@@ -77,24 +75,24 @@
   /** The lower bound of intervals, however short the grace; the rules tolerate this much. */
   private static final long MIN_INTERVAL = 50_000;
 
-  /** An answer that is this late after the wait is missing rather than slow. */
+  /** A response that is this late after the wait is lost rather than slow. */
   private static final long MAX_RESPONSE_TIMEOUT = 1_500_000;
 
-  /** Not so short that silent calls keep anybody busy; what they miss must be known in seconds. */
+  /** Limits the load of retries; a change that a silent call misses must be known in seconds. */
   private static final long SILENT_RETRY_INTERVAL = 1_000_000;
 
   /**
    * Derives the timing for a deployment.
    *
    * <p>Polled: with a wait of {@code KNOWN_AFTER_SILENCE - KNOWN_AFTER_WAIT} both limits of the
-   * operators' page end together, {@code KNOWN_AFTER_SILENCE} after the call began at the earliest.
-   * What is left from the end of the wait until sending could break the rule, {@code
-   * KNOWN_AFTER_WAIT} and the grace, is shared evenly by the response timeouts of this call and the
-   * one that replaces it. What was in an invalid answer may count as known when it was written: two
-   * more calls fit into the grace.
+   * rules end together, {@code KNOWN_AFTER_SILENCE} after the call began at the earliest. The time
+   * from the end of the wait until sending could violate the rule, {@code KNOWN_AFTER_WAIT} and the
+   * grace, is divided evenly between the response timeouts of this call and the one that replaces
+   * it. A change in an invalid response may count as known when that was written: two more calls
+   * fit into the grace.
    *
    * <p>Pushed: the list must be younger than the grace. Two fifths of that are the wait, a fifth
-   * the response timeout, and two fifths are left for a new connection and its first answer.
+   * the response timeout, and two fifths remain for a new connection and its first response.
    *
    * @param polled whether discovery itself is polled; else lists are pushed to an agent
    */
@@ -118,21 +116,22 @@
   }
 
   /**
-   * When a call that starts now is given up.
+   * When a call that starts now times out.
    *
-   * @param waitsForChange whether discovery may delay the answer until the list changes
+   * @param waitsForChange whether discovery may delay the response until the list changes
    */
   long deadline(long now, boolean waitsForChange) {
     return now + (waitsForChange ? maxWait : 0) + responseTimeout;
   }
 
   /**
-   * When a failed call is retried. A silent call is retried at once, because what it missed counts
-   * as known soon, and further ones at an interval. Who answers with an invalid list is up.
+   * When a failed call is retried. A silent call is retried at once, because a change that it
+   * missed counts as known soon, and further ones at an interval. Discovery that sends an invalid
+   * list is up.
    *
    * @param wasSilentBefore whether the call before this one was silent, too
    * @param calledAt when this one began
-   * @return empty where the policy decides how to spare discovery, which is overloaded or down
+   * @return empty where the policy decides on the backoff, because discovery is overloaded or down
    */
   OptionalLong retryTime(Failure failure, boolean wasSilentBefore, long calledAt, long now) {
     if (pushed) {
@@ -140,7 +139,8 @@
     }
     return switch (failure) {
       case UNAVAILABLE -> OptionalLong.empty();
-      case INVALID_ANSWER -> OptionalLong.of(Math.max(now, calledAt + invalidAnswerRetryInterval));
+      case INVALID_RESPONSE ->
+          OptionalLong.of(Math.max(now, calledAt + invalidResponseRetryInterval));
       case SILENT ->
           OptionalLong.of(wasSilentBefore ? Math.max(now, calledAt + retryInterval) : now);
     };
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -28,6 +28,7 @@
   /** The time limit of a health check or cancellation, in connect timeouts. */
   private static final int SHORT_CALL_TIMEOUT_FACTOR = 2;
 
+  private static final long MICROS_PER_MILLI = 1000;
   private static final String JOBS_PATH = "/jobs/";
   private static final String LOAD_PATH = "/stats";
 
@@ -53,7 +54,7 @@
   }
 
   /**
-   * Takes over the latest entry of the endpoint list. After a move or restart of the worker, old
+   * Sets the latest entry of the endpoint list. After a move or restart of the worker, old
    * connections are not used any more: a new process knows nothing of them.
    */
   void update(InetSocketAddress address, Endpoint latest) {
@@ -69,7 +70,9 @@
     return endpoint;
   }
 
-  /** The worker has left the endpoint list: calls in flight may end, idle connections close. */
+  /**
+   * The worker was removed from the endpoint list: calls in flight may end, idle connections close.
+   */
   void retire() {
     pool.moveTo(pool.address());
   }
@@ -79,7 +82,7 @@
     pool.closeStale();
   }
 
-  /** Who is to hear whether this worker can be reached. */
+  /** What is notified whether this worker can be reached. */
   ReachabilityListener reachability() {
     return reachability;
   }
@@ -100,7 +103,7 @@
 
   private static String[] jobHeaders(CallAttempt attempt) {
     Rpc rpc = attempt.rpc();
-    long budgetMillis = Math.max(1, (attempt.deadline() - attempt.sentAt()) / 1000);
+    long budgetMillis = Math.max(1, (attempt.deadline() - attempt.sentAt()) / MICROS_PER_MILLI);
     List<String> headers = new ArrayList<>();
     headers.add(JobHeader.CALL_ID.line(rpc.id()));
     headers.add(JobHeader.BUDGET_MILLIS.line(budgetMillis));
@@ -123,14 +126,14 @@
     pool.call(request("GET", LOAD_PATH, 0), new HealthCheck());
   }
 
-  /** Checks whether the worker can be reached; only the reachability listener hears of it. */
+  /** Checks whether the worker can be reached; only the reachability listener is notified. */
   void checkReachability() {
     pool.call(request("GET", LOAD_PATH, 0), new ReachabilityCheck());
   }
 
   /**
-   * A call has ended without a response. A reset says nothing of reachability: it comes from a host
-   * that is there.
+   * A call has ended without a response. A reset does not mean that the worker is unreachable: it
+   * is sent by a running host.
    */
   void reportFailure(AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT) {
@@ -173,7 +176,7 @@
     public void failed(AttemptOutcome outcome) {}
   }
 
-  /** A call whose response, or lack of one, says whether the worker can be reached. */
+  /** A call whose response, or lack of one, shows whether the worker can be reached. */
   private class ReachabilityCheck extends ShortCall {
     @Override
     public void responseReceived(HttpMessage message) {
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -18,8 +18,8 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The workers that are called over HTTP: from discovery, or from a static endpoint list. With a
- * static list nobody says that a worker is gone, so an {@link OutlierDetector} for each does.
+ * The workers that are called over HTTP: from discovery, or from a static endpoint list, whose
+ * workers an {@link OutlierEjector} removes while they cannot be reached.
  *
  * <p>Used on the event loop's thread only. It owns the subchannels and the endpoint watch.
  */
@@ -29,16 +29,10 @@
   private static final long DISCOVERY_IDLE_TIMEOUT_MICROS = 1_000_000;
 
   /**
-   * How long a pushed endpoint list is awaited at the start. Nine in ten processes that start have
-   * to be ready within 10 s, and the start itself may take 3 s of that where many start at once.
+   * Idle connections are closed from this side after this fraction of the time after which the
+   * worker closes them.
    */
-  private static final long AGENT_TIMEOUT_MICROS = 7_000_000;
-
-  /**
-   * Idle connections are closed from our side at this share of the time after which the worker
-   * closes them.
-   */
-  private static final double IDLE_SHARE = 0.7;
+  private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
   private final long connectTimeoutMicros;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.upstream");
@@ -53,18 +47,17 @@
   /** Whether the first list from discovery has to be awaited before jobs are sent. */
   private final boolean awaitsFirstList;
 
-  /** Called when the first list has come, while that is awaited. */
-  private Optional<Runnable> onFirstList = Optional.empty();
+  private final FirstListBarrier firstListBarrier;
 
   /** By worker; empty unless the endpoint list is static. */
-  private final Map<String, OutlierDetector> outlierDetectors = new HashMap<>();
+  private final Map<String, OutlierEjector> outlierEjectors = new HashMap<>();
 
   /**
    * Creates a pool that has no workers before {@link #start}.
    *
    * @param initialEndpoints the endpoint list as it was last known
    * @param discovery where the list comes from, or null where {@code initialEndpoints} is static
-   * @param settings whose rules say how soon a change of the list has to be known
+   * @param settings whose rules limit how late a change of the list may be known
    * @param connectTimeoutMicros how long establishing a connection may take, in microseconds
    * @param workerIdleTimeoutMicros after which time a worker closes an idle connection, in
    *     microseconds
@@ -79,7 +72,9 @@
     super(dispatcher);
     this.initialEndpoints = initialEndpoints;
     this.connectTimeoutMicros = connectTimeoutMicros;
-    idleTimeout = new IdleTimeoutEstimator((long) (workerIdleTimeoutMicros * IDLE_SHARE));
+    firstListBarrier = new FirstListBarrier(dispatcher.loop(), log);
+    idleTimeout =
+        new IdleTimeoutEstimator((long) (workerIdleTimeoutMicros * IDLE_TIMEOUT_FRACTION));
     if (discovery == null) {
       awaitsFirstList = false;
       watcher = Optional.empty();
@@ -115,8 +110,8 @@
 
   /**
    * Announces the initial endpoint list, which is enough to serve where discovery is polled. Where
-   * lists are pushed to an agent on this machine, its list counts as known from the start, so it is
-   * awaited for up to {@link #AGENT_TIMEOUT_MICROS}.
+   * lists are pushed to an agent on this machine, its list counts as known from the start, so
+   * {@link FirstListBarrier} awaits it.
    *
    * @param onReady called once, when jobs may be sent by the list that is known then
    */
@@ -126,28 +121,10 @@
       onReady.run();
       return;
     }
-    onFirstList = Optional.of(onReady);
-    dispatcher
-        .loop()
-        .schedule(dispatcher.loop().now() + AGENT_TIMEOUT_MICROS, this::firstListTimedOut);
+    firstListBarrier.await(onReady);
     watcher.ifPresent(EndpointWatcher::watch);
   }
 
-  private void firstListTimedOut() {
-    if (onFirstList.isPresent()) {
-      log.warn(
-          "discovery agent silent, serving the last known endpoint list timeout_ms="
-              + AGENT_TIMEOUT_MICROS / 1000);
-      stopAwaitingFirstList();
-    }
-  }
-
-  private void stopAwaitingFirstList() {
-    Optional<Runnable> onReady = onFirstList;
-    onFirstList = Optional.empty();
-    onReady.ifPresent(Runnable::run);
-  }
-
   /** Watches discovery at another address from now on; does nothing if the list is static. */
   public void moveDiscovery(InetSocketAddress address) {
     watcher.ifPresent(endpointWatcher -> endpointWatcher.moveTo(address));
@@ -161,9 +138,9 @@
   @Override
   public void runPeriodicTasks() {
     subchannels.values().forEach(HttpSubchannel::closeStale);
-    outlierDetectors.forEach(
-        (id, detector) -> {
-          if (detector.takeDueProbe(dispatcher.loop().now())) {
+    outlierEjectors.forEach(
+        (id, ejector) -> {
+          if (ejector.takeDueProbe()) {
             subchannels.get(id).checkReachability();
           }
         });
@@ -191,7 +168,7 @@
     if (result.complete()) {
       missing.keySet().forEach(dispatcher::abortUnsentAttempts);
     }
-    stopAwaitingFirstList();
+    firstListBarrier.release();
   }
 
   private void updateSubchannel(Endpoint endpoint, InetSocketAddress address) {
@@ -229,51 +206,20 @@
     if (watcher.isPresent()) {
       return ReachabilityListener.NONE;
     }
-    OutlierDetector detector = new OutlierDetector();
-    outlierDetectors.put(id, detector);
-    return new OutlierEjection(id, detector);
+    OutlierEjector ejector = new OutlierEjector(this, id, dispatcher.loop(), log);
+    outlierEjectors.put(id, ejector);
+    return ejector;
   }
 
-  /** Ejects a worker of a static endpoint list while it cannot be reached. */
-  private final class OutlierEjection implements ReachabilityListener {
-    private final String id;
-    private final OutlierDetector detector;
-
-    OutlierEjection(String id, OutlierDetector detector) {
-      this.id = id;
-      this.detector = detector;
-    }
-
-    @Override
-    public void reachable() {
-      if (detector.recordSuccess() == OutlierDetector.Change.RECOVERED) {
-        log.info("worker recovered worker=" + id);
-        // Whatever the cause, it has been away: it warms up as if it had just started.
-        Endpoint known = subchannels.get(id).endpoint();
-        replace(
-            new Endpoint(
-                id,
-                known.zone(),
-                known.kind(),
-                known.failureDomain(),
-                Endpoint.State.READY,
-                dispatcher.loop().now(),
-                known.weight()));
-      }
-    }
-
-    @Override
-    public void unreachable() {
-      long now = dispatcher.loop().now();
-      if (detector.recordFailure(now) == OutlierDetector.Change.EJECTED) {
-        log.warn("worker ejected, it cannot be reached worker=" + id);
-        replace(subchannels.get(id).endpoint().withState(Endpoint.State.REMOVED));
-      }
-    }
+  /** The latest entry of a worker that the pool has. */
+  Endpoint endpoint(String id) {
+    return subchannels.get(id).endpoint();
+  }
 
-    private void replace(Endpoint endpoint) {
-      subchannels.get(id).update(initialEndpoints.addresses().get(id), endpoint);
-      publish(endpoint);
-    }
+  /** Replaces the entry of a worker of a static endpoint list. */
+  void replace(Endpoint endpoint) {
+    InetSocketAddress address = initialEndpoints.addresses().get(endpoint.id());
+    subchannels.get(endpoint.id()).update(address, endpoint);
+    publish(endpoint);
   }
 }
--- a/src/main/java/loomreel/upstream/JobCall.java
+++ b/src/main/java/loomreel/upstream/JobCall.java
@@ -10,8 +10,8 @@
 import loomreel.http.PooledConnection;
 
 /**
- * The HTTP call that submits a job to a worker, until the worker has said whether it accepts it.
- * What becomes of an accepted job is said by job status updates, and ends the attempt.
+ * The HTTP call that submits a job to a worker, until the worker accepts or rejects it. Job status
+ * updates report the outcome of an accepted job, which ends the attempt.
  *
  * <p>Between the write of the request and its response it holds a connection of the subchannel's
  * pool.
@@ -20,7 +20,7 @@
   private final HttpSubchannel subchannel;
   private final CallAttempt attempt;
 
-  /** The connection that carries the call; null before that, and once it is not needed any more. */
+  /** The connection of the call; null before the call is sent and once the call has ended. */
   private PooledConnection connection;
 
   private boolean isAccepted;
@@ -30,9 +30,9 @@
     this.attempt = attempt;
   }
 
-  /** Sets what carries the call, unless the attempt has ended already. */
-  void setConnection(PooledConnection carrier) {
-    connection = attempt.hasEnded() ? null : carrier;
+  /** Sets the connection of the call, unless the attempt has ended already. */
+  void setConnection(PooledConnection newConnection) {
+    connection = attempt.hasEnded() ? null : newConnection;
   }
 
   @Override
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Status 202 says that the job was accepted; a body that is cut, malformed or endless does not
-   * change that.
+   * Status 202 means that the job was accepted, even if the body is truncated, malformed or
+   * endless.
    */
   @Override
   public boolean headReceived(int status) {
@@ -71,7 +71,7 @@
       return;
     }
     subchannel.reachability().reachable();
-    // A job status update may have ended it before the 202 came.
+    // A job status update may have ended it before the 202 arrived.
     if (attempt.hasEnded()) {
       return;
     }
@@ -117,7 +117,7 @@
 
   /**
    * Closes the connection if the job was not accepted, and requests the end of the job if it was.
-   * The response may be unread, so it is looked for first.
+   * The response may be unread, so pending input is read first.
    */
   @Override
   public void cancel() {
--- a/src/main/java/loomreel/upstream/JobStatusUpdate.java
+++ b/src/main/java/loomreel/upstream/JobStatusUpdate.java
@@ -15,7 +15,7 @@
  *
  * @param callId the id of the job's call
  * @param workerId the worker that sends it
- * @param result what a job that is done has produced; empty if there is nothing
+ * @param result what a completed job has produced; empty if there is nothing
  * @param load the worker's load report, or null if it sends none
  */
 public record JobStatusUpdate(
@@ -77,7 +77,7 @@
     return Optional.empty();
   }
 
-  /** Applies this to the attempt that it is about, if that is in flight. */
+  /** Applies this to the attempt of its job at its worker, if that is in flight. */
   public void applyTo(Dispatcher dispatcher) {
     CallAttempt attempt = dispatcher.openAttemptAt(callId, workerId);
     if (attempt == null) {
--- a/src/main/java/loomreel/upstream/OutlierDetector.java
+++ b/src/main/java/loomreel/upstream/OutlierDetector.java
@@ -2,12 +2,12 @@
 
 /**
  * Outlier detection for one worker of a static endpoint list: ejects it after several consecutive
- * failures, and says when to probe it until it responds again, with exponential backoff.
+ * failures, and schedules probes of it with exponential backoff until it responds again.
  *
  * <p>All times are passed in, in microseconds; it reads no clock and does no I/O.
  */
 final class OutlierDetector {
-  /** A single lost connection says little. */
+  /** A single lost connection is no evidence that a worker is down. */
   private static final int CONSECUTIVE_FAILURES_TO_EJECT = 3;
 
   private static final long FIRST_PROBE_DELAY_MICROS = 500_000;
--- a/src/main/java/loomreel/upstream/ReachabilityListener.java
+++ b/src/main/java/loomreel/upstream/ReachabilityListener.java
@@ -1,6 +1,6 @@
 package loomreel.upstream;
 
-/** Receives what the calls to a worker say of whether it can be reached. */
+/** Is notified by each call to a worker whether the worker can be reached. */
 interface ReachabilityListener {
   /** Ignores everything. */
   ReachabilityListener NONE =
