--- a/src/main/java/loomreel/admin/MetricsJson.java
+++ b/src/main/java/loomreel/admin/MetricsJson.java
@@ -17,7 +17,7 @@
   /**
    * Writes metrics.
    *
-   * @param metrics values by name; a value is a whole number, or again such a map
+   * @param metrics values by name; a value is an integer, or again such a map
    */
   static String write(Map<?, ?> metrics) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/src/main/java/loomreel/cli/CheckConfigCommand.java
+++ b/src/main/java/loomreel/cli/CheckConfigCommand.java
@@ -3,6 +3,7 @@
 import java.util.concurrent.Callable;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
+import loomreel.config.ServeConfigReader;
 import picocli.CommandLine.Command;
 
 /** {@code check-config}: reads the configuration as {@code serve} would, and ends. */
@@ -13,7 +14,7 @@
   @Override
   public Integer call() {
     try {
-      ServeConfig config = ServeConfig.read(System.getenv());
+      ServeConfig config = ServeConfigReader.read(System.getenv());
       System.out.println(
           config.name()
               + ": listen "
--- a/src/main/java/loomreel/cli/ServeCommand.java
+++ b/src/main/java/loomreel/cli/ServeCommand.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.Callable;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
+import loomreel.config.ServeConfigReader;
 import loomreel.settings.FaktorySettings;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -33,7 +34,7 @@
   @Override
   public Integer call() {
     try {
-      ServeConfig config = ServeConfig.read(System.getenv());
+      ServeConfig config = ServeConfigReader.read(System.getenv());
       Optional<FaktorySettings> faktory =
           settings == null
               ? Optional.empty()
--- a/src/main/java/loomreel/cli/TrainArchiveCommand.java
+++ b/src/main/java/loomreel/cli/TrainArchiveCommand.java
@@ -6,6 +6,7 @@
 import java.util.concurrent.Callable;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
+import loomreel.config.ServeConfigReader;
 import loomreel.training.ClassArchiveTraining;
 import picocli.CommandLine.Command;
 
@@ -21,7 +22,7 @@
   public Integer call() throws IOException, ConfigException {
     try (ClassArchiveTraining training = new ClassArchiveTraining()) {
       ServeConfig config =
-          ServeConfig.read(Map.of("BALANCER_CONFIG", training.configuration().toString()));
+          ServeConfigReader.read(Map.of("BALANCER_CONFIG", training.configuration().toString()));
       Thread client =
           new Thread(
               () -> {
--- a/src/main/java/loomreel/config/ConfigException.java
+++ b/src/main/java/loomreel/config/ConfigException.java
@@ -1,6 +1,8 @@
 package loomreel.config;
 
-/** A configuration that the program cannot run with; the message says in one line what is wrong. */
+/**
+ * A configuration that the program cannot run with; the message states in one line what is wrong.
+ */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loomreel/config/JsonTree.java
+++ b/src/main/java/loomreel/config/JsonTree.java
@@ -16,7 +16,7 @@
   private JsonTree() {}
 
   /**
-   * Reads one whole document.
+   * Reads one document.
    *
    * @throws IOException if it is not JSON
    */
--- /dev/null
+++ b/src/main/java/loomreel/config/ServeConfigReader.java
@@ -0,0 +1,157 @@
+package loomreel.config;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.Locale;
+import java.util.Map;
+import loomreel.decision.Settings;
+
+/**
+ * Reads the platform's configuration: {@code BALANCER_CONFIG} names a JSON file, and the other
+ * environment variables override its fields.
+ */
+public final class ServeConfigReader {
+  /**
+   * The platform kills a process no earlier than 0.7 s after the longest deadline, which counts as
+   * 3 s at most.
+   */
+  private static final long PLATFORM_SHUTDOWN_LIMIT_MICROS = 3_700_000;
+
+  /** What stands before the name of a field in the name of its environment variable. */
+  private static final String VARIABLE_PREFIX = "BALANCER_";
+
+  private static final String CONFIG_VARIABLE = VARIABLE_PREFIX + "CONFIG";
+  private static final String DISCOVERY_VARIABLE = VARIABLE_PREFIX + "DISCOVERY";
+  private static final String LISTENER_VARIABLE = VARIABLE_PREFIX + "LISTEN_FD";
+  private static final String DIRECTORY_VARIABLE = "TMPDIR";
+
+  private static final int SEED_RADIX = 16;
+  private static final int DEFAULT_DESCRIPTORS = 1024;
+  private static final int DEFAULT_MEMORY_MEBIBYTES = 192;
+  private static final int MEBIBYTE_SHIFT = 20;
+  private static final double DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.25;
+  private static final double DEFAULT_IDLE_TIMEOUT_SECONDS = 5;
+
+  private final Object json;
+  private final Map<String, String> environment;
+
+  private ServeConfigReader(Object json, Map<String, String> environment) {
+    this.json = json;
+    this.environment = environment;
+  }
+
+  /**
+   * Reads the platform's configuration.
+   *
+   * @param environment the environment variables of the process
+   * @throws ConfigException if something is missing or does not fit
+   */
+  public static ServeConfig read(Map<String, String> environment) throws ConfigException {
+    String file = environment.get(CONFIG_VARIABLE);
+    if (file == null || file.isEmpty()) {
+      throw new ConfigException(CONFIG_VARIABLE + " is not set");
+    }
+    String descriptor = environment.getOrDefault(LISTENER_VARIABLE, "");
+    // The platform's own library hands over this one and no other.
+    if (!descriptor.isEmpty() && !descriptor.equals("0")) {
+      throw new ConfigException(LISTENER_VARIABLE + " can only be 0, not " + descriptor);
+    }
+    Object json = readJson(file);
+    try {
+      return new ServeConfigReader(json, environment).config(!descriptor.isEmpty());
+    } catch (IllegalArgumentException e) {
+      throw new ConfigException(file + ": " + e.getMessage());
+    }
+  }
+
+  /**
+   * Reads the platform's configuration again while the process runs. {@code BALANCER_DISCOVERY} is
+   * the address of discovery at the start; the one in the file is newer and takes precedence.
+   *
+   * @param environment the environment variables of the process
+   * @throws ConfigException if something is missing or does not fit
+   */
+  public static ServeConfig reread(Map<String, String> environment) throws ConfigException {
+    Map<String, String> others = new HashMap<>(environment);
+    others.remove(DISCOVERY_VARIABLE);
+    return read(others);
+  }
+
+  private static Object readJson(String file) throws ConfigException {
+    try {
+      return JsonTree.read(Files.readAllBytes(Path.of(file)));
+    } catch (IOException | RuntimeException e) {
+      throw new ConfigException(
+          file + " cannot be read: " + e.getMessage().lines().findFirst().orElse(""));
+    }
+  }
+
+  private ServeConfig config(boolean listenerInherited) {
+    Settings settings = new SettingsReader(JsonValues.get(json, SettingsKeys.SETTINGS)).read();
+    if (settings.classes().isEmpty()) {
+      throw new IllegalArgumentException("no " + SettingsKeys.REQUEST_CLASSES);
+    }
+    String directory = environment.getOrDefault(DIRECTORY_VARIABLE, "");
+    String admin = optional(SettingsKeys.ADMIN_ADDRESS);
+    return new ServeConfig(
+        required(SettingsKeys.DISPATCHER_NAME),
+        AddressParser.parse(required(SettingsKeys.LISTEN_ADDRESS)),
+        listenerInherited,
+        admin.isEmpty() ? null : AddressParser.parse(admin),
+        directory.isEmpty() ? null : Path.of(directory),
+        AddressParser.parse(required(SettingsKeys.DISCOVERY_ADDRESS)),
+        seed(),
+        maxDescriptors(),
+        memoryBytes(),
+        EndpointList.of(JsonValues.get(json, SettingsKeys.INITIAL_ENDPOINTS)),
+        settings,
+        settingMicros(
+            DEFAULT_CONNECT_TIMEOUT_SECONDS,
+            SettingsKeys.LIMITS,
+            SettingsKeys.CONNECT_TIMEOUT_SECONDS),
+        settingMicros(
+            DEFAULT_IDLE_TIMEOUT_SECONDS, SettingsKeys.LIMITS, SettingsKeys.IDLE_TIMEOUT_SECONDS),
+        settingMicros(0, SettingsKeys.RULES, SettingsKeys.ANSWER_SLACK_SECONDS),
+        PLATFORM_SHUTDOWN_LIMIT_MICROS);
+  }
+
+  private long seed() {
+    String seed = String.valueOf(JsonValues.get(json, SettingsKeys.SEED));
+    return Long.parseUnsignedLong(seed, SEED_RADIX);
+  }
+
+  private int maxDescriptors() {
+    Object number = JsonValues.get(json, SettingsKeys.RESOURCES, SettingsKeys.MAX_DESCRIPTORS);
+    return (int) JsonValues.number(number, DEFAULT_DESCRIPTORS);
+  }
+
+  private long settingMicros(double defaultSeconds, String section, String key) {
+    return JsonValues.micros(defaultSeconds, json, SettingsKeys.SETTINGS, section, key);
+  }
+
+  private long memoryBytes() {
+    Object mebibytes = JsonValues.get(json, SettingsKeys.RESOURCES, SettingsKeys.MEMORY_MEBIBYTES);
+    return (long) JsonValues.number(mebibytes, DEFAULT_MEMORY_MEBIBYTES) << MEBIBYTE_SHIFT;
+  }
+
+  private static String variable(String field) {
+    return VARIABLE_PREFIX + field.toUpperCase(Locale.ROOT);
+  }
+
+  /** The environment variable of a field, else the field itself; empty where neither is set. */
+  private String optional(String field) {
+    String value = environment.getOrDefault(variable(field), "");
+    return value.isEmpty() ? JsonValues.text(json, field) : value;
+  }
+
+  private String required(String field) {
+    String value = optional(field);
+    if (value.isEmpty()) {
+      throw new IllegalArgumentException(
+          "no " + field + ", and " + variable(field) + " is not set");
+    }
+    return value;
+  }
+}
--- a/src/main/java/loomreel/http/HttpStatus.java
+++ b/src/main/java/loomreel/http/HttpStatus.java
@@ -26,12 +26,12 @@
     return statusClass(status) == 1;
   }
 
-  /** Whether a status says that the request was processed. */
+  /** Whether a status means that the request was processed. */
   static boolean isSuccessful(int status) {
     return statusClass(status) == 2;
   }
 
-  /** Whether a status says that the request was wrong. */
+  /** Whether a status means that the request was invalid. */
   public static boolean isClientError(int status) {
     return statusClass(status) == 4;
   }
--- a/src/main/java/loomreel/http/IdleTimeoutEstimator.java
+++ b/src/main/java/loomreel/http/IdleTimeoutEstimator.java
@@ -13,7 +13,9 @@
   /** The new estimate as a fraction of the idle time after which a connection was reset. */
   private static final double RESET_MARGIN = 0.75;
 
-  /** The score at which the estimate is shortened; fewer resets may come of dying processes. */
+  /**
+   * The score at which the estimate is shortened; fewer resets may be caused by ending processes.
+   */
   private static final double RESETS_TO_SHORTEN = 3;
 
   /** How much each successful reuse lowers the score; a reset raises it by 1. */
--- a/src/main/java/loomreel/ingress/ClientConnectionState.java
+++ b/src/main/java/loomreel/ingress/ClientConnectionState.java
@@ -152,7 +152,7 @@
     return new IllegalStateException(event + " in state " + this);
   }
 
-  /** Whether requests may still be answered: neither half-closed nor closed. */
+  /** Whether requests may still be responded to: neither half-closed nor closed. */
   boolean isOpen() {
     return this != HALF_CLOSED && this != CLOSED;
   }
--- a/src/main/java/loomreel/ingress/JobRequest.java
+++ b/src/main/java/loomreel/ingress/JobRequest.java
@@ -65,7 +65,7 @@
   }
 
   /**
-   * The event that tells the policy of this job.
+   * The event that notifies the policy of this job.
    *
    * @param requestClass the index of its class in the settings
    * @param tenant the index of its tenant in the settings, -1 if unknown, as the policy expects it
--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import loomreel.config.ConfigException;
 import loomreel.config.ServeConfig;
+import loomreel.config.ServeConfigReader;
 import loomreel.core.Dispatcher;
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
@@ -44,7 +45,7 @@
     loop.execute(
         () -> {
           try {
-            ServeConfig next = ServeConfig.reread(environment);
+            ServeConfig next = ServeConfigReader.reread(environment);
             apply(next, next.changesRequiringRestart(initial));
           } catch (ConfigException e) {
             recordRejection(e.getMessage());
--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -15,7 +15,7 @@
 
 /** Translates the settings file of an installation into the configuration of a dispatcher. */
 public final class DaemonConfig {
-  /** No answer counts after a client's deadline, since clients go by their own clocks. */
+  /** No answer counts after a client's deadline, since clients measure it by their own clocks. */
   private static final long ANSWER_SLACK_MICROS = 0;
 
   /** The least time between two moments at which the decision module is called. */
--- a/src/main/java/loomreel/settings/Installation.java
+++ b/src/main/java/loomreel/settings/Installation.java
@@ -46,7 +46,7 @@
    * @param zone where it runs
    * @param kind what kind of jobs it runs; may be empty
    * @param failureDomain a part of the zone, or -1
-   * @param weight its share of the keys beside those of others
+   * @param weight its fraction of the keys relative to the weights of other workers
    */
   public record Worker(
       @Key("address") InetSocketAddress address,
--- a/src/main/java/loomreel/settings/cue/Binder.java
+++ b/src/main/java/loomreel/settings/cue/Binder.java
@@ -26,7 +26,7 @@
   private Binder() {}
 
   /**
-   * Binds a whole file.
+   * Binds a file.
    *
    * @throws CueException with every value that the schema admits and its Java type does not
    */
--- a/src/main/java/loomreel/settings/cue/CueReader.java
+++ b/src/main/java/loomreel/settings/cue/CueReader.java
@@ -4,15 +4,11 @@
 import java.math.BigInteger;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import loomreel.settings.grammar.CueLexer;
 import loomreel.settings.grammar.CueParser;
-import org.antlr.v4.runtime.BaseErrorListener;
 import org.antlr.v4.runtime.CharStreams;
 import org.antlr.v4.runtime.CommonTokenStream;
 import org.antlr.v4.runtime.ParserRuleContext;
-import org.antlr.v4.runtime.RecognitionException;
-import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
 /** Parses the text of a file into expressions. One reader parses one file. */
@@ -25,43 +21,6 @@
 
   private static final int MAX_PROBLEMS = 100;
 
-  /** What CUE has and this subset leaves out, by the token that shows it. */
-  private static final Map<Integer, String> UNSUPPORTED =
-      Map.ofEntries(
-          Map.entry(CueLexer.IMPORT, "imports are"),
-          Map.entry(CueLexer.FOR, "comprehensions (for) are"),
-          Map.entry(CueLexer.IF, "comprehensions (if) are"),
-          Map.entry(CueLexer.LET, "let clauses are"),
-          Map.entry(CueLexer.ATTRIBUTE, "attributes are"),
-          Map.entry(CueLexer.BYTES, "bytes are"),
-          Map.entry(CueLexer.MULTILINE, "multi-line strings are"),
-          Map.entry(CueLexer.RAW, "raw strings are"),
-          Map.entry(CueLexer.ALIAS, "aliases are"),
-          Map.entry(CueLexer.ARITHMETIC, "arithmetic and logic are"),
-          Map.entry(CueLexer.STAR, "arithmetic is"),
-          Map.entry(CueLexer.PLUS, "arithmetic is"),
-          Map.entry(CueLexer.MINUS, "arithmetic is"));
-
-  /** The suffixes of numbers. */
-  private static final Map<String, BigDecimal> MULTIPLIERS =
-      Map.of(
-          "K",
-          BigDecimal.valueOf(1000),
-          "M",
-          BigDecimal.valueOf(1000_000),
-          "G",
-          BigDecimal.valueOf(1000_000_000),
-          "T",
-          BigDecimal.valueOf(1000_000_000_000L),
-          "Ki",
-          BigDecimal.valueOf(1L << 10),
-          "Mi",
-          BigDecimal.valueOf(1L << 20),
-          "Gi",
-          BigDecimal.valueOf(1L << 30),
-          "Ti",
-          BigDecimal.valueOf(1L << 40));
-
   private final String file;
   private final List<Problem> problems = new ArrayList<>();
 
@@ -70,7 +29,7 @@
   }
 
   /**
-   * Reads a whole file.
+   * Reads a file.
    *
    * @param file its name, for messages
    * @throws CueException with all that is wrong with the text
@@ -98,7 +57,7 @@
     }
     CueLexer lexer = new CueLexer(CharStreams.fromString(text, file));
     CommonTokenStream tokens = new CommonTokenStream(lexer);
-    ErrorCollector errors = new ErrorCollector();
+    SyntaxErrorListener errors = new SyntaxErrorListener(this::syntaxError);
     lexer.removeErrorListeners();
     lexer.addErrorListener(errors);
     tokens.fill();
@@ -113,6 +72,11 @@
     return problems.isEmpty() ? struct(tree.declarations(), start) : null;
   }
 
+  private void syntaxError(int line, int column, String reason) {
+    problem(new Position(file, line, column), reason);
+  }
+
+  /** Whether no part of the file is nested too deep; a part that is becomes a problem. */
   private boolean checkDepth(List<Token> tokens) {
     int depth = 0;
     int labels = 0;
@@ -291,78 +255,11 @@
   }
 
   private Object number(Token token) {
-    String text = token.getText().replace("_", "");
-    if (text.length() > 100) {
-      problem(at(token), "a number of more than 100 digits");
-      return BigInteger.ZERO;
-    }
-    if (text.startsWith("0x")) {
-      return new BigInteger(text.substring(2), 16);
-    }
-    String suffix = text.replaceFirst("^[0-9.]+([eE][+-]?[0-9]+)?", "");
-    String digits = text.substring(0, text.length() - suffix.length());
-    int exponent = Math.max(digits.indexOf('e'), digits.indexOf('E'));
-    if (exponent >= 0 && digits.length() - exponent > 5) {
-      problem(at(token), "an exponent out of range");
-      return BigInteger.ZERO;
-    }
-    boolean isInt = digits.matches("[0-9]+");
-    BigDecimal value = new BigDecimal(digits);
-    if (suffix.isEmpty()) {
-      return isInt ? value.toBigIntegerExact() : value;
-    }
-    BigDecimal product = value.multiply(MULTIPLIERS.get(suffix));
-    if (product.stripTrailingZeros().scale() > 0) {
-      problem(at(token), text + " is no whole number");
+    try {
+      return NumberLiterals.parse(token.getText());
+    } catch (IllegalArgumentException e) {
+      problem(at(token), e.getMessage());
       return BigInteger.ZERO;
     }
-    return product.toBigIntegerExact();
-  }
-
-  /** Turns the lexer's and the parser's errors into problems. */
-  private final class ErrorCollector extends BaseErrorListener {
-    @Override
-    public void syntaxError(
-        Recognizer<?, ?> recognizer,
-        Object symbol,
-        int line,
-        int column,
-        String message,
-        RecognitionException e) {
-      String reason = symbol instanceof Token token ? unexpected(recognizer, token) : message;
-      problem(new Position(file, line, column + 1), reason);
-    }
-
-    private String unexpected(Recognizer<?, ?> recognizer, Token token) {
-      String unsupported = UNSUPPORTED.get(token.getType());
-      if (unsupported != null) {
-        return unsupported + " left out of this form";
-      }
-      String reason =
-          token.getType() == Token.EOF
-              ? "the file ends here"
-              : "\"" + oneLine(token.getText()) + "\" is not expected here";
-      return recognizer instanceof CueParser parser && followsIdentifier(parser, token)
-          ? reason + " (a call of a builtin, an index and an embedding are left out of this form)"
-          : reason;
-    }
-
-    private String oneLine(String text) {
-      return text.replace("\n", "\\n").replace("\r", "");
-    }
-
-    /**
-     * Whether a token stands right after an identifier, as in {@code len(x)}, {@code x[0]} or
-     * {@code {#A, b: 1}}.
-     */
-    private boolean followsIdentifier(CueParser parser, Token token) {
-      if (token.getTokenIndex() <= 0) {
-        return false;
-      }
-      Token previous = parser.getTokenStream().get(token.getTokenIndex() - 1);
-      return previous.getType() == CueLexer.IDENT
-          && List.of(CueLexer.LPAREN, CueLexer.LBRACK, CueLexer.COMMA, CueLexer.RBRACE, Token.EOF)
-              .contains(token.getType());
-    }
   }
 }
--- a/src/main/java/loomreel/settings/cue/EvaluationBudget.java
+++ b/src/main/java/loomreel/settings/cue/EvaluationBudget.java
@@ -1,7 +1,7 @@
 package loomreel.settings.cue;
 
 /**
- * The limits of one evaluation, so that no settings file can keep a reader busy for long or exhaust
+ * The limits of one evaluation, so that no settings file can occupy a reader for long or exhaust
  * its stack.
  */
 final class EvaluationBudget {
--- a/src/main/java/loomreel/settings/cue/Evaluator.java
+++ b/src/main/java/loomreel/settings/cue/Evaluator.java
@@ -78,7 +78,9 @@
     return List.of(new Choice(vertex, true));
   }
 
-  /** What a disjunction stands for: its one default, or all that is left of it, or nothing yet. */
+  /**
+   * The value of a disjunction: its one default, or its only remaining alternative, or none yet.
+   */
   static Optional<Vertex> settle(List<Choice> choices) {
     List<Choice> defaults = choices.stream().filter(Choice::isDefault).toList();
     if (defaults.size() == 1) {
--- a/src/main/java/loomreel/settings/cue/Expr.java
+++ b/src/main/java/loomreel/settings/cue/Expr.java
@@ -9,7 +9,7 @@
   /** {@code value} is a String, BigInteger, BigDecimal, Boolean or {@link NullValue}. */
   record Literal(Object value, Position at) implements Expr {}
 
-  /** {@code _}, which says nothing, or {@code _|_}, which nothing satisfies. */
+  /** {@code _}, which admits every value, or {@code _|_}, which nothing satisfies. */
   record Top(Position at) implements Expr {}
 
   record Bottom(Position at) implements Expr {}
@@ -39,7 +39,7 @@
   /** {@code rest} is null where the list has just these items. */
   record ListExpr(List<Expr> items, Expr rest, Position at) implements Expr {}
 
-  /** Whether a field is there, must be given, or may be given; the strongest comes first. */
+  /** Whether a field is given, must be given, or may be given; the strongest is the first. */
   enum Presence {
     REGULAR(""),
     REQUIRED("!"),
--- a/src/main/java/loomreel/settings/cue/JsonSchema.java
+++ b/src/main/java/loomreel/settings/cue/JsonSchema.java
@@ -140,7 +140,7 @@
     List<Map<String, Object>> alternatives = new ArrayList<>();
     for (Expr.Disjunct disjunct : disjunction.disjuncts()) {
       Map<String, Object> alternative = toSchema(disjunct.value());
-      // A default beside its type says nothing more than the type does.
+      // A default beside its type adds no constraint.
       if (!disjunct.isDefault()
           || disjunction.disjuncts().size() > 2
           || !alternative.containsKey("const")) {
--- a/src/main/java/loomreel/settings/cue/Labels.java
+++ b/src/main/java/loomreel/settings/cue/Labels.java
@@ -1,6 +1,6 @@
 package loomreel.settings.cue;
 
-/** What the names of fields tell of them, as CUE has it. */
+/** The kinds of fields that CUE distinguishes by their names. */
 final class Labels {
   private Labels() {}
 
--- a/src/main/java/loomreel/settings/cue/Problem.java
+++ b/src/main/java/loomreel/settings/cue/Problem.java
@@ -5,16 +5,16 @@
 /**
  * Something wrong with a file.
  *
- * @param path the field, as {@code faktory.queues.bulk.weight}; empty for the file as a whole
- * @param isGap whether a value is only missing or not settled yet, which more of a file could mend;
- *     a conflict stays one
+ * @param path the field, as {@code faktory.queues.bulk.weight}; empty for the file itself
+ * @param isGap whether a value is only missing or not settled yet, which an addition to the file
+ *     could resolve; a conflict cannot be resolved so
  */
 public record Problem(Position at, String path, String reason, boolean isGap)
     implements Comparable<Problem> {
   private static final Comparator<Problem> BY_PLACE =
       Comparator.comparing(Problem::at).thenComparing(Problem::path).thenComparing(Problem::reason);
 
-  /** A contradiction, which nothing added to the file could mend. */
+  /** A contradiction, which no addition to the file can resolve. */
   public static Problem conflict(Position at, String path, String reason) {
     return new Problem(at, path, reason, false);
   }
--- a/src/main/java/loomreel/settings/cue/StringLiterals.java
+++ b/src/main/java/loomreel/settings/cue/StringLiterals.java
@@ -24,7 +24,7 @@
   /**
    * The text between two quotes.
    *
-   * @throws IllegalArgumentException naming an escape that is unknown or left out
+   * @throws IllegalArgumentException naming an escape that is unknown or unsupported
    */
   static String unquote(String quoted) {
     StringBuilder out = new StringBuilder();
--- a/src/main/java/loomreel/settings/cue/Tree.java
+++ b/src/main/java/loomreel/settings/cue/Tree.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /**
- * A settled value and the place in the file that it comes from.
+ * A settled value and its place in the file.
  *
  * @param value a Map of String to Tree, a List of Tree, String, BigInteger, BigDecimal, Boolean, or
  *     null
--- a/src/main/java/loomreel/settings/cue/TreeBuilder.java
+++ b/src/main/java/loomreel/settings/cue/TreeBuilder.java
@@ -23,7 +23,7 @@
     return problems;
   }
 
-  /** The settled value of a whole file; parts that are wrong are null in it. */
+  /** The settled value of a file; parts that are wrong are null in it. */
   Tree build(Vertex root) {
     return build(root, "", 0);
   }
--- a/src/test/java/loomreel/config/ServeConfigTest.java
+++ b/src/test/java/loomreel/config/ServeConfigReaderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Which member each name of the platform's configuration sets. */
-class ServeConfigTest {
+class ServeConfigReaderTest {
   /** A configuration with every key, each with a value of its own. */
   private static final String DOCUMENT =
       """
@@ -55,7 +55,7 @@
 
   private ServeConfig read(String document) throws Exception {
     Path file = Files.writeString(directory.resolve("config.json"), document);
-    return ServeConfig.read(Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", "state"));
+    return ServeConfigReader.read(Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", "state"));
   }
 
   @Test
--- a/src/test/java/loomreel/program/StepControlledServer.java
+++ b/src/test/java/loomreel/program/StepControlledServer.java
@@ -17,6 +17,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import loomreel.config.ServeConfig;
+import loomreel.config.ServeConfigReader;
 import loomreel.io.TraceWriter;
 import loomreel.server.Server;
 
@@ -91,7 +92,7 @@
     super(workerCount);
     Path file = Files.createTempFile("loomreel", ".json");
     Files.writeString(file, complete(configuration).toJson());
-    ServeConfig config = ServeConfig.read(Map.of("BALANCER_CONFIG", file.toString()));
+    ServeConfig config = ServeConfigReader.read(Map.of("BALANCER_CONFIG", file.toString()));
     Files.delete(file);
     server = new Server(config, Optional.empty(), Optional.of(new StepRecorder()));
     port = server.port();
