--- a/src/main/resources/loomreel/settings/installation.cue
+++ b/src/main/resources/loomreel/settings/installation.cue
@@ -1,7 +1,7 @@
-// What an installation of loomreel is. A file of settings unifies with #Installation (loomreel daemon) or with #Features
-// (loomreel serve --settings), and says only what differs from the defaults here.
+// The schema of loomreel's settings files. A file unifies with #Installation (loomreel daemon) or with #Features
+// (loomreel serve --settings), and sets only what differs from the defaults here.
 
-// A length of time, with its unit: "250ms", "2s", "1m30s".
+// A duration, with its unit: "250ms", "2s", "1m30s".
 #Duration: =~"^([0-9]+(us|ms|s|m|h))+$"
 
 // A number of bytes, with its unit: "64KiB".
@@ -16,23 +16,23 @@
 #Installation: {
 	// This dispatcher's name.
 	name!: #Name
-	// The site that it stands in; copy workers of the same site are nearer.
+	// The zone where it runs; workers of the same zone are preferred.
 	site: #Name | *"here"
-	// How many dispatchers serve the same copy workers, this one included.
+	// How many dispatchers serve the same workers, this one included.
 	dispatchers: int & >=1 & <=1000 | *1
 
 	listen!: {
-		// Where HTTP clients and call-backs come to.
+		// The address for HTTP clients and workers' callbacks.
 		http!: #Address
-		// The second address, for operators.
+		// The address for operators, if there is one.
 		operators?: #Address
 	}
 
-	// Copy workers over HTTP: from discovery, or these and no others. Faktory copy workers come by themselves.
+	// HTTP workers: from discovery, or exactly these. Faktory workers register themselves.
 	discovery?: #Address
 	workers?: [string]: #Worker
 
-	// Classes of jobs, the more particular before the rest; a class is the first part of a job's path.
+	// Classes of jobs, the more specific ones first; the first segment of a job's path names its class.
 	classes!: [=~"^[A-Za-z0-9_.-]{1,64}$"]: #Class
 	tenants?: [string]: #Tenant
 
@@ -43,7 +43,7 @@
 	faktory?: #Faktory
 }
 
-// What the platform's own configuration does not hold.
+// Features that the platform's own configuration has no settings for.
 #Features: {
 	faktory?: #Faktory
 }
@@ -57,26 +57,26 @@
 }
 
 #Class: {
-	// What may be done once an attempt might have run: "free" repeats it anywhere, "guarded" within a group that drops
-	// repeats, "single_shot" never.
+	// Idempotency, once an attempt may have run: "free" is retried anywhere, "guarded" within a group that deduplicates
+	// by idempotency key, "single_shot" never.
 	repeat!: "free" | "guarded" | "single_shot"
 	group:   "all" | "zone" | "cell" | *"cell"
-	// How long a guarded job's repeats are dropped.
+	// How long the repetitions of a guarded job are deduplicated.
 	window: #Duration | *"0s"
-	// An answer within this time, and stretch times the job's own work, has its full worth.
+	// The latency objective: a response within this time, plus stretch times the job's own work, has its full weight.
 	target!: #Duration
 	stretch: number & >=0 & <=100 | *0.0
-	// How long a client waits in all.
+	// How long a client waits, over all attempts.
 	deadline!: #Duration
 	worth:     number & >=0 | *1.0
 	late_worth: number & >=0 & <=1 | *0.0
 	priority:  int & >=0 & <=100 | *0
-	// The kind of copy worker that runs it; any does where this is empty.
+	// The kind of worker that it needs; empty if any will do.
 	kind: string | *""
 }
 
 #Tenant: {
-	// Jobs a second, over all dispatchers, that are within its share.
+	// Its quota: jobs per second, over all dispatchers.
 	allowance!: number & >0
 }
 
@@ -85,23 +85,23 @@
 	second_copies: bool | *true
 	cancelling:    bool | *true
 	probing:       bool | *true
-	// Whether clients are told when to come back, and the longest time that they are sent away for.
+	// Whether rejections have a Retry-After, and its upper limit.
 	hold_off:     bool | *true
 	max_hold_off: #Duration | *"1500ms"
-	// What the process may use.
+	// The resources of the process.
 	memory:      #Size | *"512MiB"
 	descriptors: int & >=64 & <=1048576 | *1024
 }
 
 #Rules: {
-	// Nothing new goes to a copy worker so long after it was told to be leaving.
+	// For how long attempts may still start on a worker that is listed as draining.
 	stop_sending_within: #Duration | *"3s"
-	// How long discovery may go unasked.
+	// The longest time between two polls of discovery.
 	ask_within: #Duration | *"10s"
-	// A copy worker starts at this share of what it can do, and is warm after that time.
+	// Slow start: a worker starts with this fraction of its capacity, and has all of it after that time.
 	cold_from: number & >0 & <=1 | *0.14
 	cold_for:  #Duration | *"24s"
-	// Sent this multiple of what it can do, for that long, it falls over.
+	// A warming worker that is sent this multiple of its capacity, for that long, fails.
 	tip_multiple: number & >1 | *2.5
 	fall_within:  #Duration | *"3s"
 }
@@ -109,25 +109,25 @@
 #Network: {
 	connect_within: #Duration | *"250ms"
 	idle_for:       #Duration | *"5s"
-	// Where load reports travel: with answers, with probes, or nowhere.
+	// Where load reports come from: responses, health checks, or nowhere.
 	reports: "none" | "answers" | "probes" | *"probes"
-	// Whether copy workers tell when a job starts.
+	// Whether workers report that a job has started.
 	tells_start: bool | *false
 }
 
 #Faktory: {
 	listen!: #Address
-	// Clients and copy workers prove that they know it; without one, anybody may come.
+	// Clients and workers prove that they know it; without one, anybody may connect.
 	password?: string & =~"^.{1,256}$"
 	// How often the password is hashed.
 	iterations: int & >=1 & <=100000 | *5000
-	// Whether copy workers may come, and how.
+	// Whether and how workers may connect.
 	workers: #FaktoryWorkers
-	// The queues that are taken, and what is in them; "*" stands for every other one.
+	// The accepted queues and their classes; "*" stands for every other queue.
 	queues!: [string]: #Queue
 	// Job types whose class is not their queue's.
 	job_types?: [string]: #JobType
-	// The part of all room for jobs that jobs from here may hold, so that HTTP clients keep theirs.
+	// The fraction of the capacity for jobs that Faktory's jobs may use, so that the rest is for HTTP clients.
 	share: number & >0 & <=0.9 | *0.5
 	backlog: {
 		jobs:  int & >=1 & <=10000000 | *100000
@@ -136,35 +136,35 @@
 	connections: int & >=1 & <=100000 | *256
 	// The longest command; a PUSHB is one.
 	command: #Size | *"4MiB"
-	// How often a job is tried again where it does not say.
+	// How often a job without a retry count of its own is retried.
 	retry: int & >=-1 & <=100 | *25
-	// The first wait before that, which grows with the fourth power of the count: Faktory's is 15 s.
+	// The first backoff, which grows with the fourth power of the number of failures: Faktory's is 15 s.
 	backoff: #Duration | *"15s"
-	// How long an ended job is remembered: a jid is not taken twice within that time.
+	// How long an ended job is retained: a jid is not accepted twice within that time.
 	remember:      #Duration | *"10m"
 	remember_most: int & >=1 & <=10000000 | *100000
 	// Whether clients may FLUSH and MUTATE.
 	may_mutate: bool | *false
-	// The directory in which jobs that wait outlive stops and kills; "none": they are lost with the process.
+	// The directory that stores waiting jobs, which survive the process; "none": they are lost with it.
 	spool: string | *"loomreel-spool"
-	// Bytes on disk beyond which no job is taken.
+	// Bytes on disk beyond which no job is accepted.
 	spool_most: #Size | *"1GiB"
-	// What waiting jobs of a class outlive once PUSH is answered: "written" the process, "synced" the machine's power as
-	// well. Where a class is not named here: "written" if its jobs may run again, else "synced".
+	// What waiting jobs of a class survive once PUSH is acknowledged: "written" a crash, "synced" a power failure as
+	// well. The default of a class: "written" if its jobs may run again, else "synced".
 	durability?: [string]: "written" | "synced"
 }
 
 #FaktoryWorkers: {
 	allowed: bool | *true
-	// Without a BEAT for so long a copy worker is gone.
+	// The heartbeat timeout: a worker without a BEAT for this long is removed.
 	beat_within: #Duration | *"60s"
 	// How long a FETCH waits for a job.
 	fetch_wait: #Duration | *"2s"
-	// Jobs at a time before it has fetched, where its labels do not say ("slots=4"); then what it takes at a time.
+	// A worker's slots before it has fetched, unless its labels set them ("slots=4"); later they are measured.
 	slots: int & >=1 & <=1024 | *1
-	// Whether one that has just come is cold, as the rules say. One that fetches takes no more than it can run.
+	// Whether a new worker has a slow start as in the rules. A worker that fetches limits its load itself.
 	cold: bool | *false
-	// What copy workers are told in the answers to BEAT while this process stops.
+	// The state that replies to BEAT request of workers during a graceful shutdown.
 	on_stop: "stay" | "terminate" | *"quiet"
 }
 
--- a/src/test/java/loomreel/config/ServeConfigReaderTest.java
+++ b/src/test/java/loomreel/config/ServeConfigReaderTest.java
@@ -198,7 +198,7 @@
     assertEquals(expected, settings.loadReporting());
   }
 
-  /** The document above leaves no name out, but for the words that the next test has. */
+  /** The document has every name but the word that the test above has. */
   @Test
   void eachNameOfTheConfigurationIsTested() throws Exception {
     for (Field key : SettingsKeys.class.getDeclaredFields()) {
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whatever comes of a call to discovery, what it missed is known before sending to a draining
- * worker would break the rules.
+ * Whatever the outcome of a call to discovery, a change that it missed is known before sending to a
+ * draining worker would violate the rules.
  */
 class WatchTimeoutsTest {
   private static final long SECOND = 1_000_000;
@@ -40,15 +40,15 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 3, 10})
-  void whatASilentCallMissedIsKnownInTime(double grace) {
+  void aChangeThatASilentCallMissedIsKnownInTime(double grace) {
     WatchTimeouts timeouts = timeouts(grace, true);
     // Silent from the start: 6 s after it, or 2 s after its wait, everything counts as known.
-    double breaks = Math.max(6, timeouts.maxWait() / 1e6 + 2) + grace;
-    double givenUp = timeouts.deadline(0, true) / 1e6;
-    double nextGivenUp = givenUp + timeouts.responseTimeout() / 1e6;
+    double violation = Math.max(6, timeouts.maxWait() / 1e6 + 2) + grace;
+    double timedOut = timeouts.deadline(0, true) / 1e6;
+    double nextTimedOut = timedOut + timeouts.responseTimeout() / 1e6;
     assertTrue(
-        nextGivenUp <= breaks,
-        "the call that replaces it is answered by " + nextGivenUp + ", of " + breaks);
+        nextTimedOut <= violation,
+        "the call that replaces it ends by " + nextTimedOut + ", of " + violation);
     assertTrue(timeouts.responseTimeout() > 0.9 * SECOND, "a slow call is not silent");
   }
 
@@ -76,7 +76,7 @@
 
   /**
    * A network partition may outlast a call: from the first silent one on, a call goes out every
-   * second or so until one is answered.
+   * second or so until one is responded to.
    */
   @Test
   void aSilentCallIsRetriedAtOnceAndThenAtAnInterval() {
@@ -99,16 +99,16 @@
     assertEquals(
         Failure.UNAVAILABLE,
         Failure.of(AttemptOutcome.CONNECT_FAILED, false, false),
-        "nothing listens: it is down");
+        "no listener: it is down");
     assertEquals(Failure.SILENT, still);
   }
 
   /**
-   * Discovery is up and its list has changed: what was in the part that came may count as known.
+   * Discovery is up and its list has changed: changes in the part that arrived may count as known.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 0.5, 1, 3, 10})
-  void anInvalidAnswerIsRetriedWithinTheGrace(double grace) {
+  void anInvalidResponseIsRetriedWithinTheGrace(double grace) {
     WatchTimeouts timeouts = timeouts(grace, true);
     for (AttemptOutcome outcome :
         new AttemptOutcome[] {AttemptOutcome.RESET, AttemptOutcome.ERROR}) {
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void anAgentIsPolledAgainWhateverTheFailure() {
+  void anAgentIsPolledAgainAfterAnyFailure() {
     WatchTimeouts timeouts = timeouts(0.5, false);
     for (Failure failure : Failure.values()) {
       for (boolean silent : new boolean[] {false, true}) {
@@ -139,7 +139,7 @@
     }
   }
 
-  /** How a call may fail, and what part of its time limit that takes. */
+  /** How a call may fail, and the fraction of its time limit after which it does. */
   private enum Ending {
     CONNECTION_REFUSED(AttemptOutcome.CONNECT_FAILED, 0),
     NO_CONNECTION(AttemptOutcome.CONNECT_FAILED, -1),
@@ -149,26 +149,26 @@
     SILENT(AttemptOutcome.TIMEOUT, 1);
 
     final AttemptOutcome outcome;
-    final double part;
+    final double limitFraction;
 
-    Ending(AttemptOutcome outcome, double part) {
+    Ending(AttemptOutcome outcome, double limitFraction) {
       this.outcome = outcome;
-      this.part = part;
+      this.limitFraction = limitFraction;
     }
 
     long duration(long limit) {
-      return part < 0 ? 250_000 : (long) (part * limit);
+      return limitFraction < 0 ? 250_000 : (long) (limitFraction * limit);
     }
   }
 
   /**
    * Every sequence of up to five failures, by the policy and these timeouts together, on a virtual
-   * clock: discovery can be reached from the moment on in which the last of them has begun, so that
-   * this one is lost as well. The call after it has half a second for its answer.
+   * clock: discovery can be reached from the start of the last of them on, which fails as well. The
+   * call after it has half a second for its response.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 2, 3, 10})
-  void whateverCameOfOurCallsAChangeIsKnownBeforeASendCouldBreakTheRule(double grace) {
+  void afterAnyFailuresAChangeIsKnownBeforeASendCouldViolateTheRule(double grace) {
     Ending[] all = Ending.values();
     for (int length = 1; length <= 5; length++) {
       for (int code = 0; code < Math.pow(all.length, length); code++) {
@@ -176,16 +176,16 @@
         for (int i = 0, rest = code; i < length; i++, rest /= all.length) {
           sequence[i] = all[rest % all.length];
         }
-        long unknown = reachableUntilAsked(grace, sequence, code);
+        long unknown = reachableUntilPolled(grace, sequence, code);
         assertTrue(
             unknown + SECOND / 2 <= (6 + grace + 0.05) * SECOND,
-            "asked " + unknown + " us after it could be reached: " + Arrays.toString(sequence));
+            "polled " + unknown + " us after it could be reached: " + Arrays.toString(sequence));
       }
     }
   }
 
   /** From the start of the last of these calls, which all fail, to that of the one after it. */
-  private static long reachableUntilAsked(double grace, Ending[] sequence, long seed) {
+  private static long reachableUntilPolled(double grace, Ending[] sequence, long seed) {
     WatchTimeouts timeouts = timeouts(grace, true);
     DispatchPolicy policy = new DispatchPolicy();
     List<Action> actions = new ArrayList<>();
--- a/src/test/java/loomreel/http/HttpMessageParserTest.java
+++ b/src/test/java/loomreel/http/HttpMessageParserTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests and responses, whole and in pieces, and input that is neither. */
+/** Requests and responses, complete and in parts, and malformed input. */
 class HttpMessageParserTest {
   private final BufferPool pool = new BufferPool(100);
   private final HttpMessageParser requests = new HttpMessageParser(pool, true);
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aChunkedRequestMayComeByteByByte() throws Exception {
+  void aChunkedRequestMayArriveByteByByte() throws Exception {
     String text =
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n";
     for (int i = 0; i < text.length() - 1; i++) {
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void bytesBehindAMessageAreLeft() throws Exception {
+  void bytesBehindAMessageAreNotConsumed() throws Exception {
     ByteBuffer in = bytes("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.0\r\n\r\n");
 
     HttpMessage first = requests.feed(in);
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void theHeadOfAResponseIsReportedOnceBeforeItsEnd() throws Exception {
+  void theHeadOfAnIncompleteResponseIsReportedOnce() throws Exception {
     responses.feed(bytes("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n"));
 
     assertTrue(responses.takeHeadReceived());
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void anExpectationIsKnownFromTheHeadToTheFirstByteOfTheBody() throws Exception {
+  void aContinueExpectationEndsWithTheFirstByteOfTheBody() throws Exception {
     requests.feed(bytes("POST /a HTTP/1.1\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n"));
     assertTrue(requests.expectsContinue());
 
--- a/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
+++ b/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
@@ -19,7 +19,7 @@
     estimator.recordUnsolicitedResponse(SECOND);
     assertTrue(estimator.reuseDelay(SECOND) >= 10_000);
     assertTrue(estimator.reuseDelay(5 * SECOND) >= 10_000);
-    assertEquals(0, estimator.reuseDelay(60 * SECOND), "no suspicion lasts for ever");
+    assertEquals(0, estimator.reuseDelay(60 * SECOND), "the suspicion has ended");
   }
 
   @Test
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aResetOfAConnectionThatWasHardlyIdleTeachesNothing() {
+  void aResetAfterAShortIdleTimeDoesNotCount() {
     for (int i = 0; i < 10; i++) {
       estimator.recordReuse(49_999, true, SECOND);
     }
--- a/src/test/java/loomreel/ingress/JobRequestTest.java
+++ b/src/test/java/loomreel/ingress/JobRequestTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which job headers are accepted, and what they come to. */
+/** Which job headers are accepted, and the values that they are parsed to. */
 class JobRequestTest {
   private static final String CALL_ID = "0123456789abcDEF";
 
@@ -35,16 +35,16 @@
   @CsvSource(
       delimiter = '|',
       value = {"slots=3|3", "a=1, slots=2.5 ,slots=9|2.5", "slots|1", "a=b=c,,|1", "slots=0|0"})
-  void slotsAreReadFromTheFirstFieldOfThatName(String callInfo, double slots) {
+  void slotsAreReadFromTheFirstFieldOfThatName(String jobFields, double slots) {
     JobRequest job =
-        parse("x-call-id", CALL_ID, "x-budget-ms", "1", "x-call-info", callInfo).orElseThrow();
+        parse("x-call-id", CALL_ID, "x-budget-ms", "1", "x-call-info", jobFields).orElseThrow();
     assertEquals(slots, job.slots());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"slots=1025", "slots=-1", "slots=1e3", "slots=", "slots=NaN"})
-  void slotsThatAreNoSoundNumberAreRejected(String callInfo) {
-    assertTrue(parse("x-call-id", CALL_ID, "x-budget-ms", "1", "x-call-info", callInfo).isEmpty());
+  void slotsOutOfRangeOrMalformedAreRejected(String jobFields) {
+    assertTrue(parse("x-call-id", CALL_ID, "x-budget-ms", "1", "x-call-info", jobFields).isEmpty());
   }
 
   @Test
--- a/src/test/java/loomreel/ingress/PipelinedInputTest.java
+++ b/src/test/java/loomreel/ingress/PipelinedInputTest.java
@@ -10,7 +10,7 @@
 import loomreel.io.BufferPool;
 import org.junit.jupiter.api.Test;
 
-/** What is kept of the input behind the current request. */
+/** Which input behind the current request is buffered, and which is discarded. */
 class PipelinedInputTest {
   private static final int MAX_BUFFERED_BYTES = HttpMessageParser.MAX_BODY + BufferPool.SIZE;
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
@@ -36,11 +36,11 @@
   }
 
   @Test
-  void inputBeyondTheBoundIsDiscardedWithAllBeforeAndBehindIt() {
+  void inputBeyondTheLimitIsDiscardedWithAllOtherInput() {
     assertTrue(input.add(bytes(MAX_BUFFERED_BYTES)));
     assertFalse(input.add(bytes(1)));
     assertTrue(input.isEmpty());
-    assertFalse(input.add(bytes(1)), "what follows a gap has no meaning");
+    assertFalse(input.add(bytes(1)), "input behind a gap is meaningless");
     assertTrue(input.isEmpty());
   }
 
--- a/src/test/java/loomreel/ingress/RequestRouteTest.java
+++ b/src/test/java/loomreel/ingress/RequestRouteTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the path of a request asks for. */
+/** The kind of a request, by its path. */
 class RequestRouteTest {
   private static final Set<String> REQUEST_CLASSES = Set.of("copy", "issue");
 
@@ -26,7 +26,7 @@
     "/, UNKNOWN",
     "*, UNKNOWN"
   })
-  void thePathDecides(String target, Kind kind) {
+  void thePathDeterminesTheKind(String target, Kind kind) {
     assertEquals(kind, RequestRoute.of(target, REQUEST_CLASSES).kind());
   }
 
--- a/src/test/java/loomreel/settings/InstallationFileTest.java
+++ b/src/test/java/loomreel/settings/InstallationFileTest.java
@@ -11,14 +11,15 @@
 import com.networknt.schema.SpecVersion;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import loomreel.settings.cue.Cue;
 import loomreel.settings.cue.CueException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The file of an installation. */
+/** The settings file of an installation: values, messages and the JSON Schema. */
 class InstallationFileTest {
-  private static final String GOOD =
+  private static final String VALID_FILE =
       """
       name: "n"
       listen: http: "127.0.0.1:0"
@@ -28,13 +29,13 @@
       """;
 
   @Test
-  void theOneThatShipsIsGood() throws Exception {
+  void theSampleFileIsValid() throws Exception {
     assertEquals(2, InstallationFile.read(Path.of("deploy/loomreel.cue")).jobClasses().size());
-    Installation good = InstallationFile.installation("f", GOOD);
-    assertEquals(90_000_000, good.jobClasses().get("copy").deadline().micros());
-    assertEquals(4 << 20, good.faktory().maxCommandSize().bytes());
-    assertEquals(0.5, good.faktory().maxCapacityFraction());
-    assertEquals(4, good.limits().maxAttempts());
+    Installation installation = InstallationFile.installation("f", VALID_FILE);
+    assertEquals(90_000_000, installation.jobClasses().get("copy").deadline().micros());
+    assertEquals(4 << 20, installation.faktory().maxCommandSize().bytes());
+    assertEquals(0.5, installation.faktory().maxCapacityFraction());
+    assertEquals(4, installation.limits().maxAttempts());
   }
 
   @ParameterizedTest
@@ -59,10 +60,11 @@
         "limits: memory: \"999999999999GiB\"~f:6:9: limits.memory: 999999999999GiB is no size",
         "faktry: {}~f:6:1: faktry: no such field; meant faktory?"
       })
-  void whatIsWrongIsToldWithItsPlace(String more, String message) {
+  void aProblemIsReportedWithItsPlace(String addition, String message) {
     CueException e =
         assertThrows(
-            CueException.class, () -> InstallationFile.installation("f", GOOD + more + "\n"));
+            CueException.class,
+            () -> InstallationFile.installation("f", VALID_FILE + addition + "\n"));
     String shown = e.getMessage();
     assertTrue(
         shown
@@ -76,21 +78,21 @@
 
   /** The JSON Schema for editors agrees with the program, as far as JSON Schema can express it. */
   @Test
-  void theJsonSchemaAgrees() throws Exception {
+  void theJsonSchemaAdmitsTheSameFiles() throws Exception {
     ObjectMapper mapper = new ObjectMapper();
     JsonSchema schema =
         JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
             .getSchema(InstallationFile.schema().jsonSchema(InstallationFile.INSTALLATION));
-    String[] files = {GOOD, Files.readString(Path.of("deploy/loomreel.cue"))};
+    String[] files = {VALID_FILE, Files.readString(Path.of("deploy/loomreel.cue"))};
     for (String file : files) {
-      JsonNode good = mapper.readTree(loomreel.settings.cue.Cue.read("f", file).toString());
-      assertTrue(schema.validate(good).isEmpty(), () -> schema.validate(good).toString());
-      // A file in JSON is one in CUE.
+      JsonNode valid = mapper.readTree(Cue.read("f", file).toString());
+      assertTrue(schema.validate(valid).isEmpty(), () -> schema.validate(valid).toString());
+      // A JSON file is a CUE file.
       assertEquals(
           InstallationFile.installation("f", file),
-          InstallationFile.installation("f", good.toString()));
+          InstallationFile.installation("f", valid.toString()));
     }
-    for (String bad :
+    for (String invalid :
         new String[] {
           "limits: attempts: 5",
           "faktry: {}",
@@ -99,9 +101,9 @@
         }) {
       assertTrue(
           !schema
-              .validate(mapper.readTree(loomreel.settings.cue.Cue.read("f", GOOD + bad).toString()))
+              .validate(mapper.readTree(Cue.read("f", VALID_FILE + invalid).toString()))
               .isEmpty(),
-          bad);
+          invalid);
     }
   }
 }
--- a/src/test/java/loomreel/settings/cue/CueTest.java
+++ b/src/test/java/loomreel/settings/cue/CueTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What files say, as CUE's own tools would have it. */
+/** The values and errors of files, as CUE's own tools report them. */
 class CueTest {
   @ParameterizedTest
   @CsvSource(
@@ -36,12 +36,11 @@
         "#T: {v: int, next?: #T}⏎t: #T & {v: 1, next: {v: 2}}§{\"t\":{\"v\":1,\"next\":{\"v\":2}}}",
         "a: {...}⏎a: {z: 1}§{\"a\":{\"z\":1}}"
       })
-  void isRead(String text, String json) throws Exception {
+  void aValidFileHasTheValueOfItsJson(String text, String json) throws Exception {
     Tree expected = Cue.read("expected", json);
     assertEquals(expected.toString(), Cue.read("file", text.replace('⏎', '\n')).toString());
   }
 
-  /** Each is rejected with its place and the reason. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '§',
@@ -69,14 +68,14 @@
         "a: [for x in y {x}]§file:1:5: comprehensions (for) are left out of this form",
         "a: 'b'§file:1:4: bytes are left out of this form"
       })
-  void isRejected(String text, String message) {
+  void anInvalidFileIsRejectedWithPlaceAndReason(String text, String message) {
     CueException e =
         assertThrows(CueException.class, () -> Cue.read("file", text.replace('⏎', '\n')));
     assertTrue(e.getMessage().lines().anyMatch(message::equals), e.getMessage());
   }
 
   @Test
-  void tellsAllThatIsWrongAtOnce() {
+  void allProblemsOfAFileAreReportedTogether() {
     CueException e =
         assertThrows(
             CueException.class,
@@ -86,7 +85,7 @@
     assertEquals(4, e.problems().size(), e.getMessage());
   }
 
-  /** None of these may keep the reader, or exhaust its stack. */
+  /** None of these may occupy the reader for long, or exhaust its stack. */
   @Test
   void deepOrWideFilesAreRejectedQuickly() {
     String wide = "a: " + "(1 | 2 | 3) & ".repeat(24) + "_";
--- a/src/test/java/loomreel/settings/cue/UnificationTest.java
+++ b/src/test/java/loomreel/settings/cue/UnificationTest.java
@@ -11,9 +11,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What is said in another order, or twice, says the same. */
+/** Unification is commutative, associative and idempotent, and no text breaks the reader. */
 class UnificationTest {
-  /** Tokens and fragments that texts are put together from. */
+  /** Tokens and fragments of which texts are composed. */
   private static final List<String> PIECES =
       List.of(
           "a",
@@ -135,12 +135,13 @@
   }
 
   @Property(tries = 400, seed = "20261201")
-  void commutes(@ForAll("values") String a, @ForAll("values") String b) throws CueException {
+  void unificationIsCommutative(@ForAll("values") String a, @ForAll("values") String b)
+      throws CueException {
     assertEquals(Cue.canonical(a + " & " + b), Cue.canonical(b + " & " + a));
   }
 
   @Property(tries = 400, seed = "20261201")
-  void associates(
+  void unificationIsAssociative(
       @ForAll("values") String a, @ForAll("values") String b, @ForAll("values") String c)
       throws CueException {
     assertEquals(
@@ -149,13 +150,13 @@
   }
 
   @Property(tries = 400, seed = "20261201")
-  void isIdempotent(@ForAll("values") String a) throws CueException {
+  void unificationIsIdempotent(@ForAll("values") String a) throws CueException {
     assertEquals(Cue.canonical(a), Cue.canonical(a + " & " + a));
   }
 
-  /** Any text gives a value or the reader's own exception. */
+  /** Any text has a value or fails with the reader's own exception. */
   @Property(tries = 2000, seed = "20261201")
-  void readsOrRejectsAnyText(@ForAll("texts") String text) {
+  void anyTextIsReadOrRejected(@ForAll("texts") String text) {
     try {
       assertTrue(Cue.read("any", text).value() != null);
     } catch (CueException e) {
--- a/src/test/java/loomreel/upstream/JobStatusUpdateTest.java
+++ b/src/test/java/loomreel/upstream/JobStatusUpdateTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the body of a callback comes to. */
+/** The job status update that the body of a callback is parsed to. */
 class JobStatusUpdateTest {
   private static Optional<JobStatusUpdate> parse(String body) {
     return JobStatusUpdate.parse(body.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/loomreel/upstream/LoadReportTest.java
+++ b/src/test/java/loomreel/upstream/LoadReportTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.NullAndEmptySource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which forms of a load report are understood. */
+/** The forms of load reports that are parsed. */
 class LoadReportTest {
   private static final Optional<WorkerLoad> LOAD =
       Optional.of(new WorkerLoad(2, 7, 0.5, Double.NaN));
