--- a/src/main/java/loomreel/benchmark/Benchmark.java
+++ b/src/main/java/loomreel/benchmark/Benchmark.java
@@ -86,7 +86,7 @@
 
   /** Deletes all waiting jobs. */
   private static void flush(DaemonProcess daemon) throws IOException {
-    try (FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
+    try (FaktoryClient client = new FaktoryClient(daemon.faktory())) {
       client.callExpectingOk("FLUSH");
     }
   }
@@ -95,7 +95,7 @@
     return ThroughputMeter.measure(
         connections,
         () -> {
-          FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null);
+          FaktoryClient client = new FaktoryClient(daemon.faktory());
           return () ->
               client.callExpectingOk("PUSH " + BenchmarkJobs.scheduledJson(jobs.nextId(), "later"));
         });
@@ -113,7 +113,7 @@
 
   private long faktoryRoundTripsPerSecond(DaemonProcess daemon, int connections)
       throws IOException, InterruptedException {
-    try (FaktoryClient info = new FaktoryClient(daemon.faktory(), null, null)) {
+    try (FaktoryClient info = new FaktoryClient(daemon.faktory())) {
       int doneBefore = jobsDone(info);
       long startNanos = System.nanoTime();
       AtomicInteger remaining = new AtomicInteger(ROUND_TRIPS);
@@ -128,7 +128,7 @@
   }
 
   private void pushJobs(DaemonProcess daemon, AtomicInteger remaining) throws IOException {
-    try (FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
+    try (FaktoryClient client = new FaktoryClient(daemon.faktory())) {
       while (remaining.getAndDecrement() > 0) {
         client.callExpectingOk("PUSH " + BenchmarkJobs.json(jobs.nextId(), "pages"));
       }
--- a/src/main/java/loomreel/benchmark/FaktoryJobMeasurement.java
+++ b/src/main/java/loomreel/benchmark/FaktoryJobMeasurement.java
@@ -61,7 +61,7 @@
   }
 
   private void pushJobs() throws IOException {
-    try (FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
+    try (FaktoryClient client = new FaktoryClient(daemon.faktory())) {
       while (remainingPushes.getAndDecrement() > 0) {
         String id = jobs.nextId();
         pushNanosById.put(id, System.nanoTime());
--- a/src/main/java/loomreel/benchmark/JobBenchmark.java
+++ b/src/main/java/loomreel/benchmark/JobBenchmark.java
@@ -128,7 +128,7 @@
 
   private void pushWaitingJobs(DaemonProcess daemon) throws IOException {
     AtomicInteger nextId = new AtomicInteger(FIRST_WAITING_ID);
-    try (FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
+    try (FaktoryClient client = new FaktoryClient(daemon.faktory())) {
       for (int pushed = 0; pushed < waitingJobs; pushed += BATCH_SIZE) {
         String batch =
             BenchmarkJobs.scheduledBatch(
@@ -144,7 +144,7 @@
     long startNanos = System.nanoTime();
     try (DaemonProcess daemon =
             new DaemonProcess(DaemonProcess.writeSettings(settings), restartFlags());
-        FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
+        FaktoryClient client = new FaktoryClient(daemon.faktory())) {
       double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
       int recovered =
           client
--- a/src/main/java/loomreel/benchmark/LatencyBenchmark.java
+++ b/src/main/java/loomreel/benchmark/LatencyBenchmark.java
@@ -82,7 +82,7 @@
   }
 
   private void pushBatches(AtomicBoolean stopped, AtomicLong pushed) throws IOException {
-    try (FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
+    try (FaktoryClient client = new FaktoryClient(daemon.faktory())) {
       while (!stopped.get()) {
         String batch = BenchmarkJobs.scheduledBatch(BATCH_SIZE, "later", jobs::nextId);
         pushed.addAndGet(BATCH_SIZE - client.callForJson(batch).size());
--- a/src/main/java/loomreel/chaos/ChaosFaktoryClient.java
+++ b/src/main/java/loomreel/chaos/ChaosFaktoryClient.java
@@ -86,7 +86,7 @@
   }
 
   private void connect() throws IOException {
-    connection.set(new FaktoryClient(daemon, ChaosRun.PASSWORD, null));
+    connection.set(new FaktoryClient(daemon, ChaosRun.PASSWORD));
   }
 
   private ArrayNode newBatch(int firstJob, int size) {
--- a/src/main/java/loomreel/chaos/ChaosHttpClient.java
+++ b/src/main/java/loomreel/chaos/ChaosHttpClient.java
@@ -22,7 +22,10 @@
   /** The time that a request allows for its response. */
   private static final int BUDGET_MS = 3000;
 
-  /** How much later than its budget a response may arrive: the machine may be busy. */
+  /**
+   * How much later than its budget a response may arrive. The daemon counts the budget from when it
+   * has read the request, which a busy machine delays, as it delays the response.
+   */
   private static final int LATENESS_TOLERANCE_MS = 1500;
 
   /** Requests in flight at a time: fewer than the connections that the daemon keeps idle. */
--- a/src/main/java/loomreel/chaos/ChaosRun.java
+++ b/src/main/java/loomreel/chaos/ChaosRun.java
@@ -1,8 +1,10 @@
 package loomreel.chaos;
 
 import java.io.IOException;
+import java.io.OutputStream;
 import java.io.PrintStream;
 import java.net.http.HttpClient;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -54,10 +56,19 @@
     this.plan = plan;
   }
 
+  /**
+   * Runs the plan without reporting progress.
+   *
+   * @throws IOException if the daemon cannot be started
+   */
+  public ChaosResult run() throws IOException, InterruptedException {
+    return run(new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8));
+  }
+
   /**
    * Runs the plan.
    *
-   * @param progress receives a line of progress; null for none
+   * @param progress receives a line of progress
    * @throws IOException if the daemon cannot be started
    */
   public ChaosResult run(PrintStream progress) throws IOException, InterruptedException {
@@ -67,7 +78,7 @@
             new DaemonProcess(DaemonProcess.writeSettings(settings(workers, spool.path())))) {
       workers.connect(daemon);
       submitJobs(daemon, workers, progress);
-      try (FaktoryClient client = new FaktoryClient(daemon.faktory(), PASSWORD, null)) {
+      try (FaktoryClient client = new FaktoryClient(daemon.faktory(), PASSWORD)) {
         new FaktoryJobTracker(client, executions, findings).awaitAll(pushedJobIds);
       }
       checkInvariants(workers);
@@ -145,15 +156,11 @@
   private void awaitClients(CountDownLatch running, PrintStream progress)
       throws InterruptedException {
     while (!running.await(PROGRESS_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
-      if (progress != null) {
-        progress.printf("\r%d of %d jobs submitted", findings.jobsSubmitted(), plan.jobs());
-      }
-    }
-    if (progress != null) {
-      progress.printf(
-          "\r%d of %d jobs submitted; waiting for the last to end%n",
-          findings.jobsSubmitted(), plan.jobs());
+      progress.printf("\r%d of %d jobs submitted", findings.jobsSubmitted(), plan.jobs());
     }
+    progress.printf(
+        "\r%d of %d jobs submitted; waiting for the last to end%n",
+        findings.jobsSubmitted(), plan.jobs());
   }
 
   /** A client's part of the jobs of its kind; the first clients have the remainder. */
--- a/src/main/java/loomreel/standin/FaktoryClient.java
+++ b/src/main/java/loomreel/standin/FaktoryClient.java
@@ -33,9 +33,28 @@
     }
   }
 
+  /**
+   * Connects a client to a server that requires no password.
+   *
+   * @throws IOException if the server cannot be reached or rejects the handshake
+   */
+  public FaktoryClient(InetSocketAddress address) throws IOException {
+    this(address, null, null);
+  }
+
+  /**
+   * Connects and authenticates a client.
+   *
+   * @throws IOException if the server cannot be reached or rejects the handshake
+   */
+  public FaktoryClient(InetSocketAddress address, String password) throws IOException {
+    this(address, password, null);
+  }
+
   /**
    * Connects and authenticates.
    *
+   * @param password null where the server requires none
    * @param wid the id of a worker's process, or null for a client
    * @param labels a worker's labels
    * @throws IOException if the server cannot be reached or rejects the handshake
--- a/src/test/java/loomreel/arch/ArrowsTest.java
+++ b/src/test/java/loomreel/arch/ArrowsTest.java
@@ -25,12 +25,12 @@
 /** Arrows between packages go one way. */
 @AnalyzeClasses(packages = "loomreel", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArrowsTest {
-  /** The decisions know nobody. */
+  /** The decision module depends on no other package of the program. */
   @ArchTest static final ArchRule DECISION = knowsOnly("decision");
 
   @ArchTest static final ArchRule LOOP = knowsOnly("io");
 
-  /** Whoever may speak to the core speaks a protocol; the core itself speaks none. */
+  /** Protocols depend on the core, and the core on none of them. */
   @ArchTest static final ArchRule CORE = knowsOnly("core", "decision", "io");
 
   @ArchTest static final ArchRule HTTP = knowsOnly("http", "io", "decision");
@@ -115,6 +115,8 @@
 
   @ArchTest static final ArchRule SETTINGS = knowsOnly("settings", "config", "decision");
 
+  @ArchTest static final ArchRule TRACING = knowsOnly("tracing");
+
   /** Stubs are written from the published protocols, not with the code that they test. */
   @ArchTest static final ArchRule STANDIN = knowsOnly("standin");
 
--- a/src/test/java/loomreel/chaos/ChaosRunTest.java
+++ b/src/test/java/loomreel/chaos/ChaosRunTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -12,6 +13,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicReference;
 import loomreel.standin.DaemonProcess;
@@ -30,7 +32,7 @@
   void everyJobHasOneEndAndNoNonIdempotentJobRunsTwice() throws Exception {
     long seed = 7;
     System.out.println("seed " + seed);
-    ChaosResult result = new ChaosRun(new ChaosRun.Plan(seed, 1200, 5, true)).run(null);
+    ChaosResult result = new ChaosRun(new ChaosRun.Plan(seed, 1200, 5, true)).run();
     assertEquals(List.of(), result.violations());
     assertEquals(1200, result.ends().values().stream().mapToInt(Integer::intValue).sum());
     assertTrue(result.servedBy().values().stream().allMatch(n -> n > 0), result.toString());
@@ -83,7 +85,7 @@
       while (fetched == null) {
         fetched = worker.call("FETCH entries");
       }
-      JsonNode job = new com.fasterxml.jackson.databind.ObjectMapper().readTree((String) fetched);
+      JsonNode job = new ObjectMapper().readTree((String) fetched);
       assertEquals("certificate", job.path("jobtype").asText());
       assertEquals("/record/certificate?n=1", job.path("args").path(0).path("target").asText());
       assertEquals("serial-1", FaktoryWorker.serial(job));
@@ -144,7 +146,7 @@
         assertEquals("scheduled", client.callForJson("TRACK GET restart-5").path("state").asText());
         assertEquals(0, tasks.path("Dead").path("size").asInt(), tasks.toString());
       }
-      assertEquals(java.util.Set.of(), executions.executedRepeatedly("s"));
+      assertEquals(Set.of(), executions.executedRepeatedly("s"));
     }
   }
 }
--- a/src/test/java/loomreel/io/AcceptorTest.java
+++ b/src/test/java/loomreel/io/AcceptorTest.java
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void oneTurnAcceptsNoMoreThanTheLimit() throws IOException {
+  void oneIterationAcceptsNoMoreThanTheLimit() throws IOException {
     acceptor(1, this::record).start();
     loop.run();
     assertEquals(CONNECTIONS, acceptedAt.stream().distinct().count(), acceptedAt.toString());
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void aStopIsForGood() throws IOException {
+  void aStoppedAcceptorDoesNotResume() throws IOException {
     Acceptor[] acceptor = new Acceptor[1];
     acceptor[0] =
         acceptor(
--- a/src/test/java/loomreel/io/EventLoopTest.java
+++ b/src/test/java/loomreel/io/EventLoopTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The order of timers, and what a fault in one does to the others. */
+/** The order of timers, and exceptions in tasks. */
 @Timeout(60)
 class EventLoopTest {
   private final List<String> ran = new ArrayList<>();
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aFaultInATaskEndsNeitherTheLoopNorOtherTasks() throws Exception {
+  void anExceptionInATaskEndsNeitherTheLoopNorOtherTasks() throws Exception {
     try (EventLoop loop = new EventLoop(new BufferPool(1))) {
       loop.execute(
           () -> {
--- a/src/test/java/loomreel/process/ClientDrainStateTest.java
+++ b/src/test/java/loomreel/process/ClientDrainStateTest.java
@@ -15,7 +15,7 @@
 
 /** A client drain: every state with every trigger. */
 class ClientDrainStateTest {
-  /** The transition table of {@link ClientDrainState}; what is missing stays as it is. */
+  /** The transition table of {@link ClientDrainState}; a missing entry changes nothing. */
   private static final Map<ClientDrainState, Map<Trigger, ClientDrainState>> TRANSITIONS =
       Map.of(
           ACCEPTING, Map.of(DRAIN_STARTED, NOTIFYING),
@@ -24,7 +24,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachTriggerLeadsWhereTheTableSays(ClientDrainState state) {
+  void eachTriggerLeadsToTheStateOfTheTable(ClientDrainState state) {
     for (Trigger trigger : Trigger.values()) {
       assertEquals(
           TRANSITIONS.get(state).getOrDefault(trigger, state), state.next(trigger), trigger.name());
--- a/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
+++ b/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators have set outlives a process, and is read by other versions of the program. */
+/** Operator overrides are stored for later processes, in a format that other versions read. */
 class OperatorOverridesStoreTest {
   /** A file as versions up to 0.2 write it. */
   private static final String FILE = "drained\ndown s-5be2a07c\ndown w 0\n";
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void withoutADirectoryNothingIsKept() throws IOException {
+  void withoutADirectoryNothingIsStored() throws IOException {
     OperatorOverridesStore store = new OperatorOverridesStore(Optional.empty());
     store.save(OVERRIDES);
     assertEquals(OperatorOverrides.NONE, store.load());
--- a/src/test/java/loomreel/server/DescriptorBudgetTest.java
+++ b/src/test/java/loomreel/server/DescriptorBudgetTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who gets how many of the descriptors that the platform grants. */
+/** The division of the descriptors that the platform grants. */
 class DescriptorBudgetTest {
   @Test
-  void aQuarterOfTheConnectionsIsForWorkersAndJobsHoldThreeQuartersOfTheRest() {
+  void workersGetAQuarterOfTheConnectionsAndJobsThreeQuartersOfTheRest() {
     assertEquals(
         new DescriptorBudget(1024, 248, 558, 744), DescriptorBudget.divide(1024, 0, false));
   }
@@ -18,12 +18,12 @@
   }
 
   @Test
-  void faktorysDescriptorsAreTakenOffBeforeTheRestIsShared() {
+  void faktoryDescriptorsAreSubtractedBeforeTheDivision() {
     assertEquals(new DescriptorBudget(412, 95, 213, 285), DescriptorBudget.divide(1024, 200, true));
   }
 
   @Test
-  void aFewConnectionsAreThereHoweverLittleIsGranted() {
+  void aMinimumOfConnectionsIsBudgetedWhateverIsGranted() {
     assertEquals(new DescriptorBudget(10, 4, 9, 12), DescriptorBudget.divide(10, 0, false));
   }
 }
--- a/src/test/java/loomreel/tracing/OpenJobTest.java
+++ b/src/test/java/loomreel/tracing/OpenJobTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How a job's end is judged from its attempts and times. */
+/** The classification of a job's end by its attempts and times. */
 class OpenJobTest {
   private static final long ARRIVAL = 1_000_000;
   private static final long OBJECTIVE = 200_000;
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aRejectionAfterAnAttemptIsToldApart() {
+  void aRejectionAfterAnAttemptHasItsOwnEnd() {
     job.attemptStarted("w1");
     assertEquals(JobEnd.REJECTED_AFTER_ATTEMPT, job.rejectionAt(ARRIVAL));
   }
--- a/src/test/java/loomreel/tracing/TraceSummaryTest.java
+++ b/src/test/java/loomreel/tracing/TraceSummaryTest.java
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void jobsAreFollowedOverTheirDispatcherAndCountedOverAll() {
+  void jobsAreTrackedByDispatcherAndCountedOverTheFleet() {
     TraceWriter first = trace();
     first.line(10 * SECOND, "start");
     first.line(10 * SECOND, "arrival", "id", "x", "work", 100_000.0);
