--- a/src/test/java/loomreel/arch/ArrowsTest.java
+++ b/src/test/java/loomreel/arch/ArrowsTest.java
@@ -115,6 +115,8 @@
 
   @ArchTest static final ArchRule SETTINGS = knowsOnly("settings", "config", "decision");
 
+  @ArchTest static final ArchRule TRACING = knowsOnly("tracing");
+
   /** Stubs are written from the published protocols, not with the code that they test. */
   @ArchTest static final ArchRule STANDIN = knowsOnly("standin");
 
