--- a/src/test/java/loomreel/program/CommandLineTest.java
+++ b/src/test/java/loomreel/program/CommandLineTest.java
@@ -16,26 +16,25 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** Commands, their exit codes, and what they load. */
+/** The commands of the program: their exit codes, their messages, and the classes they load. */
 @Timeout(120)
 class CommandLineTest {
-  private static final String PLATFORM =
+  private static final String CONFIGURATION =
       """
       {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":192,"sockets":1024},
        "known":{"seq":1,"whole":true,"hosts":[]},
        "settings":{"RequestClasses":[{"Name":"copy","TargetS":1,"DeadlineS":2,"Repeat":"free"}]}}\
       """;
+
   @TempDir private Path directory;
 
+  /** Starts a command of the program with these JVM flags. */
   private Process run(List<String> flags, String... command) throws IOException {
-    List<String> all =
-        new ArrayList<>(List.of(ProcessHandle.current().info().command().orElse("java")));
-    all.addAll(flags);
-    all.addAll(List.of("-cp", System.getProperty("java.class.path"), "loomreel.cli.Main"));
-    all.addAll(List.of(command));
-    ProcessBuilder builder = new ProcessBuilder(all).redirectErrorStream(true);
-    builder.environment().put("BALANCER_CONFIG", file("platform.json", PLATFORM));
+    ProcessBuilder builder =
+        new ProcessBuilder(ProgramCommand.program(flags, command)).redirectErrorStream(true);
+    builder.environment().put("BALANCER_CONFIG", file("configuration.json", CONFIGURATION));
     return builder.start();
   }
 
@@ -43,13 +42,14 @@
     return Files.writeString(directory.resolve(name), text).toString();
   }
 
+  /** The exit code of a process, and its output on the following lines. */
   private static String outcome(Process process) throws Exception {
     String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     return process.waitFor() + "\n" + text;
   }
 
   @Test
-  void aFileThatIsNoGoodEndsTheStartWithAllThatIsWrong() throws Exception {
+  void allFaultsOfASettingsFileAreReported() throws Exception {
     String bad =
         file(
             "bad.cue",
@@ -63,25 +63,54 @@
     for (String command : new String[] {"check", "daemon"}) {
       String outcome = outcome(run(List.of(), command, bad));
       assertTrue(outcome.startsWith("2\n"), outcome);
-      assertTrue(
-          outcome.contains("bad.cue:2:15: listen.http:")
-              && outcome.contains("bad.cue:5:19: limits.attempts:"),
-          outcome);
+      assertTrue(outcome.contains("bad.cue:2:15: listen.http:"), outcome);
+      assertTrue(outcome.contains("bad.cue:5:19: limits.attempts:"), outcome);
     }
-    assertTrue(outcome(run(List.of(), "check", "deploy/loomreel.cue")).startsWith("0\n"));
-    assertTrue(outcome(run(List.of(), "check", "nowhere.cue")).contains("there is no such file"));
+  }
+
+  @Test
+  void theSampleSettingsFileIsValid() throws Exception {
+    String outcome = outcome(run(List.of(), "check", "deploy/loomreel.cue"));
+    assertTrue(outcome.startsWith("0\n"), outcome);
+  }
+
+  @Test
+  void aMissingSettingsFileIsReported() throws Exception {
+    String outcome = outcome(run(List.of(), "check", "nowhere.cue"));
+    assertTrue(outcome.contains("there is no such file"), outcome);
+  }
+
+  @Test
+  void anUnknownClassOfAQueueIsReported() throws Exception {
     String features =
         file(
             "features.cue",
             "faktory: {listen: \"127.0.0.1:0\", queues: q: class: \"issue\", spool: \"none\"}\n");
     String outcome = outcome(run(List.of(), "serve", "--settings", features));
-    assertTrue(
-        outcome.startsWith("2\n")
-            && outcome.contains("faktory.queues.q.class: no class is called issue"),
-        outcome);
+    assertTrue(outcome.startsWith("2\n"), outcome);
+    assertTrue(outcome.contains("faktory.queues.q.class: no class is called issue"), outcome);
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "",
+        "{",
+        "{}",
+        "{\"listen\":\"nowhere\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\"}"
+      })
+  void aBadConfigurationIsReportedInOneLine(String configuration) throws Exception {
+    Path file = Path.of(file("bad.json", configuration));
+    for (String command : new String[] {"serve", "check-config"}) {
+      Process process = ProgramCommand.of(file, command, "").start();
+      String errors = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+      assertEquals(2, process.waitFor(), errors);
+      assertEquals(1, errors.lines().count(), errors);
+      assertTrue(errors.startsWith("loomreel: " + file), errors);
+    }
   }
 
-  /** Pages, scripts and habits have the names of earlier versions. */
+  /** Scripts may have the names of earlier versions. */
   @ParameterizedTest
   @CsvSource({
     "benchlink, simulate",
@@ -95,18 +124,18 @@
     assertTrue(outcome.startsWith("0\nUsage: loomreel " + name), outcome);
   }
 
-  /** What the archive of classes is made from: a start, jobs over every path, an end. */
+  /** The class archive is made from its run: a start, jobs of every kind, and a shutdown. */
   @Test
-  void aRehearsalServesItsJobsAndEnds() throws Exception {
+  void theClassArchiveTrainingServesItsJobsAndEnds() throws Exception {
     String outcome = outcome(run(List.of(), "rehearse"));
     assertTrue(
         outcome.startsWith("0\n") && outcome.contains("accepted=40 served=40 rejected=0 failed=0"),
         outcome);
   }
 
-  /** The build fills it; a machine where that failed must serve all the same. */
+  /** The build makes the archive, which may have failed. */
   @Test
-  void aStartWithoutTheArchiveOfClassesServes() throws Exception {
+  void aDispatcherWithoutAClassArchiveServes() throws Exception {
     String missing = directory.resolve("none.jsa").toString();
     Process process = run(List.of("-XX:SharedArchiveFile=" + missing), "serve");
     try (BufferedReader lines = process.inputReader()) {
@@ -117,23 +146,21 @@
     }
   }
 
-  /**
-   * The platform's dispatcher is small: what is off is not even loaded, nor is what would make a
-   * start slow, reading a command line that says nothing.
-   */
+  /** Neither disabled features nor the command-line parser: both would make the start slow. */
   @Test
-  void whatIsOffIsNotLoaded() throws Exception {
-    assertEquals(List.of(), loaded(List.of("serve")));
+  void classesOfDisabledFeaturesAreNotLoaded() throws Exception {
+    assertEquals(List.of(), loadedOptionalClasses(List.of("serve")));
     String features =
         file(
             "features.cue",
             "faktory: {listen: \"127.0.0.1:0\", queues: q: class: \"copy\", spool: \"none\"}\n");
     assertFalse(
-        loaded(List.of("serve", "--settings", features)).isEmpty(), "the check itself sees them");
+        loadedOptionalClasses(List.of("serve", "--settings", features)).isEmpty(),
+        "classes of an enabled feature are found");
   }
 
-  /** The classes of parts that are off by default, until it listens. */
-  private List<String> loaded(List<String> command) throws Exception {
+  /** The classes of optional features that a command loads until it listens. */
+  private List<String> loadedOptionalClasses(List<String> command) throws Exception {
     Process process = run(List.of("-Xlog:class+load:stdout"), command.toArray(String[]::new));
     List<String> loaded = new ArrayList<>();
     try (BufferedReader lines = process.inputReader()) {
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,184 +17,201 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Connections are ended between requests; bytes may arrive in that very moment. */
+/** Input that arrives at the very moment at which the dispatcher closes a client connection. */
 @Timeout(120)
 class ConnectionCloseRaceTest {
-  /** Why a connection on which a client rests is ended. */
-  private enum Why {
-    /** The process is to stop. */
-    STOP,
-    /** More rest than may. */
-    IDLE,
-    /** Nobody has said anything on it, and others come. */
-    CROWD
+  /** With this limit clients may have 24 connections, 8 of them idle. */
+  private static final int DESCRIPTORS = 64;
+
+  private static final int CLIENT_CONNECTIONS = 24;
+  private static final int IDLE_CONNECTIONS = 8;
+
+  /** Why the dispatcher closes a connection between two requests. */
+  private enum CloseReason {
+    SHUTDOWN,
+    /** More connections are idle than may be. */
+    IDLE_LIMIT,
+    /** No request was received on it, and others connect. */
+    CONNECTION_LIMIT
   }
 
-  private static StepControlledServer server() throws Exception {
-    // 24 connections may come in, and 8 of them rest.
-    return new StepControlledServer(1, new TestConfiguration().descriptorLimit(64));
+  private static StepControlledServer start() throws Exception {
+    return new StepControlledServer(1, new TestConfiguration().descriptorLimit(DESCRIPTORS));
   }
 
-  /** A client that rests, and what makes the server end its connection. */
-  private static void resting(
-      StepControlledServer server, Why why, List<Socket> others, Socket[] resting)
-      throws Exception {
-    Socket client = server.connect();
-    resting[0] = client;
-    if (why != Why.CROWD) {
-      SubmittedJob job = server.submit(client, "/copy", 20_000, "");
-      server.serveNextJob(0, "first");
-      assertEquals("first", job.response().body());
+  /** A connection between two requests, and the further ones that have it closed. */
+  private static final class ClosedClient implements AutoCloseable {
+    private final StepControlledServer server;
+    private final List<Socket> others = new ArrayList<>();
+    private final Socket connection;
+
+    ClosedClient(StepControlledServer server) throws IOException {
+      this.server = server;
+      connection = server.connect();
     }
-    server.awaitPendingInputRead();
-    switch (why) {
-      case STOP -> server.requestShutdown();
-      case IDLE -> {
-        for (int i = 0; i < 8; i++) {
-          others.add(server.connect());
-          HttpIo.write(others.get(i), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-          assertEquals(200, HttpIo.read(others.get(i)).status());
-        }
+
+    /** Makes the connection ready to be closed, and has the server close it. */
+    void haveClosed(CloseReason reason) throws Exception {
+      if (reason != CloseReason.CONNECTION_LIMIT) {
+        SubmittedJob job = server.submit(connection, "/copy", 20_000, "");
+        server.serveNextJob(0, "first");
+        assertEquals("first", job.response().body());
       }
-      default -> {
-        for (int i = 0; i < 24; i++) {
-          others.add(server.connect());
+      server.awaitPendingInputRead();
+      switch (reason) {
+        case SHUTDOWN -> server.requestShutdown();
+        case IDLE_LIMIT -> addIdleConnections();
+        case CONNECTION_LIMIT -> {
+          for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
+            others.add(server.connect());
+          }
         }
       }
     }
-  }
 
-  private static void end(List<Socket> others) throws Exception {
-    for (Socket other : others) {
-      other.close();
+    private void addIdleConnections() throws IOException {
+      for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+        Socket other = server.connect();
+        others.add(other);
+        HttpIo.write(other, DispatcherHarness.READINESS_HEAD + "\r\n");
+        assertEquals(200, HttpIo.read(other).status());
+      }
+    }
+
+    @Override
+    public void close() throws IOException {
+      for (Socket other : others) {
+        other.close();
+      }
     }
   }
 
-  /** Written before our side is shut, a request has been taken, and is served. */
+  /** The request arrived before the output is shut, and counts as accepted. */
   @ParameterizedTest
-  @EnumSource(Why.class)
-  void aRequestThatComesJustBeforeTheEndIsServed(Why why) throws Exception {
-    try (StepControlledServer server = server()) {
-      List<Socket> others = new ArrayList<>();
-      Socket[] client = new Socket[1];
-      SubmittedJob[] crossing = new SubmittedJob[1];
+  @EnumSource(CloseReason.class)
+  void aRequestThatArrivesJustBeforeTheCloseIsServed(CloseReason reason) throws Exception {
+    try (StepControlledServer server = start();
+        ClosedClient client = new ClosedClient(server)) {
+      SubmittedJob[] racing = new SubmittedJob[1];
       server.onStep(
           Step.IDLE_CONNECTION_CLOSING,
-          () -> crossing[0] = server.submit(client[0], "/copy", 20_000, ""));
-      resting(server, why, others, client);
+          () -> racing[0] = server.submit(client.connection, "/copy", 20_000, ""));
+
+      client.haveClosed(reason);
+
       server.awaitStep(Step.IDLE_CONNECTION_CLOSING);
-      server.serveNextJob(0, "crossing");
-      assertEquals("crossing", crossing[0].response().body());
-      end(others);
+      server.serveNextJob(0, "racing");
+      assertEquals("racing", racing[0].response().body());
     }
   }
 
-  /**
-   * Written after our side is shut it is the client's to send again: it is read, thrown away and
-   * never sent on.
-   */
+  /** The client has to send the request again: it is read and discarded. */
   @ParameterizedTest
-  @EnumSource(Why.class)
-  void aRequestThatComesAfterTheEndIsNotSentOn(Why why) throws Exception {
-    try (StepControlledServer server = server()) {
-      List<Socket> others = new ArrayList<>();
-      Socket[] client = new Socket[1];
-      server.onStep(Step.OUTPUT_SHUT, () -> server.submit(client[0], "/copy/crossing", 20_000, ""));
-      resting(server, why, others, client);
+  @EnumSource(CloseReason.class)
+  void aRequestThatArrivesAfterTheCloseIsNotForwarded(CloseReason reason) throws Exception {
+    try (StepControlledServer server = start();
+        ClosedClient client = new ClosedClient(server)) {
+      server.onStep(
+          Step.OUTPUT_SHUT, () -> server.submit(client.connection, "/copy/racing", 20_000, ""));
+
+      client.haveClosed(reason);
+
       server.awaitStep(Step.OUTPUT_SHUT);
-      assertNull(HttpIo.read(client[0]), "an end, and no reset that could take an answer along");
-      // The client stays, for one that has gone would not be served either.
+      assertNull(HttpIo.read(client.connection), "an end of input, and no reset");
+      // The client stays connected: the job of a disconnected one would not be forwarded either.
       server.awaitPendingInputRead();
       assertFalse(server.workers.get(0).hasPendingRequest());
-      client[0].close();
-      end(others);
+      client.connection.close();
     }
   }
 
-  /**
-   * A reset would take along what the client has not read yet: the answer that was just written.
-   */
+  /** A reset would discard the response that was just written. */
   @Test
-  void theLastAnswerIsReadWhateverComesBehindIt() throws Exception {
-    try (StepControlledServer server = server()) {
+  void theLastResponseIsReceivedWhateverArrivesBehindIt() throws Exception {
+    try (StepControlledServer server = start()) {
       SubmittedJob job = server.submit("/copy", "");
       server.onStep(
           Step.OUTPUT_SHUT, () -> HttpIo.write(job.connection(), "POST /copy HTTP/1.1\r\nX-Call-"));
+
       server.requestShutdown();
       server.workers.get(0).nextRequest().respond(202, "");
-      server.reportStatus(job.id(), "w0", "done", ",\"result\":\"last\"");
+      server.reportDone(job.id(), "w0", "last");
+
       assertEquals("last", job.response().body());
       server.awaitStep(Step.OUTPUT_SHUT);
       assertNull(HttpIo.read(job.connection()));
     }
   }
 
-  /** Half a request, or half a call-back, that has come is waited for. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void whatHasHalfComeAtAStopIsWaitedFor(boolean news) throws Exception {
-    try (StepControlledServer server = server();
-        Socket half = server.connect();
-        Socket resting = server.connect()) {
+  void aPartialRequestAtAShutdownIsCompleted(boolean isStatusUpdate) throws Exception {
+    try (StepControlledServer server = start();
+        Socket partial = server.connect();
+        Socket idle = server.connect()) {
       SubmittedJob job = server.submit("/copy", "");
       server.workers.get(0).nextRequest().respond(202, "");
-      String body =
-          "{\"id\":\"" + job.id() + "\",\"from\":\"w0\",\"state\":\"done\",\"result\":\"r\"}";
-      String whole =
-          news
-              ? "POST /_jobs/news HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body
-              : "POST /copy/half HTTP/1.1\r\nX-Call-Id: 00000000000000dd\r\nX-Budget-Ms: 9000\r\nContent-Length: 0\r\n\r\n";
+      String request =
+          isStatusUpdate
+              ? doneUpdate(job.id())
+              : DispatcherHarness.jobRequest("/copy/partial", "00000000000000dd", 9000, "", "");
       server.awaitPendingInputRead();
-      // The first one that is let go is the first that came.
-      server.onStep(Step.IDLE_CONNECTION_CLOSING, () -> HttpIo.write(half, whole.substring(0, 30)));
+
+      // The connection that was opened first is the first to be closed.
+      server.onStep(
+          Step.IDLE_CONNECTION_CLOSING, () -> HttpIo.write(partial, request.substring(0, 30)));
       server.requestShutdown();
-      assertNull(HttpIo.read(resting));
-      HttpIo.write(half, whole.substring(30));
-      if (news) {
-        assertEquals(200, HttpIo.read(half).status());
+      assertNull(HttpIo.read(idle));
+      HttpIo.write(partial, request.substring(30));
+
+      if (isStatusUpdate) {
+        assertEquals(200, HttpIo.read(partial).status());
       } else {
-        assertEquals("POST /copy/half HTTP/1.1", server.workers.get(0).nextRequest().startLine());
-        server.reportStatus("00000000000000dd", "w0", "done", ",\"result\":\"half\"");
-        assertEquals("half", HttpIo.read(half).body());
-        server.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
+        assertEquals(
+            "POST /copy/partial HTTP/1.1", server.workers.get(0).nextRequest().startLine());
+        server.reportDone("00000000000000dd", "w0", "partial");
+        assertEquals("partial", HttpIo.read(partial).body());
+        server.reportDone(job.id(), "w0", "r");
       }
       assertEquals("r", job.response().body());
     }
   }
 
-  /**
-   * The end of the process resets what is not closed: it comes after that of the last client, if
-   * that comes in time.
-   */
+  private static String doneUpdate(String id) {
+    String body = DispatcherHarness.statusUpdate(id, "w0", "done", DispatcherHarness.result("r"));
+    return HttpIo.withBody(DispatcherHarness.STATUS_UPDATE_HEAD, body);
+  }
+
+  /** The end of the process resets connections that are not closed. */
   @Test
-  void theProcessEndsAfterItsClientsHave() throws Exception {
-    try (StepControlledServer server = server()) {
+  void theProcessEndsAfterItsClientsHaveDisconnected() throws Exception {
+    try (StepControlledServer server = start()) {
       SubmittedJob job = server.submit("/copy", "");
       server.serveNextJob(0, "r");
       assertEquals("r", job.response().body());
-      AtomicBoolean gone = new AtomicBoolean();
-      AtomicBoolean before = new AtomicBoolean();
-      server.onStep(Step.LOOP_STOPPED, () -> before.set(!gone.get()));
+      AtomicBoolean disconnected = new AtomicBoolean();
+      AtomicBoolean endedBefore = new AtomicBoolean();
+      server.onStep(Step.LOOP_STOPPED, () -> endedBefore.set(!disconnected.get()));
+
       server.requestShutdown();
       server.requestShutdown();
       assertNull(HttpIo.read(job.connection()));
-      gone.set(true);
+      disconnected.set(true);
       job.connection().close();
+
       server.awaitStep(Step.LOOP_STOPPED);
-      assertFalse(before.get(), "it ended while a client had not read to the end");
+      assertFalse(endedBefore.get(), "it ended while a client was connected");
       assertTrue(server.awaitLoopEnd());
     }
   }
 
-  /**
-   * Asked to stop once more, it does not begin anew: the time to the end would run out for the
-   * platform only.
-   */
+  /** The platform counts the time to the end from the first request. */
   @Test
-  void aSecondStopChangesNothing() throws Exception {
-    try (StepControlledServer server = server()) {
+  void aSecondShutdownRequestChangesNothing() throws Exception {
+    try (StepControlledServer server = start()) {
       server.requestShutdown();
       server.requestShutdown();
+
       server.awaitStep(Step.LOOP_STOPPED);
       assertEquals(1, server.stepCount(Step.SHUTDOWN_REQUESTED));
     }
--- a/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/**
- * A connection to a copy worker that comes up late, when what was to go out on it may not go any
- * more.
- */
+/** Connections to workers that are established when their job may no longer be sent. */
 @Timeout(120)
 class DelayedWorkerConnectionTest {
+  /** A job that is not sent leaves no connection within this time. */
+  private static final int NO_CONNECTION_MILLIS = 100;
+
   /** How an endpoint list takes the first of two workers out of use. */
   private enum Removal {
     DRAINING,
@@ -24,7 +24,7 @@
     /** A complete list does not have it. */
     MISSING;
 
-    EndpointList change(DispatcherHarness harness) {
+    EndpointList list(DispatcherHarness harness) {
       if (this == MISSING) {
         return new EndpointList(43, Extent.COMPLETE)
             .with("w1", harness.workers.get(1).address(), Health.SERVING);
@@ -38,76 +38,84 @@
     return new TestConfiguration().connectTimeoutSeconds(25);
   }
 
-  /** The first worker serves at the start, and the second one drains. */
-  private static TestConfiguration secondWorkerDrains() {
-    return longConnectTimeout().knownHealth(Health.SERVING, Health.DRAINING);
+  /** At the start the first worker serves, and the second one drains. */
+  private static StepControlledServer startWithFirstWorker() throws Exception {
+    return new StepControlledServer(
+        2, longConnectTimeout().knownHealth(Health.SERVING, Health.DRAINING));
   }
 
-  /**
-   * The time to send to what drains runs from the news on; a connection that is still coming up may
-   * outlast it.
-   */
+  /** Submits a job whose attempt at the first worker waits for its connection. */
+  private static SubmittedJob submitToFirstWorker(StepControlledServer server) throws Exception {
+    SubmittedJob job = server.submit("/issue", "");
+    assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
+    return job;
+  }
+
+  private static void assertServedBySecondWorker(
+      StepControlledServer server, SubmittedJob job, StalledListener firstWorker) throws Exception {
+    server.serveNextJob(1, "elsewhere");
+    assertEquals("elsewhere", job.response().body());
+    assertNull(firstWorker.nextConnection(NO_CONNECTION_MILLIS), "nothing is sent there");
+  }
+
+  /** The grace of a drain runs from the endpoint list on, and the connection may outlast it. */
   @ParameterizedTest
   @EnumSource(Removal.class)
-  void whatHasNotLeftForADrainingCopyWorkerGoesElsewhere(Removal removal) throws Exception {
-    try (StepControlledServer server = new StepControlledServer(2, secondWorkerDrains());
-        StalledListener late = server.workers.get(0).stall()) {
-      SubmittedJob job = server.submit("/issue", "");
-      assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
-      removal.change(server).respondTo(server.discovery.nextRequest());
+  void anUnsentJobOfADrainingWorkerGoesToAnotherWorker(Removal removal) throws Exception {
+    try (StepControlledServer server = startWithFirstWorker();
+        StalledListener stalled = server.workers.get(0).stall()) {
+      SubmittedJob job = submitToFirstWorker(server);
+
+      removal.list(server).respondTo(server.discovery.nextRequest());
+
       assertEquals(
-          "MOOT", server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(), "it never ran");
-      server.serveNextJob(1, "elsewhere");
-      assertEquals("elsewhere", job.response().body());
-      assertNull(late.nextConnection(100), "nothing is on its way there any more");
+          "MOOT", server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(), "not sent");
+      assertServedBySecondWorker(server, job, stalled);
     }
   }
 
-  /** An operator has taken it out of use, for a repair perhaps. */
   @Test
-  void whatHasNotLeftForACopyWorkerThatIsTakenDownGoesElsewhere() throws Exception {
-    try (StepControlledServer server = new StepControlledServer(2, secondWorkerDrains());
-        StalledListener late = server.workers.get(0).stall()) {
-      SubmittedJob job = server.submit("/issue", "");
-      assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
+  void anUnsentJobOfADisabledWorkerGoesToAnotherWorker() throws Exception {
+    try (StepControlledServer server = startWithFirstWorker();
+        StalledListener stalled = server.workers.get(0).stall()) {
+      SubmittedJob job = submitToFirstWorker(server);
       server
           .endpointList(43, Extent.CHANGES, Health.SERVING, Health.SERVING)
           .respondTo(server.discovery.nextRequest());
       server.discovery.nextRequest();
+
       server.disableWorker("w0");
-      server.serveNextJob(1, "elsewhere");
-      assertEquals("elsewhere", job.response().body());
-      assertNull(late.nextConnection(100), "nothing is on its way there any more");
+
+      assertServedBySecondWorker(server, job, stalled);
     }
   }
 
   /**
-   * Copy workers tell a repeat by its key for 0.8 s here, and the client waits for 20: the repeat
-   * is sent in that time or never, and the client hears at once that it is over.
+   * Workers recognise a repetition by its key for 0.8 s, and the client waits for 20 s: a retry is
+   * sent within the window or never, and the job fails at once.
    */
   @Test
-  void aRepeatThatCannotLeaveWhileItIsToldDoesNotLeave() throws Exception {
-    try (StepControlledServer server =
-        new StepControlledServer(
-            2,
-            longConnectTimeout()
-                .requestClasses(
-                    RequestClass.hold(0.8), RequestClass.copy(), RequestClass.issue()))) {
+  void aRetryThatCannotBeSentWithinTheDeduplicationWindowFails() throws Exception {
+    TestConfiguration configuration =
+        longConnectTimeout()
+            .requestClasses(RequestClass.hold(0.8), RequestClass.copy(), RequestClass.issue());
+    try (StepControlledServer server = new StepControlledServer(2, configuration)) {
       SubmittedJob job = server.submitWithKey("/hold/1", "a-key");
-      StepControlledServer.ReachedStep first = server.awaitStep(Step.ATTEMPT_STARTED);
-      int at = first.field("worker").equals("w0") ? 0 : 1;
-      HttpMessage post = server.workers.get(at).nextRequest();
+      int worker = server.awaitAttemptWorker();
+      HttpMessage post = server.workers.get(worker).nextRequest();
       assertEquals("a-key", post.header("Idempotency-Key"));
-      try (StalledListener late = server.workers.get(1 - at).stall()) {
+
+      try (StalledListener stalled = server.workers.get(1 - worker).stall()) {
         post.connection().close();
-        assertEquals("w" + (1 - at), server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
+
+        assertEquals(1 - worker, server.awaitAttemptWorker());
         assertEquals(
             "CONNECT_FAILED",
             server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(),
-            "it never ran");
+            "not sent");
         server.awaitStep(Step.JOB_FAILED);
         assertEquals(500, job.response().status());
-        assertNull(late.nextConnection(100), "nothing is on its way there any more");
+        assertNull(stalled.nextConnection(NO_CONNECTION_MILLIS), "nothing is sent there");
       }
     }
   }
--- a/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
+++ b/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.condition.OS;
 
 /**
- * The program as {@code run} in {@code deploy/balancer.toml} starts it, checked against what the
- * full fleet's platform refuses (STANDING, "The bench's clock"): sockets other than TCP and UDP
- * over IPv4, and other programs. It is read from {@code /proc} while an old and a new process serve
- * side by side, since the tie between them is the one feature of {@code serve} that opens a socket
- * of its own.
+ * The sockets and child processes of the program with the JVM flags of {@code run} in {@code
+ * deploy/balancer.toml}. The full fleet's platform refuses sockets other than TCP and UDP over
+ * IPv4, and other programs (STANDING, "The bench's clock"). They are read from {@code /proc} while
+ * an old process and its successor serve, since the hot-restart link between them is the one
+ * feature of {@code serve} that opens a socket of its own.
  */
 @Timeout(120)
 @EnabledOnOs(OS.LINUX)
@@ -41,11 +41,12 @@
       for (ProcessHandle process : program.instances) {
         assertEquals(0, process.children().count(), "no other program is started");
         Set<String> held = sockets(process.pid());
-        assertTrue(held.size() >= 3, "the listener, operators' and the tie at least: " + held);
+        assertTrue(
+            held.size() >= 3, "a listener, one for operators and the link at least: " + held);
         Set<String> unlisted = unlisted(held);
         // A TCP socket that is not connected yet, was reset, or was closed since the descriptors
-        // were read
-        // stands in no table. Only one that stays in none is of a kind that the tables do not have.
+        // were read is in no table. One that stays in none is of a kind that the tables do not
+        // have.
         while (!unlisted.isEmpty() && System.nanoTime() < until) {
           Thread.sleep(20);
           unlisted.retainAll(unlisted(sockets(process.pid())));
@@ -56,25 +57,24 @@
   }
 
   /**
-   * Those of the sockets {@code held} that stand in no table of IPv4 TCP or UDP; fails on one that
-   * stands among those of IPv6 or among the Unix sockets with a path.
+   * Those of the sockets {@code held} that are in no table of IPv4 TCP or UDP. Fails on a socket
+   * over IPv6 and on a Unix socket with a path.
    */
   private static Set<String> unlisted(Set<String> held) throws IOException {
-    Set<String> left = new HashSet<>(held);
+    Set<String> unlisted = new HashSet<>(held);
     for (String table : List.of("tcp", "udp")) {
-      left.removeAll(inodes("/proc/net/" + table, 9));
-      for (String six : inodes("/proc/net/" + table + "6", 9)) {
-        assertFalse(held.contains(six), "a socket over IPv6, inode " + six);
+      unlisted.removeAll(inodes("/proc/net/" + table, 9));
+      for (String inode : inodes("/proc/net/" + table + "6", 9)) {
+        assertFalse(held.contains(inode), "a socket over IPv6, inode " + inode);
       }
     }
-    // The JDK holds one end of an unnamed pair of Unix sockets for closing descriptors safely:
-    // nobody can come
-    // to it, and the platform allows it. A Unix socket with a path can be come to, and is refused.
-    left.removeAll(unnamedUnix());
-    for (String unix : inodes("/proc/net/unix", 6, fields -> fields.length > 7)) {
-      assertFalse(held.contains(unix), "a Unix socket with a path, inode " + unix);
+    // The JDK holds one end of an unnamed pair of Unix sockets for closing descriptors safely.
+    // Nobody can connect to it, and the platform allows it. One with a path is refused.
+    unlisted.removeAll(unnamedUnix());
+    for (String inode : inodes("/proc/net/unix", 6, fields -> fields.length > 7)) {
+      assertFalse(held.contains(inode), "a Unix socket with a path, inode " + inode);
     }
-    return left;
+    return unlisted;
   }
 
   /**
@@ -114,8 +114,8 @@
           if (socket.matches()) {
             held.add(socket.group(1));
           }
-        } catch (IOException gone) {
-          // A descriptor closed while it was listed says nothing either way.
+        } catch (IOException closed) {
+          // A descriptor that was closed meanwhile shows nothing.
         }
       }
     }
--- a/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,19 +16,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Discovery is away, and comes back; what it then has to tell is known before a send could break
- * the rule on drains.
+ * Discovery after an outage, a bad response or a move: its list is applied before a job could be
+ * sent to a worker beyond the grace of its drain.
  */
 @Timeout(120)
 class DiscoveryRecoveryTest {
   private static final int DESCRIPTORS = 64;
 
-  /**
-   * As many idle clients as may come in, and more, leave the watch, the copy workers and call-backs
-   * what is theirs.
-   */
+  /** Descriptors are reserved for the watch, for workers and for status updates. */
   @Test
-  void idleClientsDoNotKeepTheWatchFromComingBack() throws Exception {
+  void idleClientsDoNotKeepTheWatchFromRecovering() throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTORS))) {
       HttpMessage watch = server.discovery.nextRequest();
@@ -35,35 +33,38 @@
       server.discovery.close();
       watch.connection().close();
       server.awaitStep(Step.WATCH_FAILED);
-      List<Socket> idle = new ArrayList<>();
-      for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-        idle.add(server.connect());
-        HttpIo.write(
-            idle.get(i), i % 3 == 0 ? "" : "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-      }
+      List<Socket> idleClients = connectIdleClients(server);
       SubmittedJob job = server.submit("/copy", "");
-      int to = server.awaitAttemptWorker();
-      server.serveNextJob(to, "while it is down");
-      assertEquals("while it is down", job.response().body());
+      server.serveNextJob(server.awaitAttemptWorker(), "during the outage");
+      assertEquals("during the outage", job.response().body());
+
       server.discovery = new StubHttpServer(port);
-      HttpMessage back = server.discovery.nextRequest();
-      assertTrue(back.startLine().contains("?from=41&"), back.startLine());
-      server.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(back);
+
+      HttpMessage recovered = server.discovery.nextRequest();
+      assertTrue(recovered.startLine().contains("?from=41&"), recovered.startLine());
+      server.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(recovered);
       assertTrue(server.discovery.nextRequest().startLine().contains("?from=43&"));
       server.assertAllServedBy(1, 8);
-      for (Socket client : idle) {
+      for (Socket client : idleClients) {
         client.close();
       }
     }
   }
 
-  /**
-   * A list that was cut, or is none, was told for all we know: it is asked for again at once, not
-   * when it is convenient.
-   */
+  /** More than the dispatcher has descriptors; every third one sends no request. */
+  private static List<Socket> connectIdleClients(StepControlledServer server) throws IOException {
+    List<Socket> clients = new ArrayList<>();
+    for (int i = 0; i < 2 * DESCRIPTORS; i++) {
+      clients.add(server.connect());
+      HttpIo.write(clients.get(i), i % 3 == 0 ? "" : DispatcherHarness.READINESS_HEAD + "\r\n");
+    }
+    return clients;
+  }
+
+  /** A list that cannot be used may have a drain in it; the backoff is for outages. */
   @ParameterizedTest
   @ValueSource(strings = {"cut", "nonsense", "older"})
-  void aSpoiltListIsAskedForAgainAtOnceHoweverManyFailuresCameBefore(String how) throws Exception {
+  void anUnusableListIsRequestedAgainAtOnceDespiteEarlierFailures(String fault) throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(4))) {
       for (int i = 0; i < 3; i++) {
@@ -71,52 +72,56 @@
       }
       HttpMessage watch = server.discovery.nextRequest();
       server.drainSteps();
-      int sequence = how.equals("older") ? 40 : 43;
-      String list =
-          server.endpointList(sequence, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson();
-      switch (how) {
-        case "cut" -> {
-          HttpIo.write(
-              watch.connection(),
-              "HTTP/1.1 200 x\r\nContent-Length: "
-                  + list.length()
-                  + "\r\n\r\n"
-                  + list.substring(0, 50));
-          watch.connection().close();
-        }
-        case "nonsense" -> watch.respond(200, list.substring(0, 50));
-        default -> watch.respond(200, list);
-      }
-      HttpMessage again = server.discovery.nextRequest();
+
+      respondWithUnusableList(server, watch, fault);
+
+      HttpMessage retry = server.discovery.nextRequest();
       assertTrue(
-          server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)),
-          "the module's back-off is for outages");
-      assertEquals(how.equals("older"), !again.startLine().contains("?from="), again.startLine());
-      server.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(again);
+          server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)), "no backoff");
+      assertEquals(fault.equals("older"), !retry.startLine().contains("?from="), retry.startLine());
+      server.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(retry);
       server.discovery.nextRequest();
       server.assertAllServedBy(1, 8);
     }
   }
 
-  /**
-   * A move to another discovery while a call is out, and while nobody listens at the old address.
-   */
+  private static void respondWithUnusableList(
+      StepControlledServer server, HttpMessage watch, String fault) throws IOException {
+    int sequence = fault.equals("older") ? 40 : 43;
+    EndpointList list =
+        server.endpointList(sequence, Extent.CHANGES, Health.DRAINING, Health.SERVING);
+    String json = list.toJson();
+    switch (fault) {
+      case "cut" -> {
+        String response = HttpIo.withBody("HTTP/1.1 200 x\r\n", json);
+        int missing = json.length() - 50;
+        HttpIo.write(watch.connection(), response.substring(0, response.length() - missing));
+        watch.connection().close();
+      }
+      case "nonsense" -> watch.respond(200, json.substring(0, 50));
+      default -> list.respondTo(watch);
+    }
+  }
+
+  /** A move while a poll is pending, or while nothing listens at the old address. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aMoveIsFollowedAtOnceAlsoDuringAnOutage(boolean down) throws Exception {
+  void aMoveOfDiscoveryAppliesAtOnceAlsoDuringAnOutage(boolean outage) throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(60));
         StubHttpServer next = new StubHttpServer()) {
       HttpMessage watch = server.discovery.nextRequest();
-      if (down) {
+      if (outage) {
         server.discovery.close();
         watch.connection().close();
         server.awaitStep(Step.WATCH_FAILED);
       }
+
       server.moveDiscovery(next.socketAddress());
-      HttpMessage whole = next.nextRequest();
-      assertEquals("GET /registry/instances HTTP/1.1", whole.startLine());
-      server.endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(whole);
+
+      HttpMessage complete = next.nextRequest();
+      assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
+      server.endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(complete);
       assertTrue(next.nextRequest().startLine().contains("?from=7&"));
       server.assertAllServedBy(1, 8);
     }
--- a/src/test/java/loomreel/program/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/DispatcherProcess.java
@@ -133,6 +133,26 @@
     }
   }
 
+  /** Disables a worker through the management API of a dispatcher; the status of the response. */
+  int disableWorker(int instance, String worker) throws IOException {
+    return callManagement(instance, "POST", "copy-workers/down", worker).status();
+  }
+
+  /** Enables a worker through the management API of a dispatcher; the status of the response. */
+  int enableWorker(int instance, String worker) throws IOException {
+    return callManagement(instance, "POST", "copy-workers/up", worker).status();
+  }
+
+  /** Starts a client drain through the management API; the status of the response. */
+  int startClientDrain(int instance) throws IOException {
+    return callManagement(instance, "POST", "drain/start", "").status();
+  }
+
+  /** Stops a client drain through the management API; the status of the response. */
+  int stopClientDrain(int instance) throws IOException {
+    return callManagement(instance, "POST", "drain/stop", "").status();
+  }
+
   /**
    * A number in the statistics of a dispatcher: {@code name}, or {@code name.class} for one of a
    * request class.
@@ -145,6 +165,13 @@
     return Integer.parseInt(number.group(1));
   }
 
+  /** Waits until a number in the statistics of a dispatcher has this value. */
+  void awaitStatistic(int instance, String name, int value) throws Exception {
+    while (statistic(instance, name) != value) {
+      Thread.sleep(1);
+    }
+  }
+
   /** Replaces discovery, and has the dispatcher reload; the previous discovery. */
   StubHttpServer moveDiscovery() throws Exception {
     StubHttpServer previous = discovery;
--- /dev/null
+++ b/src/test/java/loomreel/program/JobForwardingTest.java
@@ -0,0 +1,187 @@
+package loomreel.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.Socket;
+import loomreel.program.EndpointList.Extent;
+import loomreel.program.EndpointList.Health;
+import loomreel.program.TestConfiguration.LoadReports;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Jobs on their way to a worker, retries at another one, and results on their way back. */
+@Timeout(120)
+class JobForwardingTest {
+  @Test
+  void aJobIsForwardedUnchangedAndItsResultReturned() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
+      assertEquals(200, program.readinessStatus());
+
+      SubmittedJob job = program.submit("/copy/page?n=1", "the body");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      post.respond(202, "");
+
+      assertEquals("POST /copy/page?n=1 HTTP/1.1", post.startLine());
+      assertEquals("the body", post.body());
+      assertEquals(job.id(), post.header("X-Call-Id"));
+      int budget = Integer.parseInt(post.header("X-Budget-Ms"));
+      assertTrue(budget > 0 && budget <= 20_000, "budget " + budget);
+      assertEquals(200, program.reportStatus(job.id(), "w0", "running", ",\"share\":0.4"));
+      assertEquals(200, program.reportDone(job.id(), "w0", "r\\u00e9sultat"));
+      HttpMessage response = job.response();
+      assertEquals(200, response.status());
+      assertEquals("résultat", response.body());
+    }
+  }
+
+  /**
+   * A job that may have run does not run again where its class forbids that; a job that a worker
+   * has rejected or returned goes to another one.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "issue,reset,500",
+    "issue,500,500",
+    "issue,lost,500",
+    "issue,rejected,200",
+    "issue,returned,200",
+    "copy,reset,200",
+    "copy,500,200",
+    "copy,lost,200",
+    "copy,garbage,200"
+  })
+  void anotherAttemptIsMadeAsClassAndOutcomeAllow(String requestClass, String outcome, int status)
+      throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
+      SubmittedJob job = program.submit("/" + requestClass, "b");
+      int worker = program.awaitWorkerWithRequest();
+      HttpMessage post = program.workers.get(worker).nextRequest();
+
+      switch (outcome) {
+        case "reset" -> post.connection().close();
+        case "500" -> post.respond(500, "");
+        case "rejected" -> post.respond(503, "", "X-Rejected: 1");
+        case "garbage" -> HttpIo.write(post.connection(), "\0\1 what?\r\n\r\n");
+        default -> {
+          post.respond(202, "");
+          program.reportStatus(job.id(), "w" + worker, outcome, "");
+        }
+      }
+
+      if (status == 200) {
+        program.serveNextJob(1 - worker, "elsewhere");
+      }
+      assertEquals(status, job.response().status());
+      assertFalse(program.workers.get(0).hasPendingRequest());
+      assertFalse(program.workers.get(1).hasPendingRequest());
+    }
+  }
+
+  @Test
+  void anUnreachableWorkerIsSkipped() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(2)) {
+      program.workers.get(0).close();
+
+      for (int i = 0; i < 6; i++) {
+        SubmittedJob job = program.submit("/issue", "");
+        program.serveNextJob(1, "there");
+        assertEquals("there", job.response().body());
+      }
+    }
+  }
+
+  /** The client gets a Retry-After at its deadline. */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void aSilentWorkerCostsNoMoreThanTheDeadline(boolean accepts) throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
+      SubmittedJob job = program.submit(program.connect(), "/copy", 2000, "");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      if (accepts) {
+        post.respond(202, "");
+      }
+
+      HttpMessage response = job.response();
+      SubmittedJob late = program.submit(job.connection(), "/copy", 1, "");
+
+      assertEquals(503, response.status(), "an idempotent job may be submitted again");
+      assertEquals("1.500", response.header("Retry-After"));
+      assertNotEquals(200, late.response().status());
+    }
+  }
+
+  @Test
+  void aWorkerWithANewAddressGetsItsJobsThere() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
+      StubHttpServer previous = program.workers.set(0, new StubHttpServer());
+      program
+          .endpointList(42, Extent.COMPLETE, Health.SERVING)
+          .respondTo(program.discovery.nextRequest());
+      program.discovery.nextRequest();
+
+      SubmittedJob job = program.submit("/copy", "");
+      program.serveNextJob(0, "moved");
+
+      assertEquals("moved", job.response().body());
+      assertFalse(previous.hasPendingRequest());
+      previous.close();
+    }
+  }
+
+  @Test
+  void aChunkedBodyThatArrivesByteByByteIsForwardedCompletely() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1);
+        Socket client = program.connect()) {
+      String head =
+          HttpIo.lines(
+              "POST /copy HTTP/1.1",
+              "Host: x",
+              "X-Call-Id: 00000000000000aa",
+              "X-Budget-Ms: 20000",
+              "Transfer-Encoding: chunked",
+              "");
+      String chunks = HttpIo.lines("3;x=y", "abc", "0a", "0123456789", "0", "T: v", "");
+      client.setTcpNoDelay(true);
+
+      for (char c : (head + chunks).toCharArray()) {
+        HttpIo.write(client, String.valueOf(c));
+      }
+
+      assertEquals("abc0123456789", program.workers.get(0).nextRequest().body());
+    }
+  }
+
+  @Test
+  void aBodyOfTheLargestSizeIsForwardedAndALargeResultReturned() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
+      String large = "x".repeat(64 * 1024);
+
+      SubmittedJob job = program.submit("/copy", large);
+      assertEquals(large, program.workers.get(0).nextRequest().body());
+      program.reportDone(job.id(), "w0", large.substring(100));
+
+      assertEquals(large.substring(100), job.response().body());
+    }
+  }
+
+  @Test
+  void loadReportsArePolledWhereHealthChecksAreAllowed() throws Exception {
+    try (DispatcherProcess program =
+        new DispatcherProcess(1, new TestConfiguration().loadReports(LoadReports.POLLED))) {
+      SubmittedJob job = program.submit("/copy", "");
+
+      HttpMessage healthCheck = program.workers.get(0).nextRequest();
+      assertEquals("GET /stats HTTP/1.1", healthCheck.startLine());
+      healthCheck.respond(200, "TEXT inflight=1, queue=0, x0=3");
+
+      program.serveNextJob(0, "served");
+      assertEquals("served", job.response().body());
+    }
+  }
+}
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -3,19 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import loomreel.program.StepControlledServer.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Answers of copy workers that are cut, spoilt, doubled or without end, and what they prove. */
+/** Responses of workers that are truncated, malformed, repeated or endless, and what they prove. */
 @Timeout(120)
 class MalformedWorkerResponseTest {
-  /** What follows the head of a 202; none of it changes that the job was taken. */
-  private enum Rest {
+  /** What follows the status line of a 202; in each case the job was accepted. */
+  private enum Remainder {
     CUT("Content-Length: 10\r\n\r\nabc", true),
-    NOT_THERE("Content-Length: 10\r\n\r\n", true),
+    MISSING("Content-Length: 10\r\n\r\n", true),
     TOO_LONG("Content-Length: 1000000\r\n\r\n", false),
     GARBAGE("Transfer-Encoding: chunked\r\n\r\nzz\r\n", false),
     TWO_LENGTHS("Content-Length: 1\r\nContent-Length: 2\r\n\r\n", false),
@@ -23,104 +22,108 @@
         "Transfer-Encoding: chunked\r\n\r\n" + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(17),
         false);
 
-    final String bytes;
-    final boolean ends;
+    private final String bytes;
+    private final boolean endsConnection;
 
-    Rest(String bytes, boolean ends) {
+    Remainder(String bytes, boolean endsConnection) {
       this.bytes = bytes;
-      this.ends = ends;
+      this.endsConnection = endsConnection;
+    }
+  }
+
+  /** A job that a worker has received and not answered. */
+  private record ReceivedJob(SubmittedJob job, int worker, HttpMessage post) {
+    static ReceivedJob submit(StepControlledServer server, String path) throws Exception {
+      SubmittedJob job = server.submit(path, "");
+      int worker = server.awaitAttemptWorker();
+      return new ReceivedJob(job, worker, server.workers.get(worker).nextRequest());
     }
   }
 
   @ParameterizedTest
-  @EnumSource(Rest.class)
-  void aJobIsTakenOnceTheHeadSaysSo(Rest rest) throws Exception {
+  @EnumSource(Remainder.class)
+  void aJobIsAcceptedOnceTheStatusLineSaysSo(Remainder remainder) throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
-      SubmittedJob job = server.submit("/issue", "");
-      int at = server.awaitAttemptWorker();
-      HttpMessage post = server.workers.get(at).nextRequest();
-      HttpIo.write(post.connection(), "HTTP/1.1 202 x\r\n" + rest.bytes);
-      if (rest.ends) {
-        post.connection().shutdownOutput();
+      ReceivedJob received = ReceivedJob.submit(server, "/issue");
+
+      HttpIo.write(received.post.connection(), "HTTP/1.1 202 x\r\n" + remainder.bytes);
+      if (remainder.endsConnection) {
+        received.post.connection().shutdownOutput();
       }
-      server.workers.get(at).awaitClosed(post.connection());
-      server.reportStatus(job.id(), "w" + at, "done", ",\"result\":\"once\"");
-      assertEquals("once", job.response().body());
+
+      server.workers.get(received.worker).awaitClosed(received.post.connection());
+      server.reportDone(received.job.id(), "w" + received.worker, "once");
+      assertEquals("once", received.job.response().body());
       assertFalse(
-          server.workers.get(1 - at).hasPendingRequest(),
-          "it was not lost, so nobody else gets it");
+          server.workers.get(1 - received.worker).hasPendingRequest(), "no other worker gets it");
     }
   }
 
-  /**
-   * A connection that says nothing behind the head of a 202 is not kept for as long as the job may
-   * take.
-   */
   @Test
-  void aBodyThatNeverComesHoldsNoConnection() throws Exception {
+  void aConnectionWhoseResponseBodyNeverArrivesIsClosed() throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(1, new TestConfiguration().connectTimeoutSeconds(0.25))) {
       SubmittedJob job = server.submit("/issue", "");
       HttpMessage post = server.workers.get(0).nextRequest();
+
       HttpIo.write(post.connection(), "HTTP/1.1 202 x\r\nTransfer-Encoding: chunked\r\n\r\n");
+
       server.workers.get(0).awaitClosed(post.connection());
-      server.reportStatus(job.id(), "w0", "done", ",\"result\":\"r\"");
+      server.reportDone(job.id(), "w0", "r");
       assertEquals("r", job.response().body());
     }
   }
 
-  /** Half a refusal proves nothing: an issue may have run. */
+  /** The job may have run. */
   @Test
-  void aRefusalThatIsCutIsNoProof() throws Exception {
+  void aTruncatedRejectionIsNoProofThatTheJobHasNotRun() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
-      SubmittedJob job = server.submit("/issue", "");
-      int at = server.awaitAttemptWorker();
-      HttpMessage post = server.workers.get(at).nextRequest();
+      ReceivedJob received = ReceivedJob.submit(server, "/issue");
+
       HttpIo.write(
-          post.connection(), "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 10\r\n\r\nabc");
-      post.connection().close();
-      assertEquals(500, job.response().status());
-      assertFalse(server.workers.get(1 - at).hasPendingRequest());
+          received.post.connection(),
+          "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 10\r\n\r\nabc");
+      received.post.connection().close();
+
+      assertEquals(500, received.job.response().status());
+      assertFalse(server.workers.get(1 - received.worker).hasPendingRequest());
     }
   }
 
-  /**
-   * The client leaves while the 202 lies here unread: what the copy worker has taken is asked to
-   * end.
-   */
+  /** The client disconnects while the 202 is unread. */
   @Test
-  void aCancelThatCrossesThe202IsSaidAfterIt() throws Exception {
+  void aCancellationThatCrossesA202IsSentToTheWorker() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       HttpMessage post = server.workers.get(0).nextRequest();
-      server.onStep(Step.CANCELLATION_SENT, () -> post.respond(202, ""));
+      server.onStep(StepControlledServer.Step.CANCELLATION_SENT, () -> post.respond(202, ""));
+
       job.connection().close();
+
       assertEquals(
           "DELETE /jobs/" + job.id() + " HTTP/1.1",
           server.workers.get(0).nextRequest().startLine());
     }
   }
 
-  /** `done` crosses the end of its attempt: it is answered, and acted on once if at all. */
   @Test
-  void doneThatCrossesALostAttemptIsActedOnOnce() throws Exception {
+  void aResultThatCrossesTheLossOfItsAttemptIsActedOnOnce() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
-      SubmittedJob job = server.submit("/copy", "");
-      int at = server.awaitAttemptWorker();
-      HttpMessage first = server.workers.get(at).nextRequest();
-      first.respond(202, "");
-      server.reportStatus(job.id(), "w" + at, "lost", "");
-      HttpMessage second = server.workers.get(1 - at).nextRequest();
-      assertEquals(
-          200, server.reportStatus(job.id(), "w" + at, "done", ",\"result\":\"of the lost one\""));
-      assertEquals(200, server.reportStatus(job.id(), "w" + at, "returned", ""));
+      ReceivedJob received = ReceivedJob.submit(server, "/copy");
+      String id = received.job.id();
+      String firstWorker = "w" + received.worker;
+      String secondWorker = "w" + (1 - received.worker);
+      received.post.respond(202, "");
+      server.reportStatus(id, firstWorker, "lost", "");
+      HttpMessage second = server.workers.get(1 - received.worker).nextRequest();
+
+      assertEquals(200, server.reportDone(id, firstWorker, "of the lost one"));
+      assertEquals(200, server.reportStatus(id, firstWorker, "returned", ""));
       second.respond(202, "");
-      assertEquals(
-          200,
-          server.reportStatus(job.id(), "w" + (1 - at), "done", ",\"result\":\"of the second\""));
-      assertEquals(
-          200, server.reportStatus(job.id(), "w" + (1 - at), "done", ",\"result\":\"once more\""));
-      assertEquals("of the second", job.response().body());
+      assertEquals(200, server.reportDone(id, secondWorker, "of the second"));
+      assertEquals(200, server.reportDone(id, secondWorker, "once more"));
+
+      assertEquals("of the second", received.job.response().body());
     }
   }
 }
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The program reads what an earlier build of it has stored: copies of the files under {@code
- * src/test/resources/stored}, which its README describes. They are never written again.
+ * Files that an earlier build has stored are read: copies of those under {@code
+ * src/test/resources/stored}, which its README describes and which are never recorded again.
  */
 @Timeout(120)
 class StoredDataTest {
@@ -32,29 +32,23 @@
   private static final Path STORED = Path.of("src", "test", "resources", "stored");
   private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
 
-  /** What stands in the stored segments in place of the boot id of the machine that wrote them. */
+  /** Replaces the boot id of the machine that wrote the stored segments. */
   private static final String STORED_BOOT_ID = "00000000-0000-0000-0000-000000000000";
 
   private static final String SETTINGS =
-      """
-      name: "t"
-      listen: {http: "127.0.0.1:0", operators: "127.0.0.1:0"}
-      classes: {
-      	copy: {repeat: "free", target: "20s", deadline: "20s"}
-      	issue: {repeat: "single_shot", target: "20s", deadline: "20s"}
-      	quick: {repeat: "free", target: "20s", deadline: "20s"}
-      }
-      faktory: {
-      	listen: "127.0.0.1:0"
-      	queues: {copies: class: "copy", renewals: class: "issue", drafts: class: "quick"}
-      	workers: {fetch_wait: "200ms", cold: false}
-      	remember: "87000h"
-      	may_mutate: true
-      	spool: "%s"
-      }
-      """;
-
-  /** How the jobs stand that no worker gets: those that have ended, and those that are not due. */
+      FaktoryDaemonSettings.of(
+          """
+          quick: {repeat: "free", target: "20s", deadline: "20s"}
+          """,
+          """
+          queues: {copies: class: "copy", renewals: class: "issue", drafts: class: "quick"}
+          workers: {fetch_wait: "200ms", cold: false}
+          remember: "87000h"
+          may_mutate: true
+          spool: "%s"
+          """);
+
+  /** The tracked states of the jobs that no worker gets: those that have ended or are not due. */
   private static final List<String> SETTLED =
       List.of(
           "{\"jid\":\"copy-done\",\"state\":\"success\",\"failures\":0}",
@@ -71,15 +65,15 @@
               + "\"reason\":\"failed before it ran\"}",
           "{\"jid\":\"issue-scheduled\",\"state\":\"scheduled\",\"failures\":0}");
 
-  /** A job of class issue that was being tried, but was not yet given to a worker. */
-  private static final String TRIED = "issue-tried";
+  /** A job of class issue with an attempt that had not reached a worker. */
+  private static final String ATTEMPTED = "issue-tried";
 
-  private static final String TRIED_MAY_HAVE_RUN =
+  private static final String ATTEMPTED_MAY_HAVE_RUN =
       "{\"jid\":\"issue-tried\",\"state\":\"dead\",\"failures\":0,"
           + "\"reason\":\"may have run: the process ended while it was tried\","
           + "\"may_have_run\":true}";
 
-  /** The payloads of the jobs that wait, by their jids, as their clients pushed them. */
+  /** The payloads of the queued jobs as their clients pushed them, by jid. */
   private static Map<String, JsonNode> waiting() throws IOException {
     Map<String, JsonNode> jobs = new TreeMap<>();
     for (String line : Files.readAllLines(STORED.resolve("waiting.jsonl"))) {
@@ -98,8 +92,8 @@
     }
   }
 
-  /** Makes stored segments those of the machine's present boot. */
-  private static void keepRunning(Path spool) throws IOException {
+  /** Replaces the boot id in stored segments by that of this machine. */
+  private static void setCurrentBootId(Path spool) throws IOException {
     String boot = Files.readString(BOOT_ID).strip();
     try (Stream<Path> files = Files.list(spool)) {
       for (Path file : files.toList()) {
@@ -109,13 +103,13 @@
     }
   }
 
-  /** What TRACK says of a job, without what says nothing of the stored files. */
+  /** The state of a job by TRACK, without the members that do not depend on the stored files. */
   private static JsonNode track(FaktoryClient client, String jid) throws IOException {
     ObjectNode answer = (ObjectNode) client.callForJson("TRACK GET " + jid);
     return answer.without(List.of("percent", "desc", "updated_at"));
   }
 
-  /** The next job of these queues, however long it takes to come. */
+  /** Fetches until one of these queues has a job. */
   private static ObjectNode fetch(FaktoryClient worker, String queues) throws IOException {
     Object job = null;
     while (job == null) {
@@ -124,7 +118,7 @@
     return (ObjectNode) JSON.readTree((String) job);
   }
 
-  /** A fetched job as its client pushed it: without what each attempt adds. */
+  /** A fetched job as its client pushed it, without the members that an attempt adds. */
   private static JsonNode asPushed(ObjectNode fetched) {
     ObjectNode custom = (ObjectNode) fetched.path("custom");
     fetched.put("jid", custom.path("client_jid").asText());
@@ -136,7 +130,7 @@
     return fetched;
   }
 
-  /** Has a worker run so many jobs; them as pushed, by their jids. */
+  /** Has a worker run this many jobs; the jobs as pushed, by jid. */
   private static Map<String, JsonNode> run(DaemonProcess daemon, int jobs) throws IOException {
     Map<String, JsonNode> fetched = new TreeMap<>();
     try (FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w0")) {
@@ -146,12 +140,12 @@
         JsonNode pushed = asPushed(job);
         fetched.put(pushed.path("jid").asText(), pushed);
       }
-      assertNull(worker.call("FETCH copies renewals drafts"), "nothing else waits");
+      assertNull(worker.call("FETCH copies renewals drafts"), "no other job is queued");
     }
     return fetched;
   }
 
-  /** What is in flight and must not run twice runs again only where it surely has not run. */
+  /** A job that must not run twice runs again only if it cannot have run. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aSpoolIsReadWhetherOrNotTheMachineHasRestarted(boolean restarted, @TempDir Path directory)
@@ -160,19 +154,19 @@
     copyFiles(STORED.resolve("spool"), spool);
     Map<String, JsonNode> expected = waiting();
     if (restarted) {
-      expected.remove(TRIED);
+      expected.remove(ATTEMPTED);
     } else {
-      keepRunning(spool);
+      setCurrentBootId(spool);
     }
     Path settings = DaemonProcess.writeSettings(SETTINGS.formatted(spool));
     try (DaemonProcess daemon = new DaemonProcess(settings);
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
       for (String job : SETTLED) {
-        JsonNode stands = JSON.readTree(job);
-        assertEquals(stands, track(client, stands.path("jid").asText()));
+        JsonNode expectedState = JSON.readTree(job);
+        assertEquals(expectedState, track(client, expectedState.path("jid").asText()));
       }
       if (restarted) {
-        assertEquals(JSON.readTree(TRIED_MAY_HAVE_RUN), track(client, TRIED));
+        assertEquals(JSON.readTree(ATTEMPTED_MAY_HAVE_RUN), track(client, ATTEMPTED));
       }
       assertEquals(expected, run(daemon, expected.size()));
       client.callExpectingOk("MUTATE {\"cmd\":\"requeue\",\"target\":\"scheduled\"}");
@@ -184,26 +178,26 @@
     }
   }
 
-  /** What operators have said holds for a process that starts later, and is stored as before. */
+  /** They apply to a process that starts later, and are stored in the same form. */
   @Test
-  void whatOperatorsHaveSaidHolds() throws Exception {
+  void operatorOverridesAreReadAndStored() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(3)) {
       program.killInstance(0);
       copyFiles(STORED.resolve("operators"), program.temporaryDirectory);
       Path stored = program.temporaryDirectory.resolve("n0.state");
       program.startSuccessor();
       assertEquals(2, program.statistic(1, "hosts_down"));
-      assertEquals(503, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
+      assertEquals(503, program.readinessStatus());
       for (String worker : List.of("w0", "w2")) {
         String before = Files.readString(stored);
-        assertEquals(200, program.callManagement(1, "POST", "copy-workers/up", worker).status());
+        assertEquals(200, program.enableWorker(1, worker));
         assertEquals(before.replace("down " + worker + "\n", ""), Files.readString(stored));
       }
       assertEquals(0, program.statistic(1, "hosts_down"));
       assertEquals("drained\n", Files.readString(stored));
-      assertEquals(200, program.callManagement(1, "POST", "drain/stop", "").status());
+      assertEquals(200, program.stopClientDrain(1));
       assertEquals("", Files.readString(stored));
-      assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n", "").status());
+      assertEquals(200, program.readinessStatus());
     }
   }
 }
--- a/src/test/java/loomreel/program/Transcript.java
+++ b/src/test/java/loomreel/program/Transcript.java
@@ -23,7 +23,7 @@
  *
  * <p>With {@code -Dtranscripts.record=true} the files are written instead of compared:
  *
- * <pre>mvn -q -B -o test -Dtest=TranscriptTest -Dtranscripts.record=true</pre>
+ * <pre>mvn -q -B -o test -Dtest=*TranscriptTest -Dtranscripts.record=true</pre>
  *
  * <p>They record the program's behaviour on the wire: record them again only where it is meant to
  * change, and read the difference.
--- /dev/null
+++ b/src/test/java/loomreel/program/WorkerConnectionTest.java
@@ -0,0 +1,75 @@
+package loomreel.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Connections to workers: how long they are idle, and when they may be used again. */
+@Timeout(120)
+class WorkerConnectionTest {
+  /** A worker would reset a job on a connection that it has closed. */
+  @Test
+  void idleConnectionsAreClosedBeforeTheWorkerClosesThem() throws Exception {
+    try (DispatcherProcess program =
+        new DispatcherProcess(1, new TestConfiguration().idleConnectionSeconds(1))) {
+      SubmittedJob job = program.submit("/copy", "");
+      HttpMessage post = program.workers.get(0).nextRequest();
+      post.respond(202, "");
+      program.reportDone(job.id(), "w0", "r");
+
+      assertEquals("r", job.response().body());
+      program.workers.get(0).awaitClosed(post.connection());
+    }
+  }
+
+  /** A middlebox may drop idle connections sooner than the settings say, and reset the next job. */
+  @Test
+  void theIdleTimeIsReducedAfterResetsOfReusedConnections() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
+      SubmittedJob job = program.submit("/copy", "");
+      program.serveNextJob(0, "first");
+      assertEquals("first", job.response().body());
+      for (int i = 0; i < 3; i++) {
+        Thread.sleep(200);
+        job = program.submit(job.connection(), "/issue", 20_000, "");
+        program.workers.get(0).nextRequest().connection().close();
+        assertEquals(500, job.response().status());
+        job = program.submit(job.connection(), "/copy", 20_000, "");
+        program.serveNextJob(0, "next");
+        assertEquals("next", job.response().body());
+      }
+
+      Thread.sleep(400);
+      program.workers.get(0).resetConnectionCount();
+      job = program.submit(job.connection(), "/issue", 20_000, "");
+      program.serveNextJob(0, "on a new connection");
+
+      assertEquals("on a new connection", job.response().body());
+      assertEquals(1, program.workers.get(0).connectionCount());
+    }
+  }
+
+  /** The bytes would be taken for the rejection of the next job. */
+  @Test
+  void aConnectionWithBytesBehindAResponseIsNotReused() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1)) {
+      for (int i = 0; i < 4; i++) {
+        SubmittedJob job = program.submit("/issue", "");
+        HttpMessage post = program.workers.get(0).nextRequest();
+
+        HttpIo.write(
+            post.connection(),
+            HttpIo.withBody("HTTP/1.1 202 x\r\n", "")
+                + HttpIo.withBody(HttpIo.lines("HTTP/1.1 503 x", "X-Rejected: 1"), ""));
+
+        program.workers.get(0).awaitClosed(post.connection());
+        program.reportDone(job.id(), "w0", "once");
+        assertEquals("once", job.response().body());
+      }
+      assertEquals(4, program.workers.get(0).connectionCount());
+      assertFalse(program.workers.get(0).hasPendingRequest());
+    }
+  }
+}
