--- a/src/test/java/loomreel/program/HotRestartTest.java
+++ b/src/test/java/loomreel/program/HotRestartTest.java
@@ -59,13 +59,19 @@
     return job;
   }
 
-  /** Swaps the disabled worker and swaps it back, at the successor. */
+  /**
+   * Swaps the disabled worker and swaps it back, at the successor. Each change has to reach the old
+   * process before the next one; the response of the management API does not wait for that.
+   */
   private static void assertOverridesReachOldProcess(DispatcherProcess program) throws Exception {
     assertEquals(200, program.disableWorker(1, "w1"));
+    program.awaitStatistic(0, DISABLED_WORKERS, 2);
     assertEquals(200, program.enableWorker(1, "w0"));
     program.awaitStatistic(0, DISABLED_WORKERS, 1);
     assertEquals(200, program.enableWorker(1, "w1"));
+    program.awaitStatistic(0, DISABLED_WORKERS, 0);
     assertEquals(200, program.disableWorker(1, "w0"));
+    program.awaitStatistic(0, DISABLED_WORKERS, 1);
   }
 
   private static void assertOldProcessServesItsConnections(
