--- a/src/test/java/loomreel/program/BadInputTest.java
+++ b/src/test/java/loomreel/program/BadInputTest.java
@@ -5,6 +5,8 @@
 
 import java.net.Socket;
 import java.util.List;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.HttpIo;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -65,7 +67,7 @@
       }
 
       assertEquals(200, program.readinessStatus());
-      assertFalse(program.workers.get(0).hasPendingRequest());
+      assertFalse(program.worker(0).hasPendingRequest());
     }
   }
 }
--- a/src/test/java/loomreel/program/ClientConnectionTest.java
+++ b/src/test/java/loomreel/program/ClientConnectionTest.java
@@ -4,6 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import java.net.Socket;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.SubmittedJob;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -14,15 +18,14 @@
   void theJobOfADisconnectedClientIsCancelled() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit("/copy", "");
-      program.workers.get(0).nextRequest().respond(202, "");
+      program.worker(0).nextRequest().respond(202, "");
       // The response to a status update shows that the 202 has been read.
       program.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
 
       job.connection().close();
 
       assertEquals(
-          "DELETE /jobs/" + job.id() + " HTTP/1.1",
-          program.workers.get(0).nextRequest().startLine());
+          "DELETE /jobs/" + job.id() + " HTTP/1.1", program.worker(0).nextRequest().startLine());
     }
   }
 
@@ -36,9 +39,9 @@
       }
 
       for (int i = 0; i < ids.length; i++) {
-        HttpMessage post = program.workers.get(0).nextRequest();
+        HttpMessage post = program.worker(0).nextRequest();
         assertEquals("POST /copy/" + i + " HTTP/1.1", post.startLine());
-        assertFalse(program.workers.get(0).hasPendingRequest());
+        assertFalse(program.worker(0).hasPendingRequest());
         post.respond(202, "");
         program.reportDone(ids[i], "w0", "r" + i);
         assertEquals("r" + i, HttpIo.read(client).body());
--- a/src/test/java/loomreel/program/ClientDisconnectTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -5,8 +5,14 @@
 
 import java.io.IOException;
 import java.net.Socket;
-import loomreel.program.StepControlledServer.ReachedStep;
-import loomreel.program.StepControlledServer.Step;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.StalledListener;
+import loomreel.program.harness.StepControlledServer;
+import loomreel.program.harness.StepControlledServer.ReachedStep;
+import loomreel.program.harness.StepControlledServer.Step;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,7 +32,7 @@
   /** Submits a job that its worker accepts, which the dispatcher has read. */
   private static SubmittedJob submitRunning(StepControlledServer server) throws Exception {
     SubmittedJob job = server.submit("/copy", "");
-    server.workers.get(0).nextRequest().respond(202, "");
+    server.worker(0).nextRequest().respond(202, "");
     server.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
     return job;
   }
@@ -34,7 +40,7 @@
   private static void assertCancelledAtWorker(StepControlledServer server, SubmittedJob job)
       throws InterruptedException {
     assertEquals(
-        "DELETE /jobs/" + job.id() + " HTTP/1.1", server.workers.get(0).nextRequest().startLine());
+        "DELETE /jobs/" + job.id() + " HTTP/1.1", server.worker(0).nextRequest().startLine());
   }
 
   /** Whether or not the deployment allows cancellation: the job has not been sent. */
@@ -44,7 +50,7 @@
       boolean reset, boolean cancellation) throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(1, new TestConfiguration().cancellation(cancellation));
-        StalledListener stalled = server.workers.get(0).stall()) {
+        StalledListener stalled = server.worker(0).stall()) {
       SubmittedJob job = server.submit("/issue", "");
       assertEquals(job.id(), server.awaitStep(Step.ATTEMPT_STARTED).field("id"));
 
@@ -66,8 +72,8 @@
         new StepControlledServer(2, new TestConfiguration().cancellation(false))) {
       SubmittedJob job = server.submit("/copy", "");
       int worker = server.awaitAttemptWorker();
-      HttpMessage post = server.workers.get(worker).nextRequest();
-      try (StalledListener stalled = server.workers.get(1 - worker).stall()) {
+      HttpMessage post = server.worker(worker).nextRequest();
+      try (StalledListener stalled = server.worker(1 - worker).stall()) {
         post.connection().close();
         assertEquals(1 - worker, server.awaitAttemptWorker());
 
@@ -126,7 +132,7 @@
   void aRequestIsAnsweredHoweverMuchInputFollowsIt() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
-      server.workers.get(0).nextRequest().respond(202, "");
+      server.worker(0).nextRequest().respond(202, "");
 
       HttpIo.write(job.connection(), "x".repeat(100_000));
       server.awaitPendingInputRead();
@@ -157,7 +163,7 @@
 
       SubmittedJob next = server.submit("/copy", "");
       assertEquals(next.id(), server.awaitStep(Step.JOB_ARRIVED).field("id"));
-      assertEquals(next.id(), server.workers.get(0).nextRequest().header("X-Call-Id"));
+      assertEquals(next.id(), server.worker(0).nextRequest().header("X-Call-Id"));
     }
   }
 
@@ -166,7 +172,7 @@
     TestConfiguration configuration =
         new TestConfiguration().cancellation(false).connectTimeoutSeconds(20);
     try (StepControlledServer server = new StepControlledServer(1, configuration);
-        StalledListener stalled = server.workers.get(0).stall()) {
+        StalledListener stalled = server.worker(0).stall()) {
       SubmittedJob[] jobs = new SubmittedJob[4];
       for (int i = 0; i < jobs.length; i++) {
         jobs[i] = server.submit("/copy/" + i, "");
--- a/src/test/java/loomreel/program/CommandLineTest.java
+++ b/src/test/java/loomreel/program/CommandLineTest.java
@@ -11,6 +11,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import loomreel.program.harness.ProgramCommand;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/loomreel/program/ConfigurationReloadTest.java
+++ b/src/test/java/loomreel/program/ConfigurationReloadTest.java
@@ -5,8 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.concurrent.TimeUnit;
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.RequestClass;
+import loomreel.program.harness.StubHttpServer;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -49,31 +56,31 @@
   void aReloadMovesTheWatchAtOnce() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/copy", "");
-      HttpMessage watch = program.discovery.nextRequest();
+      HttpMessage watch = program.discovery().nextRequest();
 
       for (int sequence : new int[] {7, 3}) {
         try (StubHttpServer previous = program.moveDiscovery()) {
           previous.awaitClosed(watch.connection());
-          HttpMessage complete = program.discovery.nextRequest();
+          HttpMessage complete = program.discovery().nextRequest();
           assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
           Health first = sequence == 7 ? Health.SERVING : Health.DRAINING;
           program
               .endpointList(sequence, Extent.COMPLETE, first, Health.SERVING)
               .respondTo(complete);
-          watch = program.discovery.nextRequest();
+          watch = program.discovery().nextRequest();
           assertTrue(watch.startLine().contains("?from=" + sequence + "&"), watch.startLine());
           assertFalse(previous.hasPendingRequest());
         }
       }
 
       int worker = program.awaitWorkerWithRequest();
-      program.workers.get(worker).nextRequest().connection().close();
+      program.worker(worker).nextRequest().connection().close();
       program.serveNextJob(1, "served");
       assertEquals("served", job.response().body());
       program.signal("HUP");
       program.signal("TERM");
-      assertTrue(program.process.waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-      assertEquals(143, program.process.exitValue());
+      assertTrue(program.process().waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+      assertEquals(143, program.process().exitValue());
     }
   }
 
@@ -83,7 +90,7 @@
   void aReloadThatNeedsARestartIsRejectedAsAWhole(RestartOnlyChange change) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         StubHttpServer other = new StubHttpServer()) {
-      HttpMessage watch = program.discovery.nextRequest();
+      HttpMessage watch = program.discovery().nextRequest();
 
       TestConfiguration moved = program.configuration().discoveryAddress(other.address());
       program.reload(change.applyTo(moved).toJson());
@@ -100,7 +107,7 @@
   @Test
   void anInvalidConfigurationChangesNothing() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      HttpMessage watch = program.discovery.nextRequest();
+      HttpMessage watch = program.discovery().nextRequest();
 
       program.reload("{\"name\":");
 
@@ -113,7 +120,7 @@
   private static void assertServesAsBefore(
       DispatcherProcess program, HttpMessage watch, String path) throws Exception {
     program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(watch);
-    assertTrue(program.discovery.nextRequest().startLine().contains("?from=42&"));
+    assertTrue(program.discovery().nextRequest().startLine().contains("?from=42&"));
     SubmittedJob job = program.submit(path, "");
     program.serveNextJob(0, "as before");
     assertEquals("as before", job.response().body());
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -10,7 +10,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
-import loomreel.program.StepControlledServer.Step;
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.StepControlledServer;
+import loomreel.program.harness.StepControlledServer.Step;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -120,7 +125,7 @@
       assertNull(HttpIo.read(client.connection), "an end of input, and no reset");
       // The client stays connected: the job of a disconnected one would not be forwarded either.
       server.awaitPendingInputRead();
-      assertFalse(server.workers.get(0).hasPendingRequest());
+      assertFalse(server.worker(0).hasPendingRequest());
       client.connection.close();
     }
   }
@@ -134,7 +139,7 @@
           Step.OUTPUT_SHUT, () -> HttpIo.write(job.connection(), "POST /copy HTTP/1.1\r\nX-Call-"));
 
       server.requestShutdown();
-      server.workers.get(0).nextRequest().respond(202, "");
+      server.worker(0).nextRequest().respond(202, "");
       server.reportDone(job.id(), "w0", "last");
 
       assertEquals("last", job.response().body());
@@ -150,7 +155,7 @@
         Socket partial = server.connect();
         Socket idle = server.connect()) {
       SubmittedJob job = server.submit("/copy", "");
-      server.workers.get(0).nextRequest().respond(202, "");
+      server.worker(0).nextRequest().respond(202, "");
       String request =
           isStatusUpdate
               ? doneUpdate(job.id())
@@ -167,8 +172,7 @@
       if (isStatusUpdate) {
         assertEquals(200, HttpIo.read(partial).status());
       } else {
-        assertEquals(
-            "POST /copy/partial HTTP/1.1", server.workers.get(0).nextRequest().startLine());
+        assertEquals("POST /copy/partial HTTP/1.1", server.worker(0).nextRequest().startLine());
         server.reportDone("00000000000000dd", "w0", "partial");
         assertEquals("partial", HttpIo.read(partial).body());
         server.reportDone(job.id(), "w0", "r");
--- a/src/test/java/loomreel/program/ConnectionLimitTest.java
+++ b/src/test/java/loomreel/program/ConnectionLimitTest.java
@@ -9,6 +9,11 @@
 import java.net.SocketException;
 import java.util.ArrayList;
 import java.util.List;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
--- a/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -3,9 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
-import loomreel.program.StepControlledServer.Step;
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.EndpointList;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.RequestClass;
+import loomreel.program.harness.StalledListener;
+import loomreel.program.harness.StepControlledServer;
+import loomreel.program.harness.StepControlledServer.Step;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,7 +35,7 @@
     EndpointList list(DispatcherHarness harness) {
       if (this == MISSING) {
         return new EndpointList(43, Extent.COMPLETE)
-            .with("w1", harness.workers.get(1).address(), Health.SERVING);
+            .with("w1", harness.worker(1).address(), Health.SERVING);
       }
       return harness.endpointList(43, Extent.CHANGES, Health.valueOf(name()), Health.SERVING);
     }
@@ -63,10 +71,10 @@
   @EnumSource(Removal.class)
   void anUnsentJobOfADrainingWorkerGoesToAnotherWorker(Removal removal) throws Exception {
     try (StepControlledServer server = startWithFirstWorker();
-        StalledListener stalled = server.workers.get(0).stall()) {
+        StalledListener stalled = server.worker(0).stall()) {
       SubmittedJob job = submitToFirstWorker(server);
 
-      removal.list(server).respondTo(server.discovery.nextRequest());
+      removal.list(server).respondTo(server.discovery().nextRequest());
 
       assertEquals(
           "MOOT", server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(), "not sent");
@@ -77,12 +85,12 @@
   @Test
   void anUnsentJobOfADisabledWorkerGoesToAnotherWorker() throws Exception {
     try (StepControlledServer server = startWithFirstWorker();
-        StalledListener stalled = server.workers.get(0).stall()) {
+        StalledListener stalled = server.worker(0).stall()) {
       SubmittedJob job = submitToFirstWorker(server);
       server
           .endpointList(43, Extent.CHANGES, Health.SERVING, Health.SERVING)
-          .respondTo(server.discovery.nextRequest());
-      server.discovery.nextRequest();
+          .respondTo(server.discovery().nextRequest());
+      server.discovery().nextRequest();
 
       server.disableWorker("w0");
 
@@ -102,10 +110,10 @@
     try (StepControlledServer server = new StepControlledServer(2, configuration)) {
       SubmittedJob job = server.submitWithKey("/hold/1", "a-key");
       int worker = server.awaitAttemptWorker();
-      HttpMessage post = server.workers.get(worker).nextRequest();
+      HttpMessage post = server.worker(worker).nextRequest();
       assertEquals("a-key", post.header("Idempotency-Key"));
 
-      try (StalledListener stalled = server.workers.get(1 - worker).stall()) {
+      try (StalledListener stalled = server.worker(1 - worker).stall()) {
         post.connection().close();
 
         assertEquals(1 - worker, server.awaitAttemptWorker());
--- a/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
+++ b/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
@@ -15,6 +15,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
+import loomreel.program.harness.DispatcherProcess;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.condition.EnabledOnOs;
@@ -36,9 +37,9 @@
   void anUpgradeUsesOnlyIpv4SocketsAndStartsNoProgram() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.deployed(1)) {
       program.startSuccessor();
-      assertEquals(2, program.instances.size());
+      assertEquals(2, program.instances().size());
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-      for (ProcessHandle process : program.instances) {
+      for (ProcessHandle process : program.instances()) {
         assertEquals(0, process.children().count(), "no other program is started");
         Set<String> held = sockets(process.pid());
         assertTrue(
--- a/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -7,9 +7,17 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
-import loomreel.program.StepControlledServer.Step;
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.EndpointList;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.StepControlledServer;
+import loomreel.program.harness.StepControlledServer.Step;
+import loomreel.program.harness.StubHttpServer;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -28,9 +36,9 @@
   void idleClientsDoNotKeepTheWatchFromRecovering() throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTORS))) {
-      HttpMessage watch = server.discovery.nextRequest();
-      int port = server.discovery.socketAddress().getPort();
-      server.discovery.close();
+      HttpMessage watch = server.discovery().nextRequest();
+      int port = server.discovery().socketAddress().getPort();
+      server.discovery().close();
       watch.connection().close();
       server.awaitStep(Step.WATCH_FAILED);
       List<Socket> idleClients = connectIdleClients(server);
@@ -38,12 +46,12 @@
       server.serveNextJob(server.awaitAttemptWorker(), "during the outage");
       assertEquals("during the outage", job.response().body());
 
-      server.discovery = new StubHttpServer(port);
+      server.restartDiscovery(port);
 
-      HttpMessage recovered = server.discovery.nextRequest();
+      HttpMessage recovered = server.discovery().nextRequest();
       assertTrue(recovered.startLine().contains("?from=41&"), recovered.startLine());
       server.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(recovered);
-      assertTrue(server.discovery.nextRequest().startLine().contains("?from=43&"));
+      assertTrue(server.discovery().nextRequest().startLine().contains("?from=43&"));
       server.assertAllServedBy(1, 8);
       for (Socket client : idleClients) {
         client.close();
@@ -68,19 +76,19 @@
     try (StepControlledServer server =
         new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(4))) {
       for (int i = 0; i < 3; i++) {
-        server.discovery.nextRequest().respond(503, "");
+        server.discovery().nextRequest().respond(503, "");
       }
-      HttpMessage watch = server.discovery.nextRequest();
+      HttpMessage watch = server.discovery().nextRequest();
       server.drainSteps();
 
       respondWithUnusableList(server, watch, fault);
 
-      HttpMessage retry = server.discovery.nextRequest();
+      HttpMessage retry = server.discovery().nextRequest();
       assertTrue(
           server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)), "no backoff");
       assertEquals(fault.equals("older"), !retry.startLine().contains("?from="), retry.startLine());
       server.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(retry);
-      server.discovery.nextRequest();
+      server.discovery().nextRequest();
       server.assertAllServedBy(1, 8);
     }
   }
@@ -110,9 +118,9 @@
     try (StepControlledServer server =
             new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(60));
         StubHttpServer next = new StubHttpServer()) {
-      HttpMessage watch = server.discovery.nextRequest();
+      HttpMessage watch = server.discovery().nextRequest();
       if (outage) {
-        server.discovery.close();
+        server.discovery().close();
         watch.connection().close();
         server.awaitStep(Step.WATCH_FAILED);
       }
--- a/src/test/java/loomreel/program/EndpointWatchTest.java
+++ b/src/test/java/loomreel/program/EndpointWatchTest.java
@@ -5,8 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.EndpointList;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.SubmittedJob;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,14 +23,14 @@
   @Test
   void theEndpointListIsWatchedAndADrainingWorkerGetsNoJobs() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
-      HttpMessage watch = program.discovery.nextRequest();
+      HttpMessage watch = program.discovery().nextRequest();
       assertTrue(
           watch.startLine().startsWith("GET /registry/instances?from=41&hold_ms="),
           watch.startLine());
 
       program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(watch);
 
-      HttpMessage next = program.discovery.nextRequest();
+      HttpMessage next = program.discovery().nextRequest();
       assertTrue(next.startLine().contains("from=43&"), next.startLine());
       assertSame(watch.connection(), next.connection());
       program.assertAllServedBy(1, 8);
@@ -40,9 +45,9 @@
       EndpointList draining =
           program.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING);
 
-      serving.withAllOf(draining).respondTo(program.discovery.nextRequest());
+      serving.withAllOf(draining).respondTo(program.discovery().nextRequest());
 
-      assertTrue(program.discovery.nextRequest().startLine().contains("from=43&"));
+      assertTrue(program.discovery().nextRequest().startLine().contains("from=43&"));
       program.assertAllServedBy(1, 8);
     }
   }
@@ -56,19 +61,19 @@
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       program
           .endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING)
-          .respondTo(program.discovery.nextRequest());
+          .respondTo(program.discovery().nextRequest());
 
       program
           .endpointList(42, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
-          .respondTo(program.discovery.nextRequest());
+          .respondTo(program.discovery().nextRequest());
 
-      HttpMessage complete = program.discovery.nextRequest();
+      HttpMessage complete = program.discovery().nextRequest();
       assertTrue(
           complete.startLine().startsWith("GET /registry/instances HTTP"), complete.startLine());
       program.assertAllServedBy(1, 8);
       program.endpointList(7, Extent.COMPLETE, Health.SERVING, Health.DRAINING).respondTo(complete);
       assertTrue(
-          program.discovery.nextRequest().startLine().contains("from=7&"),
+          program.discovery().nextRequest().startLine().contains("from=7&"),
           "its sequence number applies from now on");
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "back");
@@ -81,7 +86,7 @@
   @ValueSource(strings = {"503", "nonsense", "cut", "closed", "silent"})
   void aFailedWatchIsRestarted(String failure) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      HttpMessage watch = program.discovery.nextRequest();
+      HttpMessage watch = program.discovery().nextRequest();
 
       switch (failure) {
         case "503" -> watch.respond(503, "");
@@ -94,7 +99,7 @@
         default -> watch.connection().close();
       }
 
-      assertTrue(program.discovery.nextRequest().startLine().contains("from=41&"));
+      assertTrue(program.discovery().nextRequest().startLine().contains("from=41&"));
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "held");
       assertEquals("held", job.response().body());
@@ -105,7 +110,7 @@
   @Test
   void aListThatIsSentTwiceAppliesOnce() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
-      HttpMessage watch = program.discovery.nextRequest();
+      HttpMessage watch = program.discovery().nextRequest();
       String first =
           program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson();
       String second =
@@ -115,7 +120,7 @@
       HttpIo.write(
           watch.connection(), HttpIo.withBody(head, first) + HttpIo.withBody(head, second));
 
-      HttpMessage next = program.discovery.nextRequest();
+      HttpMessage next = program.discovery().nextRequest();
       assertTrue(next.startLine().contains("?from=43&"), next.startLine());
       assertNotSame(watch.connection(), next.connection());
       program.assertAllServedBy(1, 8);
--- a/src/test/java/loomreel/program/HotRestartTest.java
+++ b/src/test/java/loomreel/program/HotRestartTest.java
@@ -14,6 +14,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.ProgramCommand;
+import loomreel.program.harness.SubmittedJob;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -39,7 +44,7 @@
 
       program.startSuccessor();
       assertOverridesReachOldProcess(program);
-      program.instances.get(0).destroy();
+      program.instance(0).destroy();
       program.awaitLog("graceful shutdown started successor=true");
       assertOldProcessServesItsConnections(program, idle);
       assertSuccessorServesNewConnections(program);
@@ -55,7 +60,7 @@
   /** Submits a job that the second worker accepts, and that must not run twice. */
   private static SubmittedJob submitAccepted(DispatcherProcess program) throws Exception {
     SubmittedJob job = program.submit("/issue", "");
-    program.workers.get(1).nextRequest().respond(202, "");
+    program.worker(1).nextRequest().respond(202, "");
     return job;
   }
 
@@ -120,7 +125,7 @@
   void clientsThatConnectWhileNoProcessRunsAreServed() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(1)) {
       SubmittedJob cut = program.submit("/copy", "");
-      program.workers.get(0).nextRequest().respond(202, "");
+      program.worker(0).nextRequest().respond(202, "");
       program.killInstance(0);
       assertThrows(
           IOException.class,
@@ -138,7 +143,7 @@
 
       Set<String> forwarded = new HashSet<>();
       for (int i = 0; i < waiting.size(); i++) {
-        HttpMessage post = program.workers.get(0).nextRequest();
+        HttpMessage post = program.worker(0).nextRequest();
         post.respond(202, "");
         String id = post.header("X-Call-Id");
         assertTrue(forwarded.add(id), id + " is sent twice");
--- a/src/test/java/loomreel/program/IdempotencyKeyTest.java
+++ b/src/test/java/loomreel/program/IdempotencyKeyTest.java
@@ -6,6 +6,12 @@
 
 import java.io.IOException;
 import java.net.Socket;
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.RequestClass;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -32,12 +38,12 @@
         Socket client = program.connect()) {
       submit(client, "idempotency-KEY: " + KEY + "\r\n");
       int worker = program.awaitWorkerWithRequest();
-      HttpMessage first = program.workers.get(worker).nextRequest();
+      HttpMessage first = program.worker(worker).nextRequest();
       assertEquals(KEY, first.header("Idempotency-Key"));
 
       first.connection().close();
 
-      HttpMessage second = program.workers.get(1 - worker).nextRequest();
+      HttpMessage second = program.worker(1 - worker).nextRequest();
       assertEquals(KEY, second.header("Idempotency-Key"));
       assertEquals("body", second.body());
       second.respond(202, "");
@@ -53,13 +59,13 @@
         Socket client = program.connect()) {
       submit(client, "");
       int worker = program.awaitWorkerWithRequest();
-      HttpMessage first = program.workers.get(worker).nextRequest();
+      HttpMessage first = program.worker(worker).nextRequest();
       assertNull(first.header("Idempotency-Key"));
 
       first.connection().close();
 
       assertEquals(500, HttpIo.read(client).status());
-      assertFalse(program.workers.get(1 - worker).hasPendingRequest());
+      assertFalse(program.worker(1 - worker).hasPendingRequest());
     }
   }
 }
--- a/src/test/java/loomreel/program/JobForwardingTest.java
+++ b/src/test/java/loomreel/program/JobForwardingTest.java
@@ -6,9 +6,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.Socket;
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
-import loomreel.program.TestConfiguration.LoadReports;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.StubHttpServer;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
+import loomreel.program.harness.TestConfiguration.LoadReports;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,7 +30,7 @@
       assertEquals(200, program.readinessStatus());
 
       SubmittedJob job = program.submit("/copy/page?n=1", "the body");
-      HttpMessage post = program.workers.get(0).nextRequest();
+      HttpMessage post = program.worker(0).nextRequest();
       post.respond(202, "");
 
       assertEquals("POST /copy/page?n=1 HTTP/1.1", post.startLine());
@@ -61,7 +67,7 @@
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/" + requestClass, "b");
       int worker = program.awaitWorkerWithRequest();
-      HttpMessage post = program.workers.get(worker).nextRequest();
+      HttpMessage post = program.worker(worker).nextRequest();
 
       switch (outcome) {
         case "reset" -> post.connection().close();
@@ -78,15 +84,15 @@
         program.serveNextJob(1 - worker, "elsewhere");
       }
       assertEquals(status, job.response().status());
-      assertFalse(program.workers.get(0).hasPendingRequest());
-      assertFalse(program.workers.get(1).hasPendingRequest());
+      assertFalse(program.worker(0).hasPendingRequest());
+      assertFalse(program.worker(1).hasPendingRequest());
     }
   }
 
   @Test
   void anUnreachableWorkerIsSkipped() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
-      program.workers.get(0).close();
+      program.worker(0).close();
 
       for (int i = 0; i < 6; i++) {
         SubmittedJob job = program.submit("/issue", "");
@@ -102,7 +108,7 @@
   void aSilentWorkerCostsNoMoreThanTheDeadline(boolean accepts) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit(program.connect(), "/copy", 2000, "");
-      HttpMessage post = program.workers.get(0).nextRequest();
+      HttpMessage post = program.worker(0).nextRequest();
       if (accepts) {
         post.respond(202, "");
       }
@@ -119,11 +125,11 @@
   @Test
   void aWorkerWithANewAddressGetsItsJobsThere() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      StubHttpServer previous = program.workers.set(0, new StubHttpServer());
+      StubHttpServer previous = program.replaceWorker(0);
       program
           .endpointList(42, Extent.COMPLETE, Health.SERVING)
-          .respondTo(program.discovery.nextRequest());
-      program.discovery.nextRequest();
+          .respondTo(program.discovery().nextRequest());
+      program.discovery().nextRequest();
 
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "moved");
@@ -153,7 +159,7 @@
         HttpIo.write(client, String.valueOf(c));
       }
 
-      assertEquals("abc0123456789", program.workers.get(0).nextRequest().body());
+      assertEquals("abc0123456789", program.worker(0).nextRequest().body());
     }
   }
 
@@ -163,7 +169,7 @@
       String large = "x".repeat(64 * 1024);
 
       SubmittedJob job = program.submit("/copy", large);
-      assertEquals(large, program.workers.get(0).nextRequest().body());
+      assertEquals(large, program.worker(0).nextRequest().body());
       program.reportDone(job.id(), "w0", large.substring(100));
 
       assertEquals(large.substring(100), job.response().body());
@@ -176,7 +182,7 @@
         new DispatcherProcess(1, new TestConfiguration().loadReports(LoadReports.POLLED))) {
       SubmittedJob job = program.submit("/copy", "");
 
-      HttpMessage healthCheck = program.workers.get(0).nextRequest();
+      HttpMessage healthCheck = program.worker(0).nextRequest();
       assertEquals("GET /stats HTTP/1.1", healthCheck.startLine());
       healthCheck.respond(200, "TEXT inflight=1, queue=0, x0=3");
 
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -3,6 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.StepControlledServer;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -36,7 +41,7 @@
     static ReceivedJob submit(StepControlledServer server, String path) throws Exception {
       SubmittedJob job = server.submit(path, "");
       int worker = server.awaitAttemptWorker();
-      return new ReceivedJob(job, worker, server.workers.get(worker).nextRequest());
+      return new ReceivedJob(job, worker, server.worker(worker).nextRequest());
     }
   }
 
@@ -51,11 +56,11 @@
         received.post.connection().shutdownOutput();
       }
 
-      server.workers.get(received.worker).awaitClosed(received.post.connection());
+      server.worker(received.worker).awaitClosed(received.post.connection());
       server.reportDone(received.job.id(), "w" + received.worker, "once");
       assertEquals("once", received.job.response().body());
       assertFalse(
-          server.workers.get(1 - received.worker).hasPendingRequest(), "no other worker gets it");
+          server.worker(1 - received.worker).hasPendingRequest(), "no other worker gets it");
     }
   }
 
@@ -64,11 +69,11 @@
     try (StepControlledServer server =
         new StepControlledServer(1, new TestConfiguration().connectTimeoutSeconds(0.25))) {
       SubmittedJob job = server.submit("/issue", "");
-      HttpMessage post = server.workers.get(0).nextRequest();
+      HttpMessage post = server.worker(0).nextRequest();
 
       HttpIo.write(post.connection(), "HTTP/1.1 202 x\r\nTransfer-Encoding: chunked\r\n\r\n");
 
-      server.workers.get(0).awaitClosed(post.connection());
+      server.worker(0).awaitClosed(post.connection());
       server.reportDone(job.id(), "w0", "r");
       assertEquals("r", job.response().body());
     }
@@ -86,7 +91,7 @@
       received.post.connection().close();
 
       assertEquals(500, received.job.response().status());
-      assertFalse(server.workers.get(1 - received.worker).hasPendingRequest());
+      assertFalse(server.worker(1 - received.worker).hasPendingRequest());
     }
   }
 
@@ -95,14 +100,13 @@
   void aCancellationThatCrossesA202IsSentToTheWorker() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
-      HttpMessage post = server.workers.get(0).nextRequest();
+      HttpMessage post = server.worker(0).nextRequest();
       server.onStep(StepControlledServer.Step.CANCELLATION_SENT, () -> post.respond(202, ""));
 
       job.connection().close();
 
       assertEquals(
-          "DELETE /jobs/" + job.id() + " HTTP/1.1",
-          server.workers.get(0).nextRequest().startLine());
+          "DELETE /jobs/" + job.id() + " HTTP/1.1", server.worker(0).nextRequest().startLine());
     }
   }
 
@@ -115,7 +119,7 @@
       String secondWorker = "w" + (1 - received.worker);
       received.post.respond(202, "");
       server.reportStatus(id, firstWorker, "lost", "");
-      HttpMessage second = server.workers.get(1 - received.worker).nextRequest();
+      HttpMessage second = server.worker(1 - received.worker).nextRequest();
 
       assertEquals(200, server.reportDone(id, firstWorker, "of the lost one"));
       assertEquals(200, server.reportStatus(id, firstWorker, "returned", ""));
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -8,8 +8,13 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.SubmittedJob;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -58,7 +63,7 @@
   }
 
   private static HttpMessage nextJob(DispatcherProcess program) throws Exception {
-    return program.workers.get(program.awaitWorkerWithRequest()).nextRequest();
+    return program.worker(program.awaitWorkerWithRequest()).nextRequest();
   }
 
   @Test
@@ -76,7 +81,7 @@
       List<Socket> silent = new ArrayList<>();
 
       for (int i = 0; i < 40; i++) {
-        silent.add(HttpIo.connect(program.managementPorts.get(0)));
+        silent.add(HttpIo.connect(program.managementPort(0)));
         HttpIo.write(silent.get(i), i % 2 == 0 ? "" : "GET /ops/sta");
         assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
       }
@@ -94,7 +99,7 @@
       program.serveNextJob(0, "before");
       assertEquals("before", idle.response().body());
       SubmittedJob inFlight = program.submit("/copy", "");
-      program.workers.get(0).nextRequest().respond(202, "");
+      program.worker(0).nextRequest().respond(202, "");
       reportOn(workerConnection, inFlight.id(), "running");
 
       assertEquals(200, program.startClientDrain(0));
@@ -138,11 +143,11 @@
 
       program
           .endpointList(43, Extent.CHANGES, Health.DELETED, Health.SERVING)
-          .respondTo(program.discovery.nextRequest());
+          .respondTo(program.discovery().nextRequest());
       program
           .endpointList(44, Extent.CHANGES, Health.SERVING)
-          .respondTo(program.discovery.nextRequest());
-      program.discovery.nextRequest();
+          .respondTo(program.discovery().nextRequest());
+      program.discovery().nextRequest();
       program.assertAllServedBy(1, 8);
 
       assertEquals(200, program.enableWorker(0, "w0"));
--- a/src/test/java/loomreel/program/PushedEndpointListTest.java
+++ b/src/test/java/loomreel/program/PushedEndpointListTest.java
@@ -7,9 +7,14 @@
 import java.net.SocketException;
 import java.util.ArrayList;
 import java.util.List;
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
-import loomreel.program.TestConfiguration.DiscoveryMode;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.EndpointList;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
+import loomreel.program.harness.TestConfiguration.DiscoveryMode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,10 +36,10 @@
    */
   private static HttpMessage respondUntilWatchedFrom(
       DispatcherProcess program, int sequence, String list) throws Exception {
-    HttpMessage request = program.discovery.nextRequest();
+    HttpMessage request = program.discovery().nextRequest();
     while (!request.startLine().contains("?from=" + sequence + "&")) {
       request.respond(200, list);
-      request = program.discovery.nextRequest();
+      request = program.discovery().nextRequest();
     }
     return request;
   }
@@ -42,7 +47,7 @@
   @Test
   void aPushedListAppliesBeforeTheFirstJobIsSent() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
-      HttpMessage complete = program.discovery.nextRequest();
+      HttpMessage complete = program.discovery().nextRequest();
       assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
@@ -61,7 +66,7 @@
       for (SubmittedJob job : jobs) {
         assertEquals("served", job.response().body());
       }
-      assertFalse(program.workers.get(0).hasPendingRequest());
+      assertFalse(program.worker(0).hasPendingRequest());
     }
   }
 
@@ -80,9 +85,9 @@
           case "503" -> watch.respond(503, "");
           case "cut" -> watch.respond(200, cut.substring(0, 40));
           case "closed" -> watch.connection().close();
-          default -> program.discovery.awaitClosed(watch.connection());
+          default -> program.discovery().awaitClosed(watch.connection());
         }
-        watch = program.discovery.nextRequest();
+        watch = program.discovery().nextRequest();
       }
 
       EndpointList drained =
@@ -97,7 +102,7 @@
   @Test
   void aSilentAgentDelaysTheStartForALimitedTime() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, pushed())) {
-      program.discovery.nextRequest();
+      program.discovery().nextRequest();
       SubmittedJob job = program.submit("/copy", "");
 
       String logged = program.awaitLog("discovery agent silent");
@@ -113,7 +118,7 @@
     try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
       String known = program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson();
       HttpMessage silent = respondUntilWatchedFrom(program, 41, known);
-      program.discovery.awaitClosed(silent.connection());
+      program.discovery().awaitClosed(silent.connection());
 
       try {
         program
@@ -125,7 +130,7 @@
 
       EndpointList drained =
           program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING);
-      drained.respondTo(program.discovery.nextRequest());
+      drained.respondTo(program.discovery().nextRequest());
       respondUntilWatchedFrom(program, 43, drained.toJson());
       program.assertAllServedBy(1, 8);
     }
--- a/src/test/java/loomreel/program/SampleDeploymentsTest.java
+++ b/src/test/java/loomreel/program/SampleDeploymentsTest.java
@@ -9,6 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.StepControlledServer;
+import loomreel.program.harness.StubHttpServer;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -37,7 +43,7 @@
     static ReceivedJob next(DispatcherHarness harness) throws Exception {
       while (true) {
         int worker = harness.awaitWorkerWithRequest();
-        HttpMessage request = harness.workers.get(worker).nextRequest();
+        HttpMessage request = harness.worker(worker).nextRequest();
         if (request.startLine().startsWith("POST")) {
           return new ReceivedJob(worker, request);
         }
@@ -57,19 +63,18 @@
 
       assertEquals("key", received.post.header("Idempotency-Key"));
       assertServed(server, job, received, name);
-      assertFalse(server.workers.stream().anyMatch(StubHttpServer::hasPendingJob));
+      assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
   }
 
-  /** The effect of a class says whether its jobs may run twice. */
+  /** The effect of a class determines whether its jobs may run twice. */
   @ParameterizedTest
   @MethodSource("classes")
   void aJobIsRetriedAfterAResetIfItsClassAllowsThat(String name, int index) throws Exception {
     SampleDeployment deployment = new SampleDeployment(name);
     JsonNode requestClass = deployment.classes().get(index);
     try (StepControlledServer server = start(deployment)) {
-      SubmittedJob served = submit(server, requestClass, "first-key");
-      assertServed(server, served, ReceivedJob.next(server), name);
+      serveOneJob(server, requestClass, name);
       SubmittedJob job = submit(server, requestClass, "key");
       ReceivedJob first = ReceivedJob.next(server);
       assertEquals("key", first.post.header("Idempotency-Key"));
@@ -83,7 +88,7 @@
         assertTrue(second.worker != first.worker, "not to the same worker");
         assertServed(server, job, second, name);
       }
-      assertFalse(server.workers.stream().anyMatch(StubHttpServer::hasPendingJob));
+      assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
   }
 
@@ -93,13 +98,12 @@
     SampleDeployment deployment = new SampleDeployment(name);
     JsonNode requestClass = deployment.classes().get(index);
     try (StepControlledServer server = start(deployment)) {
-      SubmittedJob served = submit(server, requestClass, "key");
-      assertServed(server, served, ReceivedJob.next(server), name);
+      serveOneJob(server, requestClass, name);
 
       SubmittedJob unknown = server.submit("/copy", "");
 
       assertEquals(404, unknown.response().status());
-      assertFalse(server.workers.stream().anyMatch(StubHttpServer::hasPendingJob));
+      assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
   }
 
@@ -113,6 +117,12 @@
     return harness.submitWithKey("/" + requestClass.get("name").asText() + "/1", key);
   }
 
+  private static void serveOneJob(DispatcherHarness harness, JsonNode requestClass, String result)
+      throws Exception {
+    SubmittedJob job = submit(harness, requestClass, "first-key");
+    assertServed(harness, job, ReceivedJob.next(harness), result);
+  }
+
   private static void assertServed(
       DispatcherHarness harness, SubmittedJob job, ReceivedJob received, String result)
       throws IOException {
--- a/src/test/java/loomreel/program/StatusUpdateTest.java
+++ b/src/test/java/loomreel/program/StatusUpdateTest.java
@@ -4,6 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertSame;
 
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.RequestClass;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -14,7 +20,7 @@
   void aStatusUpdateIsActedOnOnceAndAlwaysAnswered() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob first = program.submit("/copy", "");
-      HttpMessage post = program.workers.get(0).nextRequest();
+      HttpMessage post = program.worker(0).nextRequest();
 
       assertEquals(200, program.reportDone(first.id(), "w7", "not from there"));
       assertEquals(200, program.reportDone(first.id(), "w0", "early"));
@@ -25,7 +31,7 @@
       assertEquals(400, program.request(DispatcherHarness.STATUS_UPDATE_HEAD, "[1").status());
 
       SubmittedJob second = program.submit(first.connection(), "/copy", 20_000, "");
-      HttpMessage next = program.workers.get(0).nextRequest();
+      HttpMessage next = program.worker(0).nextRequest();
       assertSame(post.connection(), next.connection(), "the connection is used again");
       next.respond(202, "");
       program.reportDone(second.id(), "w0", "second");
@@ -46,12 +52,12 @@
       SubmittedJob job = program.submit("/issue", "");
 
       for (int i = 0; i < 2; i++) {
-        program.workers.get(0).nextRequest().respond(202, "");
+        program.worker(0).nextRequest().respond(202, "");
         program.reportStatus(job.id(), "w0", "returned", "");
       }
 
       assertEquals(500, job.response().status());
-      assertFalse(program.workers.get(0).hasPendingRequest());
+      assertFalse(program.worker(0).hasPendingRequest());
     }
   }
 }
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -14,6 +14,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.FaktoryDaemonSettings;
 import loomreel.standin.DaemonProcess;
 import loomreel.standin.FaktoryClient;
 import org.junit.jupiter.api.Test;
@@ -183,8 +185,8 @@
   void operatorOverridesAreReadAndStored() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(3)) {
       program.killInstance(0);
-      copyFiles(STORED.resolve("operators"), program.temporaryDirectory);
-      Path stored = program.temporaryDirectory.resolve("n0.state");
+      copyFiles(STORED.resolve("operators"), program.temporaryDirectory());
+      Path stored = program.temporaryDirectory().resolve("n0.state");
       program.startSuccessor();
       assertEquals(2, program.statistic(1, "hosts_down"));
       assertEquals(503, program.readinessStatus());
--- a/src/test/java/loomreel/program/TranscriptTest.java
+++ b/src/test/java/loomreel/program/TranscriptTest.java
@@ -5,9 +5,16 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
-import loomreel.program.EndpointList.Extent;
-import loomreel.program.EndpointList.Health;
-import loomreel.program.HotRestartRelay.Sender;
+import loomreel.program.harness.DispatcherHarness;
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.EndpointList;
+import loomreel.program.harness.EndpointList.Extent;
+import loomreel.program.harness.EndpointList.Health;
+import loomreel.program.harness.HotRestartRelay;
+import loomreel.program.harness.HotRestartRelay.Sender;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.Transcript;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -36,7 +43,7 @@
   private void submitAccepted(DispatcherProcess program, Socket client, String job)
       throws Exception {
     transcript.send(CLIENT, client, job);
-    HttpMessage post = transcript.receive("w0", program.workers.get(0).nextRequest());
+    HttpMessage post = transcript.receive("w0", program.worker(0).nextRequest());
     transcript.respond("w0", post, 202, "");
   }
 
@@ -59,7 +66,7 @@
 
   private void callManagement(DispatcherProcess program, int process, String request, String body)
       throws IOException {
-    call(program.managementPorts.get(process), OPERATOR, request, body);
+    call(program.managementPort(process), OPERATOR, request, body);
   }
 
   /** Responds with an endpoint list, whose bytes are not recorded: they contain ports. */
@@ -72,7 +79,7 @@
   void jobsAreServed() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect()) {
-      transcript.receive(DISCOVERY, program.discovery.nextRequest());
+      transcript.receive(DISCOVERY, program.discovery().nextRequest());
       call(program.port(), CLIENT, "GET /health/ready", "");
       submitAccepted(program, client, job("/copy/path?q=1", FIRST_ID));
       reportStatus(program, FIRST_ID, "running", ",\"share\":0.5");
@@ -103,7 +110,7 @@
       call(program.port(), CLIENT, "POST /copy", "");
       call(program.port(), CLIENT, "DELETE /copy", "");
       transcript.send(CLIENT, client, job("/issue", FIRST_ID));
-      HttpMessage post = transcript.receive("w0", program.workers.get(0).nextRequest());
+      HttpMessage post = transcript.receive("w0", program.worker(0).nextRequest());
       transcript.send("another client", other, job("/issue", FIRST_ID));
       transcript.receive("another client", other);
       transcript.respond("w0", post, 500, "");
@@ -124,10 +131,10 @@
         Socket client = program.connect()) {
       transcript.send(CLIENT, client, job("/issue", FIRST_ID));
       int first = program.awaitWorkerWithRequest();
-      HttpMessage post = transcript.receive("w" + first, program.workers.get(first).nextRequest());
+      HttpMessage post = transcript.receive("w" + first, program.worker(first).nextRequest());
       transcript.respond("w" + first, post, 503, "", "X-Rejected: 1");
       int second = 1 - first;
-      post = transcript.receive("w" + second, program.workers.get(second).nextRequest());
+      post = transcript.receive("w" + second, program.worker(second).nextRequest());
       transcript.respond("w" + second, post, 500, "");
       transcript.receive(CLIENT, client);
     }
@@ -143,7 +150,7 @@
         reportStatus(program, FIRST_ID, "running", ",\"share\":0.1");
       }
       transcript.event("client closes its connection");
-      HttpMessage delete = transcript.receive("w0", program.workers.get(0).nextRequest());
+      HttpMessage delete = transcript.receive("w0", program.worker(0).nextRequest());
       transcript.respond("w0", delete, 200, "");
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"too late\"");
     }
@@ -154,13 +161,13 @@
   void aReloadMovesTheWatchToAnotherDiscovery() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect()) {
-      HttpMessage watch = transcript.receive(DISCOVERY, program.discovery.nextRequest());
+      HttpMessage watch = transcript.receive(DISCOVERY, program.discovery().nextRequest());
       transcript.event("SIGHUP");
       program.moveDiscovery().awaitClosed(watch.connection());
       transcript.event(Transcript.PROGRAM + " closes the connection of discovery");
-      HttpMessage complete = transcript.receive("new discovery", program.discovery.nextRequest());
+      HttpMessage complete = transcript.receive("new discovery", program.discovery().nextRequest());
       respondWithList(complete, program.endpointList(7, Extent.COMPLETE, Health.SERVING));
-      transcript.receive("new discovery", program.discovery.nextRequest());
+      transcript.receive("new discovery", program.discovery().nextRequest());
       submitAccepted(program, client, job("/copy", FIRST_ID));
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"after\"");
       transcript.receive(CLIENT, client);
@@ -185,8 +192,8 @@
       reportStatus(program, SECOND_ID, "done", ",\"result\":\"drained\"");
       transcript.receive(CLIENT, client);
       transcript.receive(CLIENT, client);
-      assertTrue(program.process.waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-      transcript.event("exit code " + program.process.exitValue());
+      assertTrue(program.process().waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+      transcript.event("exit code " + program.process().exitValue());
     }
     transcript.check("drain");
   }
@@ -207,7 +214,8 @@
   @Test
   void anOldProcessHandsOverToItsSuccessor() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2);
-        HotRestartRelay relay = new HotRestartRelay(program.temporaryDirectory.resolve("n0.tie"));
+        HotRestartRelay relay =
+            new HotRestartRelay(program.temporaryDirectory().resolve("n0.tie"));
         Socket client = program.connect()) {
       callManagement(program, 0, DISABLE_WORKER, "w1");
       submitAccepted(program, client, job("/issue", FIRST_ID));
@@ -225,7 +233,7 @@
       callManagement(program, 0, "POST /ops/drain/stop", "");
       receiveOverLink(program, relay, Sender.OLD);
       transcript.event("SIGTERM to the old process");
-      program.instances.get(0).destroy();
+      program.instance(0).destroy();
       receiveOverLink(program, relay, Sender.OLD);
       try (Socket late = program.connect()) {
         transcript.send(CLIENT, late, job("/copy", FIRST_ID));
--- a/src/test/java/loomreel/program/WorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/WorkerConnectionTest.java
@@ -3,6 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import loomreel.program.harness.DispatcherProcess;
+import loomreel.program.harness.HttpIo;
+import loomreel.program.harness.HttpMessage;
+import loomreel.program.harness.SubmittedJob;
+import loomreel.program.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -15,16 +20,19 @@
     try (DispatcherProcess program =
         new DispatcherProcess(1, new TestConfiguration().idleConnectionSeconds(1))) {
       SubmittedJob job = program.submit("/copy", "");
-      HttpMessage post = program.workers.get(0).nextRequest();
+      HttpMessage post = program.worker(0).nextRequest();
       post.respond(202, "");
       program.reportDone(job.id(), "w0", "r");
 
       assertEquals("r", job.response().body());
-      program.workers.get(0).awaitClosed(post.connection());
+      program.worker(0).awaitClosed(post.connection());
     }
   }
 
-  /** A middlebox may drop idle connections sooner than the settings say, and reset the next job. */
+  /**
+   * A middlebox may drop idle connections sooner than they are configured to live, and reset the
+   * next job.
+   */
   @Test
   void theIdleTimeIsReducedAfterResetsOfReusedConnections() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
@@ -34,7 +42,7 @@
       for (int i = 0; i < 3; i++) {
         Thread.sleep(200);
         job = program.submit(job.connection(), "/issue", 20_000, "");
-        program.workers.get(0).nextRequest().connection().close();
+        program.worker(0).nextRequest().connection().close();
         assertEquals(500, job.response().status());
         job = program.submit(job.connection(), "/copy", 20_000, "");
         program.serveNextJob(0, "next");
@@ -42,12 +50,12 @@
       }
 
       Thread.sleep(400);
-      program.workers.get(0).resetConnectionCount();
+      program.worker(0).resetConnectionCount();
       job = program.submit(job.connection(), "/issue", 20_000, "");
       program.serveNextJob(0, "on a new connection");
 
       assertEquals("on a new connection", job.response().body());
-      assertEquals(1, program.workers.get(0).connectionCount());
+      assertEquals(1, program.worker(0).connectionCount());
     }
   }
 
@@ -57,19 +65,19 @@
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       for (int i = 0; i < 4; i++) {
         SubmittedJob job = program.submit("/issue", "");
-        HttpMessage post = program.workers.get(0).nextRequest();
+        HttpMessage post = program.worker(0).nextRequest();
 
         HttpIo.write(
             post.connection(),
             HttpIo.withBody("HTTP/1.1 202 x\r\n", "")
                 + HttpIo.withBody(HttpIo.lines("HTTP/1.1 503 x", "X-Rejected: 1"), ""));
 
-        program.workers.get(0).awaitClosed(post.connection());
+        program.worker(0).awaitClosed(post.connection());
         program.reportDone(job.id(), "w0", "once");
         assertEquals("once", job.response().body());
       }
-      assertEquals(4, program.workers.get(0).connectionCount());
-      assertFalse(program.workers.get(0).hasPendingRequest());
+      assertEquals(4, program.worker(0).connectionCount());
+      assertFalse(program.worker(0).hasPendingRequest());
     }
   }
 }
--- a/src/test/java/loomreel/program/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
@@ -18,22 +19,17 @@
 /**
  * The program as a process of its own, with {@code serve}.
  *
- * <p>Under a supervisor the process can be replaced: {@link #instances} are the dispatchers that
- * were started one after the other, {@link #managementPorts} their management addresses, and {@link
- * #process} is the supervisor.
+ * <p>Under a supervisor the dispatcher can be replaced: {@link #instances} are the dispatchers that
+ * were started one after the other, and {@link #process} is the supervisor.
  */
-final class DispatcherProcess extends DispatcherHarness {
-  /** The process that the test has started. */
-  final Process process;
+public final class DispatcherProcess extends DispatcherHarness {
+  private final Process process;
 
-  /** Where the dispatcher stores its files. */
-  final Path temporaryDirectory = Files.createTempDirectory("loomreel");
+  private final Path temporaryDirectory = Files.createTempDirectory("loomreel");
 
-  /** The dispatchers that the supervisor has started; empty without a supervisor. */
-  final List<ProcessHandle> instances = new ArrayList<>();
+  private final List<ProcessHandle> instances = new ArrayList<>();
 
-  /** The ports of the management API, one for each dispatcher. */
-  final List<Integer> managementPorts = new ArrayList<>();
+  private final List<Integer> managementPorts = new ArrayList<>();
 
   private final Path configurationFile = Files.createTempFile("loomreel", ".json");
   private final TestConfiguration configuration;
@@ -47,12 +43,12 @@
   }
 
   /** A dispatcher with the standard configuration. */
-  DispatcherProcess(int workerCount) throws IOException {
+  public DispatcherProcess(int workerCount) throws IOException {
     this(workerCount, new TestConfiguration());
   }
 
   /** A dispatcher with a configuration of the test. */
-  DispatcherProcess(int workerCount, TestConfiguration configuration) throws IOException {
+  public DispatcherProcess(int workerCount, TestConfiguration configuration) throws IOException {
     this(workerCount, configuration, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
   }
 
@@ -64,8 +60,8 @@
     writeConfiguration(configuration.toJson());
     ProcessBuilder builder =
         listener == Listener.SUPERVISED
-            ? ProgramCommand.superviseServe(configurationFile, discovery.address(), flags)
-            : ProgramCommand.serve(configurationFile, discovery.address(), flags);
+            ? ProgramCommand.superviseServe(configurationFile, discovery().address(), flags)
+            : ProgramCommand.serve(configurationFile, discovery().address(), flags);
     builder.environment().put("TMPDIR", temporaryDirectory.toString());
     process = builder.start();
     log = process.errorReader();
@@ -79,17 +75,17 @@
   }
 
   /** A dispatcher with a management API. */
-  static DispatcherProcess managed(int workerCount) throws IOException {
+  public static DispatcherProcess managed(int workerCount) throws IOException {
     return new DispatcherProcess(workerCount, new TestConfiguration().managementApi());
   }
 
   /** A dispatcher with a management API under a supervisor. */
-  static DispatcherProcess supervised(int workerCount) throws IOException {
+  public static DispatcherProcess supervised(int workerCount) throws IOException {
     return supervised(workerCount, ProgramCommand.FAST_START_FLAGS);
   }
 
   /** The same with the JVM flags of {@code deploy/balancer.toml}. */
-  static DispatcherProcess deployed(int workerCount) throws IOException {
+  public static DispatcherProcess deployed(int workerCount) throws IOException {
     return supervised(workerCount, ProgramCommand.deployedFlags());
   }
 
@@ -99,6 +95,31 @@
     return new DispatcherProcess(workerCount, configuration, Listener.SUPERVISED, flags);
   }
 
+  /** The process that the test has started: the dispatcher, or its supervisor. */
+  public Process process() {
+    return process;
+  }
+
+  /** Where the dispatcher stores its files; it is deleted with them. */
+  public Path temporaryDirectory() {
+    return temporaryDirectory;
+  }
+
+  /** A dispatcher that the supervisor has started. */
+  public ProcessHandle instance(int index) {
+    return instances.get(index);
+  }
+
+  /** The dispatchers that the supervisor has started; empty without a supervisor. */
+  public List<ProcessHandle> instances() {
+    return Collections.unmodifiableList(instances);
+  }
+
+  /** The port of the management API of a dispatcher. */
+  public int managementPort(int instance) {
+    return managementPorts.get(instance);
+  }
+
   private void startInstance() throws IOException {
     process.outputWriter().append('\n').flush();
     long pid = Long.parseLong(process.inputReader().readLine());
@@ -106,25 +127,25 @@
   }
 
   /** Has the supervisor start one more dispatcher, and waits until it is ready. */
-  void startSuccessor() throws IOException {
+  public void startSuccessor() throws IOException {
     startInstance();
     managementPorts.add(awaitLoggedPort("admin server listening address"));
     assertEquals(200, callManagement(instances.size() - 1, "GET", "readiness", "").status());
   }
 
   /** Kills a dispatcher under the supervisor, and waits for its end. */
-  void killInstance(int instance) throws Exception {
+  public void killInstance(int instance) throws Exception {
     instances.get(instance).destroyForcibly();
     awaitExit(instance);
   }
 
   /** Waits for the end of a dispatcher under the supervisor. */
-  void awaitExit(int instance) throws Exception {
+  public void awaitExit(int instance) throws Exception {
     instances.get(instance).onExit().get(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Sends a request to the management API of a dispatcher; {@code path} follows {@code /ops/}. */
-  HttpMessage callManagement(int instance, String method, String path, String body)
+  public HttpMessage callManagement(int instance, String method, String path, String body)
       throws IOException {
     try (Socket connection = HttpIo.connect(managementPorts.get(instance))) {
       String head = method + " /ops/" + path + " HTTP/1.1\r\nHost: x\r\n";
@@ -134,22 +155,22 @@
   }
 
   /** Disables a worker through the management API of a dispatcher; the status of the response. */
-  int disableWorker(int instance, String worker) throws IOException {
+  public int disableWorker(int instance, String worker) throws IOException {
     return callManagement(instance, "POST", "copy-workers/down", worker).status();
   }
 
   /** Enables a worker through the management API of a dispatcher; the status of the response. */
-  int enableWorker(int instance, String worker) throws IOException {
+  public int enableWorker(int instance, String worker) throws IOException {
     return callManagement(instance, "POST", "copy-workers/up", worker).status();
   }
 
   /** Starts a client drain through the management API; the status of the response. */
-  int startClientDrain(int instance) throws IOException {
+  public int startClientDrain(int instance) throws IOException {
     return callManagement(instance, "POST", "drain/start", "").status();
   }
 
   /** Stops a client drain through the management API; the status of the response. */
-  int stopClientDrain(int instance) throws IOException {
+  public int stopClientDrain(int instance) throws IOException {
     return callManagement(instance, "POST", "drain/stop", "").status();
   }
 
@@ -157,7 +178,7 @@
    * A number in the statistics of a dispatcher: {@code name}, or {@code name.class} for one of a
    * request class.
    */
-  int statistic(int instance, String name) throws IOException {
+  public int statistic(int instance, String name) throws IOException {
     String statistics = callManagement(instance, "GET", "stats", "").body();
     String pattern = "\"" + name.replace(".", "\":\\{[^}]*\"") + "\":(\\d+)";
     Matcher number = Pattern.compile(pattern).matcher(statistics);
@@ -166,27 +187,27 @@
   }
 
   /** Waits until a number in the statistics of a dispatcher has this value. */
-  void awaitStatistic(int instance, String name, int value) throws Exception {
+  public void awaitStatistic(int instance, String name, int value) throws Exception {
     while (statistic(instance, name) != value) {
       Thread.sleep(1);
     }
   }
 
   /** Replaces discovery, and has the dispatcher reload; the previous discovery. */
-  StubHttpServer moveDiscovery() throws Exception {
-    StubHttpServer previous = discovery;
-    discovery = new StubHttpServer();
-    reload(configuration.discoveryAddress(discovery.address()).toJson());
+  public StubHttpServer moveDiscovery() throws Exception {
+    StubHttpServer previous = discovery();
+    restartDiscovery(0);
+    reload(configuration.discoveryAddress(discovery().address()).toJson());
     return previous;
   }
 
   /** A copy of the configuration with which the dispatcher was started. */
-  TestConfiguration configuration() {
+  public TestConfiguration configuration() {
     return configuration.copy();
   }
 
   /** Replaces the text of the configuration file, and has the dispatcher read it. */
-  void reload(String text) throws Exception {
+  public void reload(String text) throws Exception {
     writeConfiguration(text);
     signal("HUP");
   }
@@ -196,13 +217,13 @@
   }
 
   /** Sends a signal, by its name without SIG, to the process that the test has started. */
-  void signal(String name) throws Exception {
+  public void signal(String name) throws Exception {
     String command = "kill -" + name + " " + process.pid();
     assertEquals(0, new ProcessBuilder("sh", "-c", command).start().waitFor());
   }
 
   /** Reads the log until a line contains this text; that line. */
-  String awaitLog(String text) throws IOException {
+  public String awaitLog(String text) throws IOException {
     StringBuilder skipped = new StringBuilder();
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       if (line.contains(text)) {
@@ -220,7 +241,7 @@
   }
 
   @Override
-  int port() {
+  public int port() {
     return port;
   }
 
--- a/src/test/java/loomreel/program/EndpointList.java
+++ b/src/test/java/loomreel/program/harness/EndpointList.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,16 +6,16 @@
 import java.io.IOException;
 
 /** An endpoint list in the JSON of discovery. Methods change it in place and return it. */
-final class EndpointList {
+public final class EndpointList {
   /** The health of a worker, with its name in the list. */
-  enum Health {
+  public enum Health {
     SERVING,
     DRAINING,
     DELETED
   }
 
   /** Whether workers that are not in a list stay as they were. */
-  enum Extent {
+  public enum Extent {
     /** The list has all workers; others are removed. */
     COMPLETE,
     /** The list has the workers that have changed. */
@@ -26,13 +26,13 @@
   private final ArrayNode workers;
 
   /** An empty list. */
-  EndpointList(int sequence, Extent extent) {
+  public EndpointList(int sequence, Extent extent) {
     json.put("seq", sequence).put("whole", extent == Extent.COMPLETE);
     workers = json.putArray("hosts");
   }
 
   /** Adds a worker, after those that are in the list. */
-  EndpointList with(String worker, String address, Health health) {
+  public EndpointList with(String worker, String address, Health health) {
     workers
         .addObject()
         .put("host", worker)
@@ -47,13 +47,13 @@
   }
 
   /** Adds the workers of another list, after those that are in this one. */
-  EndpointList withAllOf(EndpointList other) {
+  public EndpointList withAllOf(EndpointList other) {
     workers.addAll(other.workers);
     return this;
   }
 
   /** Sends the list as the response of discovery. */
-  void respondTo(HttpMessage request) throws IOException {
+  public void respondTo(HttpMessage request) throws IOException {
     request.respond(200, toJson());
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** The JSON as compact text. */
-  String toJson() {
+  public String toJson() {
     return json.toString();
   }
 }
--- a/src/test/java/loomreel/program/FaktoryDaemonSettings.java
+++ b/src/test/java/loomreel/program/harness/FaktoryDaemonSettings.java
@@ -1,7 +1,7 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 /** Settings files of daemons that accept Faktory clients, at free ports. */
-final class FaktoryDaemonSettings {
+public final class FaktoryDaemonSettings {
   /** The classes copy and issue; further classes and settings of Faktory, one a line. */
   private static final String TEMPLATE =
       """
@@ -19,7 +19,7 @@
   private FaktoryDaemonSettings() {}
 
   /** Settings with these further classes and settings of Faktory, each a line of CUE. */
-  static String of(String classes, String faktory) {
+  public static String of(String classes, String faktory) {
     return TEMPLATE.formatted(classes.indent(1), faktory.indent(1));
   }
 }
--- a/src/test/java/loomreel/program/HotRestartRelay.java
+++ b/src/test/java/loomreel/program/harness/HotRestartRelay.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -14,9 +14,9 @@
 /**
  * A relay on the hot-restart link between an old process and its successor; it records messages.
  */
-final class HotRestartRelay implements AutoCloseable {
+public final class HotRestartRelay implements AutoCloseable {
   /** The end of the link that a message comes from. */
-  enum Sender {
+  public enum Sender {
     OLD("old "),
     NEW("new ");
 
@@ -36,7 +36,7 @@
   private final BlockingQueue<HttpMessage> fromNew = new LinkedBlockingQueue<>();
 
   /** Takes the place of the old process, whose port this file holds. */
-  HotRestartRelay(Path portFile) throws IOException {
+  public HotRestartRelay(Path portFile) throws IOException {
     InetAddress loopback = HttpIo.loopback();
     listener = new ServerSocket(0, 1, loopback);
     int oldPort = Integer.parseInt(Files.readString(portFile).strip());
@@ -62,7 +62,7 @@
   }
 
   /** Waits for the next message of a process and records it. */
-  void receive(Transcript transcript, Sender sender) throws InterruptedException {
+  public void receive(Transcript transcript, Sender sender) throws InterruptedException {
     HttpMessage message =
         (sender == Sender.OLD ? fromOld : fromNew)
             .poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/test/java/loomreel/program/HttpIo.java
+++ b/src/test/java/loomreel/program/harness/HttpIo.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -8,9 +8,9 @@
 import java.nio.charset.StandardCharsets;
 
 /** Plain blocking HTTP/1.1 over sockets, for stub servers and test clients. */
-final class HttpIo {
+public final class HttpIo {
   /** The longest wait for anything; a test that waits this long has failed. */
-  static final int TIMEOUT_MILLIS = 30_000;
+  public static final int TIMEOUT_MILLIS = 30_000;
 
   private static final String END_OF_HEAD = "\r\n\r\n";
 
@@ -22,7 +22,7 @@
   }
 
   /** Lines of a message, each with its line break. */
-  static String lines(String... lines) {
+  public static String lines(String... lines) {
     StringBuilder text = new StringBuilder();
     for (String line : lines) {
       text.append(line).append("\r\n");
@@ -31,24 +31,24 @@
   }
 
   /** Connects to a port of this machine; reads time out after {@link #TIMEOUT_MILLIS}. */
-  static Socket connect(int port) throws IOException {
+  public static Socket connect(int port) throws IOException {
     Socket socket = new Socket(loopback(), port);
     socket.setSoTimeout(TIMEOUT_MILLIS);
     return socket;
   }
 
   /** Writes text to a connection, one byte a character. */
-  static void write(Socket socket, String text) throws IOException {
+  public static void write(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
   /** A request head and body; the head lacks its Content-Length and ends with a line break. */
-  static String withBody(String head, String body) {
+  public static String withBody(String head, String body) {
     return head + "Content-Length: " + body.length() + END_OF_HEAD + body;
   }
 
   /** Reads the next message; null at the end of the connection. */
-  static HttpMessage read(Socket socket) throws IOException {
+  public static HttpMessage read(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith(END_OF_HEAD)) {
--- a/src/test/java/loomreel/program/HttpMessage.java
+++ b/src/test/java/loomreel/program/harness/HttpMessage.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -11,9 +11,9 @@
  * @param head the bytes up to and including the empty line, the start line among them
  * @param connection where it was received, and where a request is answered
  */
-record HttpMessage(String startLine, String head, String body, Socket connection) {
+public record HttpMessage(String startLine, String head, String body, Socket connection) {
   /** The value of the first header of this name in any case, or null without one. */
-  String header(String name) {
+  public String header(String name) {
     String prefix = name.toLowerCase(Locale.ROOT) + ":";
     return head.lines()
         .filter(line -> line.toLowerCase(Locale.ROOT).startsWith(prefix))
@@ -23,12 +23,12 @@
   }
 
   /** The status code of a response. */
-  int status() {
+  public int status() {
     return Integer.parseInt(startLine.split(" ", -1)[1]);
   }
 
   /** Writes a response to this request; each of {@code headers} is a complete line. */
-  void respond(int status, String body, String... headers) throws IOException {
+  public void respond(int status, String body, String... headers) throws IOException {
     StringBuilder text =
         new StringBuilder("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length());
     for (String header : headers) {
--- a/src/test/java/loomreel/program/ListenerSupervisor.java
+++ b/src/test/java/loomreel/program/harness/ListenerSupervisor.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import com.sun.jna.Library;
 import com.sun.jna.Native;
@@ -41,6 +41,7 @@
 
   private ListenerSupervisor() {}
 
+  /** Runs the supervisor for a command. */
   public static void main(String[] command) throws Exception {
     CLibrary c = Native.load("c", CLibrary.class);
     int input = c.dup(0);
--- a/src/test/java/loomreel/program/ProgramCommand.java
+++ b/src/test/java/loomreel/program/harness/ProgramCommand.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 
 /** The command lines that start the program, or a class of the tests, in a JVM of its own. */
-final class ProgramCommand {
+public final class ProgramCommand {
   /** JVM flags of processes in tests, for a shorter start. */
   static final List<String> FAST_START_FLAGS = List.of("-XX:TieredStopAtLevel=1");
 
@@ -32,7 +32,7 @@
   }
 
   /** A command of the program, with a configuration file and the address of discovery. */
-  static ProcessBuilder of(Path configuration, String command, String discovery) {
+  public static ProcessBuilder of(Path configuration, String command, String discovery) {
     return inEnvironment(configuration, discovery, program(FAST_START_FLAGS, command));
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** A command of the program with these JVM flags. */
-  static List<String> program(List<String> flags, String... arguments) {
+  public static List<String> program(List<String> flags, String... arguments) {
     List<String> command = java(flags);
     command.add(MAIN_CLASS);
     command.addAll(List.of(arguments));
--- a/src/test/java/loomreel/program/RecordedFaktoryClient.java
+++ b/src/test/java/loomreel/program/harness/RecordedFaktoryClient.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -8,13 +8,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** A Faktory client or worker whose connection is recorded in a transcript byte for byte. */
-final class RecordedFaktoryClient implements AutoCloseable {
+public final class RecordedFaktoryClient implements AutoCloseable {
   private final Transcript transcript;
   private final String name;
   private final Socket socket = new Socket();
 
   /** Connects; {@code name} is the client's in the transcript. */
-  RecordedFaktoryClient(Transcript transcript, String name, InetSocketAddress server)
+  public RecordedFaktoryClient(Transcript transcript, String name, InetSocketAddress server)
       throws IOException {
     this.transcript = transcript;
     this.name = name;
@@ -23,13 +23,13 @@
   }
 
   /** Sends a command; the bytes of the reply. */
-  String call(String command) throws IOException {
+  public String call(String command) throws IOException {
     transcript.send(name, socket, command + "\r\n");
     return receive();
   }
 
   /** The bytes of the next reply; empty at the end of the connection. */
-  String receive() throws IOException {
+  public String receive() throws IOException {
     String reply = readReply();
     if (reply.isEmpty()) {
       transcript.receive(name, (HttpMessage) null);
--- a/src/test/java/loomreel/program/RequestClass.java
+++ b/src/test/java/loomreel/program/harness/RequestClass.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
@@ -9,7 +9,7 @@
  * @param stretch how many times its own work a job may take beyond the objective; 0 for the default
  * @param deduplicationWindowSeconds how long workers recognise keyed work; 0 for other work
  */
-record RequestClass(
+public record RequestClass(
     String name,
     Idempotency idempotency,
     double latencyObjectiveSeconds,
@@ -20,7 +20,7 @@
   private static final double DEADLINE_SECONDS = 20;
 
   /** Whether a job may run twice, with its name in a configuration. */
-  enum Idempotency {
+  public enum Idempotency {
     IDEMPOTENT("free"),
     KEYED("guarded"),
     NON_IDEMPOTENT("single_shot");
@@ -33,17 +33,17 @@
   }
 
   /** The class of idempotent jobs that most tests submit. */
-  static RequestClass copy() {
+  public static RequestClass copy() {
     return of("copy", Idempotency.IDEMPOTENT, 5, 0);
   }
 
   /** The class of jobs that must not run twice. */
-  static RequestClass issue() {
+  public static RequestClass issue() {
     return of("issue", Idempotency.NON_IDEMPOTENT, 2, 0);
   }
 
   /** The class of jobs with an idempotency key. */
-  static RequestClass hold(double deduplicationWindowSeconds) {
+  public static RequestClass hold(double deduplicationWindowSeconds) {
     return of("hold", Idempotency.KEYED, 3, deduplicationWindowSeconds);
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** The same class under another name. */
-  RequestClass withName(String newName) {
+  public RequestClass withName(String newName) {
     return new RequestClass(
         newName,
         idempotency,
@@ -72,7 +72,7 @@
   }
 
   /** The same class with another latency objective. */
-  RequestClass withLatencyObjective(double seconds, double newStretch) {
+  public RequestClass withLatencyObjective(double seconds, double newStretch) {
     return new RequestClass(
         name,
         idempotency,
--- a/src/test/java/loomreel/program/StalledListener.java
+++ b/src/test/java/loomreel/program/harness/StalledListener.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.IOException;
 import java.net.BindException;
@@ -13,7 +13,7 @@
  * A listener whose backlog is full, so that no connection to it completes until the test accepts
  * one.
  */
-final class StalledListener implements AutoCloseable {
+public final class StalledListener implements AutoCloseable {
   /** A connection that has not completed after this time waits for a place in the backlog. */
   private static final int BACKLOG_FULL_AFTER_MILLIS = 500;
 
@@ -59,7 +59,7 @@
    * Lets connections complete from now on; the next one that does not fill the backlog, or null
    * after a timeout without one.
    */
-  Socket nextConnection(int timeoutMillis) throws IOException {
+  public Socket nextConnection(int timeoutMillis) throws IOException {
     listener.setSoTimeout(timeoutMillis);
     try {
       while (true) {
--- a/src/test/java/loomreel/program/StepControlledServer.java
+++ b/src/test/java/loomreel/program/harness/StepControlledServer.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -25,17 +25,18 @@
  * is an event that the dispatcher traces. An action of the test at a step runs on the thread of the
  * event loop, which does nothing else meanwhile.
  */
-final class StepControlledServer extends DispatcherHarness {
+public final class StepControlledServer extends DispatcherHarness {
   /** More requests than the loop can have iterations left for reading what was sent before. */
   private static final int REQUESTS_AFTER_PENDING_INPUT = 20;
 
   /** What a test does at a step. */
-  interface StepAction {
+  public interface StepAction {
+    /** Runs the action once. */
     void run() throws Exception;
   }
 
   /** The steps that tests wait for, with the names that they have in the trace. */
-  enum Step {
+  public enum Step {
     JOB_ARRIVED("arrival"),
     JOB_CANCELLED("withdrawn"),
     JOB_FAILED("fail"),
@@ -59,13 +60,14 @@
   }
 
   /** A step that was reached, with its traced fields: alternating names and values. */
-  record ReachedStep(String traceName, List<Object> fields) {
-    boolean is(Step step) {
+  public record ReachedStep(String traceName, List<Object> fields) {
+    /** Whether this is the step. */
+    public boolean is(Step step) {
       return traceName.equals(step.traceName);
     }
 
     /** The value of a field; null without it. */
-    Object field(String name) {
+    public Object field(String name) {
       int index = fields.indexOf(name);
       return index < 0 ? null : fields.get(index + 1);
     }
@@ -82,12 +84,12 @@
   private final int port;
 
   /** A dispatcher with the standard configuration. */
-  StepControlledServer(int workerCount) throws Exception {
+  public StepControlledServer(int workerCount) throws Exception {
     this(workerCount, new TestConfiguration());
   }
 
   /** A dispatcher with a configuration of the test. */
-  StepControlledServer(int workerCount, TestConfiguration configuration) throws Exception {
+  public StepControlledServer(int workerCount, TestConfiguration configuration) throws Exception {
     super(workerCount);
     Path file = Files.createTempFile("loomreel", ".json");
     Files.writeString(file, complete(configuration).toJson());
@@ -138,12 +140,12 @@
    * Plans an action for the next time that a step is reached, before the step takes effect. Planned
    * actions run in their order.
    */
-  void onStep(Step step, StepAction action) {
+  public void onStep(Step step, StepAction action) {
     plannedActions.add(new PlannedAction(step, action));
   }
 
   /** Waits until a step is reached, and skips the unread ones before it. */
-  ReachedStep awaitStep(Step step) throws Exception {
+  public ReachedStep awaitStep(Step step) throws Exception {
     long deadline = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
       long remaining = Math.max(0, deadline - System.nanoTime());
@@ -161,27 +163,27 @@
   }
 
   /** Waits until an attempt is started; the index of its worker. */
-  int awaitAttemptWorker() throws Exception {
+  public int awaitAttemptWorker() throws Exception {
     String worker = (String) awaitStep(Step.ATTEMPT_STARTED).field("worker");
     return Integer.parseInt(worker.substring(1));
   }
 
   /** Takes the unread steps. */
-  List<ReachedStep> drainSteps() {
+  public List<ReachedStep> drainSteps() {
     List<ReachedStep> steps = new ArrayList<>();
     unreadSteps.drainTo(steps);
     return steps;
   }
 
   /** How often a step was reached since the start. */
-  long stepCount(Step step) {
+  public long stepCount(Step step) {
     return List.copyOf(allSteps).stream().filter(reached -> reached.is(step)).count();
   }
 
   /**
    * Pauses the event loop between two iterations for an action, like a process without CPU time.
    */
-  void whileLoopIsPaused(StepAction action) throws Exception {
+  public void whileLoopIsPaused(StepAction action) throws Exception {
     CountDownLatch paused = new CountDownLatch(1);
     CountDownLatch resumed = new CountDownLatch(1);
     server.loop().execute(() -> pauseLoop(paused, resumed));
@@ -203,30 +205,30 @@
    * Waits until all bytes that were sent before have been read. The loop reads one buffer of each
    * connection in an iteration, and later requests are answered in later iterations.
    */
-  void awaitPendingInputRead() throws Exception {
+  public void awaitPendingInputRead() throws Exception {
     for (int i = 0; i < REQUESTS_AFTER_PENDING_INPUT; i++) {
       request(READINESS_HEAD, "");
     }
   }
 
   /** Requests a graceful shutdown, as SIGTERM does. */
-  void requestShutdown() {
+  public void requestShutdown() {
     server.shutDown();
   }
 
   /** Waits for the end of the event loop; whether it has ended. */
-  boolean awaitLoopEnd() throws InterruptedException {
+  public boolean awaitLoopEnd() throws InterruptedException {
     loopThread.join(HttpIo.TIMEOUT_MILLIS);
     return !loopThread.isAlive();
   }
 
   /** Has the dispatcher watch the discovery at another address, as a configuration reload does. */
-  void moveDiscovery(InetSocketAddress address) {
+  public void moveDiscovery(InetSocketAddress address) {
     server.loop().execute(() -> server.configReloader().moveDiscovery(address));
   }
 
   /** Takes a worker out of use, as an operator does. */
-  void disableWorker(String worker) {
+  public void disableWorker(String worker) {
     server.loop().execute(() -> setDisabled(worker));
   }
 
@@ -239,7 +241,7 @@
   }
 
   @Override
-  int port() {
+  public int port() {
     return port;
   }
 
--- a/src/test/java/loomreel/program/StubHttpServer.java
+++ b/src/test/java/loomreel/program/harness/StubHttpServer.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,7 +14,7 @@
  * A stub worker or discovery service: it queues the requests that it receives, and the test
  * responds to them. Connections stay open when it is closed.
  */
-final class StubHttpServer implements AutoCloseable {
+public final class StubHttpServer implements AutoCloseable {
   private static final int BACKLOG = 50;
 
   private final ServerSocket listener;
@@ -23,12 +23,12 @@
   private final AtomicInteger connectionCount = new AtomicInteger();
 
   /** Listens on a free port. */
-  StubHttpServer() throws IOException {
+  public StubHttpServer() throws IOException {
     this(0);
   }
 
   /** Listens on this port, which a closed server may have used before; 0 for a free one. */
-  StubHttpServer(int port) throws IOException {
+  public StubHttpServer(int port) throws IOException {
     listener = StalledListener.bind(new InetSocketAddress(HttpIo.loopback(), port), BACKLOG);
     BackgroundThreads.start(this::acceptConnections);
   }
@@ -50,17 +50,18 @@
     closedConnections.add(connection);
   }
 
-  InetSocketAddress socketAddress() {
+  /** The address of the listener. */
+  public InetSocketAddress socketAddress() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
   /** The address as a configuration or an endpoint list names it. */
-  String address() {
+  public String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
   /** Waits for the next request and takes it from the queue. */
-  HttpMessage nextRequest() throws InterruptedException {
+  public HttpMessage nextRequest() throws InterruptedException {
     HttpMessage request = requests.poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (request == null) {
       throw new AssertionError("no request to " + address());
@@ -69,17 +70,17 @@
   }
 
   /** Whether a request is queued. */
-  boolean hasPendingRequest() {
+  public boolean hasPendingRequest() {
     return !requests.isEmpty();
   }
 
   /** Whether a POST is queued. */
-  boolean hasPendingJob() {
+  public boolean hasPendingJob() {
     return requests.stream().anyMatch(request -> request.startLine().startsWith("POST"));
   }
 
   /** Waits until the dispatcher has closed this connection. */
-  void awaitClosed(Socket connection) throws InterruptedException {
+  public void awaitClosed(Socket connection) throws InterruptedException {
     Socket closed = null;
     while (closed != connection) {
       closed = closedConnections.poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -90,18 +91,19 @@
   }
 
   /** Closes the listener and has no connection to its address complete until the test allows it. */
-  StalledListener stall() throws IOException {
+  public StalledListener stall() throws IOException {
     InetSocketAddress address = socketAddress();
     listener.close();
     return new StalledListener(address);
   }
 
   /** The number of connections accepted since the last reset. */
-  int connectionCount() {
+  public int connectionCount() {
     return connectionCount.get();
   }
 
-  void resetConnectionCount() {
+  /** Counts connections from 0 again. */
+  public void resetConnectionCount() {
     connectionCount.set(0);
   }
 
--- a/src/test/java/loomreel/program/SubmittedJob.java
+++ b/src/test/java/loomreel/program/harness/SubmittedJob.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -9,9 +9,9 @@
  * @param id its X-Call-Id, which no other job of the tests' JVM has
  * @param connection where its response is received
  */
-record SubmittedJob(String id, Socket connection) {
+public record SubmittedJob(String id, Socket connection) {
   /** Waits for the next response on the connection. */
-  HttpMessage response() throws IOException {
+  public HttpMessage response() throws IOException {
     return HttpIo.read(connection);
   }
 }
--- a/src/test/java/loomreel/program/TestConfiguration.java
+++ b/src/test/java/loomreel/program/harness/TestConfiguration.java
@@ -1,19 +1,19 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import loomreel.program.EndpointList.Health;
+import loomreel.program.harness.EndpointList.Health;
 
 /**
  * The configuration file of a dispatcher under test. A new one is the standard configuration;
  * setters change it in place and return it. The addresses of stubs are set by {@link
  * DispatcherHarness}.
  */
-final class TestConfiguration {
+public final class TestConfiguration {
   /** How the dispatcher gets endpoint lists, with its name in a configuration. */
-  enum DiscoveryMode {
+  public enum DiscoveryMode {
     POLL("ask"),
     PUSH("push");
 
@@ -25,7 +25,7 @@
   }
 
   /** How the dispatcher gets load reports. */
-  enum LoadReports {
+  public enum LoadReports {
     NONE,
     /** By health checks. */
     POLLED
@@ -35,7 +35,7 @@
   private List<Health> knownHealth = List.of(Health.SERVING);
 
   /** The standard configuration: the request classes copy and issue, polled discovery. */
-  TestConfiguration() {
+  public TestConfiguration() {
     root = new ObjectMapper().createObjectNode();
     root.put("name", "n0").put("listen", "127.0.0.1:0").put("seed", "8c1f30d27a5be964");
     root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
@@ -77,34 +77,35 @@
   }
 
   /** A copy to be changed without this one. */
-  TestConfiguration copy() {
+  public TestConfiguration copy() {
     return new TestConfiguration(this);
   }
 
   /** The name of the dispatcher. */
-  TestConfiguration name(String name) {
+  public TestConfiguration name(String name) {
     root.put("name", name);
     return this;
   }
 
   /** The descriptors that the dispatcher may use. */
-  TestConfiguration descriptorLimit(int descriptors) {
+  public TestConfiguration descriptorLimit(int descriptors) {
     ((ObjectNode) root.get("limits")).put("sockets", descriptors);
     return this;
   }
 
   /** Has the dispatcher serve the management API, at a free port. */
-  TestConfiguration managementApi() {
+  public TestConfiguration managementApi() {
     root.put("mgmt", "127.0.0.1:0");
     return this;
   }
 
+  /** Whether the dispatcher serves the management API. */
   boolean hasManagementApi() {
     return root.has("mgmt");
   }
 
   /** The address of discovery. */
-  TestConfiguration discoveryAddress(String address) {
+  public TestConfiguration discoveryAddress(String address) {
     root.put("discovery", address);
     return this;
   }
@@ -116,22 +117,24 @@
   }
 
   /** The health of w0, w1 and so on in the list that is known at the start; the last repeats. */
-  TestConfiguration knownHealth(Health... health) {
+  public TestConfiguration knownHealth(Health... health) {
     knownHealth = List.of(health);
     return this;
   }
 
+  /** The health of workers in the list that is known at the start. */
   Health[] knownHealth() {
     return knownHealth.toArray(Health[]::new);
   }
 
   /** Replaces all settings of the deployment. */
-  TestConfiguration deploymentSettings(ObjectNode settings) {
+  public TestConfiguration deploymentSettings(ObjectNode settings) {
     root.set("settings", settings);
     return this;
   }
 
-  TestConfiguration requestClasses(RequestClass... classes) {
+  /** Replaces the request classes. */
+  public TestConfiguration requestClasses(RequestClass... classes) {
     ArrayNode json = settings().putArray("RequestClasses");
     for (RequestClass requestClass : classes) {
       requestClass.writeTo(json.addObject());
@@ -139,12 +142,14 @@
     return this;
   }
 
-  TestConfiguration discoveryMode(DiscoveryMode mode) {
+  /** How the dispatcher gets endpoint lists. */
+  public TestConfiguration discoveryMode(DiscoveryMode mode) {
     settings().put("Discovery", mode.settingName);
     return this;
   }
 
-  TestConfiguration loadReports(LoadReports reports) {
+  /** How the dispatcher gets load reports. */
+  public TestConfiguration loadReports(LoadReports reports) {
     boolean polled = reports == LoadReports.POLLED;
     policyLimits().put("Probing", polled);
     settings().putObject("Telemetry").put("How", polled ? "probe" : "none");
@@ -152,30 +157,31 @@
   }
 
   /** Whether attempts may be cancelled at their workers. */
-  TestConfiguration cancellation(boolean allowed) {
+  public TestConfiguration cancellation(boolean allowed) {
     policyLimits().put("Cancelling", allowed);
     return this;
   }
 
-  TestConfiguration connectTimeoutSeconds(double seconds) {
+  /** How long a connection to a worker may take to be established. */
+  public TestConfiguration connectTimeoutSeconds(double seconds) {
     policyLimits().put("ConnectTimeoutS", seconds);
     return this;
   }
 
-  /** How long workers keep idle connections open. */
-  TestConfiguration idleConnectionSeconds(double seconds) {
+  /** The time after which workers close idle connections. */
+  public TestConfiguration idleConnectionSeconds(double seconds) {
     policyLimits().put("ConnIdleS", seconds);
     return this;
   }
 
   /** How long jobs may still be sent to a worker that drains. */
-  TestConfiguration drainGraceSeconds(double seconds) {
+  public TestConfiguration drainGraceSeconds(double seconds) {
     invariants().put("StopSendingWithinS", seconds);
     return this;
   }
 
   /** How often discovery is polled at the least. */
-  TestConfiguration discoveryPollIntervalSeconds(double seconds) {
+  public TestConfiguration discoveryPollIntervalSeconds(double seconds) {
     invariants().put("AskWithinS", seconds);
     return this;
   }
@@ -193,7 +199,7 @@
   }
 
   /** The text of the configuration file. */
-  String toJson() {
+  public String toJson() {
     return root.toString();
   }
 }
--- a/src/test/java/loomreel/program/Transcript.java
+++ b/src/test/java/loomreel/program/harness/Transcript.java
@@ -1,4 +1,4 @@
-package loomreel.program;
+package loomreel.program.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -28,9 +28,9 @@
  * <p>They record the program's behaviour on the wire: record them again only where it is meant to
  * change, and read the difference.
  */
-final class Transcript {
+public final class Transcript {
   /** The name of the program in the transcripts. */
-  static final String PROGRAM = "loomreel";
+  public static final String PROGRAM = "loomreel";
 
   private static final Path DIRECTORY = Path.of("src", "test", "resources", "transcripts");
   private static final boolean RECORDING = Boolean.getBoolean("transcripts.record");
@@ -70,7 +70,7 @@
   private final Map<String, Integer> counts = new HashMap<>();
 
   /** Records the bytes of a message. */
-  void add(String sender, String receiver, String message) {
+  public void add(String sender, String receiver, String message) {
     StringBuilder shown = new StringBuilder();
     for (char c : normalized(sender, message).toCharArray()) {
       switch (c) {
@@ -85,18 +85,18 @@
   }
 
   /** Records an event that is no message of the program. */
-  void event(String what) {
+  public void event(String what) {
     text.append("=== ").append(what.strip()).append('\n');
   }
 
   /** Sends bytes to the program and records them as a message. */
-  void send(String sender, Socket socket, String message) throws IOException {
+  public void send(String sender, Socket socket, String message) throws IOException {
     add(sender, PROGRAM, message);
     HttpIo.write(socket, message);
   }
 
   /** Records a message of the program; null records the end of the connection. */
-  HttpMessage receive(String receiver, HttpMessage message) {
+  public HttpMessage receive(String receiver, HttpMessage message) {
     if (message == null) {
       event(PROGRAM + " closes the connection of " + receiver);
     } else {
@@ -106,19 +106,20 @@
   }
 
   /** Reads and records the next message of the program on this connection. */
-  HttpMessage receive(String receiver, Socket socket) throws IOException {
+  public HttpMessage receive(String receiver, Socket socket) throws IOException {
     return receive(receiver, HttpIo.read(socket));
   }
 
   /** Sends the response of a stub and records its status, headers and body as an event. */
-  void respond(String sender, HttpMessage request, int status, String body, String... headers)
+  public void respond(
+      String sender, HttpMessage request, int status, String body, String... headers)
       throws IOException {
     event(sender + " answers " + status + " " + String.join(", ", headers) + body);
     request.respond(status, body, headers);
   }
 
   /** Compares the transcript with the file of this name, or writes the file. */
-  void check(String name) throws IOException {
+  public void check(String name) throws IOException {
     Path file = DIRECTORY.resolve(name + ".txt");
     if (RECORDING) {
       Files.writeString(file, text);
