--- a/src/test/java/loomreel/program/harness/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -24,13 +24,9 @@
  */
 public final class DispatcherProcess extends DispatcherHarness {
   private final Process process;
-
   private final Path temporaryDirectory = Files.createTempDirectory("loomreel");
-
   private final List<ProcessHandle> instances = new ArrayList<>();
-
   private final List<Integer> managementPorts = new ArrayList<>();
-
   private final Path configurationFile = Files.createTempFile("loomreel", ".json");
   private final TestConfiguration configuration;
   private final BufferedReader log;
