--- a/src/main/java/loomreel/faktory/queue/JobQueue.java
+++ b/src/main/java/loomreel/faktory/queue/JobQueue.java
@@ -18,7 +18,7 @@
   private static final int MAX_EVIDENCE_CHARS = 512;
 
   private final QueueLimits limits;
-  private final RetryPolicy retryPolicy;
+  private final JobRetryPolicy retryPolicy;
   private final JobTable table;
   private final PendingJobs pending;
   private final EndedJobs ended;
@@ -34,7 +34,7 @@
    */
   public JobQueue(QueueLimits limits, RandomGenerator random) {
     this.limits = limits;
-    retryPolicy = new RetryPolicy(limits.baseBackoffMicros(), random);
+    retryPolicy = new JobRetryPolicy(limits.baseBackoffMicros(), random);
     table = new JobTable(limits.endedJobs());
     pending = table.pending();
     ended = table.ended();
@@ -170,7 +170,7 @@
     apply(retryPolicy.afterFailure(job, mayHaveRun, isIdempotent, now), job, now);
   }
 
-  private void apply(RetryPolicy.Decision decision, Job job, long now) {
+  private void apply(JobRetryPolicy.Decision decision, Job job, long now) {
     if (decision.state() == State.RETRY) {
       job.dueMicros = decision.dueMicros();
     }
--- a/src/main/java/loomreel/faktory/queue/RetryPolicy.java
+++ b/src/main/java/loomreel/faktory/queue/JobRetryPolicy.java
@@ -7,7 +7,7 @@
  * Decides what follows an attempt that was not served: a retry, or the end of the job. Times are
  * microseconds of Unix time.
  */
-final class RetryPolicy {
+final class JobRetryPolicy {
   /**
    * What becomes of a job.
    *
@@ -27,7 +27,7 @@
 
   private final RetryBackoff backoff;
 
-  RetryPolicy(long baseBackoffMicros, RandomGenerator random) {
+  JobRetryPolicy(long baseBackoffMicros, RandomGenerator random) {
     backoff = new RetryBackoff(baseBackoffMicros, random);
   }
 
