--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -10,12 +10,12 @@
   private WorkerState[] ranking;
   private WorkerState secondChoice;
 
-  /** The first workers of the key's ranking, best first. */
+  /** The first workers of the key's ranking, best first; null before {@link #rank}. */
   WorkerState[] ranking() {
     return ranking;
   }
 
-  /** The best worker under a second, independent hash. */
+  /** The best worker under a second, independent hash; null if there are no workers. */
   WorkerState secondChoice() {
     return secondChoice;
   }
