--- a/src/main/java/loomreel/simulator/ActionWriter.java
+++ b/src/main/java/loomreel/simulator/ActionWriter.java
@@ -30,15 +30,15 @@
     } else if (action instanceof Action.Reject reject) {
       writeReject(reject);
     } else if (action instanceof Action.Fail fail) {
-      writeTextObject("RespondError", "MsgId", fail.requestId());
+      writeTextObject(WireNames.FAIL_REQUEST, WireNames.REQUEST_ID, fail.requestId());
     } else if (action instanceof Action.CheckHealth check) {
-      writeTextObject("HealthCheck", "Executor", check.workerId());
+      writeTextObject(WireNames.CHECK_HEALTH, WireNames.WORKER_ID, check.workerId());
     } else if (action instanceof Action.SetTimer timer) {
       writeSetTimer(timer);
     } else if (action instanceof Action.PollEndpoints) {
       writePollEndpoints();
     } else if (action instanceof Action.Log log) {
-      writeTextObject("Remark", "Words", log.text());
+      writeTextObject(WireNames.LOG, WireNames.TEXT, log.text());
     } else {
       throw new IllegalStateException("no translation for " + action);
     }
@@ -46,45 +46,45 @@
 
   /** Reports that the policy failed on an event, instead of its actions. */
   void writeFailure(RuntimeException failure) throws IOException {
-    writeTextObject("Fatal", "Words", failure.toString());
+    writeTextObject(WireNames.POLICY_FAILED, WireNames.TEXT, failure.toString());
   }
 
   private void writeStartAttempt(Action.StartAttempt start) throws IOException {
-    startObject("Issue");
-    json.writeStringField("MsgId", start.requestId());
-    json.writeStringField("Executor", start.workerId());
+    startObject(WireNames.START_ATTEMPT);
+    json.writeStringField(WireNames.REQUEST_ID, start.requestId());
+    json.writeStringField(WireNames.WORKER_ID, start.workerId());
     if (start.timeout() != 0) {
-      json.writeNumberField("CapS", toSeconds(start.timeout()));
+      json.writeNumberField(WireNames.TIMEOUT_SECONDS, toSeconds(start.timeout()));
     }
     json.writeEndObject();
   }
 
   private void writeCancelAttempt(Action.CancelAttempt cancel) throws IOException {
-    startObject("Abandon");
-    json.writeStringField("MsgId", cancel.requestId());
-    json.writeNumberField("Leg", cancel.attemptNumber());
+    startObject(WireNames.CANCEL_ATTEMPT);
+    json.writeStringField(WireNames.REQUEST_ID, cancel.requestId());
+    json.writeNumberField(WireNames.ATTEMPT_NUMBER, cancel.attemptNumber());
     json.writeEndObject();
   }
 
   private void writeReject(Action.Reject reject) throws IOException {
-    startObject("Refuse");
-    json.writeStringField("MsgId", reject.requestId());
+    startObject(WireNames.REJECT_REQUEST);
+    json.writeStringField(WireNames.REQUEST_ID, reject.requestId());
     if (reject.retryAfter() > 0) {
-      json.writeNumberField("HoldOffS", toSeconds(reject.retryAfter()));
+      json.writeNumberField(WireNames.RETRY_AFTER_SECONDS, toSeconds(reject.retryAfter()));
     }
     json.writeEndObject();
   }
 
   private void writeSetTimer(Action.SetTimer timer) throws IOException {
-    startObject("Remind");
-    json.writeNumberField("AlarmTimeS", toSeconds(timer.time()));
-    json.writeNumberField("KeyBack", timer.token());
+    startObject(WireNames.SET_TIMER);
+    json.writeNumberField(WireNames.TIMER_TIME_SECONDS, toSeconds(timer.time()));
+    json.writeNumberField(WireNames.TIMER_TOKEN, timer.token());
     json.writeEndObject();
   }
 
   private void writePollEndpoints() throws IOException {
-    startObject("Observe");
-    json.writeBooleanField("Want", true);
+    startObject(WireNames.POLL_ENDPOINTS);
+    json.writeBooleanField(WireNames.POLLS, true);
     json.writeEndObject();
   }
 
@@ -96,7 +96,7 @@
 
   private void startObject(String kind) throws IOException {
     json.writeStartObject();
-    json.writeStringField("kind", kind);
+    json.writeStringField(WireNames.KIND, kind);
   }
 
   private static double toSeconds(long micros) {
--- a/src/main/java/loomreel/simulator/BatchReader.java
+++ b/src/main/java/loomreel/simulator/BatchReader.java
@@ -31,15 +31,15 @@
       String name = json.currentName();
       JsonToken value = json.nextToken();
       switch (name) {
-        case "batch" -> {
+        case WireNames.BATCH_NUMBER -> {
           expectNumber(value, name);
           number = json.getLongValue();
         }
-        case "SimTimeS" -> {
+        case WireNames.TIME_SECONDS -> {
           expectNumber(value, name);
           timeMicros = WireObject.toMicros(json.getDoubleValue());
         }
-        case "parts" -> dispatchers = readDispatchers(json);
+        case WireNames.DISPATCHERS -> dispatchers = readDispatchers(json);
         default -> json.skipChildren();
       }
     }
@@ -68,11 +68,11 @@
       String name = json.currentName();
       JsonToken value = json.nextToken();
       switch (name) {
-        case "I" -> {
+        case WireNames.DISPATCHER_NUMBER -> {
           expectNumber(value, name);
           instance = json.getIntValue();
         }
-        case "events" -> readEvents(json, events);
+        case WireNames.EVENTS -> readEvents(json, events);
         default -> json.skipChildren();
       }
     }
@@ -95,7 +95,7 @@
     while (json.nextToken() != JsonToken.END_OBJECT) {
       String name = json.currentName();
       json.nextToken();
-      if (name.equals("kind")) {
+      if (name.equals(WireNames.KIND)) {
         expect(json, JsonToken.VALUE_STRING, "an event's kind is not a string");
         kind = json.getText();
       } else {
--- a/src/main/java/loomreel/simulator/SimulatorAdapter.java
+++ b/src/main/java/loomreel/simulator/SimulatorAdapter.java
@@ -84,12 +84,12 @@
     try (JsonGenerator json = jsonFactory.createGenerator(reply)) {
       ActionWriter writer = new ActionWriter(json);
       json.writeStartObject();
-      json.writeNumberField("batch", batch.number());
-      json.writeArrayFieldStart("parts");
+      json.writeNumberField(WireNames.BATCH_NUMBER, batch.number());
+      json.writeArrayFieldStart(WireNames.DISPATCHERS);
       for (WireBatch.DispatcherEvents dispatcher : batch.dispatchers()) {
         json.writeStartObject();
-        json.writeNumberField("I", dispatcher.instance());
-        json.writeArrayFieldStart("out");
+        json.writeNumberField(WireNames.DISPATCHER_NUMBER, dispatcher.instance());
+        json.writeArrayFieldStart(WireNames.ACTIONS);
         for (WireObject event : dispatcher.events()) {
           handle(dispatcher.instance(), event, batch.timeMicros(), writer);
         }
@@ -106,12 +106,12 @@
   private void handle(int instance, WireObject wireObject, long now, ActionWriter writer)
       throws MalformedBatchException, IOException {
     String kind = wireObject.kind();
-    if (kind.equals(WireEventReader.UP)) {
+    if (kind.equals(WireNames.DISPATCHER_STARTED)) {
       dispatchers.put(
           instance, new Dispatcher(new DispatchPolicy(), new EventTranslator(endpointLists)));
     }
     // A list's definition concerns all dispatchers and may precede the start of any.
-    if (!kind.equals(WireEventReader.DEFINE_LIST) && !dispatchers.containsKey(instance)) {
+    if (!kind.equals(WireNames.ENDPOINT_LIST_DEFINED) && !dispatchers.containsKey(instance)) {
       throw new MalformedBatchException(kind + " for instance " + instance + " before its Up");
     }
     WireEvent event = WireEventReader.read(wireObject);
--- /dev/null
+++ b/src/main/java/loomreel/simulator/WireNames.java
@@ -0,0 +1,99 @@
+package loomreel.simulator;
+
+/** The names in the simulator's protocol, by what they mean in this program. */
+final class WireNames {
+  // A batch and its reply.
+  static final String BATCH_NUMBER = "batch";
+  static final String TIME_SECONDS = "SimTimeS";
+  static final String DISPATCHERS = "parts";
+  static final String DISPATCHER_NUMBER = "I";
+  static final String EVENTS = "events";
+  static final String ACTIONS = "out";
+  static final String KIND = "kind";
+
+  // Kinds of events.
+  static final String ENDPOINT_LIST_DEFINED = "DefineList";
+  static final String DISPATCHER_STARTED = "Up";
+  static final String DISPATCHER_STOPPED = "Stop";
+  static final String ENDPOINTS_CHANGED = "Members";
+  static final String REQUEST_RECEIVED = "Inbound";
+  static final String REQUEST_CANCELLED = "Withdrawn";
+  static final String ATTEMPT_STARTED = "Started";
+  static final String ATTEMPT_UPDATED = "UpdateOf";
+  static final String ATTEMPT_COMPLETED = "ReportBack";
+  static final String HEALTH_CHECK_COMPLETED = "StatusBack";
+  static final String TIMER_ELAPSED = "TickDue";
+  static final String COMMENT_RECEIVED = "Memo";
+
+  // Kinds of actions.
+  static final String START_ATTEMPT = "Issue";
+  static final String CANCEL_ATTEMPT = "Abandon";
+  static final String REJECT_REQUEST = "Refuse";
+  static final String FAIL_REQUEST = "RespondError";
+  static final String CHECK_HEALTH = "HealthCheck";
+  static final String SET_TIMER = "Remind";
+  static final String POLL_ENDPOINTS = "Observe";
+  static final String LOG = "Remark";
+  static final String POLICY_FAILED = "Fatal";
+
+  // Fields that several kinds have.
+  static final String REQUEST_ID = "MsgId";
+  static final String WORKER_ID = "Executor";
+  static final String ATTEMPT_NUMBER = "Leg";
+  static final String OUTCOME = "How";
+  static final String DURATION_SECONDS = "TookS";
+  static final String LOAD_REPORT = "Usage";
+  static final String ENDPOINT_LIST_ID = "RosterId";
+  static final String TIMER_TOKEN = "KeyBack";
+  static final String TEXT = "Words";
+
+  // Fields of the start of a dispatcher.
+  static final String SEED = "Nonce64";
+  static final String SETTINGS = "Setup";
+
+  // Fields of a change of endpoints, and its scopes.
+  static final String SCOPE = "Scope";
+  static final String SCOPE_WATCH_LOST = "lost";
+  static final String SCOPE_UPDATE = "incr";
+  static final String SCOPE_SNAPSHOT = "total";
+  static final String SCOPE_CACHED_SNAPSHOT = "warm_copy";
+
+  // Fields of a request.
+  static final String KEY = "Resource";
+  static final String SLOTS = "CoresNeeded";
+  static final String REQUEST_CLASS = "Type";
+  static final String TENANT = "Owner";
+  static final String DEADLINE_SECONDS = "DueS";
+  static final String MARKS = "Marks";
+  static final String EXPECTED_WORK_SECONDS = "WeightHintS";
+
+  // Fields of the progress and the end of an attempt.
+  static final String UPDATE_SORT = "Sort";
+  static final String ANSWERED = "Finished";
+
+  // Fields of a load report.
+  static final String QUEUED_JOBS = "depth";
+  static final String ACTIVE_JOBS = "concurrent";
+  static final String UTILIZATION = "load_share";
+  static final String FREE_SLOTS = "x0";
+
+  // Fields of an endpoint list and its entries.
+  static final String ENDPOINTS = "Items";
+  static final String ZONE = "Az";
+  static final String WORKER_KIND = "Kind";
+  static final String FAILURE_DOMAIN = "Pod";
+  static final String STARTED_AT_SECONDS = "CameUpS";
+  static final String WEIGHT = "Scale";
+  static final String STATE = "Health";
+  static final String READY = "live";
+  static final String DRAINING = "quiescing";
+  static final String REMOVED = "dead";
+
+  // Fields of actions.
+  static final String TIMEOUT_SECONDS = "CapS";
+  static final String RETRY_AFTER_SECONDS = "HoldOffS";
+  static final String TIMER_TIME_SECONDS = "AlarmTimeS";
+  static final String POLLS = "Want";
+
+  private WireNames() {}
+}
--- /dev/null
+++ b/src/test/java/loomreel/simulator/ActionWriterTest.java
@@ -0,0 +1,78 @@
+package loomreel.simulator;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.io.StringWriter;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+import loomreel.decision.Action;
+import loomreel.decision.RejectionReason;
+import org.junit.jupiter.api.Test;
+
+/** Each action under its names on the wire. */
+class ActionWriterTest {
+  private static final Map<Action, String> JSON_BY_ACTION =
+      Map.of(
+          new Action.StartAttempt("r", "w", 1_500_000, Long.MAX_VALUE),
+          "{\"kind\":\"Issue\",\"MsgId\":\"r\",\"Executor\":\"w\",\"CapS\":1.5}",
+          new Action.CancelAttempt("r", 2),
+          "{\"kind\":\"Abandon\",\"MsgId\":\"r\",\"Leg\":2}",
+          new Action.Reject("r", 250_000, RejectionReason.QUOTA_EXCEEDED),
+          "{\"kind\":\"Refuse\",\"MsgId\":\"r\",\"HoldOffS\":0.25}",
+          new Action.Fail("r", RejectionReason.CLIENT_DEADLINE),
+          "{\"kind\":\"RespondError\",\"MsgId\":\"r\"}",
+          new Action.CheckHealth("w"),
+          "{\"kind\":\"HealthCheck\",\"Executor\":\"w\"}",
+          new Action.SetTimer(2_000_000, 7),
+          "{\"kind\":\"Remind\",\"AlarmTimeS\":2.0,\"KeyBack\":7}",
+          new Action.PollEndpoints(),
+          "{\"kind\":\"Observe\",\"Want\":true}",
+          new Action.Log("text"),
+          "{\"kind\":\"Remark\",\"Words\":\"text\"}");
+
+  private interface Writing {
+    void to(ActionWriter writer) throws IOException;
+  }
+
+  private static String write(Writing writing) throws IOException {
+    StringWriter text = new StringWriter();
+    try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
+      writing.to(new ActionWriter(json));
+    }
+    return text.toString();
+  }
+
+  @Test
+  void eachActionHasItsNamesOnTheWire() throws IOException {
+    for (Map.Entry<Action, String> entry : JSON_BY_ACTION.entrySet()) {
+      assertEquals(entry.getValue(), write(writer -> writer.write(entry.getKey())));
+    }
+
+    Set<Class<?>> written =
+        JSON_BY_ACTION.keySet().stream().map(Action::getClass).collect(Collectors.toSet());
+    assertEquals(Set.of(Action.class.getPermittedSubclasses()), written);
+  }
+
+  @Test
+  void timesThatStandForNoneAreOmitted() throws IOException {
+    Action unlimited = new Action.StartAttempt("r", "w", 0, Long.MAX_VALUE);
+    Action withoutAdvice = new Action.Reject("r", 0, RejectionReason.QUOTA_EXCEEDED);
+
+    assertEquals(
+        "{\"kind\":\"Issue\",\"MsgId\":\"r\",\"Executor\":\"w\"}",
+        write(writer -> writer.write(unlimited)));
+    assertEquals(
+        "{\"kind\":\"Refuse\",\"MsgId\":\"r\"}", write(writer -> writer.write(withoutAdvice)));
+  }
+
+  @Test
+  void aFailureOfThePolicyHasItsNamesOnTheWire() throws IOException {
+    assertEquals(
+        "{\"kind\":\"Fatal\",\"Words\":\"java.lang.IllegalStateException: why\"}",
+        write(writer -> writer.writeFailure(new IllegalStateException("why"))));
+  }
+}
--- a/src/test/java/loomreel/simulator/WireEventReaderTest.java
+++ b/src/test/java/loomreel/simulator/WireEventReaderTest.java
@@ -133,4 +133,94 @@
             2, List.of(new Endpoint("e.a", "", "", -1, Endpoint.State.DRAINING, 0, 1)));
     assertEquals(expected, read("DefineList", Map.of("RosterId", 2, "Items", items)));
   }
+
+  @Test
+  void everyFieldOfARequestIsRead() throws Exception {
+    Map<String, Object> fields =
+        Map.of(
+            "MsgId",
+            "00aa",
+            "Resource",
+            "program",
+            "CoresNeeded",
+            2,
+            "Type",
+            "class",
+            "Owner",
+            "tenant",
+            "DueS",
+            15.5,
+            "Marks",
+            3,
+            "WeightHintS",
+            0.25);
+
+    WireEvent event = read("Inbound", fields);
+
+    assertEquals(
+        new WireEvent.RequestReceived(
+            "00aa", "program", 2, "class", "tenant", 15_500_000, true, 250_000),
+        event);
+  }
+
+  @Test
+  void everyFieldOfAnEndpointIsRead() throws Exception {
+    Map<String, Object> item =
+        Map.of(
+            "Executor", "e.a",
+            "Az", "zone",
+            "Kind", "kind",
+            "Pod", 3,
+            "Health", "live",
+            "CameUpS", 2.5,
+            "Scale", 1.5);
+
+    WireEvent event = read("DefineList", Map.of("RosterId", 2, "Items", List.of(item)));
+
+    Endpoint expected =
+        new Endpoint("e.a", "zone", "kind", 3, Endpoint.State.READY, 2_500_000, 1.5);
+    assertEquals(new WireEvent.EndpointListDefined(2, List.of(expected)), event);
+  }
+
+  @Test
+  void everyFieldOfALoadReportIsRead() throws Exception {
+    Map<String, Object> report = Map.of("depth", 3, "concurrent", 5, "load_share", 0.5, "x0", 2);
+
+    WireEvent event =
+        read("StatusBack", Map.of("Executor", "e.a", "How", 0, "TookS", 0.5, "Usage", report));
+
+    assertEquals(
+        new WireEvent.HealthCheckCompleted(
+            "e.a", AttemptOutcome.OK, 500_000, new WorkerLoad(3, 5, 0.5, 2)),
+        event);
+  }
+
+  @Test
+  void everyOtherKindIsReadAsItsEvent() throws Exception {
+    Map<String, Object> setup = Map.of("TickS", 0.004);
+    Map<WireEvent, WireEvent> eventByExpected =
+        Map.of(
+            new WireEvent.DispatcherStarted(9, setup),
+            read("Up", Map.of("Nonce64", 9, "Setup", setup)),
+            new WireEvent.DispatcherStopped(),
+            read("Stop", Map.of()),
+            new WireEvent.EndpointSnapshotReceived(2),
+            read("Members", Map.of("Scope", "total", "RosterId", 2)),
+            new WireEvent.EndpointSnapshotReceived(3),
+            read("Members", Map.of("Scope", "warm_copy", "RosterId", 3)),
+            new WireEvent.EndpointUpdateReceived(2),
+            read("Members", Map.of("Scope", "incr", "RosterId", 2)),
+            new WireEvent.EndpointWatchLost(),
+            read("Members", Map.of("Scope", "lost")),
+            new WireEvent.RequestCancelledByClient("00aa"),
+            read("Withdrawn", Map.of("MsgId", "00aa")),
+            new WireEvent.AttemptProgressReported("00aa", 1),
+            read("Started", Map.of("MsgId", "00aa", "Leg", 1)),
+            new WireEvent.TimerElapsed(7),
+            read("TickDue", Map.of("KeyBack", 7)),
+            new WireEvent.Ignored(),
+            read("Memo", Map.of()));
+
+    eventByExpected.forEach((expected, event) -> assertEquals(expected, event));
+  }
 }
