--- a/src/main/java/loomreel/faktory/protocol/Handshake.java
+++ b/src/main/java/loomreel/faktory/protocol/Handshake.java
@@ -10,14 +10,14 @@
 import java.util.regex.Pattern;
 
 /**
- * What a client says of itself in HELLO (protocol specification, "Initial Handshake").
+ * The argument of HELLO (protocol specification, "Initial Handshake").
  *
  * @param wid the id of a worker's process, or null for a client that only pushes
  * @param labels of the form name=value
  */
 public record Handshake(String wid, Map<String, String> labels) {
   /** The version of the protocol. */
-  public static final int VERSION = 2;
+  private static final int VERSION = 2;
 
   private static final int MAX_LABELS = 64;
   private static final Pattern WID = Pattern.compile("[A-Za-z0-9_.:-]{1,64}");
@@ -33,6 +33,19 @@
     }
   }
 
+  /**
+   * The server's greeting, with the challenge where a password is required.
+   *
+   * @param iterations how many times the client has to hash the password
+   */
+  public static Reply greeting(PasswordChallenges.Challenge challenge, int iterations) {
+    String password =
+        challenge.isRequired()
+            ? ",\"i\":" + iterations + ",\"s\":\"" + challenge.salt() + "\""
+            : "";
+    return new Reply.SimpleString("HI {\"v\":" + VERSION + password + "}");
+  }
+
   /**
    * Reads and checks the argument of HELLO.
    *
@@ -54,7 +67,7 @@
     return new Handshake(wid, labels(hello.path("labels")));
   }
 
-  /** How much of a guess was right must not show in the time that the answer takes. */
+  /** The duration must not depend on how much of a guess is right. */
   private static boolean equalInConstantTime(String expected, String given) {
     return MessageDigest.isEqual(
         expected.getBytes(StandardCharsets.US_ASCII), given.getBytes(StandardCharsets.US_ASCII));
@@ -72,8 +85,8 @@
   }
 
   /**
-   * The hash that a client sends: SHA-256 of password and salt, hashed again until there were so
-   * many iterations, in hexadecimal.
+   * The hash that a client sends, in hexadecimal: SHA-256 of password and salt, and then of the
+   * result until the number of iterations is reached.
    */
   public static String hash(String password, String salt, int iterations) {
     try {
