--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -10,17 +10,17 @@
 /**
  * The workers that discovery lists, or the changes to such a list.
  *
- * @param sequence the version of the list, or {@link #UNVERSIONED}
+ * @param version the version of the list, or {@link #UNVERSIONED}
  * @param complete whether a worker that is missing from it is removed; otherwise it holds changes
  * @param endpoints the workers
  * @param addresses where the workers listen, by id; those that are removed may have none
  */
 public record EndpointList(
-    long sequence,
+    long version,
     boolean complete,
     List<Endpoint> endpoints,
     Map<String, InetSocketAddress> addresses) {
-  /** The sequence of a list that does not come from discovery. */
+  /** The version of a list that does not come from discovery. */
   public static final long UNVERSIONED = -1;
 
   /** The failure domain of a worker for which discovery names none. */
@@ -36,7 +36,7 @@
    */
   public static EndpointList of(Object json) {
     if (!(json instanceof Map<?, ?> list)
-        || !(list.get(EndpointListKeys.VERSION) instanceof Number sequence)
+        || !(list.get(EndpointListKeys.VERSION) instanceof Number version)
         || !(list.get(EndpointListKeys.COMPLETE) instanceof Boolean complete)
         || !(list.get(EndpointListKeys.ENDPOINTS) instanceof List<?> entries)) {
       throw new IllegalArgumentException(
@@ -64,7 +64,7 @@
         throw new IllegalArgumentException("no " + EndpointListKeys.ADDRESS + " for " + id);
       }
     }
-    return new EndpointList(sequence.longValue(), complete, endpoints, addresses);
+    return new EndpointList(version.longValue(), complete, endpoints, addresses);
   }
 
   private static Endpoint.State state(String name) {
--- a/src/main/java/loomreel/config/JsonValues.java
+++ b/src/main/java/loomreel/config/JsonValues.java
@@ -6,7 +6,7 @@
 
 /**
  * Looks values up in what {@link JsonTree} has read. A value that is absent, or of another type
- * than the one asked for, gives the default.
+ * than the requested one, gives the default.
  */
 final class JsonValues {
   private static final double MICROS_PER_SECOND = 1e6;
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -41,6 +41,10 @@
   private static final String VERSION_PARAMETER = "from";
   private static final String MAX_WAIT_MILLIS_PARAMETER = "hold_ms";
 
+  // Names of trace events.
+  private static final String TRACE_CALL = "listcall";
+  private static final String TRACE_LIST_RECEIVED = "listed";
+
   private static final long MICROS_PER_MILLI = 1000;
 
   private final EventLoop loop;
@@ -91,7 +95,7 @@
     }
     calling = true;
     calledAt = loop.now();
-    trace("listcall", "from");
+    trace(TRACE_CALL, "from");
     boolean waitsForChange = version != NO_VERSION;
     EndpointListCall call = new EndpointListCall(this, timeouts.deadline(calledAt, waitsForChange));
     PooledConnection opened = discovery.call(request(waitsForChange), call);
@@ -166,10 +170,10 @@
 
   private EndpointList parseNewer(HttpMessage message) throws InvalidEndpointListException {
     EndpointList list = parse(message);
-    if (list.sequence() < version) {
+    if (list.version() < version) {
       // It may lack later changes, such as a worker that is draining. The complete list is accepted
       // next, whatever its version: discovery may have restarted its count.
-      String reason = "version " + list.sequence() + " after " + version;
+      String reason = "version " + list.version() + " after " + version;
       version = NO_VERSION;
       throw new InvalidEndpointListException(reason);
     }
@@ -189,8 +193,8 @@
   }
 
   private void accept(EndpointList list) {
-    version = list.sequence();
-    trace("listed", "seq");
+    version = list.version();
+    trace(TRACE_LIST_RECEIVED, "seq");
     // The next call first: the watch counts as failed if it is late.
     watch();
     if (list.complete() || !list.endpoints().isEmpty()) {
--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -15,6 +15,9 @@
  * used first. Owns its connections. Used on the event loop's thread only; times are microseconds.
  */
 public final class ConnectionPool {
+  /** The name of a trace event. */
+  private static final String TRACE_CONNECTION_OPENED = "handshake";
+
   private final RateLimitedLogger log;
   private final EventLoop loop;
   private final String name;
@@ -106,7 +109,7 @@
     }
     descriptorQuota.connectionOpened();
     if (loop.trace() != null) {
-      loop.trace().line(loop.now(), "handshake", "peer", name);
+      loop.trace().line(loop.now(), TRACE_CONNECTION_OPENED, "peer", name);
     }
     return connection;
   }
--- a/src/main/java/loomreel/http/HttpHead.java
+++ b/src/main/java/loomreel/http/HttpHead.java
@@ -13,6 +13,15 @@
  */
 record HttpHead(List<String> startLine, List<String> headers, boolean keepAlive) {
   private static final String END_OF_LINE = "\r\n";
+  private static final String VERSION_PREFIX = "HTTP/";
+  private static final String VERSION_1_0 = "HTTP/1.0";
+  private static final String VERSION_1_1 = "HTTP/1.1";
+
+  // Names of headers, in lower case.
+  private static final String CONNECTION = "connection";
+  private static final String CONTENT_LENGTH = "content-length";
+  private static final String TRANSFER_ENCODING = "transfer-encoding";
+
   private static final String SEPARATORS = "()<>@,;:\\\"/[]?={} \t";
 
   /**
@@ -28,12 +37,12 @@
     List<String> startLine = List.of(lines[0].split(" ", isRequest ? -1 : 3));
     String version = startLine.get(isRequest ? startLine.size() - 1 : 0);
     boolean wellFormed =
-        version.startsWith("HTTP/")
+        version.startsWith(VERSION_PREFIX)
             && (isRequest ? isRequestLine(startLine) : isStatusLine(startLine));
     if (!wellFormed) {
       throw new BadMessageException(HttpStatus.BAD_REQUEST, "malformed first line");
     }
-    if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
+    if (!version.equals(VERSION_1_1) && !version.equals(VERSION_1_0)) {
       throw new BadMessageException(HttpStatus.VERSION_NOT_SUPPORTED, "version not supported");
     }
     List<String> headers = parseHeaders(lines);
@@ -72,9 +81,11 @@
   }
 
   private static boolean allowsKeepAlive(String version, List<String> headers) {
-    String header = HttpMessage.find(headers, "connection");
+    String header = HttpMessage.find(headers, CONNECTION);
     String options = header == null ? "" : header.toLowerCase(Locale.ROOT);
-    return version.equals("HTTP/1.1") ? !options.contains("close") : options.contains("keep-alive");
+    return version.equals(VERSION_1_1)
+        ? !options.contains("close")
+        : options.contains("keep-alive");
   }
 
   private static boolean isToken(String text) {
@@ -105,7 +116,7 @@
   String contentLength() throws BadMessageException {
     String length = null;
     for (int i = 0; i < headers.size(); i += 2) {
-      if (headers.get(i).equals("content-length")) {
+      if (headers.get(i).equals(CONTENT_LENGTH)) {
         String value = headers.get(i + 1);
         if (length != null && !length.equals(value)) {
           throw new BadMessageException(HttpStatus.BAD_REQUEST, "two lengths");
@@ -120,7 +131,7 @@
   String transferEncoding() {
     String encoding = null;
     for (int i = 0; i < headers.size(); i += 2) {
-      if (headers.get(i).equals("transfer-encoding")) {
+      if (headers.get(i).equals(TRANSFER_ENCODING)) {
         String value = headers.get(i + 1);
         encoding = encoding == null ? value : encoding + ", " + value;
       }
--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -31,10 +31,15 @@
     REJECT
   }
 
+  private static final String CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n";
   private static final String NO_HEADER = "";
   private static final byte[] NO_BODY = new byte[0];
   private static final double MICROS_PER_SECOND = 1e6;
 
+  // Names of trace events.
+  private static final String TRACE_CLOSED_WHILE_IDLE = "letgo";
+  private static final String TRACE_OUTPUT_SHUT_DOWN = "shut";
+
   /**
    * The time limit of the first request, counted from the connection's start, so that sending byte
    * by byte does not extend it; of each further request; of writing a response; and of the client's
@@ -114,7 +119,7 @@
       startTimeout();
     }
     if (state == ClientConnectionState.READING && parser.expectsContinue()) {
-      out.append("HTTP/1.1 100 Continue\r\n\r\n");
+      out.append(CONTINUE_RESPONSE);
       flush();
     }
   }
@@ -333,7 +338,7 @@
     if (state != ClientConnectionState.READING) {
       return;
     }
-    trace("letgo");
+    trace(TRACE_CLOSED_WHILE_IDLE);
     readNow();
     if (state != ClientConnectionState.READING) {
       return;
@@ -353,7 +358,7 @@
    */
   private void shutDownOutput() {
     ingress.markHalfClosed(this);
-    trace("shut");
+    trace(TRACE_OUTPUT_SHUT_DOWN);
     endOutput();
     if (!isClosed()) {
       startTimeout();
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -86,7 +86,7 @@
               new EndpointWatcher(
                   dispatcher.loop(),
                   discoveryConnections(discovery),
-                  initialEndpoints.sequence(),
+                  initialEndpoints.version(),
                   timeouts,
                   this));
     }
