--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -27,34 +27,6 @@
     boolean reportsJobStart,
     long tick,
     boolean clientsMarkRetries) {
-  /** Settings of a deployment whose clients do not mark their retries. */
-  public Settings(
-      int dispatchers,
-      String zone,
-      List<RequestClass> classes,
-      List<Tenant> tenants,
-      Rules rules,
-      Limits limits,
-      boolean pollsEndpoints,
-      boolean stableWeights,
-      LoadReporting loadReporting,
-      boolean reportsJobStart,
-      long tick) {
-    this(
-        dispatchers,
-        zone,
-        classes,
-        tenants,
-        rules,
-        limits,
-        pollsEndpoints,
-        stableWeights,
-        loadReporting,
-        reportsJobStart,
-        tick,
-        false);
-  }
-
   /**
    * Starts from settings of a single dispatcher without tenants and load reports. Rules and limits
    * have no default.
--- a/src/test/java/loomreel/decision/ReadmeExampleTest.java
+++ b/src/test/java/loomreel/decision/ReadmeExampleTest.java
@@ -33,27 +33,23 @@
             DeduplicationScope.ALL,
             0);
     Settings settings =
-        new Settings(
-            1,
-            "hall",
-            List.of(debit),
-            List.of(),
-            new Settings.Rules(500_000, 0, 0.2, 20_000_000, 3, 2_000_000),
-            new Settings.Limits(5, false, true, false, false, 0),
-            false,
-            true,
-            Settings.LoadReporting.WITH_ANSWERS,
-            true,
-            1000);
-    DispatchPolicy node = new DispatchPolicy();
+        Settings.builder()
+            .zone("hall")
+            .classes(List.of(debit))
+            .rules(new Settings.Rules(500_000, 0, 0.2, 20_000_000, 3, 2_000_000))
+            .limits(new Settings.Limits(5, false, true, false, false, 0))
+            .loadReporting(Settings.LoadReporting.WITH_ANSWERS)
+            .reportsJobStart(true)
+            .build();
+    DispatchPolicy policy = new DispatchPolicy();
     List<Action> actions = new ArrayList<>();
-    node.on(new Event.Start(42, settings), 0, actions);
-    node.on(
+    policy.on(new Event.Start(42, settings), 0, actions);
+    policy.on(
         new Event.EndpointSnapshot(
             List.of(new Endpoint("w1", "hall", "std", 0, Endpoint.State.READY, 0, 1))),
         0,
         actions);
-    node.on(
+    policy.on(
         new Event.RequestArrived("r1", "ledger-7", 1, 0, -1, 5_000_000, false, Double.NaN),
         10,
         actions);
