--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -219,7 +219,7 @@
 
   private void beginBodyUntilClose() {
     keepAlive = false;
-    // One byte more than allowed, so that readBody can tell the limit from beyond it.
+    // One byte more than allowed, so that readBody distinguishes the limit from an excess.
     missingBytes = MAX_BODY + 1;
     state = State.BODY_UNTIL_CLOSE;
   }
