--- a/src/test/java/loomreel/program/harness/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -184,8 +184,12 @@
 
   /** Waits until a number in the statistics of a dispatcher has this value. */
   public void awaitStatistic(int instance, String name, int value) throws Exception {
-    while (statistic(instance, name) != value) {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
+    int current = statistic(instance, name);
+    while (current != value) {
+      assertTrue(System.nanoTime() < deadline, name + " is " + current + ", expected " + value);
       Thread.sleep(1);
+      current = statistic(instance, name);
     }
   }
 
