--- a/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
+++ b/src/main/java/loomreel/faktory/scheduling/JobScheduler.java
@@ -10,10 +10,11 @@
 import loomreel.core.Rpc;
 import loomreel.decision.Event;
 import loomreel.decision.Settings;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.queue.ConcurrencyLimiter;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.JobQueue;
+import loomreel.faktory.queue.JobSpec;
 import loomreel.faktory.queue.WeightedRoundRobin;
 import loomreel.faktory.storage.JobPersistence;
 import loomreel.io.ByteQueue;
@@ -25,7 +26,7 @@
  * up. Times are microseconds of the loop's clock.
  */
 public final class JobScheduler {
-  /** Attempts started in one turn of the loop: HTTP clients wait no longer than these take. */
+  /** Attempts started in one turn of the loop, which delays HTTP clients for as long. */
   private static final int MAX_STARTS_PER_TURN = 16;
 
   /** The delay after which a dispatcher without capacity is checked again, in microseconds. */
@@ -155,7 +156,7 @@
       return;
     }
     Job job = attempt.job();
-    Job.Spec spec = job.spec();
+    JobSpec spec = job.spec();
     String id = newAttemptId();
     recentAttempts.add(id, job);
     Settings.RequestClass requestClass = classes.get(spec.requestClass());
@@ -167,7 +168,7 @@
             id,
             spec.requestClass(),
             "/" + requestClass.name() + "/" + spec.type() + "?jid=" + spec.jid(),
-            PayloadValidator.JOB_CONTENT_TYPE,
+            JobPayloadReader.JOB_CONTENT_TYPE,
             spec.jid(),
             body,
             deadline,
@@ -178,7 +179,7 @@
   }
 
   private static Event.RequestArrived arrival(String id, Job job, long deadline) {
-    Job.Spec spec = job.spec();
+    JobSpec spec = job.spec();
     boolean isRetry = job.failures() > 0;
     boolean hasIdempotencyKey = true;
     return new Event.RequestArrived(
--- a/src/main/java/loomreel/faktory/storage/StoredJob.java
+++ b/src/main/java/loomreel/faktory/storage/StoredJob.java
@@ -1,10 +1,12 @@
 package loomreel.faktory.storage;
 
 import java.io.IOException;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.InvalidPayloadException;
+import loomreel.faktory.payload.JobPayloadReader;
 import loomreel.faktory.protocol.Json;
 import loomreel.faktory.queue.Job;
 import loomreel.faktory.queue.Job.State;
+import loomreel.faktory.queue.JobSpec;
 import loomreel.faktory.queue.StateReasons;
 
 /**
@@ -35,8 +37,8 @@
   /** Whether its attempt was handed out to a worker. */
   private boolean handedOut;
 
-  /** What the payload says under these settings; null where it cannot be used. */
-  private Job.Spec spec;
+  /** The specification of the payload under these settings; null where it cannot be used. */
+  private JobSpec spec;
 
   /** Why these settings cannot use the payload, where spec is null. */
   private String unusableReason;
@@ -88,10 +90,10 @@
   }
 
   /** Reads the payload under the settings of this process. */
-  void parsePayload(PayloadValidator payloads) {
+  void parsePayload(JobPayloadReader payloads) {
     try {
-      spec = payloads.known(Json.MAPPER.readTree(payload));
-    } catch (PayloadValidator.BadPayloadException | IOException e) {
+      spec = payloads.read(Json.MAPPER.readTree(payload));
+    } catch (InvalidPayloadException | IOException e) {
       unusableReason = e.getMessage();
     }
   }
@@ -156,8 +158,8 @@
     return unusableReason;
   }
 
-  /** What the usable payload says. */
-  Job.Spec spec() {
+  /** The specification of a usable payload. */
+  JobSpec spec() {
     return spec;
   }
 
--- a/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
+++ b/src/main/java/loomreel/faktory/worker/FaktorySubchannel.java
@@ -12,20 +12,25 @@
 import loomreel.decision.Endpoint;
 import loomreel.decision.Settings;
 import loomreel.decision.WorkerLoad;
-import loomreel.faktory.payload.PayloadValidator;
+import loomreel.faktory.payload.WorkerPayloads;
 import loomreel.io.EventLoop;
 
 /**
- * One Faktory worker as the dispatcher sees it: attempts that are started wait here until a FETCH
- * of the worker takes them. Owned by {@link FaktoryWorkerPool}.
+ * One Faktory worker as the dispatcher sees it: attempts that are started wait here until the
+ * worker fetches them. Owned by {@link FaktoryWorkerPool}.
  */
 final class FaktorySubchannel implements Subchannel {
   /** Attempts that may wait for each slot; more are rejected, as a full worker does. */
   private static final int MAX_WAITING_PER_SLOT = 4;
 
-  /** How long after its time an attempt without a report still takes a slot, in microseconds. */
+  /** How long after its time an attempt without a report still occupies a slot, in microseconds. */
   private static final long SLOT_GRACE_MICROS = 5_000_000;
 
+  /** Labels of a worker for its zone and its kind. */
+  private static final String ZONE_LABEL = "site";
+
+  private static final String KIND_LABEL = "kind";
+
   /** Cell of an endpoint that belongs to none. */
   private static final int NO_CELL = -1;
 
@@ -38,7 +43,7 @@
   record Context(
       Dispatcher dispatcher,
       WorkerPool pool,
-      PayloadValidator payloads,
+      WorkerPayloads payloads,
       List<Settings.RequestClass> classes,
       String defaultZone) {}
 
@@ -59,8 +64,8 @@
     endpoint =
         new Endpoint(
             FaktoryWorkerPool.PREFIX + worker.wid(),
-            labels.getOrDefault("site", context.defaultZone()),
-            labels.getOrDefault("kind", ""),
+            labels.getOrDefault(ZONE_LABEL, context.defaultZone()),
+            labels.getOrDefault(KIND_LABEL, ""),
             NO_CELL,
             Endpoint.State.READY,
             worker.startedAt,
@@ -153,7 +158,7 @@
     }
   }
 
-  /** The payload of the first attempt that a FETCH of these queues takes, or null for none. */
+  /** The payload of the first attempt of these queues, for a FETCH; null for none. */
   byte[] fetch(WorkerConnection connection, List<String> queues) {
     FetchDispatcher.Item<CallAttempt, WorkerConnection> item =
         fetches.fetch(queues::contains, connection);
@@ -166,15 +171,15 @@
       attempt.end(AttemptOutcome.REJECTED, load());
       return null;
     }
-    long reservedUntil = loop.now() + context.payloads().reserveFor(attempt.rpc());
+    long reservedUntil = loop.now() + context.payloads().reservationMicros(attempt.rpc());
     if (reservedUntil < attempt.deadline()) {
       loop.schedule(reservedUntil, () -> reservationPassed(item));
     }
-    // The worker may still run it when the attempt has ended: it takes a slot until then.
+    // The worker may still run it when the attempt has ended: it occupies a slot until then.
     item.setExpiry(Math.max(reservedUntil, attempt.deadline()) + SLOT_GRACE_MICROS);
     return context
         .payloads()
-        .forWorker(attempt.rpc(), className(attempt.rpc()), attempt.deadline() - loop.now());
+        .encode(attempt.rpc(), className(attempt.rpc()), attempt.deadline() - loop.now());
   }
 
   private void reservationPassed(FetchDispatcher.Item<CallAttempt, WorkerConnection> item) {
@@ -227,7 +232,7 @@
     fetches.removeExpired(loop.now());
   }
 
-  /** How many jobs the worker takes at a time. */
+  /** How many jobs the worker runs at a time. */
   int slots() {
     return worker.slots.slots(fetches.inProgressCount(), loop.now());
   }
