--- a/src/main/java/loomreel/decision/DecayingSum.java
+++ b/src/main/java/loomreel/decision/DecayingSum.java
@@ -5,20 +5,20 @@
   /** Time constant of rates and means: long against one job, short against a day. */
   static final double RATE_TIME_CONSTANT_MICROS = 10e6;
 
-  private final double timeConstant;
+  private final double timeConstantMicros;
   private double sum;
   private long updatedAt = Timestamp.NEVER;
 
   /**
-   * @param timeConstant the time after which 1/e of an amount remains, in microseconds
+   * @param timeConstantMicros the time after which 1/e of an amount remains, in microseconds
    */
-  DecayingSum(double timeConstant) {
-    this.timeConstant = timeConstant;
+  DecayingSum(double timeConstantMicros) {
+    this.timeConstantMicros = timeConstantMicros;
   }
 
   /** What remains of everything that was added. */
   double valueAt(long now) {
-    return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstant);
+    return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstantMicros);
   }
 
   /** Adds an amount, which may be negative. */
--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -46,7 +46,7 @@
     if (event instanceof Event.Start start) {
       start(start, now, actions);
     } else {
-      context.begin(now, actions);
+      context.beginEvent(now, actions);
       started = !(event instanceof Event.Stop);
       if (started) {
         handler.handle(event);
@@ -56,7 +56,7 @@
 
   private void start(Event.Start event, long now, List<Action> actions) {
     context = new PolicyContext(event.settings(), new SplittableRandom(event.seed()));
-    context.begin(now, actions);
+    context.beginEvent(now, actions);
     double capacityFraction = state == null ? 1 : state.slowStart.capacityFraction();
     state = new PolicyState(context, capacityFraction);
     handler = new PolicyEventHandler(state);
--- a/src/main/java/loomreel/decision/Endpoint.java
+++ b/src/main/java/loomreel/decision/Endpoint.java
@@ -33,8 +33,8 @@
   }
 
   /** The same worker in another state. */
-  public Endpoint withState(State next) {
-    return new Endpoint(id, zone, kind, failureDomain, next, startedAt, weight, queues);
+  public Endpoint withState(State newState) {
+    return new Endpoint(id, zone, kind, failureDomain, newState, startedAt, weight, queues);
   }
 
   /** Whether it accepts the jobs of a queue; null stands for jobs without one, which go to any. */
--- a/src/main/java/loomreel/decision/FirstAttemptEstimator.java
+++ b/src/main/java/loomreel/decision/FirstAttemptEstimator.java
@@ -20,31 +20,32 @@
   private static final int SHORT_BUDGET_DIVISOR = 2;
 
   /** How many requests with short budgets one rejection explains as retries. */
-  private static final double REJECTION_WEIGHT = 2;
+  private static final double SHORT_BUDGETS_PER_REJECTION = 2;
 
-  private final boolean retriesAreMarked;
-  private final DecayingSum shortBudgets;
+  private final boolean clientsMarkRetries;
+  private final DecayingSum shortBudgetRequests;
   private final DecayingSum rejections;
 
   /**
-   * @param retriesAreMarked whether clients mark their retries
-   * @param timeConstant for how long requests and rejections count
+   * @param clientsMarkRetries whether clients mark their retries
+   * @param timeConstantMicros for how long requests and rejections count
    */
-  FirstAttemptEstimator(boolean retriesAreMarked, double timeConstant) {
-    this.retriesAreMarked = retriesAreMarked;
-    shortBudgets = new DecayingSum(timeConstant);
-    rejections = new DecayingSum(timeConstant);
+  FirstAttemptEstimator(boolean clientsMarkRetries, double timeConstantMicros) {
+    this.clientsMarkRetries = clientsMarkRetries;
+    shortBudgetRequests = new DecayingSum(timeConstantMicros);
+    rejections = new DecayingSum(timeConstantMicros);
   }
 
   /** When the client of a request that arrives now made its first attempt. */
   long firstAttemptAt(RequestArrived arrival, RequestClass requestClass, long now) {
     long remaining = arrival.deadline() - now;
-    if (remaining >= requestClass.deadline() || (retriesAreMarked && !arrival.clientRetry())) {
+    if (remaining >= requestClass.deadline() || (clientsMarkRetries && !arrival.clientRetry())) {
       return now;
     }
     if (!arrival.clientRetry() && remaining < requestClass.deadline() / SHORT_BUDGET_DIVISOR) {
-      shortBudgets.add(1, now);
-      if (REJECTION_WEIGHT * rejections.valueAt(now) < shortBudgets.valueAt(now)) {
+      shortBudgetRequests.add(1, now);
+      if (SHORT_BUDGETS_PER_REJECTION * rejections.valueAt(now)
+          < shortBudgetRequests.valueAt(now)) {
         return now;
       }
     }
--- a/src/main/java/loomreel/decision/KeyAffinityTable.java
+++ b/src/main/java/loomreel/decision/KeyAffinityTable.java
@@ -13,7 +13,7 @@
   private static final int INITIAL_CAPACITY = 64;
   private static final float LOAD_FACTOR = 0.75f;
 
-  private final LinkedHashMap<String, KeyAffinity> keys =
+  private final LinkedHashMap<String, KeyAffinity> affinitiesByCacheKey =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
   private final WorkerTable workers;
   private final RendezvousRanking ranking;
@@ -27,10 +27,11 @@
   KeyAffinity get(PendingRequest request) {
     String queue = request.arrival.queue() == null ? "" : '/' + request.arrival.queue();
     String key = request.arrival.key();
-    String name = key + '/' + request.requestClass.workerKind() + queue;
-    KeyAffinity affinity = keys.computeIfAbsent(name, absent -> new KeyAffinity());
-    if (keys.size() > MAX_KEYS) {
-      keys.remove(keys.keySet().iterator().next());
+    String cacheKey = key + '/' + request.requestClass.workerKind() + queue;
+    KeyAffinity affinity =
+        affinitiesByCacheKey.computeIfAbsent(cacheKey, absent -> new KeyAffinity());
+    if (affinitiesByCacheKey.size() > MAX_KEYS) {
+      affinitiesByCacheKey.remove(affinitiesByCacheKey.keySet().iterator().next());
     }
     affinity.rank(key, workers.pool(request), workers.version(), ranking, MAX_RANKED_WORKERS);
     return affinity;
--- a/src/main/java/loomreel/decision/MovingAverage.java
+++ b/src/main/java/loomreel/decision/MovingAverage.java
@@ -1,21 +1,21 @@
 package loomreel.decision;
 
 /**
- * A mean that starts from a guess: an arithmetic mean of the first {@value #WINDOW} values, and an
+ * A mean that starts from a guess: an arithmetic mean of the first {@value #MAX_COUNT} values, and an
  * exponentially weighted one from then on.
  */
 final class MovingAverage {
-  private static final int WINDOW = 100;
+  private static final int MAX_COUNT = 100;
 
   private double mean;
   private int count;
 
-  MovingAverage(double guess) {
-    mean = guess;
+  MovingAverage(double initialMean) {
+    mean = initialMean;
   }
 
   void add(double value) {
-    count = Math.min(WINDOW, count + 1);
+    count = Math.min(MAX_COUNT, count + 1);
     mean += (value - mean) / (count + 1);
   }
 
--- a/src/main/java/loomreel/decision/PolicyContext.java
+++ b/src/main/java/loomreel/decision/PolicyContext.java
@@ -19,7 +19,7 @@
   }
 
   /** An event is handled from here on. */
-  void begin(long now, List<Action> actions) {
+  void beginEvent(long now, List<Action> actions) {
     this.now = now;
     this.actions = actions;
   }
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -17,36 +17,38 @@
   private static final int FIRST_BACKOFF_DIVISOR = 4;
 
   /** The first poll is made within this fraction of the interval. */
-  private static final int START_JITTER_NUMERATOR = 6;
+  private static final int FIRST_POLL_JITTER_NUMERATOR = 6;
 
-  private static final int START_JITTER_DENOMINATOR = 40;
+  private static final int FIRST_POLL_JITTER_DENOMINATOR = 40;
 
   private final long maxBackoff;
-  private final long startJitter;
+  private final long firstPollJitter;
   private long backoff;
-  private long lastPollAt = Timestamp.NEVER;
+  private long lastPollStartedAt = Timestamp.NEVER;
 
   PollBackoff(Rules rules) {
     maxBackoff = rules.maxPollBackoff();
     // Soon after a start, since a restarted dispatcher has an old list.
-    startJitter = rules.pollInterval() * START_JITTER_NUMERATOR / START_JITTER_DENOMINATOR;
+    firstPollJitter =
+        rules.pollInterval() * FIRST_POLL_JITTER_NUMERATOR / FIRST_POLL_JITTER_DENOMINATOR;
   }
 
   /** When to poll for the first time. */
   long firstPollAt(long now, SplittableRandom random) {
-    return startJitter == 0 ? now : now + random.nextLong(1 + startJitter);
+    return firstPollJitter == 0 ? now : now + random.nextLong(1 + firstPollJitter);
   }
 
   /** When to poll after a call that has failed. */
   long nextPollAt(long now, SplittableRandom random) {
-    long previous = now - lastPollAt < maxBackoff ? backoff : 0;
-    backoff = Math.min(BACKOFF_FACTOR * previous + maxBackoff / FIRST_BACKOFF_DIVISOR, maxBackoff);
+    long previousBackoff = now - lastPollStartedAt < maxBackoff ? backoff : 0;
+    backoff =
+        Math.min(BACKOFF_FACTOR * previousBackoff + maxBackoff / FIRST_BACKOFF_DIVISOR, maxBackoff);
     return now + backoff / 2 + random.nextLong(1 + backoff / 2);
   }
 
   /** A poll has started. */
   void pollStarted(long now) {
-    lastPollAt = now;
+    lastPollStartedAt = now;
   }
 
   /** Discovery has answered. */
--- a/src/main/java/loomreel/decision/RendezvousRanking.java
+++ b/src/main/java/loomreel/decision/RendezvousRanking.java
@@ -10,7 +10,7 @@
  */
 final class RendezvousRanking {
   /** Derives the second, independent hash of a key from its first. */
-  private static final long SECOND_HASH = 0x5DEECE66DL;
+  private static final long SECOND_HASH_MASK = 0x5DEECE66DL;
 
   private final boolean weighted;
 
@@ -34,7 +34,7 @@
 
   /** The best worker under the second hash of a key, or null if there are no workers. */
   WorkerState second(long hash, WorkerState[] workers) {
-    return workers.length == 0 ? null : rank(workers, hash ^ SECOND_HASH)[0].worker();
+    return workers.length == 0 ? null : rank(workers, hash ^ SECOND_HASH_MASK)[0].worker();
   }
 
   private RankedWorker[] rank(WorkerState[] workers, long hash) {
--- a/src/main/java/loomreel/decision/RequestTable.java
+++ b/src/main/java/loomreel/decision/RequestTable.java
@@ -36,12 +36,12 @@
   }
 
   /** The attempt with that number if it is open, or null. */
-  AttemptState openAttempt(String requestId, int number) {
+  AttemptState openAttempt(String requestId, int attemptNumber) {
     PendingRequest request = byId.get(requestId);
-    if (request == null || number < 0 || number >= request.attempts().size()) {
+    if (request == null || attemptNumber < 0 || attemptNumber >= request.attempts().size()) {
       return null;
     }
-    AttemptState attempt = request.attempts().get(number);
+    AttemptState attempt = request.attempts().get(attemptNumber);
     return attempt.isOpen() ? attempt : null;
   }
 
--- a/src/main/java/loomreel/decision/ServiceRate.java
+++ b/src/main/java/loomreel/decision/ServiceRate.java
@@ -9,16 +9,16 @@
   private final DecayingSum workDone;
 
   /**
-   * @param timeConstant of both sums, in microseconds
+   * @param timeConstantMicros of both sums, in microseconds
    */
-  ServiceRate(double timeConstant) {
-    timeSpent = new DecayingSum(timeConstant);
-    workDone = new DecayingSum(timeConstant);
+  ServiceRate(double timeConstantMicros) {
+    timeSpent = new DecayingSum(timeConstantMicros);
+    workDone = new DecayingSum(timeConstantMicros);
   }
 
   /** A job of this work has been served in this time. */
-  void add(double time, double work, long now) {
-    timeSpent.add(time, now);
+  void add(double serviceTime, double work, long now) {
+    timeSpent.add(serviceTime, now);
     workDone.add(work, now);
   }
 
--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -110,19 +110,19 @@
      * A dispatcher counts as notified of a change of the list this long after discovery had it and
      * could be reached, whether or not its polls succeeded. Microseconds.
      */
-    private static final long NOTIFICATION_LIMIT_MICROS = 6_000_000;
+    private static final long NOTIFICATION_DEADLINE_MICROS = 6_000_000;
 
     /** A poll is answered within this time, or abandoned. Microseconds. */
     private static final long MAX_POLL_DURATION_MICROS = 1_500_000;
 
     /** The longest wait after a failed poll is at most this part of the poll interval. */
-    private static final int INTERVAL_PART_NUMERATOR = 6;
+    private static final int MAX_BACKOFF_NUMERATOR = 6;
 
-    private static final int INTERVAL_PART_DENOMINATOR = 10;
+    private static final int MAX_BACKOFF_DENOMINATOR = 10;
 
     /**
      * The longest wait after a failed poll. Attempts at draining workers violate the rules {@link
-     * #NOTIFICATION_LIMIT_MICROS} and the grace after discovery can be reached again. Two waits and
+     * #NOTIFICATION_DEADLINE_MICROS} and the grace after discovery can be reached again. Two waits and
      * two polls have to fit into that, because discovery may reject the first poll after an outage;
      * and the wait stays under the poll interval.
      *
@@ -130,8 +130,8 @@
      */
     public long maxPollBackoff() {
       return Math.min(
-          pollInterval * INTERVAL_PART_NUMERATOR / INTERVAL_PART_DENOMINATOR,
-          (NOTIFICATION_LIMIT_MICROS + drainGrace) / 2 - MAX_POLL_DURATION_MICROS);
+          pollInterval * MAX_BACKOFF_NUMERATOR / MAX_BACKOFF_DENOMINATOR,
+          (NOTIFICATION_DEADLINE_MICROS + drainGrace) / 2 - MAX_POLL_DURATION_MICROS);
     }
   }
 
--- a/src/main/java/loomreel/decision/TokenBucket.java
+++ b/src/main/java/loomreel/decision/TokenBucket.java
@@ -8,13 +8,13 @@
   /**
    * Takes one token, if there is one.
    *
-   * @param rate tokens per microsecond since the last call
+   * @param tokensPerMicro tokens per microsecond since the last call
    * @param capacity the most tokens that the bucket holds
    * @return whether there was a token
    */
-  boolean tryAcquire(double rate, double capacity, long now) {
+  boolean tryAcquire(double tokensPerMicro, double capacity, long now) {
     boolean isNew = updatedAt == Timestamp.NEVER;
-    tokens = isNew ? capacity : Math.min(capacity, tokens + rate * (now - updatedAt));
+    tokens = isNew ? capacity : Math.min(capacity, tokens + tokensPerMicro * (now - updatedAt));
     updatedAt = now;
     boolean acquired = tokens >= 1;
     tokens -= acquired ? 1 : 0;
--- a/src/main/java/loomreel/decision/TrafficEstimator.java
+++ b/src/main/java/loomreel/decision/TrafficEstimator.java
@@ -6,10 +6,10 @@
  */
 final class TrafficEstimator {
   /** A dispatcher counts as hot above this many times the mean traffic; zones explain less. */
-  private static final double HOT_DISPATCHER_FACTOR = 1.6;
+  private static final double MIN_HOT_DISPATCHER_FACTOR = 1.6;
 
   /** With no more dispatchers than this, one may be the only one of a zone and yet not be hot. */
-  private static final int FEW_DISPATCHERS = 10;
+  private static final int MAX_DISPATCHERS_WITHOUT_CORRECTION = 10;
 
   /** Reported jobs that weigh as much as the prior, which is the same traffic everywhere. */
   private static final int PRIOR_JOBS = 50;
@@ -40,14 +40,15 @@
 
   /** This dispatcher's traffic relative to the mean of all: 1, unless it is a hot one. */
   double factor(long now) {
-    double factor = dispatchers > FEW_DISPATCHERS ? fraction(now) * dispatchers : 1;
-    return factor > HOT_DISPATCHER_FACTOR ? factor : 1;
+    double factor =
+        dispatchers > MAX_DISPATCHERS_WITHOUT_CORRECTION ? fraction(now) * dispatchers : 1;
+    return factor > MIN_HOT_DISPATCHER_FACTOR ? factor : 1;
   }
 
   private double fraction(long now) {
-    double prior = (double) PRIOR_JOBS / dispatchers;
-    double own = ownJobs.valueAt(now) + prior;
-    double all = reportedJobs.valueAt(now) + PRIOR_JOBS;
-    return Math.min(1, own / all);
+    double ownPrior = (double) PRIOR_JOBS / dispatchers;
+    double ownWeight = ownJobs.valueAt(now) + ownPrior;
+    double totalWeight = reportedJobs.valueAt(now) + PRIOR_JOBS;
+    return Math.min(1, ownWeight / totalWeight);
   }
 }
--- a/src/main/java/loomreel/decision/WorkerLoadHistory.java
+++ b/src/main/java/loomreel/decision/WorkerLoadHistory.java
@@ -9,7 +9,7 @@
   private static final double MIN_SAMPLE_WEIGHT = 0.1;
 
   /** A sample's weight for its age approaches 1 with half of the time constant of rates. */
-  private static final double AGE_RATE_FACTOR = 2;
+  private static final double AGE_WEIGHT_RATE_FACTOR = 2;
 
   private double slots;
   private double lastLoad;
@@ -83,8 +83,12 @@
 
   /** The first samples count equally, so that a peak in one of them does not set the mean. */
   private double sampleWeight(long now) {
-    double byAge =
-        1 - Math.exp((sampledAt - now) / DecayingSum.RATE_TIME_CONSTANT_MICROS * AGE_RATE_FACTOR);
-    return Math.max(1.0 / samples, Math.max(MIN_SAMPLE_WEIGHT, byAge));
+    double ageWeight =
+        1
+            - Math.exp(
+                (sampledAt - now)
+                    / DecayingSum.RATE_TIME_CONSTANT_MICROS
+                    * AGE_WEIGHT_RATE_FACTOR);
+    return Math.max(1.0 / samples, Math.max(MIN_SAMPLE_WEIGHT, ageWeight));
   }
 }
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -14,7 +14,7 @@
   /** The age of a load report on its arrival: attempts sent since then are not in it. */
   static final double REPORT_DELAY_MICROS = 1e6;
 
-  private static final WorkerState[] NONE = {};
+  private static final WorkerState[] NO_WORKERS = {};
 
   private final TreeMap<String, WorkerState> workers = new TreeMap<>();
 
@@ -108,16 +108,16 @@
   WorkerState[] pool(PendingRequest request) {
     String kind = request.requestClass.workerKind();
     String queue = request.arrival.queue();
-    WorkerState[] ofKind = poolsByKind.getOrDefault(kind, NONE);
+    WorkerState[] workersOfKind = poolsByKind.getOrDefault(kind, NO_WORKERS);
     if (queue == null) {
-      return ofKind;
+      return workersOfKind;
     }
     return poolsByQueue
         .computeIfAbsent(queue, absent -> new HashMap<>())
-        .computeIfAbsent(kind, absent -> accepting(queue, ofKind));
+        .computeIfAbsent(kind, absent -> workersAcceptingQueue(queue, workersOfKind));
   }
 
-  private static WorkerState[] accepting(String queue, WorkerState[] workers) {
+  private static WorkerState[] workersAcceptingQueue(String queue, WorkerState[] workers) {
     return Arrays.stream(workers)
         .filter(worker -> worker.endpoint().accepts(queue))
         .toArray(WorkerState[]::new);
