--- a/src/main/java/loomreel/decision/AttemptState.java
+++ b/src/main/java/loomreel/decision/AttemptState.java
@@ -45,12 +45,12 @@
   }
 
   /** The worker reports that the job runs. */
-  void start(long now) {
+  void recordStart(long now) {
     startedAt = now;
   }
 
   /** It has ended. */
-  void end(AttemptOutcome outcome) {
+  void recordEnd(AttemptOutcome outcome) {
     open = false;
     neverRan = outcome.neverRan();
     invalid = outcome == AttemptOutcome.INVALID;
@@ -62,8 +62,8 @@
    * @return false if it has ended or was cancelled before
    */
   boolean markCancelled() {
-    boolean first = open && !cancelled;
+    boolean isFirstCancellation = open && !cancelled;
     cancelled |= open;
-    return first;
+    return isFirstCancellation;
   }
 }
--- a/src/main/java/loomreel/decision/EndpointUpdater.java
+++ b/src/main/java/loomreel/decision/EndpointUpdater.java
@@ -47,8 +47,8 @@
       WorkerState worker = state.workers.getOrAdd(endpoint.id());
       if (worker.isReplacedBy(endpoint)) {
         // Dispatchers are notified together: jitter keeps their first attempts apart.
-        double allowance = context.random().nextDouble() * state.slowStart.meanLightCost();
-        worker.restart(context.now(), allowance);
+        double initialAllowance = context.random().nextDouble() * state.slowStart.meanLightWork();
+        worker.restart(context.now(), initialAllowance);
       }
       worker.update(endpoint);
     }
@@ -68,10 +68,10 @@
     long disabledSince = state.workers.enable(workerId);
     WorkerState worker = state.workers.get(workerId);
     if (worker != null) {
-      worker.restart(context.now(), state.times.largestMeanWork());
+      worker.restart(context.now(), state.serviceTimes.longestMeanRunTime());
       boolean hasRestarted = worker.endpoint().startedAt() > disabledSince;
       if (!hasRestarted) {
-        worker.warmUpFrom(context.now());
+        worker.startWarmUp(context.now());
       }
     }
     state.workers.rebuildPools();
--- a/src/main/java/loomreel/decision/HealthCheckPolicy.java
+++ b/src/main/java/loomreel/decision/HealthCheckPolicy.java
@@ -12,17 +12,17 @@
 
   private final PolicyContext context;
   private final WorkerSelector selector;
-  private final RetryPolicy retries;
+  private final RetryPolicy retryPolicy;
   private final SlowStartController slowStart;
-  private final ServiceTimeEstimator times;
+  private final ServiceTimeEstimator serviceTimes;
   private final boolean enabled;
 
-  HealthCheckPolicy(PolicyState state, WorkerSelector selector, RetryPolicy retries) {
+  HealthCheckPolicy(PolicyState state, WorkerSelector selector, RetryPolicy retryPolicy) {
     this.selector = selector;
-    this.retries = retries;
+    this.retryPolicy = retryPolicy;
     context = state.context;
     slowStart = state.slowStart;
-    times = state.times;
+    serviceTimes = state.serviceTimes;
     Settings settings = context.settings();
     enabled = settings.limits().healthChecks() && settings.loadReporting() != LoadReporting.NONE;
   }
@@ -38,13 +38,13 @@
     }
     while (request.healthCheckRound() != null) {
       CandidateRound round = request.healthCheckRound();
-      if (selector.selectBefore(round, request) != null) {
+      if (selector.selectBeforeRound(round, request) != null) {
         return false;
       }
       checkRound(request, round);
       request.advanceHealthCheckRound();
       if (request.awaitsHealthCheck()) {
-        long timeout = times.healthCheckTimeout(request);
+        long timeout = serviceTimes.healthCheckTimeout(request);
         context.setTimer(request, context.now() + timeout + context.settings().tick());
         return true;
       }
@@ -53,37 +53,39 @@
   }
 
   private void checkRound(PendingRequest request, CandidateRound round) {
-    boolean isFallback =
+    boolean followsHashedRound =
         round == CandidateRound.FALLBACK && !request.candidates().exceedsHashedWorkers();
     for (WorkerState worker : selector.candidates(request, round)) {
-      if (isWorthChecking(request, worker, isFallback)) {
-        check(request, worker);
+      if (shouldCheck(request, worker, followsHashedRound)) {
+        sendOrAwaitHealthCheck(request, worker);
       }
     }
   }
 
   /** Not if its load is known, or if the request would not go there whatever the answer. */
-  private boolean isWorthChecking(PendingRequest request, WorkerState worker, boolean isFallback) {
+  private boolean shouldCheck(
+      PendingRequest request, WorkerState worker, boolean followsHashedRound) {
     long now = context.now();
-    long maxAge = isFallback ? MAX_REPORT_AGE_FOR_FALLBACK_MICROS : MAX_REPORT_AGE_MICROS;
-    boolean isKnown = now - worker.load.sampledAt() < maxAge;
+    long maxAge = followsHashedRound ? MAX_REPORT_AGE_FOR_FALLBACK_MICROS : MAX_REPORT_AGE_MICROS;
+    boolean isLoadKnown = now - worker.load.sampledAt() < maxAge;
     // The capacity of a warming worker is its slow-start allowance.
-    boolean isWarming = isFallback && !slowStart.isWarm(worker, now);
-    return !isKnown
+    boolean isWarming = followsHashedRound && !slowStart.isWarm(worker, now);
+    return !isLoadKnown
         && !isWarming
-        && retries.allowsWorker(request, worker)
+        && retryPolicy.allowsWorker(request, worker)
         && !worker.isEjected(now)
         && slowStart.allows(request, worker);
   }
 
-  private void check(PendingRequest request, WorkerState worker) {
-    if (!worker.isHealthCheckPending() && request.takeHealthCheck()) {
-      worker.healthCheckSent(context.now());
+  private void sendOrAwaitHealthCheck(PendingRequest request, WorkerState worker) {
+    if (!worker.isHealthCheckPending() && request.tryAcquireHealthCheck()) {
+      worker.recordHealthCheckSent(context.now());
       context.emit(new Action.CheckHealth(worker.id));
     }
     boolean isAwaited =
         worker.isHealthCheckPending()
-            && !worker.isHealthCheckOverdue(times.healthCheckTimeout(request), context.now());
+            && !worker.isHealthCheckOverdue(
+                serviceTimes.healthCheckTimeout(request), context.now());
     if (isAwaited) {
       worker.addHealthCheckWaiter(request);
     }
--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -6,7 +6,7 @@
 
   private final DecayingSum demand = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
-  private long listVersion = NOT_RANKED;
+  private long rankedVersion = NOT_RANKED;
   private WorkerState[] ranking;
   private WorkerState secondChoice;
 
@@ -26,19 +26,23 @@
   }
 
   /** A request with this key has arrived. */
-  void recordDemand(PendingRequest request, ServiceTimeEstimator times, long now) {
-    double slotTime = times.expectedWork(request);
-    demand.add(slotTime / DecayingSum.RATE_TIME_CONSTANT_MICROS, now);
+  void recordDemand(PendingRequest request, ServiceTimeEstimator serviceTimes, long now) {
+    double slotMicros = serviceTimes.expectedWork(request);
+    demand.add(slotMicros / DecayingSum.RATE_TIME_CONSTANT_MICROS, now);
   }
 
   /** Ranks the workers for this key, unless that was done since the list last changed. */
   void rank(
-      String key, WorkerState[] workers, long newVersion, RendezvousRanking order, int limit) {
-    if (listVersion != newVersion) {
+      String key,
+      WorkerState[] workers,
+      long currentVersion,
+      RendezvousRanking rendezvousRanking,
+      int maxRankedWorkers) {
+    if (rankedVersion != currentVersion) {
       long hash = Hashing.stringHash(key);
-      listVersion = newVersion;
-      secondChoice = order.second(hash, workers);
-      ranking = order.first(limit, hash, workers);
+      rankedVersion = currentVersion;
+      secondChoice = rendezvousRanking.second(hash, workers);
+      ranking = rendezvousRanking.first(maxRankedWorkers, hash, workers);
     }
   }
 }
--- a/src/main/java/loomreel/decision/LatencyEstimator.java
+++ b/src/main/java/loomreel/decision/LatencyEstimator.java
@@ -3,21 +3,21 @@
 /** Compares how long jobs take at one worker with how long they take at all. */
 final class LatencyEstimator {
   /** The weight of the prior, which is the usual latency, in mean jobs. */
-  private static final double PRIOR_JOBS = 3;
+  private static final double PRIOR_WEIGHT_JOBS = 3;
 
-  private final ServiceTimeEstimator times;
+  private final ServiceTimeEstimator serviceTimes;
   private final ServiceRate serviceRate = new ServiceRate(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
-  LatencyEstimator(ServiceTimeEstimator times) {
-    this.times = times;
+  LatencyEstimator(ServiceTimeEstimator serviceTimes) {
+    this.serviceTimes = serviceTimes;
   }
 
   /** A job has been served; the time counts from its start, or its send if none was reported. */
-  void recordServed(AttemptState attempt, double time, long now) {
+  void recordServed(AttemptState attempt, double serviceTime, long now) {
     double work = attempt.request.arrival.expectedWork();
     if (!Double.isNaN(work)) {
-      attempt.worker.serviceRate.add(time, work, now);
-      serviceRate.add(time, work, now);
+      attempt.worker.serviceRate.add(serviceTime, work, now);
+      serviceRate.add(serviceTime, work, now);
     }
   }
 
@@ -30,18 +30,21 @@
     if (serviceRate.workDone(now) <= 0) {
       return 1;
     }
-    double usual = serviceRate.timeSpent(now) / serviceRate.workDone(now);
-    double prior = PRIOR_JOBS * times.meanRunTime();
-    double work = prior + worker.serviceRate.workDone(now);
-    double time = prior * usual + worker.serviceRate.timeSpent(now);
+    double fleetTimePerWork = serviceRate.timeSpent(now) / serviceRate.workDone(now);
+    double priorWork = PRIOR_WEIGHT_JOBS * serviceTimes.meanRunTime();
+    double work = priorWork + worker.serviceRate.workDone(now);
+    double serviceTime = priorWork * fleetTimePerWork + worker.serviceRate.timeSpent(now);
     for (AttemptState attempt : worker.openAttempts()) {
-      double announced = attempt.request.arrival.expectedWork();
+      double announcedWork = attempt.request.arrival.expectedWork();
       long elapsed = now - attempt.startedOrSentAt();
-      if (elapsed > usual * announced) {
-        work += announced;
-        time += Math.min((double) elapsed, usual * (announced + times.meanRunTime()));
+      if (elapsed > fleetTimePerWork * announcedWork) {
+        work += announcedWork;
+        serviceTime +=
+            Math.min(
+                (double) elapsed,
+                fleetTimePerWork * (announcedWork + serviceTimes.meanRunTime()));
       }
     }
-    return time / work / usual;
+    return serviceTime / work / fleetTimePerWork;
   }
 }
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -15,48 +15,48 @@
   private static final double INITIAL_MEAN_LOAD = 0.5;
 
   /** Time constant with which a worker's own load decays into the usual one. */
-  private static final double DECAY_TO_USUAL_MICROS = 0.8e6;
+  private static final double LOAD_DECAY_TIME_CONSTANT_MICROS = 0.8e6;
 
   /** After this many mean run times, 1/e of a report still holds. */
-  private static final double REPORT_DECAY_JOBS = 2;
+  private static final double REPORT_TIME_CONSTANT_RUN_TIMES = 2;
 
   /** A worker whose jobs take this many times as long as everywhere gets a load penalty. */
-  private static final double PENALIZED_LATENCY_RATIO = 1.25;
+  private static final double MAX_UNPENALIZED_LATENCY_RATIO = 1.25;
 
   /** The fraction of a worker that one key may fill before it is spread over more workers. */
-  private static final double MAX_KEY_FRACTION = 0.25;
+  private static final double MAX_WORKER_FRACTION_PER_KEY = 0.25;
 
   /** Demand within this many standard deviations of zero may be due to chance. */
-  private static final double CHANCE_DEVIATIONS = 1.5;
+  private static final double DEMAND_NOISE_DEVIATIONS = 1.5;
 
   /** The class whose mean run time stands for that of a key's jobs. */
   private static final int FIRST_CLASS = 0;
 
-  private static final double MEAN_WEIGHT = 0.02;
+  private static final double SAMPLE_WEIGHT = 0.02;
 
   /** The most that one sample counts for in the mean load. */
   private static final double MAX_LOAD_IN_MEAN = 2;
 
   /** A worker that reports less than this many free slots is full. */
-  private static final double NO_FREE_SLOT = 0.5;
+  private static final double MIN_FREE_SLOTS = 0.5;
 
   private static final double FULL_LOAD = 1;
 
   private final PolicyContext context;
-  private final ServiceTimeEstimator times;
-  private final LatencyEstimator latencies;
-  private final TrafficEstimator traffic;
+  private final ServiceTimeEstimator serviceTimes;
+  private final LatencyEstimator latencyEstimator;
+  private final TrafficEstimator trafficEstimator;
   private final long startedAt;
   private double meanLoad;
 
   /** Mean slots of all workers; 0 before the first report. */
   private double meanSlots;
 
-  LoadEstimator(PolicyContext context, WorkerTable workers, ServiceTimeEstimator times) {
+  LoadEstimator(PolicyContext context, WorkerTable workers, ServiceTimeEstimator serviceTimes) {
     this.context = context;
-    this.times = times;
-    latencies = new LatencyEstimator(times);
-    traffic = new TrafficEstimator(context.settings().dispatchers(), workers);
+    this.serviceTimes = serviceTimes;
+    latencyEstimator = new LatencyEstimator(serviceTimes);
+    trafficEstimator = new TrafficEstimator(context.settings().dispatchers(), workers);
     startedAt = context.now();
     meanLoad = reportsLoad() ? INITIAL_MEAN_LOAD : 0;
   }
@@ -91,24 +91,26 @@
    * that may be due to chance does not count.
    */
   int workersNeeded(KeyAffinity key) {
-    double observed = key.demandAt(context.now());
-    double deviation =
+    double observedDemand = key.demandAt(context.now());
+    double demandDeviation =
         Math.sqrt(
-            observed * times.meanRunTime(FIRST_CLASS) / DecayingSum.RATE_TIME_CONSTANT_MICROS);
-    double demand = Math.max(0, observed - CHANCE_DEVIATIONS * deviation);
-    double keyCapacity = typicalSlots() * MAX_KEY_FRACTION;
+            observedDemand
+                * serviceTimes.meanRunTime(FIRST_CLASS)
+                / DecayingSum.RATE_TIME_CONSTANT_MICROS);
+    double demand = Math.max(0, observedDemand - DEMAND_NOISE_DEVIATIONS * demandDeviation);
+    double keyCapacity = typicalSlots() * MAX_WORKER_FRACTION_PER_KEY;
     int dispatchers = context.settings().dispatchers();
     return (int) Math.ceil(demand / observedFraction() * dispatchers / keyCapacity);
   }
 
   /** This dispatcher's traffic relative to the mean of all: 1, unless it is a hot one. */
   double trafficFactor() {
-    return traffic.factor(context.now());
+    return trafficEstimator.factor(context.now());
   }
 
   /** A job has been served; the time counts from its start, or its send if none was reported. */
-  void recordServed(AttemptState attempt, double time) {
-    latencies.recordServed(attempt, time, context.now());
+  void recordServed(AttemptState attempt, double serviceTime) {
+    latencyEstimator.recordServed(attempt, serviceTime, context.now());
   }
 
   /** A worker has reported its load; null and a report without free slots are ignored. */
@@ -117,26 +119,27 @@
       return;
     }
     if (!Double.isNaN(report.activeJobs())) {
-      traffic.recordReportedJobs(report.activeJobs(), context.now());
+      trafficEstimator.recordReportedJobs(report.activeJobs(), context.now());
     }
-    double free = Math.max(0, report.freeSlots());
-    double queued = Double.isNaN(report.queuedJobs()) ? 0 : Math.max(0, report.queuedJobs());
-    learnSlots(worker.load, report, free, queued);
+    double freeSlots = Math.max(0, report.freeSlots());
+    double queuedJobs = Double.isNaN(report.queuedJobs()) ? 0 : Math.max(0, report.queuedJobs());
+    learnSlots(worker.load, report, freeSlots, queuedJobs);
     double slots = worker.load.slots();
-    double load = Math.max(0, slots - free + queued) / slots;
+    double load = Math.max(0, slots - freeSlots + queuedJobs) / slots;
     worker.load.startFrom(meanLoad, context.now());
-    recordSample(worker, free < NO_FREE_SLOT ? Math.max(FULL_LOAD, load) : load);
-    meanLoad += MEAN_WEIGHT * (Math.min(MAX_LOAD_IN_MEAN, worker.load.lastLoad()) - meanLoad);
+    recordSample(worker, freeSlots < MIN_FREE_SLOTS ? Math.max(FULL_LOAD, load) : load);
+    meanLoad += SAMPLE_WEIGHT * (Math.min(MAX_LOAD_IN_MEAN, worker.load.lastLoad()) - meanLoad);
   }
 
-  private void learnSlots(WorkerLoadHistory load, WorkerLoad report, double free, double queued) {
+  private void learnSlots(
+      WorkerLoadHistory load, WorkerLoad report, double freeSlots, double queuedJobs) {
     if (Double.isNaN(report.activeJobs())) {
-      load.learnMinimumSlots(free);
+      load.learnMinimumSlots(freeSlots);
     } else {
-      load.learnSlots(Math.max(1, report.activeJobs() - queued + free));
+      load.learnSlots(Math.max(1, report.activeJobs() - queuedJobs + freeSlots));
     }
     boolean isFirst = meanSlots == 0;
-    meanSlots = isFirst ? load.slots() : meanSlots + MEAN_WEIGHT * (load.slots() - meanSlots);
+    meanSlots = isFirst ? load.slots() : meanSlots + SAMPLE_WEIGHT * (load.slots() - meanSlots);
   }
 
   /** A worker's load has been observed. */
@@ -156,32 +159,36 @@
       }
       ownSlots += attempt.request.arrival.slots();
     }
-    double penalty = Math.max(0, latencies.latencyRatio(worker, now) - PENALIZED_LATENCY_RATIO);
+    double penalty =
+        Math.max(0, latencyEstimator.latencyRatio(worker, now) - MAX_UNPENALIZED_LATENCY_RATIO);
     double age = now - worker.load.sampledAt();
-    double usual = usualLoad(worker.load, age);
+    double decayedMean = decayedMeanLoad(worker.load, age);
     if (!reportsLoad()) {
-      return usual + ownSlots / slots(worker) + penalty;
+      return decayedMean + ownSlots / slots(worker) + penalty;
     }
-    double trust = trustInReport(age);
-    double unreported = worker.unreportedSlots.valueAt(now) / slots(worker);
-    return trust * worker.load.lastLoad() + (1 - trust) * usual + unreported + penalty;
+    double reportWeight = reportWeight(age);
+    double unreportedLoad = worker.unreportedSlots.valueAt(now) / slots(worker);
+    return reportWeight * worker.load.lastLoad()
+        + (1 - reportWeight) * decayedMean
+        + unreportedLoad
+        + penalty;
   }
 
   /** The mean load of a worker, which decays into that of all with the age of the last sample. */
-  private double usualLoad(WorkerLoadHistory load, double age) {
-    double decay = Math.exp(-age / DECAY_TO_USUAL_MICROS);
+  private double decayedMeanLoad(WorkerLoadHistory load, double age) {
+    double decay = Math.exp(-age / LOAD_DECAY_TIME_CONSTANT_MICROS);
     return meanLoad + (load.meanLoad() - meanLoad) * decay;
   }
 
   /** How far the last report still holds, from 0 to 1. */
-  private double trustInReport(double age) {
-    double timeConstant = REPORT_DECAY_JOBS * times.meanRunTime();
+  private double reportWeight(double age) {
+    double timeConstant = REPORT_TIME_CONSTANT_RUN_TIMES * serviceTimes.meanRunTime();
     return Math.exp(-(age + WorkerTable.REPORT_DELAY_MICROS) / timeConstant);
   }
 
   private boolean isStartOverdue(AttemptState attempt) {
     return context.settings().reportsJobStart()
         && !attempt.hasStarted()
-        && context.now() - attempt.sentAt > times.startTimeout();
+        && context.now() - attempt.sentAt > serviceTimes.startTimeout();
   }
 }
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -30,7 +30,7 @@
   private CandidateRound healthCheckRound;
 
   private double loadThreshold = WorkerSelector.FULL_THRESHOLD;
-  private int rankingOffset;
+  private int rankingOffsetSamples;
   private int pendingHealthChecks;
   private int healthChecksRequested;
   private boolean ended;
@@ -43,9 +43,9 @@
   }
 
   private static Idempotency idempotency(RequestArrived arrival, RequestClass requestClass) {
-    boolean lacksKey =
+    boolean lacksIdempotencyKey =
         requestClass.idempotency() == Idempotency.KEYED && !arrival.hasIdempotencyKey();
-    return lacksKey ? Idempotency.NON_IDEMPOTENT : requestClass.idempotency();
+    return lacksIdempotencyKey ? Idempotency.NON_IDEMPOTENT : requestClass.idempotency();
   }
 
   String id() {
@@ -107,12 +107,12 @@
   }
 
   /** How far the fallback has moved down the key's ranking, in samples. */
-  int rankingOffset() {
-    return rankingOffset;
+  int rankingOffsetSamples() {
+    return rankingOffsetSamples;
   }
 
-  void moveDownRanking(int samples) {
-    rankingOffset += samples;
+  void increaseRankingOffset(int samples) {
+    rankingOffsetSamples += samples;
   }
 
   /** The next round of candidates whose load may be queried; null after the last. */
@@ -125,7 +125,7 @@
   }
 
   /** Takes one health check of those that the request may cause; false if none remains. */
-  boolean takeHealthCheck() {
+  boolean tryAcquireHealthCheck() {
     healthChecksRequested++;
     return healthChecksRequested <= MAX_HEALTH_CHECKS;
   }
@@ -134,15 +134,15 @@
     return pendingHealthChecks > 0;
   }
 
-  void healthCheckAwaited() {
+  void incrementPendingHealthChecks() {
     pendingHealthChecks++;
   }
 
-  void healthCheckAnswered() {
+  void decrementPendingHealthChecks() {
     pendingHealthChecks--;
   }
 
-  void stopAwaitingHealthChecks() {
+  void resetPendingHealthChecks() {
     pendingHealthChecks = 0;
   }
 
--- a/src/main/java/loomreel/decision/PolicyEventHandler.java
+++ b/src/main/java/loomreel/decision/PolicyEventHandler.java
@@ -78,7 +78,7 @@
 
   private void updateEndpoints(List<Endpoint> update) {
     endpoints.update(update);
-    update.forEach(scheduler::retryQueueIfPulled);
+    update.forEach(scheduler::retryQueueForPullWorker);
   }
 
   private void onRequestArrived(RequestArrived event) {
@@ -119,13 +119,13 @@
       scheduler.retryOrGiveUp(attempt.request);
     }
     state.requests.removeIfComplete(attempt.request);
-    scheduler.retryQueueIfPulled(attempt.worker.endpoint());
+    scheduler.retryQueueForPullWorker(attempt.worker.endpoint());
   }
 
   private void onHealthChecked(HealthChecked event) {
     WorkerState worker = state.workers.get(event.workerId());
     if (worker != null) {
-      worker.healthCheckEnded();
+      worker.recordHealthCheckEnded();
       outcomes.recordHealthCheck(worker, event);
       scheduler.placeAfterHealthCheck(worker);
     }
@@ -139,7 +139,7 @@
     } else {
       PendingRequest request = state.requests.byToken(event.token());
       if (request != null) {
-        scheduler.review(request);
+        scheduler.handleRequestTimer(request);
       }
     }
   }
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -11,9 +11,9 @@
   final PolicyContext context;
   final WorkerTable workers = new WorkerTable();
   final RequestTable requests = new RequestTable(QUEUE_TIMER);
-  final KeyAffinityTable keys;
-  final ServiceTimeEstimator times;
-  final LoadEstimator loads;
+  final KeyAffinityTable keyAffinities;
+  final ServiceTimeEstimator serviceTimes;
+  final LoadEstimator workerLoads;
   final SlowStartController slowStart;
 
   /**
@@ -23,10 +23,11 @@
   PolicyState(PolicyContext context, double capacityFraction) {
     this.context = context;
     Settings settings = context.settings();
-    keys = new KeyAffinityTable(workers, new RendezvousRanking(settings.stableWeights()));
-    times = new ServiceTimeEstimator(settings);
-    loads = new LoadEstimator(context, workers, times);
-    slowStart = new SlowStartController(context, workers, times, loads, capacityFraction);
+    keyAffinities = new KeyAffinityTable(workers, new RendezvousRanking(settings.stableWeights()));
+    serviceTimes = new ServiceTimeEstimator(settings);
+    workerLoads = new LoadEstimator(context, workers, serviceTimes);
+    slowStart =
+        new SlowStartController(context, workers, serviceTimes, workerLoads, capacityFraction);
   }
 
   /** An attempt of a request is being started. */
--- a/src/main/java/loomreel/decision/RequestQueue.java
+++ b/src/main/java/loomreel/decision/RequestQueue.java
@@ -8,9 +8,9 @@
 /** Requests that no worker had capacity for, until the next retry. */
 final class RequestQueue {
   /** The mean pause between two retries is this part of the shortest latency objective. */
-  private static final int PAUSE_DIVISOR = 16;
+  private static final int RETRY_INTERVAL_DIVISOR = 16;
 
-  private static final int MIN_PAUSE_TICKS = 2;
+  private static final int MIN_RETRY_INTERVAL_TICKS = 2;
 
   private final PolicyState state;
   private List<PendingRequest> waiting = new ArrayList<>();
@@ -49,12 +49,12 @@
       return;
     }
     retryScheduled = true;
-    long minPause = MIN_PAUSE_TICKS * state.context.settings().tick();
-    long shortestObjective = state.times.shortestObjective();
-    long pause = Math.max(minPause, shortestObjective / PAUSE_DIVISOR);
-    long jitter = state.context.random().nextLong(pause);
-    long time = state.context.now() + pause / 2 + jitter;
-    state.context.emit(new SetTimer(time, PolicyState.QUEUE_TIMER));
+    long minRetryInterval = MIN_RETRY_INTERVAL_TICKS * state.context.settings().tick();
+    long shortestObjective = state.serviceTimes.shortestObjective();
+    long retryInterval = Math.max(minRetryInterval, shortestObjective / RETRY_INTERVAL_DIVISOR);
+    long jitter = state.context.random().nextLong(retryInterval);
+    long retryAt = state.context.now() + retryInterval / 2 + jitter;
+    state.context.emit(new SetTimer(retryAt, PolicyState.QUEUE_TIMER));
   }
 
   /** The scheduled retry has started. */
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -6,47 +6,47 @@
 /** Places requests: sends them to workers, queues them, hedges them and gives them up. */
 final class RequestScheduler {
   /** How many queued requests are retried at a time. */
-  private static final int MAX_QUEUE_RETRIES = 32;
+  private static final int MAX_REQUESTS_PER_QUEUE_RETRY = 32;
 
   /** By how many samples the fallback moves down the ranking each time a request is queued. */
-  private static final int RANKING_STEP = 2;
+  private static final int RANKING_STEP_SAMPLES = 2;
 
   private final PolicyState state;
   private final PolicyContext context;
   private final RequestQueue queue;
   private final AttemptCanceller canceller;
-  private final RetryPolicy retries;
+  private final RetryPolicy retryPolicy;
   private final AdmissionController admission;
   private final WorkerSelector selector;
-  private final HealthCheckPolicy healthChecks;
+  private final HealthCheckPolicy healthCheckPolicy;
 
   RequestScheduler(PolicyState state, AttemptCanceller canceller) {
     this.state = state;
     this.canceller = canceller;
     context = state.context;
     queue = new RequestQueue(state);
-    retries = new RetryPolicy(state);
+    retryPolicy = new RetryPolicy(state);
     admission = new AdmissionController(state);
-    selector = new WorkerSelector(state, retries);
-    healthChecks = new HealthCheckPolicy(state, selector, retries);
+    selector = new WorkerSelector(state, retryPolicy);
+    healthCheckPolicy = new HealthCheckPolicy(state, selector, retryPolicy);
   }
 
   /** Admits a new request, or rejects it. */
   void admit(PendingRequest request) {
     admission.setDeadlines(request);
-    if (context.now() >= request.deadlines().giveUpAt()) {
+    if (context.now() >= request.deadlines().startDeadline()) {
       giveUp(request, RejectionReason.ARRIVED_TOO_LATE);
       return;
     }
     context.setTimer(request, request.deadlines().answerDeadline());
     admission.applyQuota(request);
     if (request.hasKey()) {
-      state.keys.get(request).recordDemand(request, state.times, context.now());
+      state.keyAffinities.get(request).recordDemand(request, state.serviceTimes, context.now());
     }
-    placeAnew(request);
+    placeWithNewCandidates(request);
   }
 
-  private void placeAnew(PendingRequest request) {
+  private void placeWithNewCandidates(PendingRequest request) {
     selector.drawCandidates(request);
     place(request);
   }
@@ -56,16 +56,16 @@
     if (request.hasEnded() || request.awaitsHealthCheck()) {
       return;
     }
-    if (!retries.allowsAttempt(request)) {
+    if (!retryPolicy.allowsAttempt(request)) {
       // The deduplication window of keyed work may have ended while the request waited.
-      giveUpUnlessOpen(request);
+      giveUpUnlessAttemptOpen(request);
       return;
     }
-    if (context.now() >= request.deadlines().giveUpAt()) {
-      giveUp(request, admission.reasonWhenExpired(request));
+    if (context.now() >= request.deadlines().startDeadline()) {
+      giveUp(request, admission.expirationReason(request));
       return;
     }
-    if (healthChecks.checkCandidates(request)) {
+    if (healthCheckPolicy.checkCandidates(request)) {
       return;
     }
     WorkerState worker = selector.select(request);
@@ -74,7 +74,7 @@
     } else if (admission.isOverQuota(request)) {
       giveUp(request, RejectionReason.QUOTA_EXCEEDED);
     } else {
-      request.moveDownRanking(RANKING_STEP);
+      request.increaseRankingOffset(RANKING_STEP_SAMPLES);
       queue.add(request);
       queue.scheduleRetry();
     }
@@ -90,8 +90,9 @@
   private void retryQueue() {
     int retried = 0;
     for (PendingRequest request : queue.drain(Comparator.comparingDouble(this::priority))) {
-      if (retried++ < MAX_QUEUE_RETRIES || context.now() >= request.deadlines().giveUpAt()) {
-        placeAnew(request);
+      if (retried++ < MAX_REQUESTS_PER_QUEUE_RETRY
+          || context.now() >= request.deadlines().startDeadline()) {
+        placeWithNewCandidates(request);
       } else if (!request.hasEnded()) {
         queue.add(request);
       }
@@ -100,14 +101,14 @@
 
   /** The value of a request's answer for its work. */
   private double priority(PendingRequest request) {
-    boolean inTime = context.now() < request.deadlines().fullValueUntil();
+    boolean hasFullValue = context.now() < request.deadlines().latestFullValueStart();
     return request.requestClass.priorityWeight()
-        / state.times.expectedWork(request)
-        * (inTime ? 1 : request.requestClass.latePriorityFraction());
+        / state.serviceTimes.expectedWork(request)
+        * (hasFullValue ? 1 : request.requestClass.latePriorityFraction());
   }
 
   /** A worker that pulls its jobs reports free capacity at once: queued requests need not wait. */
-  void retryQueueIfPulled(Endpoint endpoint) {
+  void retryQueueForPullWorker(Endpoint endpoint) {
     if (endpoint.queues() != null && !queue.isEmpty()) {
       retryQueue();
     }
@@ -116,7 +117,7 @@
   /** Places the requests that waited for the load of a worker and for no other. */
   void placeAfterHealthCheck(WorkerState worker) {
     for (PendingRequest request : worker.takeHealthCheckWaiters()) {
-      request.healthCheckAnswered();
+      request.decrementPendingHealthChecks();
       if (!request.awaitsHealthCheck()) {
         place(request);
       }
@@ -125,34 +126,34 @@
 
   /** The only place that starts an attempt. */
   private void startAttempt(PendingRequest request, WorkerState worker) {
-    long writeDeadline = retries.writeDeadline(request);
+    long writeDeadline = retryPolicy.writeDeadline(request);
     context.emit(new StartAttempt(request.id(), worker.id, 0, writeDeadline));
     state.recordAttempt(request, worker);
     if (context.settings().reportsJobStart()) {
-      long startTimeout = (long) state.times.startTimeout();
+      long startTimeout = (long) state.serviceTimes.startTimeout();
       context.setTimer(request, context.now() + startTimeout + context.settings().tick());
-      context.setTimer(request, request.deadlines().giveUpAt());
+      context.setTimer(request, request.deadlines().startDeadline());
     }
   }
 
   /** An attempt has ended without an answer: starts another one, if that is allowed. */
   void retryOrGiveUp(PendingRequest request) {
-    if (retries.allowsAttempt(request)) {
-      placeAnew(request);
+    if (retryPolicy.allowsAttempt(request)) {
+      placeWithNewCandidates(request);
     } else {
-      giveUpUnlessOpen(request);
+      giveUpUnlessAttemptOpen(request);
     }
   }
 
   /** A request's timer has fired: a health check, a start or the answer is overdue. */
-  void review(PendingRequest request) {
+  void handleRequestTimer(PendingRequest request) {
     if (context.now() >= request.deadlines().answerDeadline()) {
       giveUp(request, RejectionReason.CLIENT_DEADLINE);
       return;
     }
     if (!request.anyAttemptOpen() && request.awaitsHealthCheck()) {
       state.workers.removeHealthCheckWaiter(request);
-      request.stopAwaitingHealthChecks();
+      request.resetPendingHealthChecks();
       place(request);
     }
     if (request.anyAttemptOpen() && !request.anyAttemptRunning()) {
@@ -162,9 +163,9 @@
 
   /** No attempt has started yet: gives the request up, or hedges it if a start is overdue. */
   private void hedgeOrGiveUp(PendingRequest request) {
-    if (context.now() >= request.deadlines().giveUpAt()) {
+    if (context.now() >= request.deadlines().startDeadline()) {
       giveUp(request, RejectionReason.NOT_STARTED_IN_TIME);
-    } else if (retries.shouldHedge(request)) {
+    } else if (retryPolicy.shouldHedge(request)) {
       WorkerState worker = selector.select(request);
       if (worker != null) {
         startAttempt(request, worker);
@@ -172,7 +173,7 @@
     }
   }
 
-  private void giveUpUnlessOpen(PendingRequest request) {
+  private void giveUpUnlessAttemptOpen(PendingRequest request) {
     if (!request.anyAttemptOpen()) {
       giveUp(request, RejectionReason.RETRIES_EXHAUSTED);
     }
--- a/src/main/java/loomreel/decision/RetryPolicy.java
+++ b/src/main/java/loomreel/decision/RetryPolicy.java
@@ -15,13 +15,13 @@
   private final PolicyContext context;
   private final Limits limits;
   private final WorkerTable workers;
-  private final ServiceTimeEstimator times;
+  private final ServiceTimeEstimator serviceTimes;
 
   RetryPolicy(PolicyState state) {
     context = state.context;
     limits = context.settings().limits();
     workers = state.workers;
-    times = state.times;
+    serviceTimes = state.serviceTimes;
   }
 
   /** Whether a request may have another attempt now, at any worker. */
@@ -29,10 +29,11 @@
     long now = context.now();
     return request.attempts().size() < limits.maxAttempts()
         && now < Math.min(request.deadlines().answerDeadline(), writeDeadline(request))
-        && request.attempts().stream().allMatch(attempt -> allowsAnotherBeside(request, attempt));
+        && request.attempts().stream()
+            .allMatch(attempt -> allowsAnotherAttemptAfter(request, attempt));
   }
 
-  private boolean allowsAnotherBeside(PendingRequest request, AttemptState attempt) {
+  private boolean allowsAnotherAttemptAfter(PendingRequest request, AttemptState attempt) {
     boolean mayOverlap = !attempt.isOpen() || limits.hedging();
     boolean mayRepeat = attempt.neverRan() || request.idempotency != Idempotency.NON_IDEMPOTENT;
     return mayOverlap && mayRepeat && !attempt.isInvalid();
@@ -42,11 +43,11 @@
   boolean allowsWorker(PendingRequest request, WorkerState worker) {
     return worker.endpoint().state() == State.READY
         && workers.get(worker.id) == worker
-        && request.attempts().stream().allMatch(attempt -> mayFollow(attempt, worker));
+        && request.attempts().stream().allMatch(attempt -> allowsAttemptAfter(attempt, worker));
   }
 
   /** What may have run is repeated at another worker, keyed work within its scope alone. */
-  private static boolean mayFollow(AttemptState attempt, WorkerState worker) {
+  private static boolean allowsAttemptAfter(AttemptState attempt, WorkerState worker) {
     if (attempt.neverRan()) {
       return true;
     }
@@ -80,7 +81,7 @@
 
   /** Whether a second attempt may be started beside one whose start is overdue. */
   boolean shouldHedge(PendingRequest request) {
-    return context.now() - request.lastAttempt().sentAt >= times.startTimeout()
+    return context.now() - request.lastAttempt().sentAt >= serviceTimes.startTimeout()
         && allowsAttempt(request);
   }
 }
--- a/src/main/java/loomreel/decision/ServiceTimeEstimator.java
+++ b/src/main/java/loomreel/decision/ServiceTimeEstimator.java
@@ -19,18 +19,18 @@
   private static final double INITIAL_START_DELAY_DIVISOR = 16;
 
   /** The least timeout of a health check, in ticks. */
-  private static final double MIN_TIMEOUT_TICKS = 4;
+  private static final double MIN_HEALTH_CHECK_TIMEOUT_TICKS = 4;
 
   /** The usual timeout of a health check, in mean durations. */
-  private static final double TIMEOUT_FACTOR = 4;
+  private static final double HEALTH_CHECK_TIMEOUT_FACTOR = 4;
 
   /** A health check takes no more than this part of the latency objective. */
-  private static final double OBJECTIVE_DIVISOR = 8;
+  private static final double HEALTH_CHECK_OBJECTIVE_DIVISOR = 8;
 
   private static final int INITIAL_HEALTH_CHECK_TICKS = 2;
 
   /** Stands for a run time where there are no request classes. */
-  private static final double UNKNOWN_RUN_TIME_MICROS = 1;
+  private static final double DEFAULT_RUN_TIME_MICROS = 1;
 
   private static final long DEFAULT_OBJECTIVE_MICROS = 1_000_000;
 
@@ -42,7 +42,7 @@
 
   private double meanStartDelay;
   private double startDelayDeviation;
-  private double meanHealthCheckTime;
+  private double meanHealthCheckDuration;
 
   ServiceTimeEstimator(Settings settings) {
     tick = settings.tick();
@@ -54,7 +54,7 @@
             .orElse(DEFAULT_OBJECTIVE_MICROS);
     meanStartDelay = shortestObjective / INITIAL_START_DELAY_DIVISOR;
     startDelayDeviation = meanStartDelay;
-    meanHealthCheckTime = tick * INITIAL_HEALTH_CHECK_TICKS;
+    meanHealthCheckDuration = tick * INITIAL_HEALTH_CHECK_TICKS;
   }
 
   /** The shortest latency objective of all classes. */
@@ -69,12 +69,12 @@
 
   /** The mean of the classes' run times. */
   double meanRunTime() {
-    return Arrays.stream(meanRunTime).average().orElse(UNKNOWN_RUN_TIME_MICROS);
+    return Arrays.stream(meanRunTime).average().orElse(DEFAULT_RUN_TIME_MICROS);
   }
 
   /** The work of a mean request of the heaviest class. */
-  double largestMeanWork() {
-    return Arrays.stream(meanRunTime).max().orElse(UNKNOWN_RUN_TIME_MICROS);
+  double longestMeanRunTime() {
+    return Arrays.stream(meanRunTime).max().orElse(DEFAULT_RUN_TIME_MICROS);
   }
 
   /** The work that a request is expected to take: slots times time. */
@@ -83,16 +83,16 @@
   }
 
   /** A job has run for a time. */
-  void recordRunTime(PendingRequest request, double time) {
+  void recordRunTime(PendingRequest request, double duration) {
     int classIndex = request.arrival.classIndex();
-    meanRunTime[classIndex] += RUN_TIME_WEIGHT * (time - meanRunTime[classIndex]);
+    meanRunTime[classIndex] += RUN_TIME_WEIGHT * (duration - meanRunTime[classIndex]);
   }
 
   /** A job has started; the delay counts from its send. */
-  void recordStartDelay(double delay) {
+  void recordStartDelay(double startDelay) {
     startDelayDeviation +=
-        START_DELAY_WEIGHT * (Math.abs(delay - meanStartDelay) - startDelayDeviation);
-    meanStartDelay += START_DELAY_WEIGHT * (delay - meanStartDelay);
+        START_DELAY_WEIGHT * (Math.abs(startDelay - meanStartDelay) - startDelayDeviation);
+    meanStartDelay += START_DELAY_WEIGHT * (startDelay - meanStartDelay);
   }
 
   /**
@@ -104,13 +104,19 @@
   }
 
   /** A health check has been answered after a time. */
-  void recordHealthCheck(long time) {
-    meanHealthCheckTime += HEALTH_CHECK_WEIGHT * (time - meanHealthCheckTime);
+  void recordHealthCheck(long duration) {
+    meanHealthCheckDuration += HEALTH_CHECK_WEIGHT * (duration - meanHealthCheckDuration);
   }
 
   /** How long a request waits for the answer to a health check. */
   long healthCheckTimeout(PendingRequest request) {
-    double usual = Math.max(MIN_TIMEOUT_TICKS * tick, TIMEOUT_FACTOR * meanHealthCheckTime);
-    return (long) Math.min(request.requestClass.latencyObjective() / OBJECTIVE_DIVISOR, usual);
+    double timeoutByMeanDuration =
+        Math.max(
+            MIN_HEALTH_CHECK_TIMEOUT_TICKS * tick,
+            HEALTH_CHECK_TIMEOUT_FACTOR * meanHealthCheckDuration);
+    return (long)
+        Math.min(
+            request.requestClass.latencyObjective() / HEALTH_CHECK_OBJECTIVE_DIVISOR,
+            timeoutByMeanDuration);
   }
 }
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -11,10 +11,10 @@
  */
 final class SlowStartController {
   /** The fraction of the overload limit that is used, where it is estimated from warm workers. */
-  private static final double MARGIN_BY_WARM_WORKERS = 0.33;
+  private static final double WARM_WORKER_RATE_MARGIN = 0.33;
 
   /** The same where it is estimated from the worker's own slots. */
-  private static final double MARGIN_BY_OWN_SLOTS = 0.8;
+  private static final double OWN_SLOTS_RATE_MARGIN = 0.8;
 
   /** The work that a slot of the slowest machine does per unit of time, where slots share cores. */
   private static final double MIN_SPEED = 0.45;
@@ -23,25 +23,25 @@
   private static final double MIN_JOBS_FOR_SPEED = 12;
 
   /** One warm worker in this many is enough for requests that are too heavy for the others. */
-  private static final int MIN_WARM_DIVISOR = 3;
+  private static final int MIN_WARM_WORKERS_DIVISOR = 3;
 
   /** A worker counts as warm after this many times the longest duration of a slow start. */
-  private static final double WARM_UP_SLACK = 1.1;
+  private static final double WARM_UP_DURATION_FACTOR = 1.1;
 
   /** The work is spread over at least the fleet divided by this, however few workers are warm. */
-  private static final int MIN_SERVING_DIVISOR = 2;
+  private static final int MIN_SERVING_WORKERS_DIVISOR = 2;
 
   private final PolicyContext context;
   private final Rules rules;
   private final WorkerTable workers;
-  private final ServiceTimeEstimator times;
-  private final LoadEstimator loads;
+  private final ServiceTimeEstimator serviceTimes;
+  private final LoadEstimator workerLoads;
 
   /** The mean work of all requests. */
-  private final MovingAverage meanCost;
+  private final MovingAverage meanWork;
 
   /** The mean work of the requests that are light enough for warming workers. */
-  private final MovingAverage meanLightCost;
+  private final MovingAverage meanLightWork;
 
   /** The service rate of warm workers, by kind. */
   private final Map<String, ServiceRate> ratesByKind = new HashMap<>();
@@ -51,24 +51,24 @@
   /** The fraction of the dispatcher's allowance for this process: 1, unless two serve as one. */
   private double capacityFraction;
 
-  private long warmCount;
+  private long warmWorkerCount;
   private long warmCountedAt = Timestamp.NEVER;
   private long warmCountedVersion;
 
   SlowStartController(
       PolicyContext context,
       WorkerTable workers,
-      ServiceTimeEstimator times,
-      LoadEstimator loads,
+      ServiceTimeEstimator serviceTimes,
+      LoadEstimator workerLoads,
       double capacityFraction) {
     this.context = context;
     this.rules = context.settings().rules();
     this.workers = workers;
-    this.times = times;
-    this.loads = loads;
+    this.serviceTimes = serviceTimes;
+    this.workerLoads = workerLoads;
     this.capacityFraction = capacityFraction;
-    meanCost = new MovingAverage(times.meanRunTime());
-    meanLightCost = new MovingAverage(times.meanRunTime());
+    meanWork = new MovingAverage(serviceTimes.meanRunTime());
+    meanLightWork = new MovingAverage(serviceTimes.meanRunTime());
   }
 
   double capacityFraction() {
@@ -81,34 +81,34 @@
 
   /** A request has arrived. */
   void recordArrival(PendingRequest request) {
-    double cost = cost(request);
-    meanCost.add(cost);
-    if (cost <= SlowStartLimiter.MAX_RELATIVE_WORK * meanCost.mean()) {
-      meanLightCost.add(cost);
+    double work = work(request);
+    meanWork.add(work);
+    if (work <= SlowStartLimiter.MAX_RELATIVE_WORK * meanWork.mean()) {
+      meanLightWork.add(work);
     }
   }
 
   /** A job has been served; the time counts from its start, or its send if none was reported. */
-  void recordServed(AttemptState attempt, double time) {
-    double work = attempt.request.arrival.expectedWork();
-    if (!Double.isNaN(work) && isWarm(attempt.worker, attempt.sentAt)) {
+  void recordServed(AttemptState attempt, double serviceTime) {
+    double announcedWork = attempt.request.arrival.expectedWork();
+    if (!Double.isNaN(announcedWork) && isWarm(attempt.worker, attempt.sentAt)) {
       ratesByKind
           .computeIfAbsent(
               attempt.worker.endpoint().kind(),
               absent -> new ServiceRate(DecayingSum.RATE_TIME_CONSTANT_MICROS))
-          .add(time, work, context.now());
+          .add(serviceTime, announcedWork, context.now());
     }
   }
 
   /** A request is sent to a worker. */
   void recordSent(PendingRequest request, WorkerState worker) {
-    worker.slowStart.consume(cost(request));
-    workSent.add(times.expectedWork(request), context.now());
+    worker.slowStartLimiter.consume(work(request));
+    workSent.add(serviceTimes.expectedWork(request), context.now());
   }
 
   /** The mean work of the requests that may go to warming workers. */
-  double meanLightCost() {
-    return meanLightCost.mean();
+  double meanLightWork() {
+    return meanLightWork.mean();
   }
 
   boolean isWarm(WorkerState worker, long now) {
@@ -119,11 +119,13 @@
   private double warmUpFraction(WorkerState worker, long now) {
     long startedAt = worker.warmUpStartedAt();
     double age = now - startedAt;
-    if (startedAt == 0 || age > rules.slowStartDuration() * WARM_UP_SLACK) {
+    if (startedAt == 0 || age > rules.slowStartDuration() * WARM_UP_DURATION_FACTOR) {
       return 1;
     }
-    double initial = rules.initialCapacityFraction();
-    return Math.max(initial, initial + (1 - initial) * age / rules.slowStartDuration());
+    double initialFraction = rules.initialCapacityFraction();
+    return Math.max(
+        initialFraction,
+        initialFraction + (1 - initialFraction) * age / rules.slowStartDuration());
   }
 
   /** Whether a request may go to a worker now: always if that is warm. */
@@ -134,8 +136,8 @@
       return true;
     }
     double rate = capacityFraction * fraction * rules.overloadMultiple() * safeRate(worker);
-    return worker.slowStart.allows(
-        rate, meanLightCost.mean(), rules.overloadWindow(), cost(request), maxCost(), now);
+    return worker.slowStartLimiter.allows(
+        rate, meanLightWork.mean(), rules.overloadWindow(), work(request), maxWork(), now);
   }
 
   /**
@@ -146,42 +148,46 @@
   private double safeRate(WorkerState worker) {
     long now = context.now();
     // The average needs at least the overload window.
-    double observed =
+    double observedMicros =
         Math.max(
-            DecayingSum.RATE_TIME_CONSTANT_MICROS * loads.observedFraction(),
+            DecayingSum.RATE_TIME_CONSTANT_MICROS * workerLoads.observedFraction(),
             (double) rules.overloadWindow());
-    long servingWorkers = Math.max(countWarm(), 1 + workers.size() / MIN_SERVING_DIVISOR);
-    double byWarmWorkers = workSent.valueAt(now) / observed / servingWorkers;
+    long servingWorkers =
+        Math.max(countWarmWorkers(), 1 + workers.size() / MIN_SERVING_WORKERS_DIVISOR);
+    double rateByWarmWorkers = workSent.valueAt(now) / observedMicros / servingWorkers;
     // A worker that has reported nothing yet counts as a typical one.
-    double byOwnSlots =
-        loads.slots(worker) * speed(worker.endpoint().kind()) / context.settings().dispatchers();
-    return Math.max(MARGIN_BY_WARM_WORKERS * byWarmWorkers, MARGIN_BY_OWN_SLOTS * byOwnSlots);
+    double rateByOwnSlots =
+        workerLoads.slots(worker)
+            * speed(worker.endpoint().kind())
+            / context.settings().dispatchers();
+    return Math.max(
+        WARM_WORKER_RATE_MARGIN * rateByWarmWorkers, OWN_SLOTS_RATE_MARGIN * rateByOwnSlots);
   }
 
   /** Counted once for each list and point in time, since every warming worker needs it. */
-  private long countWarm() {
+  private long countWarmWorkers() {
     long now = context.now();
     if (warmCountedAt != now || warmCountedVersion != workers.version()) {
-      warmCount = workers.all().stream().filter(worker -> isWarm(worker, now)).count();
+      warmWorkerCount = workers.all().stream().filter(worker -> isWarm(worker, now)).count();
       warmCountedAt = now;
       warmCountedVersion = workers.version();
     }
-    return warmCount;
+    return warmWorkerCount;
   }
 
   /** The work that a request counts for: what it announces, or the mean of its class. */
-  private double cost(PendingRequest request) {
-    double announced = request.arrival.expectedWork();
-    return Double.isNaN(announced)
-        ? times.expectedWork(request)
-        : request.arrival.slots() * announced;
+  private double work(PendingRequest request) {
+    double announcedWork = request.arrival.expectedWork();
+    return Double.isNaN(announcedWork)
+        ? serviceTimes.expectedWork(request)
+        : request.arrival.slots() * announcedWork;
   }
 
   /** The heaviest request for a warming worker; unlimited where too few others are warm. */
-  private double maxCost() {
-    boolean enoughWarm = MIN_WARM_DIVISOR * countWarm() >= workers.size();
-    return enoughWarm
-        ? SlowStartLimiter.MAX_RELATIVE_WORK * meanCost.mean()
+  private double maxWork() {
+    boolean enoughWarmWorkers = MIN_WARM_WORKERS_DIVISOR * countWarmWorkers() >= workers.size();
+    return enoughWarmWorkers
+        ? SlowStartLimiter.MAX_RELATIVE_WORK * meanWork.mean()
         : Double.POSITIVE_INFINITY;
   }
 
@@ -192,8 +198,8 @@
   private double speed(String kind) {
     long now = context.now();
     ServiceRate rate = ratesByKind.get(kind);
-    double enough = MIN_JOBS_FOR_SPEED * times.meanRunTime();
-    if (rate == null || rate.workDone(now) < enough) {
+    double minWork = MIN_JOBS_FOR_SPEED * serviceTimes.meanRunTime();
+    if (rate == null || rate.workDone(now) < minWork) {
       return MIN_SPEED;
     }
     return Math.max(MIN_SPEED, rate.workDone(now) / rate.timeSpent(now));
--- a/src/main/java/loomreel/decision/SlowStartLimiter.java
+++ b/src/main/java/loomreel/decision/SlowStartLimiter.java
@@ -22,7 +22,7 @@
   static final double MAX_RELATIVE_WORK = 2;
 
   /** The allowance of at most this part of the overload window may be saved up. */
-  private static final double MAX_SAVED_FRACTION = 1 / 4.0;
+  private static final double MAX_SAVED_WINDOW_FRACTION = 1 / 4.0;
 
   private double allowance;
   private long updatedAt;
@@ -46,10 +46,10 @@
    */
   boolean allows(
       double rate, double meanWork, long overloadWindow, double work, double maxWork, long now) {
-    double cap = Math.max(meanWork, rate * overloadWindow * MAX_SAVED_FRACTION);
-    allowance = Math.min(cap, allowance + rate * (now - updatedAt));
+    double capacity = Math.max(meanWork, rate * overloadWindow * MAX_SAVED_WINDOW_FRACTION);
+    allowance = Math.min(capacity, allowance + rate * (now - updatedAt));
     updatedAt = now;
-    return work <= maxWork && allowance >= Math.min(cap, Math.max(meanWork, work));
+    return work <= maxWork && allowance >= Math.min(capacity, Math.max(meanWork, work));
   }
 
   /** A request of this work was sent. */
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -22,52 +22,55 @@
   private static final double BELOW_THRESHOLD_SCORE = -1;
 
   /** The threshold is the mean load times this, up to a maximum, where all workers are loaded. */
-  private static final double THRESHOLD_OVER_MEAN_LOAD = 1.1;
+  private static final double MEAN_LOAD_THRESHOLD_FACTOR = 1.1;
 
-  private static final double MAX_THRESHOLD = 1.5;
+  private static final double MAX_LOAD_THRESHOLD = 1.5;
 
   /** A queued request looks further down the ranking only under this mean load. */
-  private static final double MAX_LOAD_FOR_FURTHER_WORKERS = 0.9;
+  private static final double MAX_MEAN_LOAD_FOR_RANKING_OFFSET = 0.9;
 
   private final PolicyContext context;
   private final WorkerTable workers;
-  private final KeyAffinityTable keys;
-  private final RetryPolicy retries;
+  private final KeyAffinityTable keyAffinities;
+  private final RetryPolicy retryPolicy;
   private final SlowStartController slowStart;
-  private final ServiceTimeEstimator times;
-  private final LoadEstimator loads;
+  private final ServiceTimeEstimator serviceTimes;
+  private final LoadEstimator workerLoads;
 
-  WorkerSelector(PolicyState state, RetryPolicy retries) {
-    this.retries = retries;
+  WorkerSelector(PolicyState state, RetryPolicy retryPolicy) {
+    this.retryPolicy = retryPolicy;
     context = state.context;
     workers = state.workers;
-    keys = state.keys;
+    keyAffinities = state.keyAffinities;
     slowStart = state.slowStart;
-    times = state.times;
-    loads = state.loads;
+    serviceTimes = state.serviceTimes;
+    workerLoads = state.workerLoads;
   }
 
   /** Draws new candidates for a request. */
   void drawCandidates(PendingRequest request) {
     boolean isRanked = request.hasKey() && workers.pool(request).length > 0;
-    int workersNeeded = isRanked ? loads.workersNeeded(keys.get(request)) : CandidateDraw.UNBOUNDED;
+    int workersNeeded =
+        isRanked
+            ? workerLoads.workersNeeded(keyAffinities.get(request))
+            : CandidateDraw.UNBOUNDED;
     long seed = context.random().nextLong();
     request.setCandidates(new CandidateDraw(workersNeeded, seed));
   }
 
   /** The worker for a request, or null if none of the candidates is under the threshold. */
   WorkerState select(PendingRequest request) {
-    return selectBefore(null, request);
+    return selectBeforeRound(null, request);
   }
 
   /**
    * The worker for a request, or null if no candidate of the rounds so far is under the threshold.
    *
-   * @param end the first round that is not considered; null to consider all
+   * @param endRound the first round that is not considered; null to consider all
    */
-  WorkerState selectBefore(CandidateRound end, PendingRequest request) {
+  WorkerState selectBeforeRound(CandidateRound endRound, PendingRequest request) {
     CandidateRound first = request.candidates().firstRound();
-    for (CandidateRound round = first; round != end; round = round.next()) {
+    for (CandidateRound round = first; round != endRound; round = round.next()) {
       WorkerState selected = selectInRound(request, round);
       if (selected != null) {
         return selected;
@@ -77,17 +80,17 @@
   }
 
   private WorkerState selectInRound(PendingRequest request, CandidateRound round) {
-    double threshold = threshold(request);
+    double loadThreshold = loadThreshold(request);
     WorkerState best = null;
     double leastScore = Double.POSITIVE_INFINITY;
     for (WorkerState worker : candidates(request, round)) {
       // A worker under the threshold has a negative score; without a key the least loaded wins.
-      double score = load(request, worker);
-      if (score + extraSlots(request, worker) < threshold) {
+      double score = loadIfEligible(request, worker);
+      if (score + extraSlotsFraction(request, worker) < loadThreshold) {
         if (round == CandidateRound.FALLBACK && request.hasKey()) {
           return worker;
         }
-        score = request.hasKey() ? BELOW_THRESHOLD_SCORE : score - threshold;
+        score = request.hasKey() ? BELOW_THRESHOLD_SCORE : score - loadThreshold;
       }
       if (score < leastScore) {
         leastScore = score;
@@ -97,14 +100,15 @@
     return leastScore < 0 ? best : null;
   }
 
-  private double threshold(PendingRequest request) {
-    double byMeanLoad = Math.min(MAX_THRESHOLD, THRESHOLD_OVER_MEAN_LOAD * loads.meanLoad());
-    return request.loadThreshold() * Math.max(FULL_THRESHOLD, byMeanLoad);
+  private double loadThreshold(PendingRequest request) {
+    double thresholdByMeanLoad =
+        Math.min(MAX_LOAD_THRESHOLD, MEAN_LOAD_THRESHOLD_FACTOR * workerLoads.meanLoad());
+    return request.loadThreshold() * Math.max(FULL_THRESHOLD, thresholdByMeanLoad);
   }
 
   /** What a request takes beyond one slot, as a fraction of a worker's slots. */
-  private double extraSlots(PendingRequest request, WorkerState worker) {
-    double slots = loads.slots(worker);
+  private double extraSlotsFraction(PendingRequest request, WorkerState worker) {
+    double slots = workerLoads.slots(worker);
     return (Math.min(request.arrival.slots(), slots) - 1) / slots;
   }
 
@@ -112,31 +116,31 @@
    * A worker's load as a fraction of its slots; infinite where the request may not or should not be
    * sent.
    */
-  private double load(PendingRequest request, WorkerState worker) {
-    long healthCheckTimeout = times.healthCheckTimeout(request);
-    boolean eligible =
-        retries.allowsWorker(request, worker)
+  private double loadIfEligible(PendingRequest request, WorkerState worker) {
+    long healthCheckTimeout = serviceTimes.healthCheckTimeout(request);
+    boolean isEligible =
+        retryPolicy.allowsWorker(request, worker)
             && !worker.isEjected(context.now())
             && slowStart.allows(request, worker)
             && !worker.isHealthCheckOverdue(healthCheckTimeout, context.now());
-    return eligible ? loads.estimate(worker) : Double.POSITIVE_INFINITY;
+    return isEligible ? workerLoads.estimate(worker) : Double.POSITIVE_INFINITY;
   }
 
   /** The candidates of a round, in the order in which they are considered. */
   List<WorkerState> candidates(PendingRequest request, CandidateRound round) {
     WorkerState[] pool = workers.pool(request);
-    KeyAffinity key = request.hasKey() && pool.length > 0 ? keys.get(request) : null;
+    KeyAffinity key = request.hasKey() && pool.length > 0 ? keyAffinities.get(request) : null;
     if (key != null && round == CandidateRound.HASHED) {
       return hashedCandidates(key);
     }
     boolean checksHealth = context.settings().limits().healthChecks();
-    int sample =
+    int sampleSize =
         Math.min(
             pool.length, checksHealth ? SAMPLE_WITH_HEALTH_CHECKS : SAMPLE_WITHOUT_HEALTH_CHECKS);
     if (key == null || request.candidates().workersNeeded() > key.ranking().length) {
-      return randomCandidates(request, pool, sample);
+      return randomCandidates(request, pool, sampleSize);
     }
-    return rankedCandidates(request, key, sample);
+    return rankedCandidates(request, key, sampleSize);
   }
 
   private static List<WorkerState> hashedCandidates(KeyAffinity key) {
@@ -146,9 +150,9 @@
   }
 
   private static List<WorkerState> randomCandidates(
-      PendingRequest request, WorkerState[] pool, int sample) {
-    List<WorkerState> candidates = new ArrayList<>(sample);
-    for (int i = 0; i < sample; i++) {
+      PendingRequest request, WorkerState[] pool, int sampleSize) {
+    List<WorkerState> candidates = new ArrayList<>(sampleSize);
+    for (int i = 0; i < sampleSize; i++) {
       long hash = Hashing.mix(request.candidates().seed() + i);
       candidates.add(pool[(int) Long.remainderUnsigned(hash, pool.length)]);
     }
@@ -156,19 +160,21 @@
   }
 
   /** The next places of the key's ranking; for a hot key, a random part of those it needs. */
-  private List<WorkerState> rankedCandidates(PendingRequest request, KeyAffinity key, int sample) {
+  private List<WorkerState> rankedCandidates(
+      PendingRequest request, KeyAffinity key, int sampleSize) {
     WorkerState[] ranking = key.ranking();
     CandidateDraw draw = request.candidates();
     boolean isHot = draw.exceedsHashedWorkers();
-    int from = isHot ? (int) Long.remainderUnsigned(draw.seed(), draw.workersNeeded()) : 1;
-    int span = Math.min(ranking.length, Math.max(draw.workersNeeded(), sample + 1));
-    if (request.rankingOffset() > 0 && loads.meanLoad() < MAX_LOAD_FOR_FURTHER_WORKERS) {
-      from += request.rankingOffset() * sample;
-      span = Math.min(ranking.length, KeyAffinityTable.MAX_RANKED_WORKERS);
+    int startIndex = isHot ? (int) Long.remainderUnsigned(draw.seed(), draw.workersNeeded()) : 1;
+    int rankedWorkers = Math.min(ranking.length, Math.max(draw.workersNeeded(), sampleSize + 1));
+    if (request.rankingOffsetSamples() > 0
+        && workerLoads.meanLoad() < MAX_MEAN_LOAD_FOR_RANKING_OFFSET) {
+      startIndex += request.rankingOffsetSamples() * sampleSize;
+      rankedWorkers = Math.min(ranking.length, KeyAffinityTable.MAX_RANKED_WORKERS);
     }
-    List<WorkerState> candidates = new ArrayList<>(sample);
-    for (int i = 0; i < sample; i++) {
-      candidates.add(ranking[(from + i) % span]);
+    List<WorkerState> candidates = new ArrayList<>(sampleSize);
+    for (int i = 0; i < sampleSize; i++) {
+      candidates.add(ranking[(startIndex + i) % rankedWorkers]);
     }
     return candidates;
   }
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -18,7 +18,7 @@
   final long hash;
 
   /** Limits what is sent while the worker warms up. */
-  final SlowStartLimiter slowStart = new SlowStartLimiter();
+  final SlowStartLimiter slowStartLimiter = new SlowStartLimiter();
 
   final WorkerLoadHistory load = new WorkerLoadHistory();
 
@@ -32,7 +32,7 @@
   private long lastResponseAt;
   private long ejectedUntil;
   private long ejectionBackoff;
-  private long healthCheckedAt = NO_HEALTH_CHECK;
+  private long healthCheckSentAt = NO_HEALTH_CHECK;
   private final List<PendingRequest> healthCheckWaiters = new ArrayList<>();
   private final List<AttemptState> openAttempts = new ArrayList<>();
 
@@ -71,7 +71,7 @@
    * @param allowance the work that may be sent at once, in slots times microseconds
    */
   void restart(long now, double allowance) {
-    slowStart.restart(allowance, now);
+    slowStartLimiter.restart(allowance, now);
     load.reset();
     ejectedUntil = Timestamp.NEVER;
     ejectionBackoff = 0;
@@ -80,7 +80,7 @@
   }
 
   /** The worker warms up from now on, since an operator has enabled it. */
-  void warmUpFrom(long now) {
+  void startWarmUp(long now) {
     enabledAt = now;
   }
 
@@ -151,27 +151,27 @@
   }
 
   boolean isHealthCheckPending() {
-    return healthCheckedAt >= 0;
+    return healthCheckSentAt >= 0;
   }
 
   /** Whether a health check has been pending for longer than a time, in microseconds. */
   boolean isHealthCheckOverdue(long timeout, long now) {
-    return isHealthCheckPending() && now - healthCheckedAt > timeout;
+    return isHealthCheckPending() && now - healthCheckSentAt > timeout;
   }
 
-  void healthCheckSent(long now) {
-    healthCheckedAt = now;
+  void recordHealthCheckSent(long now) {
+    healthCheckSentAt = now;
   }
 
-  void healthCheckEnded() {
-    healthCheckedAt = NO_HEALTH_CHECK;
+  void recordHealthCheckEnded() {
+    healthCheckSentAt = NO_HEALTH_CHECK;
   }
 
   /** Has a request wait for the pending health check, unless it does already. */
   void addHealthCheckWaiter(PendingRequest request) {
     if (!healthCheckWaiters.contains(request)) {
       healthCheckWaiters.add(request);
-      request.healthCheckAwaited();
+      request.incrementPendingHealthChecks();
     }
   }
 
