--- a/src/main/java/loomreel/decision/Action.java
+++ b/src/main/java/loomreel/decision/Action.java
@@ -1,40 +1,51 @@
 package loomreel.decision;
 
-/** What the policy decides, for the dispatcher to execute. Times are microseconds. */
+/**
+ * A decision of the policy, which the dispatcher executes. All times and durations are in
+ * microseconds.
+ */
 public sealed interface Action {
 
   /**
-   * Starts an attempt. The attempts of a request are numbered from 0 in the order of their starts.
+   * Starts an attempt at a worker. The attempts of a request are numbered from 0 in the order in
+   * which they are started.
    *
-   * @param timeout how long its answer is awaited; 0 until the client's deadline
-   * @param writeDeadline its request must not be written after this time, since workers deduplicate
-   *     only until then
+   * @param timeout the maximum time to wait for the outcome; 0 to wait until the client's deadline
+   * @param writeDeadline the time after which the request must not be written to the worker,
+   *     because workers deduplicate attempts only until then; {@link Long#MAX_VALUE} if there is no
+   *     such limit
    */
   record StartAttempt(String requestId, String workerId, long timeout, long writeDeadline)
       implements Action {}
 
-  /** Cancels an attempt, which does not prove that it did not run. */
+  /** Cancels an open attempt. A cancelled attempt may still have run. */
   record CancelAttempt(String requestId, int attemptNumber) implements Action {}
 
   /**
-   * Rejects a request: a final answer which implies that nothing ran, or that a retry does no harm.
+   * Rejects a request. A rejection is a final answer. It implies that no attempt ran, or that the
+   * client can safely send the request again.
    *
-   * @param retryAfter the time in which the client should not retry; 0 to give none
+   * @param retryAfter the time during which the client should not retry; 0 if the answer gives none
    */
   record Reject(String requestId, long retryAfter, RejectionReason reason) implements Action {}
 
-  /** Fails a request: a final answer that leaves open what ran. */
+  /** Fails a request. A failure is a final answer. It does not tell whether an attempt ran. */
   record Fail(String requestId, RejectionReason reason) implements Action {}
 
-  /** Queries the load of a worker. */
+  /** Sends a health check, which queries the load of a worker. */
   record CheckHealth(String workerId) implements Action {}
 
-  /** Requests {@link Event.TimerFired} at a time. */
+  /**
+   * Requests a {@link Event.TimerFired} event.
+   *
+   * @param time the time at which the event is due
+   * @param token the token that the event returns
+   */
   record SetTimer(long time, long token) implements Action {}
 
-  /** Polls the endpoint list. */
+  /** Polls discovery for the endpoint list. */
   record PollEndpoints() implements Action {}
 
-  /** Logs a line. */
+  /** Writes a line to the log. */
   record Log(String text) implements Action {}
 }
--- a/src/main/java/loomreel/decision/AttemptCanceller.java
+++ b/src/main/java/loomreel/decision/AttemptCanceller.java
@@ -2,7 +2,9 @@
 
 import loomreel.decision.Action.CancelAttempt;
 
-/** Cancels attempts whose results are not needed, where the platform allows that. */
+/**
+ * Cancels attempts whose results are not needed any more, if the deployment allows cancellation.
+ */
 final class AttemptCanceller {
   private final PolicyContext context;
 
@@ -10,12 +12,15 @@
     this.context = context;
   }
 
-  /** Cancels the open attempts of a request. */
+  /** Cancels all open attempts of a request. */
   void cancelAll(PendingRequest request) {
     cancel(request, true);
   }
 
-  /** Cancels the open attempts of a request that have not started: another one runs. */
+  /**
+   * Cancels the open attempts of a request that have not started. It is called when another attempt
+   * of the request has started to run.
+   */
   void cancelUnstarted(PendingRequest request) {
     cancel(request, false);
   }
--- a/src/main/java/loomreel/decision/AttemptOutcome.java
+++ b/src/main/java/loomreel/decision/AttemptOutcome.java
@@ -1,24 +1,24 @@
 package loomreel.decision;
 
-/** How an attempt or a health check ended. */
+/** The outcome of an attempt or of a health check. */
 public enum AttemptOutcome {
   /** It succeeded. */
   OK(false),
   /** The worker reported an error. */
   ERROR(false),
-  /** The worker found the request invalid, as every other worker would. */
+  /** The worker rejected the request as invalid. Every other worker would reject it too. */
   INVALID(false),
-  /** The worker rejected it before it ran, for lack of capacity. */
+  /** The worker rejected it before it ran, because the worker had no capacity. */
   REJECTED(true),
-  /** No answer arrived in time. */
+  /** No answer arrived before the timeout. */
   TIMEOUT(false),
-  /** No connection could be opened. */
+  /** No connection could be established. */
   CONNECT_FAILED(true),
-  /** The connection broke after something may have been sent. */
+  /** The connection was lost after a part of the request may have been sent. */
   RESET(false),
-  /** This dispatcher stopped waiting for it. */
+  /** The dispatcher cancelled it and stopped waiting for the answer. */
   CANCELLED(false),
-  /** It was ended before anything of it was sent. */
+  /** It ended before any part of the request was sent. */
   NOT_ATTEMPTED(true);
 
   private final boolean neverRan;
@@ -27,7 +27,10 @@
     this.neverRan = neverRan;
   }
 
-  /** Whether this outcome proves that the attempt never ran, so that any work may be repeated. */
+  /**
+   * Returns whether this outcome proves that the attempt never ran. If it does, another attempt is
+   * safe even for a request that is not idempotent.
+   */
   public boolean neverRan() {
     return neverRan;
   }
--- a/src/main/java/loomreel/decision/AttemptState.java
+++ b/src/main/java/loomreel/decision/AttemptState.java
@@ -1,11 +1,15 @@
 package loomreel.decision;
 
-/** One attempt of a request at one worker. */
+/**
+ * The state of one attempt of a request at one worker. Times are in microseconds of the
+ * dispatcher's clock.
+ */
 final class AttemptState {
   private static final long NOT_STARTED = -1;
 
   final PendingRequest request;
   final WorkerState worker;
+  /** The time at which the attempt was sent. */
   final long sentAt;
   private long startedAt = NOT_STARTED;
   private boolean open = true;
@@ -19,37 +23,43 @@
     this.sentAt = sentAt;
   }
 
-  /** Whether its end has not been reported yet. */
+  /** Returns whether the end of the attempt has not been reported yet. */
   boolean isOpen() {
     return open;
   }
 
-  /** Whether the worker has reported that the job runs, or has run. */
+  /**
+   * Returns whether the worker has reported that the job started. The result stays true after the
+   * attempt has ended.
+   */
   boolean hasStarted() {
     return startedAt != NOT_STARTED;
   }
 
-  /** When the job started, or when the attempt was sent if no start was reported. */
+  /**
+   * Returns the time at which the job started, or the time at which the attempt was sent if no
+   * start was reported.
+   */
   long startedOrSentAt() {
     return hasStarted() ? startedAt : sentAt;
   }
 
-  /** Whether it has ended with proof that it never ran. */
+  /** Returns whether the attempt has ended with an outcome that proves that it never ran. */
   boolean neverRan() {
     return neverRan;
   }
 
-  /** Whether it has ended because the request is invalid. */
+  /** Returns whether the attempt has ended because the worker rejected the request as invalid. */
   boolean isInvalid() {
     return invalid;
   }
 
-  /** The worker reports that the job runs. */
+  /** Records that the worker reported the start of the job. */
   void recordStart(long now) {
     startedAt = now;
   }
 
-  /** It has ended. */
+  /** Records the end of the attempt. */
   void recordEnd(AttemptOutcome outcome) {
     open = false;
     neverRan = outcome.neverRan();
@@ -57,9 +67,9 @@
   }
 
   /**
-   * Marks it as cancelled.
+   * Marks the attempt as cancelled if it is open.
    *
-   * @return false if it has ended or was cancelled before
+   * @return whether this call marked it; false if the attempt has ended or was already marked
    */
   boolean markCancelled() {
     boolean isFirstCancellation = open && !cancelled;
--- a/src/main/java/loomreel/decision/DeduplicationScope.java
+++ b/src/main/java/loomreel/decision/DeduplicationScope.java
@@ -1,15 +1,18 @@
 package loomreel.decision;
 
-/** Which workers together deduplicate the attempts of a keyed request. */
+/** The set of workers that deduplicate the attempts of a keyed request together. */
 public enum DeduplicationScope {
-  /** All of them. */
+  /** All workers. */
   ALL,
-  /** Those of one zone. */
+  /** The workers of one zone. */
   ZONE,
-  /** Those of one failure domain of a zone. */
+  /** The workers of one failure domain within a zone. */
   FAILURE_DOMAIN;
 
-  /** Whether two workers deduplicate each other's keyed requests. */
+  /**
+   * Returns whether two workers are in the same scope, so that each recognizes attempts of a keyed
+   * request that were sent to the other.
+   */
   public boolean sharedBy(Endpoint first, Endpoint second) {
     return switch (this) {
       case ALL -> true;
--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -5,12 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of one dispatcher: it takes events and answers with actions. It knows no sockets
- * and reads no clock. For use by one thread.
+ * The decisions of one dispatcher. The policy takes events and returns actions. It uses no sockets
+ * and reads no clock. It is not thread-safe.
  *
- * <p>{@link RequestScheduler} places requests, {@link WorkerSelector} chooses workers, {@link
- * RetryPolicy} decides what may be repeated, {@link AdmissionController} what is rejected and
- * {@link HealthCheckPolicy} whose load is queried.
+ * <p>{@link RequestScheduler} sends and queues requests, {@link WorkerSelector} selects workers,
+ * {@link RetryPolicy} decides which attempts are allowed, {@link AdmissionController} sets
+ * deadlines and quotas and determines rejections, and {@link HealthCheckPolicy} decides which
+ * workers receive health checks.
  */
 public final class DispatchPolicy {
   private PolicyState state;
@@ -18,19 +19,21 @@
   private PolicyContext context;
   private boolean started;
 
-  /** Creates the policy of a dispatcher that has not started. */
+  /** Creates a policy that has not started. */
   public DispatchPolicy() {}
 
   /**
-   * Takes in one event and adds what the dispatcher does about it to the actions, in order.
+   * Handles one event and appends the resulting actions to a list, in the order in which they are
+   * to be executed.
    *
-   * @param event what happened
-   * @param now the clock in microseconds
-   * @param actions where actions are added
+   * @param event the event; it must be a start if the policy has not started or was stopped
+   * @param now the current time of the dispatcher's clock, in microseconds
+   * @param actions the list to which the actions are added
    * @throws NullPointerException if the event or the list is null
-   * @throws IllegalArgumentException if time runs backwards
-   * @throws IllegalStateException if the first event is not a start, or on a second start without a
-   *     stop
+   * @throws IllegalArgumentException if the time is earlier than that of the previous event since
+   *     the start
+   * @throws IllegalStateException if the policy has not started or was stopped and the event is not
+   *     a start, or if it has started and the event is a start
    */
   public void on(Event event, long now, List<Action> actions) {
     Objects.requireNonNull(event, "event");
@@ -63,7 +66,12 @@
     started = true;
   }
 
-  /** How many of the listed workers are ejected or disabled at a time, in microseconds. */
+  /**
+   * Returns the number of listed workers that are ejected or disabled. The policy must have been
+   * started before.
+   *
+   * @param now the current time, in microseconds
+   */
   public int ejectedWorkers(long now) {
     return state.workers.countUnavailable(now);
   }
--- a/src/main/java/loomreel/decision/Endpoint.java
+++ b/src/main/java/loomreel/decision/Endpoint.java
@@ -3,13 +3,16 @@
 import java.util.Set;
 
 /**
- * A worker as the endpoint list names it.
+ * A worker as described by the endpoint list.
  *
- * @param id the same at every dispatcher, and after a restart
- * @param failureDomain the part of the zone that fails together, such as a rack, or -1
- * @param startedAt when its process started, in microseconds; 0 if it has been up for long
- * @param weight its fraction of the keys relative to the weights of other workers
- * @param queues the queues whose jobs it accepts, or null for all
+ * @param id the id of the worker, which is the same at every dispatcher and does not change when
+ *     the worker restarts
+ * @param kind the kind of worker, which a request class may require
+ * @param failureDomain the part of the zone that fails as a unit, such as a rack; -1 if unknown
+ * @param startedAt the start time of the worker's process, in microseconds; 0 if the process
+ *     started long ago or the time is unknown
+ * @param weight the worker's fraction of the keys, relative to the weights of the other workers
+ * @param queues the queues whose jobs the worker accepts; null if it accepts jobs of every queue
  */
 public record Endpoint(
     String id,
@@ -20,7 +23,7 @@
     long startedAt,
     double weight,
     Set<String> queues) {
-  /** Creates an endpoint that accepts the jobs of all queues. */
+  /** Creates an endpoint that accepts the jobs of every queue. */
   public Endpoint(
       String id,
       String zone,
@@ -32,23 +35,26 @@
     this(id, zone, kind, failureDomain, state, startedAt, weight, null);
   }
 
-  /** The same worker in another state. */
+  /** Returns a copy of this endpoint with another state. */
   public Endpoint withState(State newState) {
     return new Endpoint(id, zone, kind, failureDomain, newState, startedAt, weight, queues);
   }
 
-  /** Whether it accepts the jobs of a queue; null stands for jobs without one, which go to any. */
+  /**
+   * Returns whether the worker accepts jobs of a queue. A job without a queue, for which {@code
+   * queue} is null, is accepted by every worker.
+   */
   boolean accepts(String queue) {
     return queues == null || queue == null || queues.contains(queue);
   }
 
-  /** The state of a worker according to the endpoint list. */
+  /** The state of a worker in the endpoint list. */
   public enum State {
-    /** It accepts new attempts. */
+    /** The worker accepts new attempts. */
     READY,
-    /** It finishes what it has and accepts nothing new. */
+    /** The worker completes its open attempts and accepts no new ones. */
     DRAINING,
-    /** The list does not name it any more. */
+    /** The worker is no longer in the list. */
     REMOVED
   }
 }
--- a/src/main/java/loomreel/decision/package-info.java
+++ b/src/main/java/loomreel/decision/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Every decision of a dispatcher: which worker gets an attempt, what is retried, hedged, queued and
- * rejected. {@link loomreel.decision.DispatchPolicy} takes {@link loomreel.decision.Event}s and
- * answers with {@link loomreel.decision.Action}s; it knows no sockets, threads or clocks.
+ * The decision module of a dispatcher. It selects the worker of each attempt and decides which
+ * requests are retried, hedged, queued and rejected. {@link loomreel.decision.DispatchPolicy} takes
+ * {@link loomreel.decision.Event}s and returns {@link loomreel.decision.Action}s. The module uses
+ * no sockets or threads and reads no clock.
  */
 package loomreel.decision;
