--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -4,26 +4,42 @@
 import loomreel.decision.Settings.Tenant;
 
 /**
- * Decides until when an answer to a request has a value, whether its tenant is within its quota,
- * and how a request that is given up is answered.
+ * Sets the deadlines of new requests, applies the quotas of tenants, and determines the final
+ * answer to a request that is given up. Times are in microseconds.
  */
 final class AdmissionController {
-  /** Load threshold of a tenant beyond its quota: its requests need workers that are this idle. */
+  /**
+   * The load threshold for requests beyond the quota of their tenant, as a fraction of a worker's
+   * slots. Such a request is sent only to a worker whose load is below it.
+   */
   private static final double OVER_QUOTA_LOAD_THRESHOLD = 0.5;
 
-  /** Factor on a dispatcher's equal part of a quota, since traffic differs between zones. */
+  /**
+   * The factor by which a tenant may exceed a dispatcher's equal share of its quota. Traffic
+   * differs between zones, so some dispatchers receive more than an equal share.
+   */
   private static final double QUOTA_HEADROOM_FACTOR = 1.3;
 
-  /** The burst that a tenant may send: its quota over this time, and a few requests more. */
+  /**
+   * The time, in seconds, over which a tenant may accumulate unused quota. Together with {@link
+   * #BASE_BURST_REQUESTS}, it sets the maximum burst of a tenant.
+   */
   private static final double BURST_SECONDS = 2;
 
+  /**
+   * The number of requests that a tenant may send in a burst in addition to those that its quota
+   * allows over {@link #BURST_SECONDS}.
+   */
   private static final double BASE_BURST_REQUESTS = 3;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** The work of a job that announces none, as a fraction of the mean run time of its class. */
+  /**
+   * The assumed work of a job whose request announces none, as a fraction of the mean run time of
+   * its class.
+   */
   private static final double DEFAULT_WORK_FRACTION = 0.4;
 
-  /** Ticks before the client's deadline at which the answer is due. */
+  /** The time between the answer deadline and the client's deadline, in ticks of the dispatcher. */
   private static final int ANSWER_MARGIN_TICKS = 2;
 
   private final PolicyContext context;
@@ -46,7 +62,11 @@
         settings.tenants().stream().map(tenant -> new TokenBucket()).toArray(TokenBucket[]::new);
   }
 
-  /** Sets the times after which an answer to a new request has less value, and none. */
+  /**
+   * Sets the deadlines of a new request. The answer has its full value if the job starts early
+   * enough to meet its latency objective, which counts from the client's first attempt. If the
+   * request's class gives no value to a late answer, the request is given up at that time.
+   */
   void setDeadlines(PendingRequest request) {
     RequestClass requestClass = request.requestClass;
     long deadline = request.arrival.deadline();
@@ -59,18 +79,26 @@
     request.setDeadlines(new RequestDeadlines(latestFullValueStart, startDeadline, answerDeadline));
   }
 
-  /** How long after the client's first attempt a job may start and still meet its objective. */
+  /**
+   * Returns the maximum time between the client's first attempt and the start of the job for which
+   * the job still meets its latency objective.
+   */
   private long maxStartDelay(PendingRequest request) {
     RequestClass requestClass = request.requestClass;
     double announcedWork = request.arrival.expectedWork();
     double meanRunTime = serviceTimes.meanRunTime(request.arrival.classIndex());
     double work = Double.isNaN(announcedWork) ? DEFAULT_WORK_FRACTION * meanRunTime : announcedWork;
-    // Of the objective per work, 1 is for the run itself.
+    // The job's own run takes 1 unit of time per unit of work. The remainder of the objective per
+    // unit of work is available for the delay before the start.
     double slackPerWork = Math.max(0, requestClass.latencyObjectivePerWork() - 1);
     return requestClass.latencyObjective() + (long) (work * slackPerWork);
   }
 
-  /** Counts a request against its tenant's quota; beyond it, only idle workers are used. */
+  /**
+   * Counts a request against the quota of its tenant and sets its load threshold. A request beyond
+   * the quota may be sent only to workers below {@link #OVER_QUOTA_LOAD_THRESHOLD}. A request
+   * without a known tenant has no quota.
+   */
   void applyQuota(PendingRequest request) {
     int tenantIndex = request.arrival.tenantIndex();
     if (tenantIndex < 0) {
@@ -87,7 +115,7 @@
         isWithinQuota ? WorkerSelector.FULL_THRESHOLD : OVER_QUOTA_LOAD_THRESHOLD);
   }
 
-  /** Why a request that no worker can take at the moment is given up. */
+  /** Returns the reason for giving up a request for which no worker was available in time. */
   RejectionReason expirationReason(PendingRequest request) {
     if (!request.attempts().isEmpty()) {
       return RejectionReason.NOT_STARTED_IN_TIME;
@@ -98,14 +126,17 @@
         : RejectionReason.NO_ELIGIBLE_WORKER;
   }
 
+  /** Returns whether a request exceeded the quota of its tenant when it arrived. */
   boolean isOverQuota(PendingRequest request) {
     return request.loadThreshold() < WorkerSelector.FULL_THRESHOLD;
   }
 
   /**
-   * The answer to a request that is given up. Where a repetition does no harm it is a rejection
-   * that gives a time to retry, since an immediate retry would meet the same load; a request that
-   * may have run fails, and so does an invalid one.
+   * Returns the final answer to a request that is given up, and records the rejection for the
+   * estimate of first attempts. The request is rejected if the client can safely send it again,
+   * that is, if it is idempotent or if no attempt of it ran. The rejection then includes a time to
+   * wait before a retry, if the deployment allows one, because an immediate retry would meet the
+   * same load. A request that may have run is failed, and so is an invalid one.
    */
   Action giveUp(PendingRequest request, RejectionReason reason) {
     firstAttemptEstimator.recordRejection(reason, context.now());
--- a/src/main/java/loomreel/decision/CandidateDraw.java
+++ b/src/main/java/loomreel/decision/CandidateDraw.java
@@ -1,24 +1,33 @@
 package loomreel.decision;
 
 /**
- * From what the candidates of a request are drawn: the same ones are checked and then chosen from.
+ * The parameters from which the candidate workers of a request are derived. The same parameters
+ * yield the same candidates, so that the workers that receive health checks are also the ones to
+ * select from.
  *
- * @param workersNeeded how many workers the request's key needs; {@link #UNBOUNDED} without a key
- * @param seed seed of the candidates that are sampled
+ * @param workersNeeded the number of workers that the traffic of the request's key needs; {@link
+ *     #UNBOUNDED} if the request has no key
+ * @param seed the seed for the random choice of candidates
  */
 record CandidateDraw(int workersNeeded, long seed) {
-  /** The number of workers that a request without a key may use. */
+  /**
+   * The value of {@link #workersNeeded} for a request without a key, which may be sent to any
+   * worker.
+   */
   static final int UNBOUNDED = Integer.MAX_VALUE;
 
-  /** How many workers a key hashes to. */
+  /** The number of workers that a key hashes to. */
   private static final int HASHED_WORKERS = 2;
 
-  /** Whether more workers are needed than the key hashes to. */
+  /** Returns whether the key needs more workers than it hashes to. */
   boolean exceedsHashedWorkers() {
     return workersNeeded > HASHED_WORKERS;
   }
 
-  /** The first round of candidates: only the fallback where the hashed workers do not suffice. */
+  /**
+   * Returns the first round of candidates. The hashed workers are skipped if the key needs more
+   * workers than these, or if there is no key.
+   */
   CandidateRound firstRound() {
     return exceedsHashedWorkers() ? CandidateRound.FALLBACK : CandidateRound.HASHED;
   }
--- a/src/main/java/loomreel/decision/CandidateRound.java
+++ b/src/main/java/loomreel/decision/CandidateRound.java
@@ -1,13 +1,16 @@
 package loomreel.decision;
 
-/** The groups of workers that are considered for a request, one after the other. */
+/** The groups of candidate workers for a request, in the order in which they are considered. */
 enum CandidateRound {
   /** The two workers that the request's key hashes to. */
   HASHED,
-  /** A sample of the next workers of the key's ranking, or of all where there is no key. */
+  /**
+   * A sample of the workers that follow in the ranking of the request's key, or of all eligible
+   * workers if the request has no key.
+   */
   FALLBACK;
 
-  /** The next round, or null after the last. */
+  /** Returns the next round, or null after the last one. */
   CandidateRound next() {
     return this == HASHED ? FALLBACK : null;
   }
--- a/src/main/java/loomreel/decision/DecayingSum.java
+++ b/src/main/java/loomreel/decision/DecayingSum.java
@@ -1,8 +1,11 @@
 package loomreel.decision;
 
-/** A sum that decays exponentially with time. Times are microseconds. */
+/** A sum whose value decays exponentially with time. Times are in microseconds. */
 final class DecayingSum {
-  /** Time constant of rates and means: long against one job, short against a day. */
+  /**
+   * The time constant of rates and means, in microseconds. It is long compared with the run time of
+   * a job and short compared with a day.
+   */
   static final double RATE_TIME_CONSTANT_MICROS = 10e6;
 
   private final double timeConstantMicros;
@@ -10,13 +13,15 @@
   private long updatedAt = Timestamp.NEVER;
 
   /**
-   * @param timeConstantMicros the time after which 1/e of an amount remains, in microseconds
+   * Creates a sum of 0.
+   *
+   * @param timeConstantMicros the time after which a fraction of 1/e of an amount remains
    */
   DecayingSum(double timeConstantMicros) {
     this.timeConstantMicros = timeConstantMicros;
   }
 
-  /** What remains of everything that was added. */
+  /** Returns the current value, which is the decayed sum of all added amounts. */
   double valueAt(long now) {
     return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstantMicros);
   }
--- a/src/main/java/loomreel/decision/EndpointUpdater.java
+++ b/src/main/java/loomreel/decision/EndpointUpdater.java
@@ -4,7 +4,10 @@
 import loomreel.decision.Action.PollEndpoints;
 import loomreel.decision.Action.SetTimer;
 
-/** Applies the endpoint list and the commands of operators to the table of workers. */
+/**
+ * Applies endpoint lists and the commands of operators to the table of workers, and schedules the
+ * polls of discovery.
+ */
 final class EndpointUpdater {
   private final PolicyState state;
   private final PolicyContext context;
@@ -16,18 +19,18 @@
     pollBackoff = new PollBackoff(context.settings().rules());
   }
 
-  /** Schedules the first poll of the list, where it has to be polled. */
+  /** Schedules the first poll of the endpoint list if the list has to be polled. */
   void start() {
     schedulePoll(pollBackoff.firstPollAt(context.now(), context.random()));
   }
 
-  /** Polls the list; called when the timer for that has fired. */
+  /** Polls the endpoint list. Called when the poll timer fires. */
   void poll() {
     pollBackoff.pollStarted(context.now());
     context.emit(new PollEndpoints());
   }
 
-  /** The last poll has failed. */
+  /** Schedules the next poll after a poll has failed. */
   void pollFailed() {
     schedulePoll(pollBackoff.nextPollAt(context.now(), context.random()));
   }
@@ -39,14 +42,15 @@
   }
 
   /**
-   * Applies changes of the list: a worker that drains or was removed gets no new attempts from here
-   * on, and a restarted one counts as new.
+   * Applies changes of the endpoint list. A worker that drains or was removed receives no new
+   * attempts from now on. A worker that has restarted is treated as new.
    */
   void update(List<Endpoint> endpoints) {
     for (Endpoint endpoint : endpoints) {
       WorkerState worker = state.workers.getOrAdd(endpoint.id());
       if (worker.isReplacedBy(endpoint)) {
-        // Dispatchers are notified together: jitter keeps their first attempts apart.
+        // All dispatchers learn of a new worker at about the same time. The random allowance
+        // spreads their first attempts.
         double initialAllowance = context.random().nextDouble() * state.slowStart.meanLightWork();
         worker.restart(context.now(), initialAllowance);
       }
@@ -58,8 +62,10 @@
   }
 
   /**
-   * Enables a worker. Operators restart what they disable, so it warms up: from now on, unless the
-   * list has reported a start since it was disabled. One job of any class may go there at once.
+   * Enables a worker that an operator has disabled. Operators restart the workers that they
+   * disable, so the worker warms up. The warm-up begins now, unless the endpoint list has reported
+   * a start of the worker since it was disabled. One job of mean run time of any class may be sent
+   * to the worker at once. Does nothing if the worker is not disabled.
    */
   void enable(String workerId) {
     if (!state.workers.isDisabled(workerId)) {
--- a/src/main/java/loomreel/decision/FirstAttemptEstimator.java
+++ b/src/main/java/loomreel/decision/FirstAttemptEstimator.java
@@ -4,22 +4,28 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * Estimates when the client of a request made its first attempt, from which its latency objective
- * counts. A request with less time than its class's deadline is either a client's retry, which has
- * used up part of the deadline, or the first attempt of a client that gives up early. Where clients
- * mark their retries, the mark decides.
+ * Estimates when the client of a request made its first attempt. The latency objective counts from
+ * that time. Times are in microseconds.
  *
- * <p>Where they do not, a request with half of the deadline or more remaining counts as a retry.
- * One with less remaining would be a late retry, which is less likely than a client that gives up
- * early; unless this dispatcher has lately rejected at least half as many requests as arrived with
- * so little time. Requests that were rejected as too late do not count as rejected here: they would
- * confirm the estimate that rejected them. Times are microseconds.
+ * <p>If the time until the client's deadline is shorter than the deadline of the request's class,
+ * the request is either a retry that has used up a part of the deadline, or the first attempt of a
+ * client with a shorter timeout. If clients mark their retries, the mark decides.
+ *
+ * <p>If clients do not mark their retries, a request with at least half of the class's deadline
+ * remaining counts as a retry. A request with less remaining counts as a first attempt, because a
+ * client with a short timeout is more likely than a late retry. It counts as a retry, though, if
+ * the recent rejections of this dispatcher number at least half of the recent requests with so
+ * little time remaining. Rejections with reason {@link RejectionReason#ARRIVED_TOO_LATE} are not
+ * counted, because they result from this estimate and would confirm it.
  */
 final class FirstAttemptEstimator {
-  /** Less than the class's deadline divided by this is a short time budget. */
+  /**
+   * A request has a short time budget if its remaining time is less than the class's deadline
+   * divided by this number.
+   */
   private static final int SHORT_BUDGET_DIVISOR = 2;
 
-  /** How many requests with short budgets one rejection explains as retries. */
+  /** The number of requests with a short time budget that one rejection accounts for as retries. */
   private static final double SHORT_BUDGETS_PER_REJECTION = 2;
 
   private final boolean clientsMarkRetries;
@@ -27,8 +33,11 @@
   private final DecayingSum rejections;
 
   /**
+   * Creates an estimator without observations.
+   *
    * @param clientsMarkRetries whether clients mark their retries
-   * @param timeConstantMicros for how long requests and rejections count
+   * @param timeConstantMicros the time after which requests and rejections count for a fraction of
+   *     1/e
    */
   FirstAttemptEstimator(boolean clientsMarkRetries, double timeConstantMicros) {
     this.clientsMarkRetries = clientsMarkRetries;
@@ -36,7 +45,7 @@
     rejections = new DecayingSum(timeConstantMicros);
   }
 
-  /** When the client of a request that arrives now made its first attempt. */
+  /** Returns the estimated time of the client's first attempt for a request that arrives now. */
   long firstAttemptAt(RequestArrived arrival, RequestClass requestClass, long now) {
     long remaining = arrival.deadline() - now;
     if (remaining >= requestClass.deadline() || (clientsMarkRetries && !arrival.clientRetry())) {
@@ -52,7 +61,10 @@
     return arrival.deadline() - requestClass.deadline();
   }
 
-  /** A request was rejected; its client may retry. */
+  /**
+   * Records that a request was given up, so that its client may retry. Ignores requests that
+   * arrived too late.
+   */
   void recordRejection(RejectionReason reason, long now) {
     if (reason != RejectionReason.ARRIVED_TOO_LATE) {
       rejections.add(1, now);
--- a/src/main/java/loomreel/decision/Hashing.java
+++ b/src/main/java/loomreel/decision/Hashing.java
@@ -1,10 +1,10 @@
 package loomreel.decision;
 
-/** Hash functions that give the same result for the same input at every dispatcher. */
+/** Hash functions that return the same result for the same input at every dispatcher. */
 final class Hashing {
   private Hashing() {}
 
-  /** Spreads the bits of a hash (the finaliser of SplitMix64). */
+  /** Mixes the bits of a hash with the finalizer of SplitMix64. */
   static long mix(long value) {
     long mixed = value + 0x9E3779B97F4A7C15L;
     mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
@@ -12,12 +12,12 @@
     return mixed ^ mixed >>> 31;
   }
 
-  /** A hash as a number above 0, at most 1. */
+  /** Returns a hash, after mixing, as a number greater than 0 and at most 1. */
   static double toUnitInterval(long hash) {
     return ((mix(hash) >>> 11) + 1) * 0x1.0p-53;
   }
 
-  /** The FNV-1a hash of a text, mixed; the same at every dispatcher. */
+  /** Returns the FNV-1a hash of the UTF-16 code units of a text, after mixing. */
   static long stringHash(String text) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/loomreel/decision/HealthCheckPolicy.java
+++ b/src/main/java/loomreel/decision/HealthCheckPolicy.java
@@ -2,12 +2,19 @@
 
 import loomreel.decision.Settings.LoadReporting;
 
-/** Decides which workers have their load queried before a request is placed. */
+/** Decides which workers receive a health check before a request is sent. */
 final class HealthCheckPolicy {
-  /** A worker whose last report is younger than this is not checked. */
+  /**
+   * A worker is not checked if the age of its last load sample, in microseconds, is below this
+   * limit.
+   */
   private static final long MAX_REPORT_AGE_MICROS = 400_000;
 
-  /** The fallback needs any capacity, not the least load, so older reports suffice. */
+  /**
+   * The limit on the age of the last load sample, in microseconds, of fallback candidates that
+   * follow the hashed ones. Such a candidate needs only some free capacity rather than the least
+   * load, so an older sample is accurate enough.
+   */
   private static final long MAX_REPORT_AGE_FOR_FALLBACK_MICROS = 4 * MAX_REPORT_AGE_MICROS;
 
   private final PolicyContext context;
@@ -28,9 +35,11 @@
   }
 
   /**
-   * Checks the candidates whose load is not known, round by round.
+   * Sends health checks to the candidates of a request whose load is unknown, one round after the
+   * other. Stops as soon as a candidate of an earlier round can be selected or the request has to
+   * wait.
    *
-   * @return whether the request waits for answers
+   * @return whether the request waits for health checks to end
    */
   boolean checkCandidates(PendingRequest request) {
     if (!enabled) {
@@ -52,6 +61,7 @@
     return false;
   }
 
+  /** Sends health checks to the candidates of one round that need one. */
   private void checkRound(PendingRequest request, CandidateRound round) {
     boolean followsHashedRound =
         round == CandidateRound.FALLBACK && !request.candidates().exceedsHashedWorkers();
@@ -62,13 +72,17 @@
     }
   }
 
-  /** Not if its load is known, or if the request would not go there whatever the answer. */
+  /**
+   * Returns whether a worker needs a health check. It needs none if its load is known, or if the
+   * request would not be sent to it whatever the result.
+   */
   private boolean shouldCheck(
       PendingRequest request, WorkerState worker, boolean followsHashedRound) {
     long now = context.now();
     long maxAge = followsHashedRound ? MAX_REPORT_AGE_FOR_FALLBACK_MICROS : MAX_REPORT_AGE_MICROS;
     boolean isLoadKnown = now - worker.load.sampledAt() < maxAge;
-    // The capacity of a warming worker is its slow-start allowance.
+    // The capacity of a worker that warms up is limited by its slow-start allowance, not by its
+    // load.
     boolean isWarming = followsHashedRound && !slowStart.isWarm(worker, now);
     return !isLoadKnown
         && !isWarming
@@ -77,6 +91,10 @@
         && slowStart.allows(request, worker);
   }
 
+  /**
+   * Sends a health check unless one is pending or the request has used up its health checks, and
+   * lets the request wait for a pending one that is not overdue.
+   */
   private void sendOrAwaitHealthCheck(PendingRequest request, WorkerState worker) {
     if (!worker.isHealthCheckPending() && request.tryAcquireHealthCheck()) {
       worker.recordHealthCheckSent(context.now());
