--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -1,6 +1,9 @@
 package loomreel.decision;
 
-/** A job key's preferred workers, and the demand for it. */
+/**
+ * The preferred workers of one job key, and the demand of the jobs that have this key. Times are in
+ * microseconds.
+ */
 final class KeyAffinity {
   private static final long NOT_RANKED = -1;
 
@@ -10,28 +13,43 @@
   private WorkerState[] ranking;
   private WorkerState secondChoice;
 
-  /** The first workers of the key's ranking, best first; null before {@link #rank}. */
+  /**
+   * Returns the highest-ranked workers for the key, best first; null before the first call of
+   * {@link #rank}.
+   */
   WorkerState[] ranking() {
     return ranking;
   }
 
-  /** The best worker under a second, independent hash; null if there are no workers. */
+  /**
+   * Returns the highest-ranked worker under a second, independent hash of the key; null if there
+   * are no workers or before the first call of {@link #rank}.
+   */
   WorkerState secondChoice() {
     return secondChoice;
   }
 
-  /** Slots that jobs with this key have taken on average, over the time constant of rates. */
+  /**
+   * Returns the mean number of slots that jobs with this key occupy, averaged over {@link
+   * DecayingSum#RATE_TIME_CONSTANT_MICROS}.
+   */
   double demandAt(long now) {
     return demand.valueAt(now);
   }
 
-  /** A request with this key has arrived. */
+  /** Records the arrival of a request with this key. */
   void recordDemand(PendingRequest request, ServiceTimeEstimator serviceTimes, long now) {
     double slotMicros = serviceTimes.expectedWork(request);
     demand.add(slotMicros / DecayingSum.RATE_TIME_CONSTANT_MICROS, now);
   }
 
-  /** Ranks the workers for this key, unless that was done since the list last changed. */
+  /**
+   * Ranks the workers for the key, unless the set of eligible workers has not changed since the
+   * last ranking.
+   *
+   * @param currentVersion the current version of the worker table
+   * @param maxRankedWorkers the maximum length of the ranking
+   */
   void rank(
       String key,
       WorkerState[] workers,
--- a/src/main/java/loomreel/decision/KeyAffinityTable.java
+++ b/src/main/java/loomreel/decision/KeyAffinityTable.java
@@ -2,12 +2,14 @@
 
 import java.util.LinkedHashMap;
 
-/** A cache of the most recently used keys, each with its ranking of the workers. */
+/** A cache of the most recently used job keys with their rankings of the workers. */
 final class KeyAffinityTable {
-  /** How many keys are cached; the least recently used is evicted. */
+  /**
+   * The maximum number of cached keys. If it is exceeded, the least recently used key is evicted.
+   */
   private static final int MAX_KEYS = 4096;
 
-  /** How many places of a key's ranking are cached. */
+  /** The maximum number of workers in the cached ranking of a key. */
   static final int MAX_RANKED_WORKERS = 64;
 
   private static final int INITIAL_CAPACITY = 64;
@@ -23,7 +25,11 @@
     this.ranking = ranking;
   }
 
-  /** The affinity of a request's key, ranked by the current list. */
+  /**
+   * Returns the affinity of a request's key, with a ranking of the workers that are eligible for
+   * the request now. Jobs with the same key but different worker kinds or queues have separate
+   * affinities.
+   */
   KeyAffinity get(PendingRequest request) {
     String queue = request.arrival.queue() == null ? "" : '/' + request.arrival.queue();
     String key = request.arrival.key();
--- a/src/main/java/loomreel/decision/LatencyEstimator.java
+++ b/src/main/java/loomreel/decision/LatencyEstimator.java
@@ -1,8 +1,14 @@
 package loomreel.decision;
 
-/** Compares how long jobs take at one worker with how long they take at all. */
+/**
+ * Compares the time that jobs take at one worker with the time that they take at all workers. Work
+ * is the run time at speed 1 that requests announce. Work and times are in microseconds.
+ */
 final class LatencyEstimator {
-  /** The weight of the prior, which is the usual latency, in mean jobs. */
+  /**
+   * The weight of the prior, in jobs of mean run time. The prior assumes that jobs take as long at
+   * a worker as at all workers.
+   */
   private static final double PRIOR_WEIGHT_JOBS = 3;
 
   private final ServiceTimeEstimator serviceTimes;
@@ -12,7 +18,12 @@
     this.serviceTimes = serviceTimes;
   }
 
-  /** A job has been served; the time counts from its start, or its send if none was reported. */
+  /**
+   * Records a job that was served. Ignores a job whose request announced no work.
+   *
+   * @param serviceTime the time from the start of the job to its end, or from the send if no start
+   *     was reported
+   */
   void recordServed(AttemptState attempt, double serviceTime, long now) {
     double work = attempt.request.arrival.expectedWork();
     if (!Double.isNaN(work)) {
@@ -22,9 +33,11 @@
   }
 
   /**
-   * How many times as long jobs take at this worker as at all of them, for the work that they
-   * announce; about 1 while little is known. An open job counts once it has taken longer than
-   * usual, but no more than a mean job: its answer may be lost, and one job is weak evidence.
+   * Returns the ratio of the time per unit of work at one worker to the time per unit of work at
+   * all workers. The ratio is 1 while no job has been served, and close to 1 while little is known
+   * of the worker. An open job is counted once it takes longer than its work takes at all workers.
+   * The excess is limited to the time of a mean job, because the answer to the job may have been
+   * lost and one job is weak evidence.
    */
   double latencyRatio(WorkerState worker, long now) {
     if (serviceRate.workDone(now) <= 0) {
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -3,41 +3,54 @@
 import loomreel.decision.Settings.LoadReporting;
 
 /**
- * Estimates how loaded workers are, as a fraction of their slots, from their load reports and from
- * what this dispatcher has sent them since. What is known of one worker decays into what is known
- * of all. Times are microseconds.
+ * Estimates the loads of workers, as fractions of their slots, from their load reports and from the
+ * attempts that this dispatcher has sent since the reports. As the last report of a worker ages,
+ * its estimate approaches the mean load of all workers. Times are in microseconds.
  */
 final class LoadEstimator {
-  /** Slots of a worker before the first report. */
+  /** The assumed number of slots of a worker before the first load report of any worker. */
   private static final double DEFAULT_SLOTS = 4;
 
-  /** The mean load before the first report, where workers report any. */
+  /** The assumed mean load before the first load report, if workers report their load. */
   private static final double INITIAL_MEAN_LOAD = 0.5;
 
-  /** Time constant with which a worker's own load decays into the usual one. */
+  /**
+   * The time constant, in microseconds, with which the mean load of one worker approaches that of
+   * all workers.
+   */
   private static final double LOAD_DECAY_TIME_CONSTANT_MICROS = 0.8e6;
 
-  /** After this many mean run times, 1/e of a report still holds. */
+  /** The time constant, in mean run times, with which the weight of a load report decays. */
   private static final double REPORT_TIME_CONSTANT_RUN_TIMES = 2;
 
-  /** A worker whose jobs take this many times as long as everywhere gets a load penalty. */
+  /**
+   * The maximum latency ratio without a load penalty. The penalty is the amount by which the ratio
+   * exceeds this limit. {@link LatencyEstimator#latencyRatio} defines the ratio.
+   */
   private static final double MAX_UNPENALIZED_LATENCY_RATIO = 1.25;
 
-  /** The fraction of a worker that one key may fill before it is spread over more workers. */
+  /**
+   * The maximum fraction of a worker's slots for the jobs of one key. A key that needs more is
+   * spread over more workers.
+   */
   private static final double MAX_WORKER_FRACTION_PER_KEY = 0.25;
 
-  /** Demand within this many standard deviations of zero may be due to chance. */
+  /**
+   * The number of standard deviations that are subtracted from the observed demand for a key.
+   * Demand within this range of zero may be due to chance.
+   */
   private static final double DEMAND_NOISE_DEVIATIONS = 1.5;
 
-  /** The class whose mean run time stands for that of a key's jobs. */
+  /** The index of the request class whose mean run time is used for the jobs of every key. */
   private static final int FIRST_CLASS = 0;
 
+  /** The weight of a new sample in the mean load and the mean slots of all workers. */
   private static final double SAMPLE_WEIGHT = 0.02;
 
-  /** The most that one sample counts for in the mean load. */
+  /** The maximum value with which a sample enters the mean load of all workers. */
   private static final double MAX_LOAD_IN_MEAN = 2;
 
-  /** A worker that reports less than this many free slots is full. */
+  /** A worker that reports fewer free slots than this is full. */
   private static final double MIN_FREE_SLOTS = 0.5;
 
   private static final double FULL_LOAD = 1;
@@ -49,7 +62,7 @@
   private final long startedAt;
   private double meanLoad;
 
-  /** Mean slots of all workers; 0 before the first report. */
+  /** The mean number of slots of all workers; 0 before the first load report. */
   private double meanSlots;
 
   LoadEstimator(PolicyContext context, WorkerTable workers, ServiceTimeEstimator serviceTimes) {
@@ -65,12 +78,15 @@
     return context.settings().loadReporting() != LoadReporting.NONE;
   }
 
-  /** The mean load of all workers. */
+  /** Returns the mean load of all workers, as a fraction of their slots. */
   double meanLoad() {
     return meanLoad;
   }
 
-  /** A worker's slots, or those of a typical one while they are not known. */
+  /**
+   * Returns the number of slots of a worker. If it is not known, returns the mean of all workers
+   * or, before the first report, {@link #DEFAULT_SLOTS}.
+   */
   double slots(WorkerState worker) {
     return worker.load.hasSlots() ? worker.load.slots() : typicalSlots();
   }
@@ -79,16 +95,21 @@
     return meanSlots > 0 ? meanSlots : DEFAULT_SLOTS;
   }
 
-  /** The fraction of the time constant of rates that this dispatcher has been up for. */
+  /**
+   * Returns the fraction of its steady value that a {@link DecayingSum} with the time constant
+   * {@link DecayingSum#RATE_TIME_CONSTANT_MICROS} reaches if amounts are added at a constant rate
+   * since this dispatcher started. The result is greater than 0 and approaches 1.
+   */
   double observedFraction() {
     double age = startedAt - context.now() - 1;
     return 1 - Math.exp(age / DecayingSum.RATE_TIME_CONSTANT_MICROS);
   }
 
   /**
-   * How many workers a key needs, from this dispatcher's traffic times the number of dispatchers: a
-   * hot key fills both of its candidates while each dispatcher's own count is still low. Traffic
-   * that may be due to chance does not count.
+   * Returns the number of workers that the traffic of a key needs. The estimate multiplies this
+   * dispatcher's traffic by the number of dispatchers, because a hot key can fill its hashed
+   * workers while the count of each single dispatcher is still low. Traffic that may be due to
+   * chance is not counted. The result is 0 if no traffic is counted.
    */
   int workersNeeded(KeyAffinity key) {
     double observedDemand = key.demandAt(context.now());
@@ -103,17 +124,29 @@
     return (int) Math.ceil(demand / observedFraction() * dispatchers / keyCapacity);
   }
 
-  /** This dispatcher's traffic relative to the mean of all: 1, unless it is a hot one. */
+  /**
+   * Returns this dispatcher's traffic relative to the mean of all dispatchers; 1 unless this
+   * dispatcher is hot.
+   */
   double trafficFactor() {
     return trafficEstimator.factor(context.now());
   }
 
-  /** A job has been served; the time counts from its start, or its send if none was reported. */
+  /**
+   * Records a job that was served.
+   *
+   * @param serviceTime the time from the start of the job to its end, or from the send if no start
+   *     was reported
+   */
   void recordServed(AttemptState attempt, double serviceTime) {
     latencyEstimator.recordServed(attempt, serviceTime, context.now());
   }
 
-  /** A worker has reported its load; null and a report without free slots are ignored. */
+  /**
+   * Records a load report of a worker.
+   *
+   * @param report the report; it is ignored if it is null or has no number of free slots
+   */
   void recordReport(WorkerState worker, WorkerLoad report) {
     if (report == null || Double.isNaN(report.freeSlots())) {
       return;
@@ -142,13 +175,18 @@
     meanSlots = isFirst ? load.slots() : meanSlots + SAMPLE_WEIGHT * (load.slots() - meanSlots);
   }
 
-  /** A worker's load has been observed. */
+  /**
+   * Records an observed load of a worker.
+   *
+   * @param load the load, as a fraction of the worker's slots
+   */
   void recordSample(WorkerState worker, double load) {
     worker.load.addSample(load, context.now());
   }
 
   /**
-   * A worker's load as a fraction of its slots; infinite while the start of a job there is overdue.
+   * Returns the estimated load of a worker, as a fraction of its slots; infinite if the start of a
+   * job at the worker is overdue.
    */
   double estimate(WorkerState worker) {
     long now = context.now();
@@ -174,13 +212,19 @@
         + penalty;
   }
 
-  /** The mean load of a worker, which decays into that of all with the age of the last sample. */
+  /**
+   * Returns a weighted mean of the mean load of a worker and that of all workers. The weight of the
+   * latter grows with the age of the worker's last sample.
+   */
   private double decayedMeanLoad(WorkerLoadHistory load, double age) {
     double decay = Math.exp(-age / LOAD_DECAY_TIME_CONSTANT_MICROS);
     return meanLoad + (load.meanLoad() - meanLoad) * decay;
   }
 
-  /** How far the last report still holds, from 0 to 1. */
+  /**
+   * Returns the weight of a worker's last report, from 0 to 1, for the time since the report
+   * arrived.
+   */
   private double reportWeight(double age) {
     double timeConstant = REPORT_TIME_CONSTANT_RUN_TIMES * serviceTimes.meanRunTime();
     return Math.exp(-(age + WorkerTable.REPORT_DELAY_MICROS) / timeConstant);
--- a/src/main/java/loomreel/decision/MovingAverage.java
+++ b/src/main/java/loomreel/decision/MovingAverage.java
@@ -1,8 +1,9 @@
 package loomreel.decision;
 
 /**
- * A mean that starts from a guess: an arithmetic mean of the first {@value #MAX_COUNT} values, and an
- * exponentially weighted one from then on.
+ * A running mean that starts from an initial value. For the first {@value #MAX_COUNT} added values,
+ * it is the arithmetic mean of these and the initial value. From then on, it is an exponentially
+ * weighted mean.
  */
 final class MovingAverage {
   private static final int MAX_COUNT = 100;
--- a/src/main/java/loomreel/decision/OutcomeRecorder.java
+++ b/src/main/java/loomreel/decision/OutcomeRecorder.java
@@ -4,12 +4,18 @@
 import loomreel.decision.Event.HealthChecked;
 import loomreel.decision.Settings.LoadReporting;
 
-/** Updates estimates and workers from the outcomes of attempts and health checks. */
+/**
+ * Updates the estimates and the states of workers from the outcomes of attempts and health checks.
+ */
 final class OutcomeRecorder {
-  /** The load that is assumed of a worker that has rejected an attempt as full. */
+  /** The load sample that is recorded for a worker that rejected an attempt because it was full. */
   private static final double FULL_WORKER_LOAD = 2;
 
-  /** A start that takes longer than this part of the start timeout shows a loaded worker. */
+  /**
+   * A start is delayed if it takes longer than the start timeout divided by this number. If workers
+   * report no load, a delayed start counts as a load sample of 1 and any other start as a load
+   * sample of 0.
+   */
   private static final double DELAYED_START_DIVISOR = 2;
 
   private final PolicyState state;
@@ -22,7 +28,7 @@
     ejector = new OutlierEjector(state);
   }
 
-  /** The job of an attempt has started. */
+  /** Records that the job of an attempt has started. */
   void recordStart(AttemptState attempt) {
     attempt.recordStart(context.now());
     double startDelay = (double) (context.now() - attempt.sentAt);
@@ -33,7 +39,7 @@
     state.serviceTimes.recordStartDelay(startDelay);
   }
 
-  /** An attempt has ended. */
+  /** Records the end of an attempt. */
   void recordEnd(AttemptState attempt, AttemptEnded event) {
     WorkerState worker = attempt.worker;
     attempt.recordEnd(event.outcome());
@@ -67,21 +73,23 @@
     }
     double waitTime = (double) (context.now() - attempt.sentAt);
     state.serviceTimes.recordStartDelay(waitTime);
-    // A client that disconnects at once is no evidence against the worker.
+    // A client may disconnect soon after the attempt was sent. Only a longer wait without any
+    // response indicates that the worker is unresponsive.
     boolean isUnresponsive = attempt.worker.lastResponseAt() < attempt.sentAt;
     if (isUnresponsive && waitTime > state.serviceTimes.meanRunTime()) {
       ejector.ejectUnresponsive(attempt.worker, outcome);
     }
   }
 
-  /** A health check has ended. */
+  /** Records the end of a health check. */
   void recordHealthCheck(WorkerState worker, HealthChecked event) {
     if (event.outcome() == AttemptOutcome.OK) {
       worker.recordResponse(context.now());
       state.workerLoads.recordReport(worker, event.load());
       state.serviceTimes.recordHealthCheck(event.duration());
     } else if (event.outcome() != AttemptOutcome.RESET) {
-      // A machine that is up has sent the reset; if its process is down, the next attempt fails.
+      // A reset is excluded because it shows that the worker's machine is up. If only its process
+      // is down, the next attempt fails.
       ejector.ejectUnresponsive(worker, event.outcome());
     }
   }
--- a/src/main/java/loomreel/decision/OutlierEjector.java
+++ b/src/main/java/loomreel/decision/OutlierEjector.java
@@ -1,20 +1,32 @@
 package loomreel.decision;
 
-/** Ejects workers that do not answer, with exponential backoff. */
+/** Ejects workers that do not respond, with exponential backoff, and workers that are full. */
 final class OutlierEjector {
-  /** A worker whose last response is younger than this is not silent yet. */
+  /**
+   * A worker that has sent a response within this time, in microseconds, is not considered down
+   * after a failed connection.
+   */
   private static final long RECENT_RESPONSE_MICROS = 400_000;
 
-  /** At most one worker in this many is ejected at a time, or the others would be overloaded. */
+  /**
+   * An unresponsive worker is ejected only while the number of ejected workers is less than the
+   * number of listed workers divided by this. Otherwise the remaining workers would be overloaded.
+   */
   private static final int MAX_EJECTED_DIVISOR = 3;
 
-  /** The first backoff of a silent worker, in mean run times. */
+  /** The backoff of the first ejection of an unresponsive worker, in mean run times. */
   private static final double UNRESPONSIVE_BACKOFF_RUN_TIMES = 8;
 
-  /** The first backoff of a worker that has responded recently, in mean run times. */
+  /**
+   * The backoff of the first ejection of a worker that failed to connect but has responded
+   * recently, in mean run times.
+   */
   private static final double LOST_CONNECTION_BACKOFF_RUN_TIMES = 0.5;
 
-  /** The least backoff of a full worker, in mean run times; the jitter is one more. */
+  /**
+   * The minimum ejection time of a full worker, in mean run times. The jitter adds up to 1 mean run
+   * time.
+   */
   private static final double MIN_FULL_BACKOFF_RUN_TIMES = 0.5;
 
   private final PolicyContext context;
@@ -28,8 +40,9 @@
   }
 
   /**
-   * Ejects a silent worker, unless many are ejected. One that has responded recently may only have
-   * lost a connection: its first backoff is short.
+   * Ejects an unresponsive worker unless too many workers are ejected already. A worker that failed
+   * to connect but has responded recently may only have lost a connection, so its first backoff is
+   * short.
    */
   void ejectUnresponsive(WorkerState worker, AttemptOutcome outcome) {
     long now = context.now();
@@ -42,7 +55,10 @@
     }
   }
 
-  /** Ejects a worker that has rejected an attempt as full, for 0.5 to 1.5 mean run times. */
+  /**
+   * Ejects a worker that rejected an attempt because it was full. The ejection lasts 0.5 to 1.5
+   * mean run times.
+   */
   void ejectFull(WorkerState worker) {
     double backoff =
         serviceTimes.meanRunTime() * (MIN_FULL_BACKOFF_RUN_TIMES + context.random().nextDouble());
--- a/src/main/java/loomreel/decision/RendezvousRanking.java
+++ b/src/main/java/loomreel/decision/RendezvousRanking.java
@@ -4,12 +4,15 @@
 import java.util.Comparator;
 
 /**
- * Weighted rendezvous hashing (highest random weight): each worker gets a score from its own hash
- * and the key's, and the lowest scores rank first. When workers join or leave, only the keys of
- * those workers move.
+ * Ranks workers by weighted rendezvous hashing (highest random weight). Each worker has a score
+ * that is computed from its own hash and the hash of the key. The workers with the lowest scores
+ * rank first. When workers join or leave, only the keys of these workers move.
  */
 final class RendezvousRanking {
-  /** Derives the second, independent hash of a key from its first. */
+  /**
+   * The mask that is combined with the hash of a key by exclusive or, to derive a second,
+   * independent hash.
+   */
   private static final long SECOND_HASH_MASK = 0x5DEECE66DL;
 
   private final boolean weighted;
@@ -17,14 +20,19 @@
   private record RankedWorker(WorkerState worker, double score) {}
 
   /**
-   * @param weighted whether a worker's weight scales its fraction of the keys; only for weights
-   *     that stay the same between endpoint lists
+   * Creates a ranking.
+   *
+   * @param weighted whether the fraction of the keys that a worker receives is proportional to its
+   *     weight; must be false if weights change between endpoint lists
    */
   RendezvousRanking(boolean weighted) {
     this.weighted = weighted;
   }
 
-  /** The first {@code limit} workers for a hash, best first. */
+  /**
+   * Returns the {@code limit} highest-ranked workers for the hash of a key, best first; fewer if
+   * there are not as many workers.
+   */
   WorkerState[] first(int limit, long hash, WorkerState[] workers) {
     return Arrays.stream(rank(workers, hash))
         .limit(limit)
@@ -32,7 +40,9 @@
         .toArray(WorkerState[]::new);
   }
 
-  /** The best worker under the second hash of a key, or null if there are no workers. */
+  /**
+   * Returns the highest-ranked worker for the second hash of a key; null if there are no workers.
+   */
   WorkerState second(long hash, WorkerState[] workers) {
     return workers.length == 0 ? null : rank(workers, hash ^ SECOND_HASH_MASK)[0].worker();
   }
@@ -46,6 +56,10 @@
     return ranked;
   }
 
+  /**
+   * Returns the score of a worker, which is exponentially distributed with the worker's weight as
+   * its rate.
+   */
   private double score(WorkerState worker, long hash) {
     double weight = weighted ? worker.endpoint().weight() : 1;
     return -Math.log(Hashing.toUnitInterval(hash ^ worker.hash)) / weight;
