--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -9,8 +9,9 @@
  */
 final class AdmissionController {
   /**
-   * The load threshold for requests beyond the quota of their tenant, as a fraction of a worker's
-   * slots. Such a request is sent only to a worker whose load is below it.
+   * The load threshold of a request beyond the quota of its tenant, as a fraction of a worker's
+   * slots. It is lower than {@link WorkerSelector#FULL_THRESHOLD}, so that such a request is sent
+   * only to a worker with a low load.
    */
   private static final double OVER_QUOTA_LOAD_THRESHOLD = 0.5;
 
--- a/src/main/java/loomreel/decision/Idempotency.java
+++ b/src/main/java/loomreel/decision/Idempotency.java
@@ -1,11 +1,17 @@
 package loomreel.decision;
 
-/** Whether requests of a class may be attempted again once an attempt may have run. */
+/** Whether a request may be attempted again after an attempt that may have run. */
 public enum Idempotency {
-  /** Always: running twice does no harm. */
+  /**
+   * It may be attempted again at any worker. Running the job twice has the same effect as running
+   * it once.
+   */
   IDEMPOTENT,
-  /** Only where workers recognise the repetition by its key; see {@link DeduplicationScope}. */
+  /**
+   * It may be attempted again only at workers that recognize the repetition by its idempotency key.
+   * {@link DeduplicationScope} tells which ones these are.
+   */
   KEYED,
-  /** Never. */
+  /** It may not be attempted again. */
   NON_IDEMPOTENT
 }
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -5,28 +5,32 @@
 import loomreel.decision.Event.RequestArrived;
 import loomreel.decision.Settings.RequestClass;
 
-/** A request until its answer is given and all of its attempts have ended. */
+/** A request that has no final answer yet, or that has open attempts. Times are in microseconds. */
 final class PendingRequest {
+  /** The maximum number of health checks that one request may cause. */
   private static final int MAX_HEALTH_CHECKS = 4 * WorkerSelector.SAMPLE_WITH_HEALTH_CHECKS;
 
   final RequestArrived arrival;
   final RequestClass requestClass;
 
-  /** That of its class; without an idempotency key a keyed request is not idempotent. */
+  /**
+   * The idempotency of the request's class, or {@link Idempotency#NON_IDEMPOTENT} if the class is
+   * keyed and the request has no idempotency key.
+   */
   final Idempotency idempotency;
 
-  /** The token of its timers, and its number in the order of arrival. */
+  /** The token of the request's timers. Tokens increase in the order of arrival. */
   final long token;
 
   private final List<AttemptState> attempts = new ArrayList<>(2);
 
-  /** Null until it is admitted. */
+  /** Null until the request is admitted. */
   private RequestDeadlines deadlines;
 
-  /** Null until its first placement. */
+  /** Null until the first candidates are drawn. */
   private CandidateDraw candidates;
 
-  /** The next round of candidates whose load may be queried; null after the last. */
+  /** The next round of candidates that may receive health checks; null after the last round. */
   private CandidateRound healthCheckRound;
 
   private double loadThreshold = WorkerSelector.FULL_THRESHOLD;
@@ -56,7 +60,7 @@
     return arrival.key() != null;
   }
 
-  /** When its answer loses its value; null until {@link #setDeadlines}. */
+  /** Returns the deadlines of the request; null until {@link #setDeadlines} is called. */
   RequestDeadlines deadlines() {
     return deadlines;
   }
@@ -65,7 +69,11 @@
     deadlines = newDeadlines;
   }
 
-  /** The load, as a fraction of a worker's slots, below which this request may go there. */
+  /**
+   * Returns the load threshold of the request, as a fraction of a worker's slots. A worker may
+   * receive the request only if its load is below the threshold, which {@link WorkerSelector}
+   * raises if all workers are loaded.
+   */
   double loadThreshold() {
     return loadThreshold;
   }
@@ -74,7 +82,7 @@
     loadThreshold = threshold;
   }
 
-  /** The attempts in the order of their starts. */
+  /** Returns the attempts in the order in which they were started. */
   List<AttemptState> attempts() {
     return attempts;
   }
@@ -91,22 +99,29 @@
     return attempts.stream().anyMatch(attempt -> attempt.isOpen() && attempt.hasStarted());
   }
 
+  /** Returns the attempt that was started last. There must be at least one. */
   AttemptState lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
 
-  /** What its candidates are drawn from; null until {@link #setCandidates}. */
+  /**
+   * Returns the parameters from which the request's candidates are derived; null until {@link
+   * #setCandidates} is called.
+   */
   CandidateDraw candidates() {
     return candidates;
   }
 
-  /** Sets new candidates, whose health checks start with the first round. */
+  /** Sets new parameters for the candidates and restarts the health checks with the first round. */
   void setCandidates(CandidateDraw draw) {
     candidates = draw;
     healthCheckRound = draw.firstRound();
   }
 
-  /** How far the fallback has moved down the key's ranking, in samples. */
+  /**
+   * Returns the offset, in samples, at which the fallback starts in the ranking of the request's
+   * key.
+   */
   int rankingOffsetSamples() {
     return rankingOffsetSamples;
   }
@@ -115,16 +130,23 @@
     rankingOffsetSamples += samples;
   }
 
-  /** The next round of candidates whose load may be queried; null after the last. */
+  /**
+   * Returns the next round of candidates that may receive health checks; null after the last round.
+   */
   CandidateRound healthCheckRound() {
     return healthCheckRound;
   }
 
+  /** Moves to the next round of candidates. The current round must not be null. */
   void advanceHealthCheckRound() {
     healthCheckRound = healthCheckRound.next();
   }
 
-  /** Takes one health check of those that the request may cause; false if none remains. */
+  /**
+   * Takes one of the health checks that the request may cause.
+   *
+   * @return false if none is left
+   */
   boolean tryAcquireHealthCheck() {
     healthChecksRequested++;
     return healthChecksRequested <= MAX_HEALTH_CHECKS;
@@ -146,7 +168,7 @@
     pendingHealthChecks = 0;
   }
 
-  /** Whether it has its answer, or needs none any more. */
+  /** Returns whether the request has its final answer or does not need one any more. */
   boolean hasEnded() {
     return ended;
   }
--- a/src/main/java/loomreel/decision/PolicyContext.java
+++ b/src/main/java/loomreel/decision/PolicyContext.java
@@ -4,8 +4,8 @@
 import java.util.SplittableRandom;
 
 /**
- * What the parts of the policy share while one event is handled: the settings, the source of random
- * numbers, the clock and the list that takes the actions.
+ * The context that the components of the policy share while they handle one event: the settings,
+ * the source of random numbers, the time of the event, and the list to which actions are added.
  */
 final class PolicyContext {
   private final Settings settings;
@@ -18,7 +18,7 @@
     this.random = random;
   }
 
-  /** An event is handled from here on. */
+  /** Begins the handling of an event. */
   void beginEvent(long now, List<Action> actions) {
     this.now = now;
     this.actions = actions;
@@ -32,17 +32,23 @@
     return random;
   }
 
-  /** The time of the event, in microseconds. */
+  /** Returns the time of the current event, in microseconds. */
   long now() {
     return now;
   }
 
-  /** Adds an action; actions are carried out in order. */
+  /**
+   * Adds an action to the list. The dispatcher executes the actions in the order in which they were
+   * added.
+   */
   void emit(Action action) {
     actions.add(action);
   }
 
-  /** Schedules the review of a request at a time, or at once if that has passed. */
+  /**
+   * Sets a timer of a request. The timer fires at the given time, or at once if that time has
+   * passed.
+   */
   void setTimer(PendingRequest request, long time) {
     emit(new Action.SetTimer(Math.max(now, time), request.token));
   }
--- a/src/main/java/loomreel/decision/PolicyEventHandler.java
+++ b/src/main/java/loomreel/decision/PolicyEventHandler.java
@@ -15,8 +15,8 @@
 import loomreel.decision.Event.WorkerEnabled;
 
 /**
- * Handles the events of one dispatcher from its start to its stop: brings the state up to date,
- * then has the {@link RequestScheduler} act on it.
+ * Handles the events of one dispatcher from its start to its stop. It updates the state of the
+ * policy and then calls the {@link RequestScheduler}.
  */
 final class PolicyEventHandler {
   private final PolicyContext context;
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Handles one event.
+   * Handles one event other than a start or a stop.
    *
-   * @throws IllegalStateException if its type is unknown, or it is a start
+   * @throws IllegalStateException if the type of the event is not handled here
    */
   void handle(Event event) {
     if (event instanceof AttemptEnded end) {
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -1,11 +1,17 @@
 package loomreel.decision;
 
-/** What the policy knows of workers, requests and keys, and its estimates. It decides nothing. */
+/**
+ * The state of a started policy: its workers, requests, job keys and estimates. This class makes no
+ * decisions.
+ */
 final class PolicyState {
-  /** Token of the timer that polls the endpoint list. */
+  /** The token of the timer that polls the endpoint list. */
   static final long POLL_TIMER = 0;
 
-  /** Token of the timer that retries queued requests; those above it are requests' timers. */
+  /**
+   * The token of the timer that retries the queued requests. Tokens greater than this belong to the
+   * timers of requests.
+   */
   static final long QUEUE_TIMER = 1;
 
   final PolicyContext context;
@@ -17,8 +23,10 @@
   final SlowStartController slowStart;
 
   /**
+   * Creates the state of a policy that has just started.
+   *
    * @param capacityFraction the fraction of the dispatcher's slow-start allowance that this process
-   *     may use
+   *     may use, from 0 to 1
    */
   PolicyState(PolicyContext context, double capacityFraction) {
     this.context = context;
@@ -30,7 +38,10 @@
         new SlowStartController(context, workers, serviceTimes, workerLoads, capacityFraction);
   }
 
-  /** An attempt of a request is being started. */
+  /**
+   * Records a new attempt of a request at a worker. It must be called for each attempt when it is
+   * started.
+   */
   void recordAttempt(PendingRequest request, WorkerState worker) {
     AttemptState attempt = new AttemptState(request, worker, context.now());
     request.addAttempt(attempt);
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -4,21 +4,23 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * When a dispatcher polls the endpoint list, where it has to poll. Dispatchers that start or lose
- * discovery together must not poll together: the first poll is spread over a part of the interval,
- * and failures are followed by exponential backoff up to {@link Rules#maxPollBackoff()}, with
- * jitter over the upper half of each wait. A call that took as long as the longest wait was
- * accepted by discovery, so the backoff is reset after it. Times are microseconds.
+ * The schedule on which a dispatcher polls the endpoint list. Dispatchers that start together or
+ * lose discovery together must not poll in unison. The first poll is therefore spread over a part
+ * of the poll interval. After a failure, the wait grows exponentially up to {@link
+ * Rules#maxPollBackoff()}, with jitter over the upper half of each wait. If a failed call has
+ * lasted at least as long as that maximum, discovery had accepted it, so the backoff starts again.
+ * Times are in microseconds.
  */
 final class PollBackoff {
   private static final int BACKOFF_FACTOR = 2;
 
-  /** The first backoff is this part of the longest. */
+  /** The first backoff is the maximum backoff divided by this number. */
   private static final int FIRST_BACKOFF_DIVISOR = 4;
 
-  /** The first poll is made within this fraction of the interval. */
+  /** The numerator of the fraction of the poll interval within which the first poll is made. */
   private static final int FIRST_POLL_JITTER_NUMERATOR = 6;
 
+  /** The denominator of the fraction of the poll interval within which the first poll is made. */
   private static final int FIRST_POLL_JITTER_DENOMINATOR = 40;
 
   private final long maxBackoff;
@@ -28,17 +30,20 @@
 
   PollBackoff(Rules rules) {
     maxBackoff = rules.maxPollBackoff();
-    // Soon after a start, since a restarted dispatcher has an old list.
+    // The first poll is made early, because the endpoint list of a restarted dispatcher may be
+    // outdated.
     firstPollJitter =
         rules.pollInterval() * FIRST_POLL_JITTER_NUMERATOR / FIRST_POLL_JITTER_DENOMINATOR;
   }
 
-  /** When to poll for the first time. */
+  /** Returns the time of the first poll. */
   long firstPollAt(long now, SplittableRandom random) {
     return firstPollJitter == 0 ? now : now + random.nextLong(1 + firstPollJitter);
   }
 
-  /** When to poll after a call that has failed. */
+  /**
+   * Returns the time of the next poll after a poll that has failed now, and increases the backoff.
+   */
   long nextPollAt(long now, SplittableRandom random) {
     long previousBackoff = now - lastPollStartedAt < maxBackoff ? backoff : 0;
     backoff =
@@ -46,12 +51,12 @@
     return now + backoff / 2 + random.nextLong(1 + backoff / 2);
   }
 
-  /** A poll has started. */
+  /** Records the start of a poll. */
   void pollStarted(long now) {
     lastPollStartedAt = now;
   }
 
-  /** Discovery has answered. */
+  /** Records a response of discovery, which resets the backoff. */
   void pollSucceeded() {
     backoff = 0;
   }
--- a/src/main/java/loomreel/decision/RejectionReason.java
+++ b/src/main/java/loomreel/decision/RejectionReason.java
@@ -1,18 +1,24 @@
 package loomreel.decision;
 
-/** Why a request was rejected or failed. */
+/** The reason for which a request was rejected or failed. */
 public enum RejectionReason {
-  /** It arrived when an answer had no value any more. */
+  /** The request arrived when an answer had no value any more. */
   ARRIVED_TOO_LATE,
-  /** Its tenant is over its quota, and no worker was idle enough for such requests. */
+  /**
+   * The request was beyond the quota of its tenant, and no worker was below the load threshold for
+   * such requests.
+   */
   QUOTA_EXCEEDED,
-  /** The endpoint list names no worker that may run its class. */
+  /** No ready and enabled worker may run the request. */
   NO_ELIGIBLE_WORKER,
-  /** No worker had capacity, or slow-start allowance, while an answer still had a value. */
+  /** No worker had capacity or slow-start allowance for the request while an answer had a value. */
   NO_CAPACITY_IN_TIME,
-  /** It was sent, but no worker started it while an answer still had a value. */
+  /** The request was sent, but no worker started it while an answer had a value. */
   NOT_STARTED_IN_TIME,
-  /** Its last attempt has ended, and its class or the limit of attempts allows no other. */
+  /**
+   * All attempts of the request have ended. Its idempotency or the limits on retries allow no
+   * further one.
+   */
   RETRIES_EXHAUSTED,
   /** The client's deadline is about to pass. */
   CLIENT_DEADLINE
--- a/src/main/java/loomreel/decision/RequestQueue.java
+++ b/src/main/java/loomreel/decision/RequestQueue.java
@@ -5,11 +5,15 @@
 import java.util.List;
 import loomreel.decision.Action.SetTimer;
 
-/** Requests that no worker had capacity for, until the next retry. */
+/** The requests for which no worker had capacity. They wait for the next retry. */
 final class RequestQueue {
-  /** The mean pause between two retries is this part of the shortest latency objective. */
+  /**
+   * The mean interval between two retries is the shortest latency objective divided by this number,
+   * but not less than {@link #MIN_RETRY_INTERVAL_TICKS}.
+   */
   private static final int RETRY_INTERVAL_DIVISOR = 16;
 
+  /** The minimum of the mean interval between two retries, in ticks of the dispatcher. */
   private static final int MIN_RETRY_INTERVAL_TICKS = 2;
 
   private final PolicyState state;
@@ -32,7 +36,10 @@
     waiting.remove(request);
   }
 
-  /** Empties the queue: the highest priority first, then the newest. */
+  /**
+   * Removes all requests from the queue and returns them, the highest priority first. Requests of
+   * equal priority are ordered by arrival, the latest first.
+   */
   List<PendingRequest> drain(Comparator<PendingRequest> byPriority) {
     List<PendingRequest> drained = waiting;
     waiting = new ArrayList<>();
@@ -41,8 +48,8 @@
   }
 
   /**
-   * Schedules the next retry after a pause with jitter, unless the queue is empty or a retry is
-   * scheduled.
+   * Schedules the next retry after an interval with jitter, unless the queue is empty or a retry is
+   * already scheduled.
    */
   void scheduleRetry() {
     if (retryScheduled || waiting.isEmpty()) {
@@ -57,7 +64,7 @@
     state.context.emit(new SetTimer(retryAt, PolicyState.QUEUE_TIMER));
   }
 
-  /** The scheduled retry has started. */
+  /** Records that the scheduled retry has started. */
   void retryStarted() {
     retryScheduled = false;
   }
