--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -5,30 +5,48 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * Limits what is sent to workers that warm up, so that all dispatchers together stay under the load
- * at which such a worker fails; {@link SlowStartLimiter} states the bound. Work is slots times
- * microseconds.
+ * Limits the work that is sent to workers that warm up, so that all dispatchers together stay below
+ * the load at which such a worker fails. {@link SlowStartLimiter} describes this bound. Work is the
+ * number of slots multiplied by the run time in microseconds.
  */
 final class SlowStartController {
-  /** The fraction of the overload limit that is used, where it is estimated from warm workers. */
+  /**
+   * The fraction of the overload limit that is used if the limit is estimated from the work of warm
+   * workers.
+   */
   private static final double WARM_WORKER_RATE_MARGIN = 0.33;
 
-  /** The same where it is estimated from the worker's own slots. */
+  /**
+   * The fraction of the overload limit that is used if the limit is estimated from the worker's own
+   * slots.
+   */
   private static final double OWN_SLOTS_RATE_MARGIN = 0.8;
 
-  /** The work that a slot of the slowest machine does per unit of time, where slots share cores. */
+  /** The work that a slot of the slowest machine does per unit of time if its slots share cores. */
   private static final double MIN_SPEED = 0.45;
 
-  /** Mean jobs that warm workers of a kind must have served before their speed is used. */
+  /**
+   * The amount of work, in jobs of mean run time, that warm workers of a kind must have served
+   * before their measured speed is used.
+   */
   private static final double MIN_JOBS_FOR_SPEED = 12;
 
-  /** One warm worker in this many is enough for requests that are too heavy for the others. */
+  /**
+   * Requests that are too heavy for warming workers are kept from them only if the number of warm
+   * workers is at least the number of listed workers divided by this.
+   */
   private static final int MIN_WARM_WORKERS_DIVISOR = 3;
 
-  /** A worker counts as warm after this many times the longest duration of a slow start. */
+  /**
+   * A worker is warm once its age exceeds the maximum slow-start duration multiplied by this
+   * factor.
+   */
   private static final double WARM_UP_DURATION_FACTOR = 1.1;
 
-  /** The work is spread over at least the fleet divided by this, however few workers are warm. */
+  /**
+   * The work is assumed to be spread over more workers than the number of listed workers divided by
+   * this, however few of them are warm.
+   */
   private static final int MIN_SERVING_WORKERS_DIVISOR = 2;
 
   private final PolicyContext context;
@@ -43,14 +61,19 @@
   /** The mean work of the requests that are light enough for warming workers. */
   private final MovingAverage meanLightWork;
 
-  /** The service rate of warm workers, by kind. */
+  /** The service rates of warm workers, by the kind of worker. */
   private final Map<String, ServiceRate> ratesByKind = new HashMap<>();
 
+  /** The work of the attempts that this dispatcher has sent. */
   private final DecayingSum workSent = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
-  /** The fraction of the dispatcher's allowance for this process: 1, unless two serve as one. */
+  /**
+   * The fraction of the dispatcher's allowance that this process may use. It is 1 unless two
+   * processes serve as the same dispatcher.
+   */
   private double capacityFraction;
 
+  /** The cached result of {@link #countWarmWorkers}. */
   private long warmWorkerCount;
   private long warmCountedAt = Timestamp.NEVER;
   private long warmCountedVersion;
@@ -71,15 +94,20 @@
     meanLightWork = new MovingAverage(serviceTimes.meanRunTime());
   }
 
+  /** Returns the fraction of the dispatcher's slow-start allowance that this process may use. */
   double capacityFraction() {
     return capacityFraction;
   }
 
+  /**
+   * Sets the fraction of the dispatcher's slow-start allowance that this process may use, from 0 to
+   * 1.
+   */
   void setCapacityFraction(double fraction) {
     capacityFraction = fraction;
   }
 
-  /** A request has arrived. */
+  /** Records the work of a request that has arrived. */
   void recordArrival(PendingRequest request) {
     double work = work(request);
     meanWork.add(work);
@@ -88,7 +116,13 @@
     }
   }
 
-  /** A job has been served; the time counts from its start, or its send if none was reported. */
+  /**
+   * Records a job that was served. Ignores a job whose request announced no work, and a job of a
+   * worker that was not warm when the attempt was sent.
+   *
+   * @param serviceTime the time from the start of the job to its end, or from the send if no start
+   *     was reported
+   */
   void recordServed(AttemptState attempt, double serviceTime) {
     double announcedWork = attempt.request.arrival.expectedWork();
     if (!Double.isNaN(announcedWork) && isWarm(attempt.worker, attempt.sentAt)) {
@@ -100,22 +134,26 @@
     }
   }
 
-  /** A request is sent to a worker. */
+  /** Records that a request is sent to a worker. */
   void recordSent(PendingRequest request, WorkerState worker) {
     worker.slowStartLimiter.consume(work(request));
     workSent.add(serviceTimes.expectedWork(request), context.now());
   }
 
-  /** The mean work of the requests that may go to warming workers. */
+  /** Returns the mean work of the requests that may be sent to warming workers. */
   double meanLightWork() {
     return meanLightWork.mean();
   }
 
+  /** Returns whether a worker has its full capacity. */
   boolean isWarm(WorkerState worker, long now) {
     return warmUpFraction(worker, now) >= 1;
   }
 
-  /** The least fraction of its full capacity that a worker has; 1 once it is warm. */
+  /**
+   * Returns a lower bound of the fraction of its full capacity that a worker has. The result is at
+   * least 1 if the worker is warm.
+   */
   private double warmUpFraction(WorkerState worker, long now) {
     long startedAt = worker.warmUpStartedAt();
     double age = now - startedAt;
@@ -128,7 +166,10 @@
         initialFraction + (1 - initialFraction) * age / rules.slowStartDuration());
   }
 
-  /** Whether a request may go to a worker now: always if that is warm. */
+  /**
+   * Returns whether a request may be sent to a worker now. The result is true for every warm
+   * worker.
+   */
   boolean allows(PendingRequest request, WorkerState worker) {
     long now = context.now();
     double fraction = warmUpFraction(worker, now);
@@ -141,13 +182,15 @@
   }
 
   /**
-   * Work per microsecond that a warm worker can take from this dispatcher at least: what warm
-   * workers get on average, or what its own slots do at least. The first alone is too low in a
-   * fleet that is mostly cold, and for a dispatcher that has sent little so far.
+   * Returns an estimate of the work per microsecond that a worker, once warm, can at least receive
+   * from this dispatcher. It is the larger of two estimates, each multiplied by its margin: the
+   * mean rate of the work sent to warm workers, and the minimum rate at which the worker's own
+   * slots work. The first alone is too low if most workers are cold, and for a dispatcher that has
+   * sent little work so far.
    */
   private double safeRate(WorkerState worker) {
     long now = context.now();
-    // The average needs at least the overload window.
+    // The mean rate is taken over at least the overload window.
     double observedMicros =
         Math.max(
             DecayingSum.RATE_TIME_CONSTANT_MICROS * workerLoads.observedFraction(),
@@ -155,7 +198,7 @@
     long servingWorkers =
         Math.max(countWarmWorkers(), 1 + workers.size() / MIN_SERVING_WORKERS_DIVISOR);
     double rateByWarmWorkers = workSent.valueAt(now) / observedMicros / servingWorkers;
-    // A worker that has reported nothing yet counts as a typical one.
+    // A worker that has not reported its slots is assumed to have the typical number.
     double rateByOwnSlots =
         workerLoads.slots(worker)
             * speed(worker.endpoint().kind())
@@ -164,7 +207,10 @@
         WARM_WORKER_RATE_MARGIN * rateByWarmWorkers, OWN_SLOTS_RATE_MARGIN * rateByOwnSlots);
   }
 
-  /** Counted once for each list and point in time, since every warming worker needs it. */
+  /**
+   * Returns the number of warm workers. The result is cached for one point in time and one version
+   * of the worker table, because it is needed for every warming worker.
+   */
   private long countWarmWorkers() {
     long now = context.now();
     if (warmCountedAt != now || warmCountedVersion != workers.version()) {
@@ -175,7 +221,10 @@
     return warmWorkerCount;
   }
 
-  /** The work that a request counts for: what it announces, or the mean of its class. */
+  /**
+   * Returns the work of a request: the announced work, or the expected work of its class if none
+   * was announced.
+   */
   private double work(PendingRequest request) {
     double announcedWork = request.arrival.expectedWork();
     return Double.isNaN(announcedWork)
@@ -183,7 +232,10 @@
         : request.arrival.slots() * announcedWork;
   }
 
-  /** The heaviest request for a warming worker; unlimited where too few others are warm. */
+  /**
+   * Returns the maximum work of a request for a warming worker; infinite if too few other workers
+   * are warm.
+   */
   private double maxWork() {
     boolean enoughWarmWorkers = MIN_WARM_WORKERS_DIVISOR * countWarmWorkers() >= workers.size();
     return enoughWarmWorkers
@@ -192,8 +244,9 @@
   }
 
   /**
-   * The work that a slot of a warm worker of this kind does in its time, or the least of any while
-   * little is known. The estimate is low: the time of a job includes its waits.
+   * Returns the work that a slot of a warm worker of a kind does per unit of time, or {@link
+   * #MIN_SPEED} while little is known. The estimate is conservative, because the service time of a
+   * job includes the time that the job waits.
    */
   private double speed(String kind) {
     long now = context.now();
--- a/src/main/java/loomreel/decision/Timestamp.java
+++ b/src/main/java/loomreel/decision/Timestamp.java
@@ -1,8 +1,11 @@
 package loomreel.decision;
 
-/** Special values of points in time, which are microseconds of the dispatcher's clock. */
+/** Special values of timestamps, which are in microseconds of the dispatcher's clock. */
 final class Timestamp {
-  /** Earlier than any clock reading: the event in question has not happened. */
+  /**
+   * A timestamp that is earlier than any reading of the clock. It means that an event has not
+   * occurred.
+   */
   static final long NEVER = Long.MIN_VALUE / 2;
 
   private Timestamp() {}
--- a/src/main/java/loomreel/decision/TokenBucket.java
+++ b/src/main/java/loomreel/decision/TokenBucket.java
@@ -1,16 +1,20 @@
 package loomreel.decision;
 
-/** A token bucket that starts full. Its rate and capacity may differ from call to call. */
+/**
+ * A token bucket that is full at first. Its refill rate and its capacity may differ from call to
+ * call. Times are in microseconds.
+ */
 final class TokenBucket {
   private double tokens;
   private long updatedAt = Timestamp.NEVER;
 
   /**
-   * Takes one token, if there is one.
+   * Refills the bucket and takes one token if there is one.
    *
-   * @param tokensPerMicro tokens per microsecond since the last call
-   * @param capacity the most tokens that the bucket holds
-   * @return whether there was a token
+   * @param tokensPerMicro the number of tokens per microsecond that are added for the time since
+   *     the last call
+   * @param capacity the maximum number of tokens in the bucket
+   * @return whether a token was taken
    */
   boolean tryAcquire(double tokensPerMicro, double capacity, long now) {
     boolean isNew = updatedAt == Timestamp.NEVER;
--- a/src/main/java/loomreel/decision/TrafficEstimator.java
+++ b/src/main/java/loomreel/decision/TrafficEstimator.java
@@ -1,50 +1,70 @@
 package loomreel.decision;
 
 /**
- * Estimates which fraction of the traffic of all dispatchers this one gets, from its own open
- * attempts and the jobs that workers report.
+ * Estimates the fraction of the traffic of all dispatchers that this dispatcher receives. The
+ * estimate compares the open attempts of this dispatcher with the numbers of active jobs that
+ * workers report.
  */
 final class TrafficEstimator {
-  /** A dispatcher counts as hot above this many times the mean traffic; zones explain less. */
+  /**
+   * A dispatcher is hot if its traffic exceeds the mean of all dispatchers by more than this
+   * factor. Different traffic in the zones alone leads to smaller factors.
+   */
   private static final double MIN_HOT_DISPATCHER_FACTOR = 1.6;
 
-  /** With no more dispatchers than this, one may be the only one of a zone and yet not be hot. */
+  /**
+   * The maximum number of dispatchers for which no dispatcher counts as hot. Among so few, a
+   * dispatcher with much traffic may only be the single one of its zone.
+   */
   private static final int MAX_DISPATCHERS_WITHOUT_CORRECTION = 10;
 
-  /** Reported jobs that weigh as much as the prior, which is the same traffic everywhere. */
+  /**
+   * The weight of the prior, in reported jobs. The prior assumes that all dispatchers receive the
+   * same traffic.
+   */
   private static final int PRIOR_JOBS = 50;
 
   private final int dispatchers;
   private final WorkerTable workers;
 
-  /** Active jobs that workers have reported. */
+  /** The decaying sum of the active jobs that workers have reported. */
   private final DecayingSum reportedJobs = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
-  /** How many of the reported jobs this dispatcher has sent, if workers are alike. */
+  /**
+   * The decaying sum of the jobs among the reported ones that this dispatcher has sent, under the
+   * assumption that its open attempts are spread evenly over the workers.
+   */
   private final DecayingSum ownJobs = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
   /**
-   * @param dispatchers how many dispatchers serve the same workers
+   * Creates an estimator without observations.
+   *
+   * @param dispatchers the number of dispatchers that serve the same workers, including this one
    */
   TrafficEstimator(int dispatchers, WorkerTable workers) {
     this.dispatchers = dispatchers;
     this.workers = workers;
   }
 
-  /** A worker has reported the number of its active jobs. */
+  /** Records the number of active jobs that a worker has reported. */
   void recordReportedJobs(double activeJobs, long now) {
     reportedJobs.add(activeJobs, now);
-    // Of a mean worker, not of this one: a worker is queried when little has been sent to it.
+    // The mean over all workers is added, not the number at the reporting worker. A worker is
+    // checked when this dispatcher has sent little to it, so its own number would be too low.
     ownJobs.add(workers.countOpenAttempts() / (double) workers.size(), now);
   }
 
-  /** This dispatcher's traffic relative to the mean of all: 1, unless it is a hot one. */
+  /**
+   * Returns this dispatcher's traffic relative to the mean of all dispatchers; 1 unless this
+   * dispatcher is hot.
+   */
   double factor(long now) {
     double factor =
         dispatchers > MAX_DISPATCHERS_WITHOUT_CORRECTION ? fraction(now) * dispatchers : 1;
     return factor > MIN_HOT_DISPATCHER_FACTOR ? factor : 1;
   }
 
+  /** Returns the estimated fraction of the traffic of all dispatchers, at most 1. */
   private double fraction(long now) {
     double ownPrior = (double) PRIOR_JOBS / dispatchers;
     double ownWeight = ownJobs.valueAt(now) + ownPrior;
