--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -4,14 +4,18 @@
 import java.util.Objects;
 
 /**
- * The configuration of a dispatcher, constant from its start to its stop. Times are microseconds.
+ * The configuration of a dispatcher, which does not change between its start and its stop. All
+ * times and durations are in microseconds.
  *
- * @param dispatchers how many dispatchers serve the same workers, this one included
- * @param zone where this dispatcher runs
- * @param pollsEndpoints whether the endpoint list has to be polled; otherwise it is pushed
- * @param stableWeights whether a worker's weight stays the same between lists
+ * @param dispatchers the number of dispatchers that serve the same workers, including this one
+ * @param zone the zone in which this dispatcher runs
+ * @param classes the request classes; events refer to a class by its position in this list
+ * @param tenants the tenants; events refer to a tenant by its position in this list
+ * @param pollsEndpoints whether the dispatcher has to poll the endpoint list; otherwise the list is
+ *     pushed
+ * @param stableWeights whether the weight of a worker stays the same between endpoint lists
  * @param reportsJobStart whether workers report that a job has started
- * @param tick the least time between two events of this dispatcher
+ * @param tick the minimum time between two events of this dispatcher
  * @param clientsMarkRetries whether clients mark their retries
  */
 public record Settings(
@@ -28,14 +32,14 @@
     long tick,
     boolean clientsMarkRetries) {
   /**
-   * Starts from settings of a single dispatcher without tenants and load reports. Rules and limits
-   * have no default.
+   * Returns a builder with the default settings: a single dispatcher, no tenants and no load
+   * reports. Rules and limits have no default.
    */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Starts from these settings. */
+  /** Returns a builder that is initialized with these settings. */
   public Builder toBuilder() {
     return builder()
         .dispatchers(dispatchers)
@@ -53,17 +57,20 @@
   }
 
   /**
-   * One class of requests.
+   * A class of requests.
    *
-   * @param workerKind the kind of worker that it needs, or null if any will do
-   * @param latencyObjectivePerWork how much the objective grows for each microsecond of the job's
-   *     own work
-   * @param latencyObjective an answer within this time has its full value, for a job without work
-   * @param deadline how long a client waits, over all of its attempts
-   * @param priorityWeight the value of an answer in time
-   * @param latePriorityFraction the fraction of that value that a late answer has
-   * @param deduplicationWindow how long workers recognise repetitions of keyed work, from the first
-   *     attempt that may have run
+   * @param workerKind the kind of worker that the class needs; null if every worker may run its
+   *     jobs
+   * @param priority the configured priority, which the decision module does not use
+   * @param latencyObjectivePerWork the increase of the latency objective per microsecond of the
+   *     job's own work
+   * @param latencyObjective the latency up to which an answer has its full value, for a job without
+   *     work
+   * @param deadline the time that a client waits, over all of its attempts
+   * @param priorityWeight the value of an answer that meets the latency objective
+   * @param latePriorityFraction the fraction of {@code priorityWeight} that a late answer has
+   * @param deduplicationWindow the time during which workers recognize repetitions of a keyed
+   *     request, counted from the first attempt that may have run
    */
   public record RequestClass(
       String name,
@@ -81,23 +88,26 @@
   /**
    * A tenant.
    *
-   * @param quotaPerSecond the requests that it may make, over all dispatchers, in requests per
-   *     second
+   * @param quotaPerSecond the number of requests per second that the tenant may send to all
+   *     dispatchers together
    */
   public record Tenant(String name, double quotaPerSecond) {}
 
   /**
-   * The rules that every dispatcher of a platform has to follow. Times are microseconds.
+   * The rules of a platform, which every dispatcher has to follow. All times and durations are in
+   * microseconds.
    *
-   * @param drainGrace for how long after the notification attempts may still be started at a
-   *     draining worker
-   * @param pollInterval the longest time between two polls of the endpoint list; 0 where it is
+   * @param drainGrace the time after a dispatcher is notified that a worker drains, during which
+   *     attempts may still be started at the worker
+   * @param pollInterval the maximum time between two polls of the endpoint list; 0 if the list is
    *     pushed
-   * @param initialCapacityFraction the least fraction of its capacity that a worker starts with
-   * @param slowStartDuration after which a worker has its full capacity at the latest
-   * @param overloadMultiple a warming worker fails if it is sent this multiple of its capacity at
-   *     the time
-   * @param overloadWindow for this long
+   * @param initialCapacityFraction the minimum fraction of its full capacity that a worker has when
+   *     it starts
+   * @param slowStartDuration the maximum time after its start until a worker has its full capacity
+   * @param overloadMultiple the multiple of its current capacity at which a warming worker fails if
+   *     it receives that much work for the time of {@code overloadWindow}
+   * @param overloadWindow the time over which the work that a warming worker receives is compared
+   *     with its capacity
    */
   public record Rules(
       long drainGrace,
@@ -107,26 +117,35 @@
       double overloadMultiple,
       long overloadWindow) {
     /**
-     * A dispatcher counts as notified of a change of the list this long after discovery had it and
-     * could be reached, whether or not its polls succeeded. Microseconds.
+     * The maximum time, in microseconds, until a dispatcher counts as notified of a change of the
+     * endpoint list. It starts when discovery has the change and can be reached. It applies whether
+     * or not the polls of the dispatcher succeed.
      */
     private static final long NOTIFICATION_DEADLINE_MICROS = 6_000_000;
 
-    /** A poll is answered within this time, or abandoned. Microseconds. */
+    /**
+     * The maximum duration of a poll, in microseconds. A poll that is not answered within this time
+     * is abandoned.
+     */
     private static final long MAX_POLL_DURATION_MICROS = 1_500_000;
 
-    /** The longest wait after a failed poll is at most this part of the poll interval. */
+    /**
+     * The numerator of the fraction of the poll interval that limits the wait after a failed poll.
+     */
     private static final int MAX_BACKOFF_NUMERATOR = 6;
 
+    /**
+     * The denominator of the fraction of the poll interval that limits the wait after a failed
+     * poll.
+     */
     private static final int MAX_BACKOFF_DENOMINATOR = 10;
 
     /**
-     * The longest wait after a failed poll. Attempts at draining workers violate the rules {@link
-     * #NOTIFICATION_DEADLINE_MICROS} and the grace after discovery can be reached again. Two waits and
-     * two polls have to fit into that, because discovery may reject the first poll after an outage;
-     * and the wait stays under the poll interval.
-     *
-     * @return microseconds
+     * Returns the maximum wait after a failed poll, in microseconds. Once discovery can be reached
+     * again, attempts at draining workers violate the rules after {@link
+     * #NOTIFICATION_DEADLINE_MICROS} and the drain grace. Two waits and two polls have to fit into
+     * that time, because discovery may reject the first poll after an outage. The wait is also
+     * shorter than the poll interval.
      */
     public long maxPollBackoff() {
       return Math.min(
@@ -136,14 +155,14 @@
   }
 
   /**
-   * What the deployment allows.
+   * The limits that the deployment sets.
    *
-   * @param maxAttempts how many attempts a request may have
-   * @param hedging whether a second attempt may be open beside a first
+   * @param maxAttempts the maximum number of attempts of a request
+   * @param hedging whether an attempt may be started while another attempt of the request is open
    * @param cancellation whether attempts may be cancelled
-   * @param healthChecks whether the load of workers may be queried
-   * @param retryAfter whether a rejection may carry a time to retry
-   * @param maxRetryAfter the longest such time, in microseconds
+   * @param healthChecks whether health checks may be sent to workers
+   * @param retryAfter whether a rejection may include a time to wait before a retry
+   * @param maxRetryAfter the maximum of that time, in microseconds
    */
   public record Limits(
       int maxAttempts,
@@ -153,14 +172,17 @@
       boolean retryAfter,
       long maxRetryAfter) {}
 
-  /** Which responses of workers carry load reports: none, answers or those to health checks. */
+  /**
+   * The responses of workers that include load reports: none, the answers to attempts, or the
+   * answers to health checks.
+   */
   public enum LoadReporting {
     NONE,
     WITH_ANSWERS,
     WITH_HEALTH_CHECKS
   }
 
-  /** Builds settings; what is not set has its default. */
+  /** A builder of settings. A setting that is not set has its default. */
   public static final class Builder {
     private static final long DEFAULT_TICK_MICROS = 1000;
 
@@ -179,19 +201,19 @@
 
     private Builder() {}
 
-    /** Sets how many dispatchers serve the same workers. */
+    /** Sets the number of dispatchers that serve the same workers, including this one. */
     public Builder dispatchers(int newValue) {
       dispatchers = newValue;
       return this;
     }
 
-    /** Sets the zone where this dispatcher runs. */
+    /** Sets the zone in which this dispatcher runs. */
     public Builder zone(String newValue) {
       zone = newValue;
       return this;
     }
 
-    /** Sets the classes of requests. */
+    /** Sets the request classes. */
     public Builder classes(List<RequestClass> newValue) {
       classes = newValue;
       return this;
@@ -203,31 +225,31 @@
       return this;
     }
 
-    /** Sets the rules, which have no default. */
+    /** Sets the rules of the platform, which have no default. */
     public Builder rules(Rules newValue) {
       rules = newValue;
       return this;
     }
 
-    /** Sets the limits, which have no default. */
+    /** Sets the limits of the deployment, which have no default. */
     public Builder limits(Limits newValue) {
       limits = newValue;
       return this;
     }
 
-    /** Sets whether the endpoint list has to be polled. */
+    /** Sets whether the dispatcher has to poll the endpoint list. */
     public Builder pollsEndpoints(boolean newValue) {
       pollsEndpoints = newValue;
       return this;
     }
 
-    /** Sets whether weights stay the same between lists. */
+    /** Sets whether the weight of a worker stays the same between endpoint lists. */
     public Builder stableWeights(boolean newValue) {
       stableWeights = newValue;
       return this;
     }
 
-    /** Sets which responses of workers carry load reports. */
+    /** Sets which responses of workers include load reports. */
     public Builder loadReporting(LoadReporting newValue) {
       loadReporting = newValue;
       return this;
@@ -239,7 +261,7 @@
       return this;
     }
 
-    /** Sets the least time between two events, in microseconds. */
+    /** Sets the minimum time between two events, in microseconds. */
     public Builder tick(long newValue) {
       tick = newValue;
       return this;
@@ -252,7 +274,7 @@
     }
 
     /**
-     * The settings as set so far.
+     * Returns settings with the values that were set so far.
      *
      * @throws NullPointerException if the rules or the limits are not set
      */
