--- a/src/main/java/loomreel/decision/AttemptState.java
+++ b/src/main/java/loomreel/decision/AttemptState.java
@@ -5,6 +5,7 @@
  * dispatcher's clock.
  */
 final class AttemptState {
+  /** The value of {@link #startedAt} while no start has been reported. */
   private static final long NOT_STARTED = -1;
 
   final PendingRequest request;
--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -5,6 +5,7 @@
  * microseconds.
  */
 final class KeyAffinity {
+  /** The value of {@link #rankedVersion} before the first ranking. */
   private static final long NOT_RANKED = -1;
 
   private final DecayingSum demand = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -53,6 +53,7 @@
   /** A worker that reports fewer free slots than this is full. */
   private static final double MIN_FREE_SLOTS = 0.5;
 
+  /** The minimum load that is recorded for a worker that reports itself as full. */
   private static final double FULL_LOAD = 1;
 
   private final PolicyContext context;
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -56,6 +56,10 @@
     return arrival.requestId();
   }
 
+  /**
+   * Returns whether the job has a key that determines its preferred workers. This is not the
+   * idempotency key.
+   */
   boolean hasKey() {
     return arrival.key() != null;
   }
@@ -95,6 +99,7 @@
     return attempts.stream().anyMatch(AttemptState::isOpen);
   }
 
+  /** Returns whether an open attempt has reported the start of its job. */
   boolean anyAttemptRunning() {
     return attempts.stream().anyMatch(attempt -> attempt.isOpen() && attempt.hasStarted());
   }
@@ -152,6 +157,7 @@
     return healthChecksRequested <= MAX_HEALTH_CHECKS;
   }
 
+  /** Returns whether the request waits for a health check of at least one worker. */
   boolean awaitsHealthCheck() {
     return pendingHealthChecks > 0;
   }
@@ -173,6 +179,7 @@
     return ended;
   }
 
+  /** Marks the request as ended. */
   void end() {
     ended = true;
   }
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -3,12 +3,18 @@
 import java.util.Comparator;
 import loomreel.decision.Action.StartAttempt;
 
-/** Places requests: sends them to workers, queues them, hedges them and gives them up. */
+/**
+ * Schedules requests. It sends them to workers, queues them while no worker has capacity, hedges
+ * and retries them, and gives them up.
+ */
 final class RequestScheduler {
-  /** How many queued requests are retried at a time. */
+  /** The maximum number of queued requests that are placed again in one retry of the queue. */
   private static final int MAX_REQUESTS_PER_QUEUE_RETRY = 32;
 
-  /** By how many samples the fallback moves down the ranking each time a request is queued. */
+  /**
+   * The number of samples by which the fallback advances in the ranking of a request's key each
+   * time the request is queued.
+   */
   private static final int RANKING_STEP_SAMPLES = 2;
 
   private final PolicyState state;
@@ -31,7 +37,7 @@
     healthCheckPolicy = new HealthCheckPolicy(state, selector, retryPolicy);
   }
 
-  /** Admits a new request, or rejects it. */
+  /** Admits a new request, or rejects it if it arrived too late. */
   void admit(PendingRequest request) {
     admission.setDeadlines(request);
     if (context.now() >= request.deadlines().startDeadline()) {
@@ -46,18 +52,22 @@
     placeWithNewCandidates(request);
   }
 
+  /** Draws new candidates for a request and places it. */
   private void placeWithNewCandidates(PendingRequest request) {
     selector.drawCandidates(request);
     place(request);
   }
 
-  /** Sends a request, checks its candidates, queues it or gives it up. */
+  /**
+   * Places a request: sends it to a worker, starts health checks of its candidates, queues it, or
+   * gives it up. Does nothing if the request has ended or waits for a health check.
+   */
   private void place(PendingRequest request) {
     if (request.hasEnded() || request.awaitsHealthCheck()) {
       return;
     }
     if (!retryPolicy.allowsAttempt(request)) {
-      // The deduplication window of keyed work may have ended while the request waited.
+      // The deduplication window of a keyed request may have ended while the request waited.
       giveUpUnlessAttemptOpen(request);
       return;
     }
@@ -80,13 +90,18 @@
     }
   }
 
-  /** Retries the queued requests, and schedules the next retry if some remain queued. */
+  /** Retries the queued requests, and schedules the next retry if some of them remain queued. */
   void retryQueueAndReschedule() {
     queue.retryStarted();
     retryQueue();
     queue.scheduleRetry();
   }
 
+  /**
+   * Places the queued requests with the highest priorities again, up to {@link
+   * #MAX_REQUESTS_PER_QUEUE_RETRY}, and gives up those whose answer has no value any more. The
+   * others stay queued.
+   */
   private void retryQueue() {
     int retried = 0;
     for (PendingRequest request : queue.drain(Comparator.comparingDouble(this::priority))) {
@@ -99,7 +114,10 @@
     }
   }
 
-  /** The value of a request's answer for its work. */
+  /**
+   * Returns the priority of a queued request, which is the value of its answer at this time divided
+   * by its expected work.
+   */
   private double priority(PendingRequest request) {
     boolean hasFullValue = context.now() < request.deadlines().latestFullValueStart();
     return request.requestClass.priorityWeight()
@@ -107,14 +125,20 @@
         * (hasFullValue ? 1 : request.requestClass.latePriorityFraction());
   }
 
-  /** A worker that pulls its jobs reports free capacity at once: queued requests need not wait. */
+  /**
+   * Retries the queued requests at once if an endpoint belongs to a worker that pulls its jobs,
+   * because such a worker reports free capacity as soon as it has some.
+   */
   void retryQueueForPullWorker(Endpoint endpoint) {
     if (endpoint.queues() != null && !queue.isEmpty()) {
       retryQueue();
     }
   }
 
-  /** Places the requests that waited for the load of a worker and for no other. */
+  /**
+   * Places the requests that waited for a health check of a worker, except those that still wait
+   * for a health check of another worker.
+   */
   void placeAfterHealthCheck(WorkerState worker) {
     for (PendingRequest request : worker.takeHealthCheckWaiters()) {
       request.decrementPendingHealthChecks();
@@ -124,7 +148,7 @@
     }
   }
 
-  /** The only place that starts an attempt. */
+  /** Starts an attempt of a request at a worker. No other method emits {@link StartAttempt}. */
   private void startAttempt(PendingRequest request, WorkerState worker) {
     long writeDeadline = retryPolicy.writeDeadline(request);
     context.emit(new StartAttempt(request.id(), worker.id, 0, writeDeadline));
@@ -136,7 +160,10 @@
     }
   }
 
-  /** An attempt has ended without an answer: starts another one, if that is allowed. */
+  /**
+   * Starts another attempt of a request after an attempt has ended without an answer. If no further
+   * attempt is allowed and none is open, gives the request up.
+   */
   void retryOrGiveUp(PendingRequest request) {
     if (retryPolicy.allowsAttempt(request)) {
       placeWithNewCandidates(request);
@@ -145,7 +172,10 @@
     }
   }
 
-  /** A request's timer has fired: a health check, a start or the answer is overdue. */
+  /**
+   * Handles a timer of a request, which fires when a health check, the start of its job, or its
+   * answer is overdue.
+   */
   void handleRequestTimer(PendingRequest request) {
     if (context.now() >= request.deadlines().answerDeadline()) {
       giveUp(request, RejectionReason.CLIENT_DEADLINE);
@@ -161,7 +191,7 @@
     }
   }
 
-  /** No attempt has started yet: gives the request up, or hedges it if a start is overdue. */
+  /** Gives up a request whose attempts have not started, or hedges it if a start is overdue. */
   private void hedgeOrGiveUp(PendingRequest request) {
     if (context.now() >= request.deadlines().startDeadline()) {
       giveUp(request, RejectionReason.NOT_STARTED_IN_TIME);
@@ -173,6 +203,9 @@
     }
   }
 
+  /**
+   * Gives up a request for which no further attempt is allowed, unless one of its attempts is open.
+   */
   private void giveUpUnlessAttemptOpen(PendingRequest request) {
     if (!request.anyAttemptOpen()) {
       giveUp(request, RejectionReason.RETRIES_EXHAUSTED);
@@ -183,12 +216,16 @@
     end(request, admission.giveUp(request, reason));
   }
 
-  /** Ends a request that has its answer, or whose client has disconnected. */
+  /** Ends a request that already has its answer or does not need one any more. */
   void endWithoutAnswer(PendingRequest request) {
     end(request, null);
   }
 
-  /** The only place that ends a request; the answer is null where none is needed. */
+  /**
+   * Ends a request. Every request is ended by this method. Does nothing if the request has ended.
+   *
+   * @param answer the action that gives the final answer; null if no answer is needed
+   */
   private void end(PendingRequest request, Action answer) {
     if (request.hasEnded()) {
       return;
--- a/src/main/java/loomreel/decision/RequestTable.java
+++ b/src/main/java/loomreel/decision/RequestTable.java
@@ -5,19 +5,22 @@
 import loomreel.decision.Event.RequestArrived;
 import loomreel.decision.Settings.RequestClass;
 
-/** The pending requests, by id and by the token of their timers. */
+/** The pending requests, indexed by their ids and by the tokens of their timers. */
 final class RequestTable {
   private final Map<String, PendingRequest> byId = new HashMap<>();
   private final Map<Long, PendingRequest> byToken = new HashMap<>();
   private long lastToken;
 
   /**
-   * @param lastReservedToken the highest timer token that is not a request's
+   * Creates an empty table.
+   *
+   * @param lastReservedToken the highest timer token that does not belong to a request
    */
   RequestTable(long lastReservedToken) {
     lastToken = lastReservedToken;
   }
 
+  /** Adds a request that has arrived. */
   PendingRequest add(RequestArrived arrival, RequestClass requestClass) {
     PendingRequest request = new PendingRequest(arrival, requestClass, ++lastToken);
     byId.put(request.id(), request);
@@ -25,17 +28,22 @@
     return request;
   }
 
-  /** A pending request, or null. */
+  /** Returns the pending request with an id; null if there is none. */
   PendingRequest get(String id) {
     return byId.get(id);
   }
 
-  /** The request whose timer has fired, or null if it has ended. */
+  /**
+   * Returns the request with a timer token; null if the request has ended or the token is unknown.
+   */
   PendingRequest byToken(long token) {
     return byToken.get(token);
   }
 
-  /** The attempt with that number if it is open, or null. */
+  /**
+   * Returns an open attempt of a request; null if the request or the attempt is unknown or the
+   * attempt has ended.
+   */
   AttemptState openAttempt(String requestId, int attemptNumber) {
     PendingRequest request = byId.get(requestId);
     if (request == null || attemptNumber < 0 || attemptNumber >= request.attempts().size()) {
@@ -45,12 +53,15 @@
     return attempt.isOpen() ? attempt : null;
   }
 
-  /** The request has ended: its timers are ignored from now on. */
+  /**
+   * Removes the timer token of a request that has ended, so that its timers are ignored from now
+   * on.
+   */
   void end(PendingRequest request) {
     byToken.remove(request.token);
   }
 
-  /** Drops a request that has ended, once all of its attempts have. */
+  /** Removes a request that has ended, unless one of its attempts is still open. */
   void removeIfComplete(PendingRequest request) {
     if (request.hasEnded() && !request.anyAttemptOpen()) {
       byId.remove(request.id());
--- a/src/main/java/loomreel/decision/RetryPolicy.java
+++ b/src/main/java/loomreel/decision/RetryPolicy.java
@@ -4,12 +4,17 @@
 import loomreel.decision.Settings.Limits;
 
 /**
- * Which further attempts the platform's rules allow: no more than the limit, none at a worker that
- * drains, no repetition of work that is not idempotent and may have run, and repetitions of keyed
- * work only where and while workers deduplicate them.
+ * Decides which further attempts of a request the rules of the platform allow. The number of
+ * attempts is limited, and no attempt is started at a draining worker. A request that is not
+ * idempotent is not attempted again if it may have run. A keyed request that may have run is
+ * attempted again only at workers that deduplicate its attempts, and only within the deduplication
+ * window.
  */
 final class RetryPolicy {
-  /** Ticks before the end of the deduplication window at which a write has to be complete. */
+  /**
+   * The time, in ticks of the dispatcher, between the latest time to write the request of an
+   * attempt and the end of the deduplication window.
+   */
   private static final int WRITE_MARGIN_TICKS = 2;
 
   private final PolicyContext context;
@@ -24,7 +29,7 @@
     serviceTimes = state.serviceTimes;
   }
 
-  /** Whether a request may have another attempt now, at any worker. */
+  /** Returns whether another attempt of a request may be started now, at some worker. */
   boolean allowsAttempt(PendingRequest request) {
     long now = context.now();
     return request.attempts().size() < limits.maxAttempts()
@@ -33,20 +38,25 @@
             .allMatch(attempt -> allowsAnotherAttemptAfter(request, attempt));
   }
 
+  /** Returns whether an attempt, open or ended, permits another attempt of its request. */
   private boolean allowsAnotherAttemptAfter(PendingRequest request, AttemptState attempt) {
     boolean mayOverlap = !attempt.isOpen() || limits.hedging();
     boolean mayRepeat = attempt.neverRan() || request.idempotency != Idempotency.NON_IDEMPOTENT;
     return mayOverlap && mayRepeat && !attempt.isInvalid();
   }
 
-  /** Whether the rules allow an attempt of a request at this worker. */
+  /** Returns whether an attempt of a request may be started at a worker. */
   boolean allowsWorker(PendingRequest request, WorkerState worker) {
     return worker.endpoint().state() == State.READY
         && workers.get(worker.id) == worker
         && request.attempts().stream().allMatch(attempt -> allowsAttemptAfter(attempt, worker));
   }
 
-  /** What may have run is repeated at another worker, keyed work within its scope alone. */
+  /**
+   * Returns whether another attempt of the same request may be started at a worker after the given
+   * attempt. If the given attempt may have run, the worker must be a different one and, for a keyed
+   * request, must be in the same deduplication scope.
+   */
   private static boolean allowsAttemptAfter(AttemptState attempt, WorkerState worker) {
     if (attempt.neverRan()) {
       return true;
@@ -62,8 +72,9 @@
   }
 
   /**
-   * Until when an attempt of a request may be written: the end of the deduplication window, if an
-   * attempt of keyed work may have run; else unlimited.
+   * Returns the time, in microseconds, until which the request of an attempt may be written to its
+   * worker. For a keyed request with an attempt that may have run, this is shortly before the end
+   * of the deduplication window. Otherwise it is {@link Long#MAX_VALUE}.
    */
   long writeDeadline(PendingRequest request) {
     long firstSentAt = Timestamp.NEVER;
@@ -79,7 +90,10 @@
     return firstSentAt + window - WRITE_MARGIN_TICKS * context.settings().tick();
   }
 
-  /** Whether a second attempt may be started beside one whose start is overdue. */
+  /**
+   * Returns whether a hedged attempt may be started because the start of the last attempt is
+   * overdue.
+   */
   boolean shouldHedge(PendingRequest request) {
     return context.now() - request.lastAttempt().sentAt >= serviceTimes.startTimeout()
         && allowsAttempt(request);
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -4,29 +4,46 @@
 import java.util.List;
 
 /**
- * Chooses the worker of an attempt, by Algorithm 1 of "Package-Aware Scheduling of FaaS Functions":
- * two workers hashed from the job's key, the less loaded of them if its load is under a threshold,
- * else a fallback that samples the next workers of the key's ranking.
+ * Selects the worker of an attempt, based on Algorithm 1 of "Package-Aware Scheduling of FaaS
+ * Functions". The key of a job hashes to two workers. The first of them whose load is below a
+ * threshold is selected. If there is none, a fallback samples the next workers in the ranking of
+ * the key. For a job without a key, the least loaded worker of a random sample is selected if its
+ * load is below the threshold.
  */
 final class WorkerSelector {
-  /** The threshold as a fraction of a worker's slots: a job can start at once. */
+  /** The load threshold below which a job can start at once, as a fraction of a worker's slots. */
   static final double FULL_THRESHOLD = 1;
 
-  /** How many workers the fallback samples where each unknown one costs a health check. */
+  /**
+   * The sample size of the fallback if health checks are allowed. Each sampled worker of unknown
+   * load then costs a health check.
+   */
   static final int SAMPLE_WITH_HEALTH_CHECKS = 3;
 
-  /** Without health checks the sample is larger, since it costs nothing. */
+  /**
+   * The sample size of the fallback if health checks are not allowed. It is larger, because
+   * sampling a worker then costs nothing.
+   */
   private static final int SAMPLE_WITHOUT_HEALTH_CHECKS = 8;
 
-  /** The score of a worker under the threshold, for a request with a key. */
+  /** The score of every worker below the threshold, for a request with a key. */
   private static final double BELOW_THRESHOLD_SCORE = -1;
 
-  /** The threshold is the mean load times this, up to a maximum, where all workers are loaded. */
+  /**
+   * The ratio of the load threshold to the mean load if all workers are loaded. The threshold is
+   * limited by {@link #MAX_LOAD_THRESHOLD}.
+   */
   private static final double MEAN_LOAD_THRESHOLD_FACTOR = 1.1;
 
+  /**
+   * The maximum load threshold, as a fraction of a worker's slots, for a request within its quota.
+   */
   private static final double MAX_LOAD_THRESHOLD = 1.5;
 
-  /** A queued request looks further down the ranking only under this mean load. */
+  /**
+   * The mean load of all workers at and above which the fallback does not advance in the ranking
+   * for a queued request.
+   */
   private static final double MAX_MEAN_LOAD_FOR_RANKING_OFFSET = 0.9;
 
   private final PolicyContext context;
@@ -58,15 +75,16 @@
     request.setCandidates(new CandidateDraw(workersNeeded, seed));
   }
 
-  /** The worker for a request, or null if none of the candidates is under the threshold. */
+  /** Returns the worker for a request, or null if no candidate is below the load threshold. */
   WorkerState select(PendingRequest request) {
     return selectBeforeRound(null, request);
   }
 
   /**
-   * The worker for a request, or null if no candidate of the rounds so far is under the threshold.
+   * Returns the worker for a request, or null if no candidate in the considered rounds is below the
+   * load threshold.
    *
-   * @param endRound the first round that is not considered; null to consider all
+   * @param endRound the first round that is not considered; null to consider all rounds
    */
   WorkerState selectBeforeRound(CandidateRound endRound, PendingRequest request) {
     CandidateRound first = request.candidates().firstRound();
@@ -84,7 +102,9 @@
     WorkerState best = null;
     double leastScore = Double.POSITIVE_INFINITY;
     for (WorkerState worker : candidates(request, round)) {
-      // A worker under the threshold has a negative score; without a key the least loaded wins.
+      // The score is negative only for a worker below the threshold. If the request has a key, all
+      // such workers have the same score, so the first one is selected. Otherwise the least loaded
+      // one is selected.
       double score = loadIfEligible(request, worker);
       if (score + extraSlotsFraction(request, worker) < loadThreshold) {
         if (round == CandidateRound.FALLBACK && request.hasKey()) {
@@ -100,21 +120,24 @@
     return leastScore < 0 ? best : null;
   }
 
+  /** Returns the load threshold for a request, which is raised if all workers are loaded. */
   private double loadThreshold(PendingRequest request) {
     double thresholdByMeanLoad =
         Math.min(MAX_LOAD_THRESHOLD, MEAN_LOAD_THRESHOLD_FACTOR * workerLoads.meanLoad());
     return request.loadThreshold() * Math.max(FULL_THRESHOLD, thresholdByMeanLoad);
   }
 
-  /** What a request takes beyond one slot, as a fraction of a worker's slots. */
+  /**
+   * Returns the slots that a request needs beyond the first one, as a fraction of a worker's slots.
+   */
   private double extraSlotsFraction(PendingRequest request, WorkerState worker) {
     double slots = workerLoads.slots(worker);
     return (Math.min(request.arrival.slots(), slots) - 1) / slots;
   }
 
   /**
-   * A worker's load as a fraction of its slots; infinite where the request may not or should not be
-   * sent.
+   * Returns the load of a worker as a fraction of its slots; infinite if the request may not or
+   * should not be sent to the worker.
    */
   private double loadIfEligible(PendingRequest request, WorkerState worker) {
     long healthCheckTimeout = serviceTimes.healthCheckTimeout(request);
@@ -126,7 +149,7 @@
     return isEligible ? workerLoads.estimate(worker) : Double.POSITIVE_INFINITY;
   }
 
-  /** The candidates of a round, in the order in which they are considered. */
+  /** Returns the candidates of a round, in the order in which they are considered. */
   List<WorkerState> candidates(PendingRequest request, CandidateRound round) {
     WorkerState[] pool = workers.pool(request);
     KeyAffinity key = request.hasKey() && pool.length > 0 ? keyAffinities.get(request) : null;
@@ -149,6 +172,9 @@
     return first == second ? List.of(first) : List.of(first, second);
   }
 
+  /**
+   * Returns a random sample of the workers of a pool, in which a worker may occur more than once.
+   */
   private static List<WorkerState> randomCandidates(
       PendingRequest request, WorkerState[] pool, int sampleSize) {
     List<WorkerState> candidates = new ArrayList<>(sampleSize);
@@ -159,7 +185,10 @@
     return candidates;
   }
 
-  /** The next places of the key's ranking; for a hot key, a random part of those it needs. */
+  /**
+   * Returns a sample of the workers that follow the first one in the ranking of a key. If the key
+   * is hot, the sample starts at a random position among the workers that the key needs.
+   */
   private List<WorkerState> rankedCandidates(
       PendingRequest request, KeyAffinity key, int sampleSize) {
     WorkerState[] ranking = key.ranking();
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -4,25 +4,38 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** What this dispatcher knows of a worker that the endpoint list names. */
+/**
+ * The state of a worker that the endpoint list names, as known to this dispatcher. Times are in
+ * microseconds.
+ */
 final class WorkerState {
+  /** The time constant of the worker's service rate, in microseconds. */
   private static final double SERVICE_RATE_TIME_CONSTANT_MICROS = 4e6;
+  /** The maximum backoff of an ejection, in microseconds. */
   private static final long MAX_EJECTION_MICROS = 16_000_000;
   private static final int EJECTION_BACKOFF_FACTOR = 2;
+  /** The value of {@link #healthCheckSentAt} while no health check is pending. */
   private static final long NO_HEALTH_CHECK = -1;
 
-  /** Stands for a worker that no operator has enabled since its process started. */
+  /**
+   * The value of {@link #enabledAt} for a worker that no operator has enabled since its process
+   * started.
+   */
   private static final long NOT_ENABLED = 0;
 
   final String id;
+  /** The hash of the id. */
   final long hash;
 
-  /** Limits what is sent while the worker warms up. */
+  /** Limits the work that is sent to the worker while it warms up. */
   final SlowStartLimiter slowStartLimiter = new SlowStartLimiter();
 
   final WorkerLoadHistory load = new WorkerLoadHistory();
 
-  /** Slots of the attempts sent since about the last report: what the report does not show. */
+  /**
+   * The slots of recent attempts, which the last load report may not include yet. The sum decays
+   * with the age of a load report at its arrival as its time constant.
+   */
   final DecayingSum unreportedSlots;
 
   final ServiceRate serviceRate = new ServiceRate(SERVICE_RATE_TIME_CONSTANT_MICROS);
@@ -37,7 +50,9 @@
   private final List<AttemptState> openAttempts = new ArrayList<>();
 
   /**
-   * @param reportDelay the age of a load report on its arrival, in microseconds
+   * Creates a worker without an endpoint.
+   *
+   * @param reportDelay the age of a load report when it arrives
    */
   WorkerState(String id, double reportDelay) {
     this.id = id;
@@ -45,30 +60,34 @@
     this.unreportedSlots = new DecayingSum(reportDelay);
   }
 
-  /** The worker's entry in the endpoint list; null until its first update. */
+  /** Returns the worker's entry in the endpoint list; null before the first {@link #update}. */
   Endpoint endpoint() {
     return endpoint;
   }
 
-  /** Whether an entry of the endpoint list belongs to a newer process than the known one. */
+  /**
+   * Returns whether an entry of the endpoint list belongs to a newer process of the worker than the
+   * current entry.
+   */
   boolean isReplacedBy(Endpoint update) {
     return endpoint == null || update.startedAt() > endpoint.startedAt();
   }
 
-  /** Takes over an entry of the endpoint list. */
+  /** Replaces the worker's entry in the endpoint list. */
   void update(Endpoint newEndpoint) {
     endpoint = newEndpoint;
   }
 
-  /** Marks the worker as missing from the endpoint list. */
+  /** Marks the worker as removed from the endpoint list. */
   void markRemoved() {
     endpoint = endpoint.withState(Endpoint.State.REMOVED);
   }
 
   /**
-   * The worker's process is new: forgets what was known of the previous one.
+   * Resets the state because the worker's process is new.
    *
-   * @param allowance the work that may be sent at once, in slots times microseconds
+   * @param allowance the work that may be sent to the worker at once, in slots multiplied by
+   *     microseconds
    */
   void restart(long now, double allowance) {
     slowStartLimiter.restart(allowance, now);
@@ -79,32 +98,32 @@
     enabledAt = NOT_ENABLED;
   }
 
-  /** The worker warms up from now on, since an operator has enabled it. */
+  /** Starts a warm-up because an operator has enabled the worker. */
   void startWarmUp(long now) {
     enabledAt = now;
   }
 
   /**
-   * When its warm-up began: at the start of its process, or when an operator enabled it; 0 if it
-   * has been up for long.
+   * Returns the time at which the worker's warm-up began: the start of its process, or the time at
+   * which an operator enabled it; 0 if the process started long ago.
    */
   long warmUpStartedAt() {
     return Math.max(endpoint.startedAt(), enabledAt);
   }
 
-  /** The worker has sent a response of any kind. */
+  /** Records that the worker has sent a response of any kind. */
   void recordResponse(long now) {
     lastResponseAt = now;
   }
 
-  /** The worker has handled an attempt: it is reachable, and no longer ejected. */
+  /** Records that the worker has handled an attempt, which ends its ejection. */
   void recordReachable(long now) {
     lastResponseAt = now;
     ejectedUntil = Math.min(ejectedUntil, now);
     ejectionBackoff = 0;
   }
 
-  /** When it last sent a response, or {@link Timestamp#NEVER}. */
+  /** Returns the time of the worker's last response, or {@link Timestamp#NEVER}. */
   long lastResponseAt() {
     return lastResponseAt;
   }
@@ -113,14 +132,15 @@
     return now < ejectedUntil;
   }
 
-  /** Takes this worker out of selection for a time in microseconds, without a longer backoff. */
+  /** Ejects the worker for a duration in microseconds, without a change of its backoff. */
   void ejectFor(long duration, long now) {
     ejectedUntil = now + duration;
   }
 
   /**
-   * Takes this worker out of selection, twice as long each time up to {@link #MAX_EJECTION_MICROS},
-   * with jitter so that dispatchers do not return together.
+   * Ejects the worker with exponential backoff. The backoff doubles with each ejection, up to
+   * {@link #MAX_EJECTION_MICROS}. The jitter prevents dispatchers from using the worker again at
+   * the same time.
    *
    * @param firstBackoff the backoff of the first ejection, in microseconds
    */
@@ -133,18 +153,18 @@
     ejectedUntil = now + ejectionBackoff / 2 + jitter;
   }
 
-  /** Attempts here whose end has not been reported yet. */
+  /** Returns the attempts at this worker whose end has not been reported yet. */
   List<AttemptState> openAttempts() {
     return openAttempts;
   }
 
-  /** An attempt has been sent here. */
+  /** Records that an attempt was sent to this worker. */
   void addAttempt(AttemptState attempt, long now) {
     openAttempts.add(attempt);
     unreportedSlots.add(attempt.request.arrival.slots(), now);
   }
 
-  /** An attempt here has ended. */
+  /** Records that an attempt at this worker has ended. */
   void removeAttempt(AttemptState attempt, long now) {
     openAttempts.remove(attempt);
     unreportedSlots.add(-attempt.request.arrival.slots(), now);
@@ -154,7 +174,7 @@
     return healthCheckSentAt >= 0;
   }
 
-  /** Whether a health check has been pending for longer than a time, in microseconds. */
+  /** Returns whether a health check has been pending for longer than a timeout in microseconds. */
   boolean isHealthCheckOverdue(long timeout, long now) {
     return isHealthCheckPending() && now - healthCheckSentAt > timeout;
   }
@@ -167,7 +187,7 @@
     healthCheckSentAt = NO_HEALTH_CHECK;
   }
 
-  /** Has a request wait for the pending health check, unless it does already. */
+  /** Lets a request wait for the pending health check, unless it already does. */
   void addHealthCheckWaiter(PendingRequest request) {
     if (!healthCheckWaiters.contains(request)) {
       healthCheckWaiters.add(request);
@@ -179,7 +199,10 @@
     healthCheckWaiters.remove(request);
   }
 
-  /** Removes and returns the requests that wait for a health check, in the order of waiting. */
+  /**
+   * Removes and returns the requests that wait for a health check, in the order in which they were
+   * added.
+   */
   List<PendingRequest> takeHealthCheckWaiters() {
     List<PendingRequest> waiters = List.copyOf(healthCheckWaiters);
     healthCheckWaiters.clear();
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -9,22 +9,34 @@
 import java.util.stream.Collectors;
 import loomreel.decision.Endpoint.State;
 
-/** The workers that the endpoint list names, and those of them that may get new work. */
+/**
+ * The workers that the endpoint list names, and the pools of those that are eligible for new
+ * attempts.
+ */
 final class WorkerTable {
-  /** The age of a load report on its arrival: attempts sent since then are not in it. */
+  /**
+   * The age of a load report when it arrives, in microseconds. A report does not include the
+   * attempts that were sent within this time before its arrival.
+   */
   static final double REPORT_DELAY_MICROS = 1e6;
 
   private static final WorkerState[] NO_WORKERS = {};
 
   private final TreeMap<String, WorkerState> workers = new TreeMap<>();
 
-  /** The workers that operators have disabled, listed or not, and since when. */
+  /**
+   * The times at which operators disabled workers, by worker id. The workers need not be in the
+   * endpoint list.
+   */
   private final Map<String, Long> disabledSince = new HashMap<>();
 
-  /** The eligible workers of each kind, and all of them under null. */
+  /** The eligible workers by kind. The key null maps to the eligible workers of all kinds. */
   private final Map<String, WorkerState[]> poolsByKind = new HashMap<>();
 
-  /** The eligible workers by queue, then kind, for the queues that jobs have named so far. */
+  /**
+   * The eligible workers by queue and then by kind, for the queues that requests have named since
+   * the last rebuild.
+   */
   private final Map<String, Map<String, WorkerState[]>> poolsByQueue = new HashMap<>();
 
   private long version;
@@ -33,62 +45,70 @@
     rebuildPools();
   }
 
-  /** Counts the changes of the eligible workers. */
+  /** Returns a number that increases each time the eligible workers are determined. */
   long version() {
     return version;
   }
 
+  /** Returns the number of listed workers. */
   int size() {
     return workers.size();
   }
 
-  /** All listed workers, by id. */
+  /** Returns all listed workers, ordered by id. */
   Collection<WorkerState> all() {
     return workers.values();
   }
 
-  /** A listed worker, or null. */
+  /** Returns a listed worker; null if there is none with this id. */
   WorkerState get(String id) {
     return workers.get(id);
   }
 
-  /** A listed worker; a new one has no endpoint yet. */
+  /**
+   * Returns a listed worker, and adds it first if there is none with this id. An added worker has
+   * no endpoint yet.
+   */
   WorkerState getOrAdd(String id) {
     return workers.computeIfAbsent(id, absent -> new WorkerState(absent, REPORT_DELAY_MICROS));
   }
 
-  /** Marks all workers as removed; the caller then applies the new list. */
+  /** Marks all workers as removed. The caller then applies the new list. */
   void markAllRemoved() {
     for (WorkerState worker : workers.values()) {
       worker.markRemoved();
     }
   }
 
-  /** Drops the workers that are marked as removed. */
+  /** Removes the workers that are marked as removed. */
   void dropRemoved() {
     workers.values().removeIf(worker -> worker.endpoint().state() == State.REMOVED);
   }
 
-  /** Disables a worker, unless it is disabled. */
+  /** Disables a worker. Does nothing if it is already disabled. */
   void disable(String id, long now) {
     disabledSince.putIfAbsent(id, now);
     rebuildPools();
   }
 
+  /** Returns whether an operator has disabled a worker. */
   boolean isDisabled(String id) {
     return disabledSince.containsKey(id);
   }
 
   /**
-   * Enables a worker again; the caller then calls {@link #rebuildPools}.
+   * Enables a disabled worker. The caller has to call {@link #rebuildPools} afterwards.
    *
-   * @return when it was disabled
+   * @return the time at which the worker was disabled
    */
   long enable(String id) {
     return disabledSince.remove(id);
   }
 
-  /** Finds out which workers are eligible: ready and not disabled, sorted by id. */
+  /**
+   * Determines the eligible workers, which are those that are ready and not disabled, and orders
+   * them by id.
+   */
   void rebuildPools() {
     version++;
     poolsByQueue.clear();
@@ -104,7 +124,7 @@
     return worker.endpoint().state() == State.READY && !isDisabled(worker.id);
   }
 
-  /** The eligible workers that may run a request. */
+  /** Returns the eligible workers that may run a request, ordered by id. */
   WorkerState[] pool(PendingRequest request) {
     String kind = request.requestClass.workerKind();
     String queue = request.arrival.queue();
@@ -123,12 +143,12 @@
         .toArray(WorkerState[]::new);
   }
 
-  /** How many listed workers are ejected now. */
+  /** Returns the number of listed workers that are ejected. */
   long countEjected(long now) {
     return workers.values().stream().filter(worker -> worker.isEjected(now)).count();
   }
 
-  /** How many listed workers are ejected or disabled now. */
+  /** Returns the number of listed workers that are ejected or disabled. */
   int countUnavailable(long now) {
     return (int)
         workers.values().stream()
@@ -136,12 +156,12 @@
             .count();
   }
 
-  /** How many attempts are open at all listed workers. */
+  /** Returns the number of open attempts at all listed workers. */
   int countOpenAttempts() {
     return workers.values().stream().mapToInt(worker -> worker.openAttempts().size()).sum();
   }
 
-  /** Takes a request off the lists of those that wait for a health check. */
+  /** Removes a request from the waiters of all health checks. */
   void removeHealthCheckWaiter(PendingRequest request) {
     for (WorkerState worker : workers.values()) {
       worker.removeHealthCheckWaiter(request);
