--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -32,6 +32,7 @@
    * allows over {@link #BURST_SECONDS}.
    */
   private static final double BASE_BURST_REQUESTS = 3;
+
   private static final double MICROS_PER_SECOND = 1e6;
 
   /**
--- a/src/main/java/loomreel/decision/AttemptState.java
+++ b/src/main/java/loomreel/decision/AttemptState.java
@@ -10,8 +10,10 @@
 
   final PendingRequest request;
   final WorkerState worker;
+
   /** The time at which the attempt was sent. */
   final long sentAt;
+
   private long startedAt = NOT_STARTED;
   private boolean open = true;
   private boolean neverRan;
--- a/src/main/java/loomreel/decision/LatencyEstimator.java
+++ b/src/main/java/loomreel/decision/LatencyEstimator.java
@@ -12,6 +12,8 @@
   private static final double PRIOR_WEIGHT_JOBS = 3;
 
   private final ServiceTimeEstimator serviceTimes;
+
+  /** The service rate of all workers together. */
   private final ServiceRate serviceRate = new ServiceRate(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
   LatencyEstimator(ServiceTimeEstimator serviceTimes) {
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -5,8 +5,8 @@
 
 /**
  * The schedule on which a dispatcher polls the endpoint list. Dispatchers that start together or
- * lose discovery together must not poll in unison. The first poll is therefore spread over a part
- * of the poll interval. After a failure, the wait grows exponentially up to {@link
+ * lose discovery together must not poll at the same time. The first poll is therefore spread over a
+ * part of the poll interval. After a failure, the wait grows exponentially up to {@link
  * Rules#maxPollBackoff()}, with jitter over the upper half of each wait. If a failed call has
  * lasted at least as long as that maximum, discovery had accepted it, so the backoff starts again.
  * Times are in microseconds.
--- a/src/main/java/loomreel/decision/ServiceTimeEstimator.java
+++ b/src/main/java/loomreel/decision/ServiceTimeEstimator.java
@@ -11,8 +11,10 @@
 final class ServiceTimeEstimator {
   /** The weight of a new sample in the mean run time of a class. */
   private static final double RUN_TIME_WEIGHT = 0.03;
+
   /** The weight of a new sample in the mean start delay and its deviation. */
   private static final double START_DELAY_WEIGHT = 0.05;
+
   /** The weight of a new sample in the mean duration of a health check. */
   private static final double HEALTH_CHECK_WEIGHT = 0.05;
 
@@ -57,8 +59,10 @@
   private final double[] meanRunTime;
 
   private double meanStartDelay;
+
   /** The mean absolute deviation of the start delay. */
   private double startDelayDeviation;
+
   private double meanHealthCheckDuration;
 
   ServiceTimeEstimator(Settings settings) {
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -75,6 +75,7 @@
 
   /** The cached result of {@link #countWarmWorkers}. */
   private long warmWorkerCount;
+
   private long warmCountedAt = Timestamp.NEVER;
   private long warmCountedVersion;
 
@@ -182,11 +183,12 @@
   }
 
   /**
-   * Returns an estimate of the work per microsecond that a worker, once warm, can at least receive
-   * from this dispatcher. It is the larger of two estimates, each multiplied by its margin: the
-   * mean rate of the work sent to warm workers, and the minimum rate at which the worker's own
-   * slots work. The first alone is too low if most workers are cold, and for a dispatcher that has
-   * sent little work so far.
+   * Returns an estimate of the work per microsecond that this dispatcher can at least send to a
+   * worker that is warm. It is the larger of two estimates, each multiplied by its margin. The
+   * first is the mean rate of the work that this dispatcher sends to warm workers. The second is
+   * this dispatcher's share of the work that the worker's own slots do at least. The first estimate
+   * alone is too low if most workers are cold, and for a dispatcher that has sent little work so
+   * far.
    */
   private double safeRate(WorkerState worker) {
     long now = context.now();
--- a/src/main/java/loomreel/decision/TrafficEstimator.java
+++ b/src/main/java/loomreel/decision/TrafficEstimator.java
@@ -7,8 +7,8 @@
  */
 final class TrafficEstimator {
   /**
-   * A dispatcher is hot if its traffic exceeds the mean of all dispatchers by more than this
-   * factor. Different traffic in the zones alone leads to smaller factors.
+   * A dispatcher is hot if its traffic is more than this multiple of the mean of all dispatchers.
+   * Differences between the zones alone lead to smaller multiples.
    */
   private static final double MIN_HOT_DISPATCHER_FACTOR = 1.6;
 
--- a/src/main/java/loomreel/decision/WorkerLoadHistory.java
+++ b/src/main/java/loomreel/decision/WorkerLoadHistory.java
@@ -8,6 +8,7 @@
 final class WorkerLoadHistory {
   /** The weight of a new report in the number of slots. */
   private static final double SLOTS_WEIGHT = 0.2;
+
   /** The minimum weight of a new sample in the mean load. */
   private static final double MIN_SAMPLE_WEIGHT = 0.1;
 
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -11,9 +11,12 @@
 final class WorkerState {
   /** The time constant of the worker's service rate, in microseconds. */
   private static final double SERVICE_RATE_TIME_CONSTANT_MICROS = 4e6;
+
   /** The maximum backoff of an ejection, in microseconds. */
   private static final long MAX_EJECTION_MICROS = 16_000_000;
+
   private static final int EJECTION_BACKOFF_FACTOR = 2;
+
   /** The value of {@link #healthCheckSentAt} while no health check is pending. */
   private static final long NO_HEALTH_CHECK = -1;
 
@@ -24,6 +27,7 @@
   private static final long NOT_ENABLED = 0;
 
   final String id;
+
   /** The hash of the id. */
   final long hash;
 
