--- a/src/main/java/loomreel/decision/Action.java
+++ b/src/main/java/loomreel/decision/Action.java
@@ -11,28 +11,29 @@
    * which they are started.
    *
    * @param timeout the maximum time to wait for the outcome; 0 to wait until the client's deadline
-   * @param writeDeadline the time after which the request must not be written to the worker,
-   *     because workers deduplicate attempts only until then; {@link Long#MAX_VALUE} if there is no
-   *     such limit
+   * @param writeDeadline the time until which the request may be written to the worker; {@link
+   *     Long#MAX_VALUE} if there is no such limit. The limit is needed if an earlier attempt of a
+   *     keyed request may have run, because workers deduplicate attempts only for a limited time.
    */
   record StartAttempt(String requestId, String workerId, long timeout, long writeDeadline)
       implements Action {}
 
-  /** Cancels an open attempt. A cancelled attempt may still have run. */
+  /** Cancels an open attempt. The worker may have run the job nevertheless. */
   record CancelAttempt(String requestId, int attemptNumber) implements Action {}
 
   /**
-   * Rejects a request. A rejection is a final answer. It implies that no attempt ran, or that the
-   * client can safely send the request again.
+   * Rejects a request. A rejection is a final answer. It tells the client that no attempt ran, or
+   * that the request is idempotent. In both cases, the client can safely send the request again.
    *
-   * @param retryAfter the time during which the client should not retry; 0 if the answer gives none
+   * @param retryAfter the time during which the client should not retry; 0 if the rejection does
+   *     not name such a time
    */
   record Reject(String requestId, long retryAfter, RejectionReason reason) implements Action {}
 
-  /** Fails a request. A failure is a final answer. It does not tell whether an attempt ran. */
+  /** Fails a request. A failure is a final answer that does not tell whether an attempt ran. */
   record Fail(String requestId, RejectionReason reason) implements Action {}
 
-  /** Sends a health check, which queries the load of a worker. */
+  /** Sends a health check to a worker, to query the load of the worker. */
   record CheckHealth(String workerId) implements Action {}
 
   /**
--- a/src/main/java/loomreel/decision/AttemptCanceller.java
+++ b/src/main/java/loomreel/decision/AttemptCanceller.java
@@ -3,7 +3,8 @@
 import loomreel.decision.Action.CancelAttempt;
 
 /**
- * Cancels attempts whose results are not needed any more, if the deployment allows cancellation.
+ * Cancels attempts whose results are not needed any more. Does nothing if {@link
+ * Settings.Limits#cancellation} is false.
  */
 final class AttemptCanceller {
   private final PolicyContext context;
@@ -18,8 +19,8 @@
   }
 
   /**
-   * Cancels the open attempts of a request that have not started. It is called when another attempt
-   * of the request has started to run.
+   * Cancels the open attempts of a request whose start no worker has reported. The method is called
+   * when a worker reports the start of another attempt of the same request.
    */
   void cancelUnstarted(PendingRequest request) {
     cancel(request, false);
--- a/src/main/java/loomreel/decision/AttemptState.java
+++ b/src/main/java/loomreel/decision/AttemptState.java
@@ -5,7 +5,7 @@
  * dispatcher's clock.
  */
 final class AttemptState {
-  /** The value of {@link #startedAt} while no start has been reported. */
+  /** The value of {@link #startedAt} while the worker has not reported the start of the job. */
   private static final long NOT_STARTED = -1;
 
   final PendingRequest request;
@@ -26,13 +26,13 @@
     this.sentAt = sentAt;
   }
 
-  /** Returns whether the end of the attempt has not been reported yet. */
+  /** Returns whether the attempt is open, that is, whether its end has not been reported yet. */
   boolean isOpen() {
     return open;
   }
 
   /**
-   * Returns whether the worker has reported that the job started. The result stays true after the
+   * Returns whether the worker has reported the start of the job. The result stays true after the
    * attempt has ended.
    */
   boolean hasStarted() {
@@ -40,14 +40,17 @@
   }
 
   /**
-   * Returns the time at which the job started, or the time at which the attempt was sent if no
-   * start was reported.
+   * Returns the time at which the job started. If no start was reported, returns the time at which
+   * the attempt was sent.
    */
   long startedOrSentAt() {
     return hasStarted() ? startedAt : sentAt;
   }
 
-  /** Returns whether the attempt has ended with an outcome that proves that it never ran. */
+  /**
+   * Returns whether the attempt has ended and its outcome proves that it never ran. The result is
+   * false for an open attempt.
+   */
   boolean neverRan() {
     return neverRan;
   }
@@ -72,7 +75,8 @@
   /**
    * Marks the attempt as cancelled if it is open.
    *
-   * @return whether this call marked it; false if the attempt has ended or was already marked
+   * @return true if this call marked the attempt; false if the attempt has ended or was already
+   *     marked
    */
   boolean markCancelled() {
     boolean isFirstCancellation = open && !cancelled;
--- a/src/main/java/loomreel/decision/DeduplicationScope.java
+++ b/src/main/java/loomreel/decision/DeduplicationScope.java
@@ -1,6 +1,10 @@
 package loomreel.decision;
 
-/** The set of workers that deduplicate the attempts of a keyed request together. */
+/**
+ * The group of workers that deduplicate the attempts of a keyed request together. Each worker of
+ * the group recognizes an attempt if another attempt of the same request was sent to any worker of
+ * the group. {@link Idempotency#KEYED} describes keyed requests.
+ */
 public enum DeduplicationScope {
   /** All workers. */
   ALL,
@@ -10,8 +14,8 @@
   FAILURE_DOMAIN;
 
   /**
-   * Returns whether two workers are in the same scope, so that each recognizes attempts of a keyed
-   * request that were sent to the other.
+   * Returns whether two workers belong to the same group, so that each recognizes attempts of a
+   * keyed request that were sent to the other.
    */
   public boolean sharedBy(Endpoint first, Endpoint second) {
     return switch (this) {
--- a/src/main/java/loomreel/decision/Endpoint.java
+++ b/src/main/java/loomreel/decision/Endpoint.java
@@ -3,16 +3,19 @@
 import java.util.Set;
 
 /**
- * A worker as described by the endpoint list.
+ * The entry of a worker in the endpoint list.
  *
  * @param id the id of the worker, which is the same at every dispatcher and does not change when
  *     the worker restarts
- * @param kind the kind of worker, which a request class may require
+ * @param kind the kind of the worker; a request class may require workers of one kind
  * @param failureDomain the part of the zone that fails as a unit, such as a rack; -1 if unknown
  * @param startedAt the start time of the worker's process, in microseconds; 0 if the process
  *     started long ago or the time is unknown
- * @param weight the worker's fraction of the keys, relative to the weights of the other workers
- * @param queues the queues whose jobs the worker accepts; null if it accepts jobs of every queue
+ * @param weight the weight of the worker in the ranking of workers for job keys; if {@link
+ *     Settings#stableWeights} is true, the number of keys that prefer the worker is proportional to
+ *     its weight
+ * @param queues the queues whose jobs the worker accepts; null if it accepts the jobs of every
+ *     queue
  */
 public record Endpoint(
     String id,
@@ -41,8 +44,8 @@
   }
 
   /**
-   * Returns whether the worker accepts jobs of a queue. A job without a queue, for which {@code
-   * queue} is null, is accepted by every worker.
+   * Returns whether the worker accepts the jobs of a queue. If {@code queue} is null, the job has
+   * no queue, and every worker accepts it.
    */
   boolean accepts(String queue) {
     return queues == null || queue == null || queues.contains(queue);
--- a/src/main/java/loomreel/decision/Event.java
+++ b/src/main/java/loomreel/decision/Event.java
@@ -14,35 +14,50 @@
    */
   record Start(long seed, Settings settings) implements Event {}
 
-  /** The dispatcher stops. The policy discards its state. */
+  /**
+   * The dispatcher stops. At its next start, the policy begins without workers, requests and
+   * estimates. Only the fraction of the last {@link CapacityFractionChanged} remains in effect.
+   */
   record Stop() implements Event {}
 
-  /** The complete endpoint list has arrived. A worker that is not in it has been removed. */
+  /**
+   * The complete endpoint list has arrived. A known worker that is not in the list has been
+   * removed.
+   */
   record EndpointSnapshot(List<Endpoint> endpoints) implements Event {}
 
-  /** Changes to the endpoint list have arrived. */
+  /**
+   * Changes to the endpoint list have arrived. A known worker that the event does not name is
+   * unchanged.
+   *
+   * @param endpoints the entries that are new or have changed; the entry of a worker that has left
+   *     the list has the state {@link Endpoint.State#REMOVED}
+   */
   record EndpointUpdate(List<Endpoint> endpoints) implements Event {}
 
-  /** A poll or watch of the endpoint list has failed. The previous list stays valid. */
+  /**
+   * A poll or watch of the endpoint list has failed. The last endpoint list that arrived stays
+   * valid.
+   */
   record WatchFailed() implements Event {}
 
   /**
    * A request has arrived.
    *
-   * @param key the program or data set that the job needs, which determines its preferred workers;
-   *     null if there is none
+   * @param key the program or data set that the job needs; jobs with the same key prefer the same
+   *     workers; null if the job has no key
    * @param slots the number of worker slots that the job occupies
    * @param classIndex the position of the request's class in {@link Settings#classes()}
    * @param tenantIndex the position of the request's tenant in {@link Settings#tenants()}; -1 if
    *     the tenant is unknown
    * @param deadline the time at which the client stops waiting
    * @param clientRetry whether the client marked the request as a retry
-   * @param expectedWork the expected run time of the job at speed 1, in microseconds; NaN if
-   *     unknown
-   * @param queue the queue of the job, whose workers alone may run it; null if any worker may run
-   *     it
-   * @param hasIdempotencyKey whether the request has an idempotency key; a request of a keyed class
-   *     without one is treated as not idempotent
+   * @param expectedWork the work that the request announces for its job, which is the expected run
+   *     time, in microseconds, in a slot of speed 1; NaN if the request announces none
+   * @param queue the queue of the job; only workers that accept this queue may run the job; null if
+   *     any worker may run it
+   * @param hasIdempotencyKey whether the request has an idempotency key; a request without such a
+   *     key is treated as not idempotent if its class is {@link Idempotency#KEYED}
    */
   record RequestArrived(
       String requestId,
@@ -56,7 +71,10 @@
       String queue,
       boolean hasIdempotencyKey)
       implements Event {
-    /** Creates a request without a queue that has the idempotency key that its class requires. */
+    /**
+     * Creates an event for a request without a queue. If the class of the request requires an
+     * idempotency key, the request has one.
+     */
     public RequestArrived(
         String requestId,
         String key,
@@ -81,7 +99,8 @@
   }
 
   /**
-   * The client has disconnected or its deadline has passed. The request needs no answer any more.
+   * A request needs no answer any more, because its client has disconnected or its deadline has
+   * passed.
    */
   record RequestCancelled(String requestId) implements Event {}
 
@@ -92,8 +111,8 @@
    * An attempt has ended.
    *
    * @param answered whether the request already has its final answer
-   * @param duration the time since the attempt was sent, in microseconds
-   * @param load the load report that arrived with the outcome; null if there is none
+   * @param duration the time from the send of the attempt to its end, in microseconds
+   * @param load the load report of the worker that arrived with the outcome; null if there is none
    */
   record AttemptEnded(
       String requestId,
@@ -108,29 +127,30 @@
   /**
    * A health check has ended.
    *
-   * @param duration the time since the health check was sent, in microseconds
-   * @param load the load report; null if there is none
+   * @param duration the time from the send of the health check to its end, in microseconds
+   * @param load the load report of the worker that arrived with the outcome; null if there is none
    */
   record HealthChecked(String workerId, AttemptOutcome outcome, long duration, WorkerLoad load)
       implements Event {}
 
   /**
-   * An operator has disabled a worker. The worker receives no new attempts, whatever its state in
-   * the endpoint list.
+   * An operator has disabled a worker. The worker receives no new attempts, even if the endpoint
+   * list names it as ready.
    */
   record WorkerDisabled(String workerId) implements Event {}
 
   /**
-   * An operator has enabled a worker again. The worker may have restarted since it was disabled.
+   * An operator has enabled a worker that was disabled. The worker may have restarted while it was
+   * disabled.
    */
   record WorkerEnabled(String workerId) implements Event {}
 
   /**
    * A second process has begun or ceased to serve as the same dispatcher, as happens in a hot
-   * restart.
+   * restart. While two processes serve, they divide the dispatcher's limits on the work for warming
+   * workers. {@link SlowStartController} describes these limits.
    *
-   * @param fraction the fraction of the dispatcher's slow-start allowance that this process may
-   *     use, from 0 to 1
+   * @param fraction the fraction of the dispatcher's limits that this process may use, from 0 to 1
    */
   record CapacityFractionChanged(double fraction) implements Event {}
 
--- a/src/main/java/loomreel/decision/Idempotency.java
+++ b/src/main/java/loomreel/decision/Idempotency.java
@@ -3,15 +3,15 @@
 /** Whether a request may be attempted again after an attempt that may have run. */
 public enum Idempotency {
   /**
-   * It may be attempted again at any worker. Running the job twice has the same effect as running
-   * it once.
+   * The request may be attempted again at any worker. Running the job twice has the same effect as
+   * running it once.
    */
   IDEMPOTENT,
   /**
-   * It may be attempted again only at workers that recognize the repetition by its idempotency key.
-   * {@link DeduplicationScope} tells which ones these are.
+   * The request has an idempotency key. It may be attempted again only at workers that recognize
+   * the repetition by this key. {@link DeduplicationScope} defines these workers.
    */
   KEYED,
-  /** It may not be attempted again. */
+  /** The request may not be attempted again. */
   NON_IDEMPOTENT
 }
--- a/src/main/java/loomreel/decision/RejectionReason.java
+++ b/src/main/java/loomreel/decision/RejectionReason.java
@@ -1,23 +1,34 @@
 package loomreel.decision;
 
-/** The reason for which a request was rejected or failed. */
+/**
+ * The reason for which a request was rejected or failed. If the job has not started at the start
+ * deadline of the request, an answer has no value any more. {@link RequestDeadlines} describes the
+ * start deadline.
+ */
 public enum RejectionReason {
-  /** The request arrived when an answer had no value any more. */
+  /** The request arrived after its start deadline, when an answer had no value any more. */
   ARRIVED_TOO_LATE,
   /**
-   * The request was beyond the quota of its tenant, and no worker was below the load threshold for
-   * such requests.
+   * The request exceeded the quota of its tenant, and no candidate worker could take the request.
+   * The load threshold for such a request is lower than for other requests.
    */
   QUOTA_EXCEEDED,
-  /** No ready and enabled worker may run the request. */
+  /** None of the workers that are ready and not disabled may run the request. */
   NO_ELIGIBLE_WORKER,
-  /** No worker had capacity or slow-start allowance for the request while an answer had a value. */
+  /**
+   * No worker had capacity or slow-start allowance for the request before its start deadline. No
+   * attempt was started.
+   */
   NO_CAPACITY_IN_TIME,
-  /** The request was sent, but no worker started it while an answer had a value. */
+  /**
+   * At least one attempt was started, but no worker started the job before the start deadline of
+   * the request.
+   */
   NOT_STARTED_IN_TIME,
   /**
-   * All attempts of the request have ended. Its idempotency or the limits on retries allow no
-   * further one.
+   * All attempts of the request have ended, and no further attempt is allowed. The request is
+   * invalid, or its idempotency, its deadlines or the maximum number of attempts forbid another
+   * attempt.
    */
   RETRIES_EXHAUSTED,
   /** The client's deadline is about to pass. */
