--- a/src/main/java/loomreel/decision/DecayingSum.java
+++ b/src/main/java/loomreel/decision/DecayingSum.java
@@ -1,10 +1,15 @@
 package loomreel.decision;
 
-/** A sum whose value decays exponentially with time. Times are in microseconds. */
+/**
+ * A sum of amounts in which each amount decays exponentially with the time since it was added.
+ * Times are in microseconds.
+ */
 final class DecayingSum {
   /**
-   * The time constant of rates and means, in microseconds. It is long compared with the run time of
-   * a job and short compared with a day.
+   * The time constant, in microseconds, of the sums from which long-term rates and means are
+   * computed. This time constant is long compared with the run time of a job and short compared
+   * with a day. Users of this class pass it to the constructor. Sums for other purposes have other
+   * time constants.
    */
   static final double RATE_TIME_CONSTANT_MICROS = 10e6;
 
@@ -15,18 +20,18 @@
   /**
    * Creates a sum of 0.
    *
-   * @param timeConstantMicros the time after which a fraction of 1/e of an amount remains
+   * @param timeConstantMicros the time after which the fraction 1/e of an amount remains
    */
   DecayingSum(double timeConstantMicros) {
     this.timeConstantMicros = timeConstantMicros;
   }
 
-  /** Returns the current value, which is the decayed sum of all added amounts. */
+  /** Returns the sum of the amounts that remain at the given time. */
   double valueAt(long now) {
     return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstantMicros);
   }
 
-  /** Adds an amount, which may be negative. */
+  /** Adds an amount, which may be negative, at the given time. */
   void add(double amount, long now) {
     sum = valueAt(now) + amount;
     updatedAt = now;
--- a/src/main/java/loomreel/decision/FirstAttemptEstimator.java
+++ b/src/main/java/loomreel/decision/FirstAttemptEstimator.java
@@ -4,28 +4,38 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * Estimates when the client of a request made its first attempt. The latency objective counts from
- * that time. Times are in microseconds.
+ * Estimates when the client of a request made its first attempt. The latency objective of the
+ * request counts from that time. Times are in microseconds.
  *
- * <p>If the time until the client's deadline is shorter than the deadline of the request's class,
- * the request is either a retry that has used up a part of the deadline, or the first attempt of a
- * client with a shorter timeout. If clients mark their retries, the mark decides.
+ * <p>The deadline of a request class is the total time that a client waits, including its retries.
+ * If at least this time remains until the client's deadline, the request is a first attempt. If
+ * less time remains, the request is either a retry, before which the client has already waited, or
+ * the first attempt of a client with a shorter timeout. The following rules distinguish these two
+ * cases.
  *
- * <p>If clients do not mark their retries, a request with at least half of the class's deadline
- * remaining counts as a retry. A request with less remaining counts as a first attempt, because a
- * client with a short timeout is more likely than a late retry. It counts as a retry, though, if
- * the recent rejections of this dispatcher number at least half of the recent requests with so
- * little time remaining. Rejections with reason {@link RejectionReason#ARRIVED_TOO_LATE} are not
- * counted, because they result from this estimate and would confirm it.
+ * <p>If the client marked the request as a retry, the request is a retry. If clients mark their
+ * retries and this request has no mark, the request is a first attempt.
+ *
+ * <p>If clients do not mark their retries, the remaining time decides. A request with at least half
+ * of the class's deadline remaining is a retry. A request with less time remaining has a short time
+ * budget. It counts as a first attempt, because a client with a short timeout is more likely than a
+ * late retry. There is one exception: if this dispatcher's recent rejections number at least half
+ * of its recent requests with a short time budget, the request counts as a retry. A rejection with
+ * reason {@link RejectionReason#ARRIVED_TOO_LATE} is not counted, because it results from this
+ * estimate and would confirm the estimate.
  */
 final class FirstAttemptEstimator {
   /**
-   * A request has a short time budget if its remaining time is less than the class's deadline
-   * divided by this number.
+   * A request has a short time budget if the time until the client's deadline is less than the
+   * class's deadline divided by this number.
    */
   private static final int SHORT_BUDGET_DIVISOR = 2;
 
-  /** The number of requests with a short time budget that one rejection accounts for as retries. */
+  /**
+   * The number of requests with a short time budget that one rejection explains as retries. If the
+   * recent rejections explain all recent requests with a short time budget, these requests count as
+   * retries.
+   */
   private static final double SHORT_BUDGETS_PER_REJECTION = 2;
 
   private final boolean clientsMarkRetries;
@@ -36,8 +46,7 @@
    * Creates an estimator without observations.
    *
    * @param clientsMarkRetries whether clients mark their retries
-   * @param timeConstantMicros the time after which requests and rejections count for a fraction of
-   *     1/e
+   * @param timeConstantMicros the time constant of the decaying counts of requests and rejections
    */
   FirstAttemptEstimator(boolean clientsMarkRetries, double timeConstantMicros) {
     this.clientsMarkRetries = clientsMarkRetries;
@@ -45,7 +54,11 @@
     rejections = new DecayingSum(timeConstantMicros);
   }
 
-  /** Returns the estimated time of the client's first attempt for a request that arrives now. */
+  /**
+   * Returns the estimated time of the client's first attempt for a request that arrives now. For a
+   * retry, this is the client's deadline minus the class's deadline. If the request has a short
+   * time budget and no mark decides whether it is a retry, it is counted for later estimates.
+   */
   long firstAttemptAt(RequestArrived arrival, RequestClass requestClass, long now) {
     long remaining = arrival.deadline() - now;
     if (remaining >= requestClass.deadline() || (clientsMarkRetries && !arrival.clientRetry())) {
@@ -62,8 +75,8 @@
   }
 
   /**
-   * Records that a request was given up, so that its client may retry. Ignores requests that
-   * arrived too late.
+   * Records that a request was given up, so that its client may retry. Does nothing if the reason
+   * is {@link RejectionReason#ARRIVED_TOO_LATE}.
    */
   void recordRejection(RejectionReason reason, long now) {
     if (reason != RejectionReason.ARRIVED_TOO_LATE) {
--- a/src/main/java/loomreel/decision/Hashing.java
+++ b/src/main/java/loomreel/decision/Hashing.java
@@ -12,12 +12,15 @@
     return mixed ^ mixed >>> 31;
   }
 
-  /** Returns a hash, after mixing, as a number greater than 0 and at most 1. */
+  /** Mixes a hash and maps it to a number greater than 0 and at most 1. */
   static double toUnitInterval(long hash) {
     return ((mix(hash) >>> 11) + 1) * 0x1.0p-53;
   }
 
-  /** Returns the FNV-1a hash of the UTF-16 code units of a text, after mixing. */
+  /**
+   * Returns the hash of a text, which is the mixed FNV-1a hash of the UTF-16 code units of the
+   * text.
+   */
   static long stringHash(String text) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -3,9 +3,13 @@
 import loomreel.decision.Settings.LoadReporting;
 
 /**
- * Estimates the loads of workers, as fractions of their slots, from their load reports and from the
- * attempts that this dispatcher has sent since the reports. As the last report of a worker ages,
- * its estimate approaches the mean load of all workers. Times are in microseconds.
+ * Estimates the loads of workers. The load of a worker is a fraction of its slots, and it exceeds 1
+ * if jobs are queued. If workers report their load, the estimate for a worker is computed from its
+ * last report and from the attempts that this dispatcher has sent to it since then. As the last
+ * report becomes older, the estimate approaches the mean load of all workers. If workers do not
+ * report their load, the estimate is computed from the delays of job starts, from rejected
+ * attempts, and from this dispatcher's open attempts. In both cases, a worker whose jobs take
+ * longer than at other workers receives a penalty. Times are in microseconds.
  */
 final class LoadEstimator {
   /** The assumed number of slots of a worker before the first load report of any worker. */
@@ -15,45 +19,58 @@
   private static final double INITIAL_MEAN_LOAD = 0.5;
 
   /**
-   * The time constant, in microseconds, with which the mean load of one worker approaches that of
-   * all workers.
+   * The time constant, in microseconds, with which the estimate changes from the mean load of one
+   * worker to the mean load of all workers, as the last sample of the worker becomes older.
    */
   private static final double LOAD_DECAY_TIME_CONSTANT_MICROS = 0.8e6;
 
-  /** The time constant, in mean run times, with which the weight of a load report decays. */
+  /**
+   * The time constant with which the weight of a worker's last load report decays, as a multiple of
+   * the mean run time of jobs.
+   */
   private static final double REPORT_TIME_CONSTANT_RUN_TIMES = 2;
 
   /**
-   * The maximum latency ratio without a load penalty. The penalty is the amount by which the ratio
-   * exceeds this limit. {@link LatencyEstimator#latencyRatio} defines the ratio.
+   * The latency ratio up to which the estimated load of a worker has no penalty. If the ratio is
+   * larger, the excess is added to the estimated load. {@link LatencyEstimator#latencyRatio}
+   * defines the ratio.
    */
   private static final double MAX_UNPENALIZED_LATENCY_RATIO = 1.25;
 
   /**
-   * The maximum fraction of a worker's slots for the jobs of one key. A key that needs more is
-   * spread over more workers.
+   * The maximum fraction of a worker's slots that the jobs of one key may be expected to occupy. If
+   * the demand for a key is higher, its jobs are spread over more workers.
    */
   private static final double MAX_WORKER_FRACTION_PER_KEY = 0.25;
 
   /**
-   * The number of standard deviations that are subtracted from the observed demand for a key.
-   * Demand within this range of zero may be due to chance.
+   * The number of standard deviations by which the observed demand for a key is reduced. The
+   * remaining demand is unlikely to be due to chance.
    */
   private static final double DEMAND_NOISE_DEVIATIONS = 1.5;
 
-  /** The index of the request class whose mean run time is used for the jobs of every key. */
+  /**
+   * The index of the first request class. The mean run time of this class is used to compute the
+   * standard deviation of the demand for every key.
+   */
   private static final int FIRST_CLASS = 0;
 
-  /** The weight of a new sample in the mean load and the mean slots of all workers. */
+  /**
+   * The weight of a new load report in the mean load and in the mean number of slots of all
+   * workers.
+   */
   private static final double SAMPLE_WEIGHT = 0.02;
 
-  /** The maximum value with which a sample enters the mean load of all workers. */
+  /**
+   * The maximum load in the mean load of all workers. A sample with a higher load is counted with
+   * this value.
+   */
   private static final double MAX_LOAD_IN_MEAN = 2;
 
-  /** A worker that reports fewer free slots than this is full. */
+  /** A worker counts as full if it reports fewer free slots than this. */
   private static final double MIN_FREE_SLOTS = 0.5;
 
-  /** The minimum load that is recorded for a worker that reports itself as full. */
+  /** The minimum load that is recorded for a worker that counts as full. */
   private static final double FULL_LOAD = 1;
 
   private final PolicyContext context;
@@ -85,8 +102,8 @@
   }
 
   /**
-   * Returns the number of slots of a worker. If it is not known, returns the mean of all workers
-   * or, before the first report, {@link #DEFAULT_SLOTS}.
+   * Returns the number of slots of a worker. If the number is not known, returns the mean number of
+   * slots of all workers. Before the first report of any worker, returns {@link #DEFAULT_SLOTS}.
    */
   double slots(WorkerState worker) {
     return worker.load.hasSlots() ? worker.load.slots() : typicalSlots();
@@ -97,20 +114,24 @@
   }
 
   /**
-   * Returns the fraction of its steady value that a {@link DecayingSum} with the time constant
-   * {@link DecayingSum#RATE_TIME_CONSTANT_MICROS} reaches if amounts are added at a constant rate
-   * since this dispatcher started. The result is greater than 0 and approaches 1.
+   * Returns how much of its steady value a {@link DecayingSum} has reached since this dispatcher
+   * started. The sum has the time constant {@link DecayingSum#RATE_TIME_CONSTANT_MICROS}, and
+   * amounts are assumed to be added at a constant rate. A sum divided by the result is an estimate
+   * of its steady value. The result is greater than 0 and approaches 1.
    */
   double observedFraction() {
+    // The time since the start, negated for the exponent. The additional microsecond keeps the
+    // result above 0.
     double age = startedAt - context.now() - 1;
     return 1 - Math.exp(age / DecayingSum.RATE_TIME_CONSTANT_MICROS);
   }
 
   /**
-   * Returns the number of workers that the traffic of a key needs. The estimate multiplies this
-   * dispatcher's traffic by the number of dispatchers, because a hot key can fill its hashed
-   * workers while the count of each single dispatcher is still low. Traffic that may be due to
-   * chance is not counted. The result is 0 if no traffic is counted.
+   * Returns the number of workers over which the jobs of a key should be spread. The demand of all
+   * dispatchers is estimated as the demand at this dispatcher multiplied by the number of
+   * dispatchers. The demand at a single dispatcher does not suffice, because all dispatchers
+   * together can fill the hashed workers of a hot key while the demand at each of them is still
+   * low. Demand that may be due to chance is not counted. The result is 0 if no demand is counted.
    */
   int workersNeeded(KeyAffinity key) {
     double observedDemand = key.demandAt(context.now());
@@ -126,8 +147,8 @@
   }
 
   /**
-   * Returns this dispatcher's traffic relative to the mean of all dispatchers; 1 unless this
-   * dispatcher is hot.
+   * Returns the traffic of this dispatcher divided by the mean traffic of all dispatchers. The
+   * result is 1 unless this dispatcher is hot; {@link TrafficEstimator} defines when it is hot.
    */
   double trafficFactor() {
     return trafficEstimator.factor(context.now());
@@ -136,17 +157,16 @@
   /**
    * Records a job that was served.
    *
-   * @param serviceTime the time from the start of the job to its end, or from the send if no start
-   *     was reported
+   * @param serviceTime the time from the start of the job to its end; if no start was reported, the
+   *     time from the send of the attempt to its end
    */
   void recordServed(AttemptState attempt, double serviceTime) {
     latencyEstimator.recordServed(attempt, serviceTime, context.now());
   }
 
   /**
-   * Records a load report of a worker.
-   *
-   * @param report the report; it is ignored if it is null or has no number of free slots
+   * Records a load report of a worker. Does nothing if the report is null or does not contain the
+   * number of free slots.
    */
   void recordReport(WorkerState worker, WorkerLoad report) {
     if (report == null || Double.isNaN(report.freeSlots())) {
@@ -177,7 +197,7 @@
   }
 
   /**
-   * Records an observed load of a worker.
+   * Records one sample of the load of a worker.
    *
    * @param load the load, as a fraction of the worker's slots
    */
@@ -186,8 +206,8 @@
   }
 
   /**
-   * Returns the estimated load of a worker, as a fraction of its slots; infinite if the start of a
-   * job at the worker is overdue.
+   * Returns the estimated load of a worker, as a fraction of its slots. The result is infinite if
+   * the start of a job that this dispatcher has sent to the worker is overdue.
    */
   double estimate(WorkerState worker) {
     long now = context.now();
@@ -214,8 +234,10 @@
   }
 
   /**
-   * Returns a weighted mean of the mean load of a worker and that of all workers. The weight of the
-   * latter grows with the age of the worker's last sample.
+   * Returns a load between the mean load of a worker and the mean load of all workers. The older
+   * the last sample of the worker is, the closer is the result to the mean load of all workers.
+   *
+   * @param age the time since the last sample of the worker
    */
   private double decayedMeanLoad(WorkerLoadHistory load, double age) {
     double decay = Math.exp(-age / LOAD_DECAY_TIME_CONSTANT_MICROS);
@@ -223,8 +245,11 @@
   }
 
   /**
-   * Returns the weight of a worker's last report, from 0 to 1, for the time since the report
-   * arrived.
+   * Returns the weight of a worker's last load in the estimate, from 0 to 1. The weight decays with
+   * the age of the information, which is already {@link WorkerTable#REPORT_DELAY_MICROS} when a
+   * report arrives.
+   *
+   * @param age the time since the last sample of the worker
    */
   private double reportWeight(double age) {
     double timeConstant = REPORT_TIME_CONSTANT_RUN_TIMES * serviceTimes.meanRunTime();
--- a/src/main/java/loomreel/decision/MovingAverage.java
+++ b/src/main/java/loomreel/decision/MovingAverage.java
@@ -1,9 +1,9 @@
 package loomreel.decision;
 
 /**
- * A running mean that starts from an initial value. For the first {@value #MAX_COUNT} added values,
- * it is the arithmetic mean of these and the initial value. From then on, it is an exponentially
- * weighted mean.
+ * A running mean that starts from an initial value. Until {@value #MAX_COUNT} values have been
+ * added, it is the arithmetic mean of the added values and the initial value. From then on, it is
+ * an exponentially weighted mean.
  */
 final class MovingAverage {
   private static final int MAX_COUNT = 100;
--- a/src/main/java/loomreel/decision/RejectionReason.java
+++ b/src/main/java/loomreel/decision/RejectionReason.java
@@ -6,7 +6,10 @@
  * start deadline.
  */
 public enum RejectionReason {
-  /** The request arrived after its start deadline, when an answer had no value any more. */
+  /**
+   * The request arrived at or after its start deadline, when an answer already had no value any
+   * more.
+   */
   ARRIVED_TOO_LATE,
   /**
    * The request exceeded the quota of its tenant, and no candidate worker could take the request.
--- a/src/main/java/loomreel/decision/ServiceRate.java
+++ b/src/main/java/loomreel/decision/ServiceRate.java
@@ -1,16 +1,19 @@
 package loomreel.decision;
 
 /**
- * The decaying sums of the service times and of the work of jobs that were served. Their quotient
- * is the service time per unit of work. Work is the run time at speed 1 that requests announce.
- * Work and times are in microseconds.
+ * The totals from which the speed of one or more workers is computed: the service times of the jobs
+ * that they served, and the work of these jobs. Both totals are decaying sums. The total service
+ * time divided by the total work is the time per unit of work, which is larger for slower workers.
+ * The total work divided by the total service time is the speed. The work of a job is the run time
+ * at speed 1 that its request announces, without the number of slots. Work and times are in
+ * microseconds.
  */
 final class ServiceRate {
   private final DecayingSum timeSpent;
   private final DecayingSum workDone;
 
   /**
-   * Creates a rate without jobs.
+   * Creates totals of 0.
    *
    * @param timeConstantMicros the time constant of both sums
    */
@@ -20,22 +23,22 @@
   }
 
   /**
-   * Records a job that was served.
+   * Adds a job that was served to both totals.
    *
    * @param serviceTime the time that the job took
-   * @param work the work that its request announced
+   * @param work the work that the request of the job announced
    */
   void add(double serviceTime, double work, long now) {
     timeSpent.add(serviceTime, now);
     workDone.add(work, now);
   }
 
-  /** Returns the decayed sum of the service times. */
+  /** Returns the total service time, as a decayed sum. */
   double timeSpent(long now) {
     return timeSpent.valueAt(now);
   }
 
-  /** Returns the decayed sum of the announced work. */
+  /** Returns the total announced work, as a decayed sum. */
   double workDone(long now) {
     return workDone.valueAt(now);
   }
--- a/src/main/java/loomreel/decision/ServiceTimeEstimator.java
+++ b/src/main/java/loomreel/decision/ServiceTimeEstimator.java
@@ -4,22 +4,24 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * Estimates the run times of jobs, the delays before jobs start, and the durations of health
- * checks. The initial estimates are derived from the latency objectives and the tick of the
- * dispatcher. Times are in microseconds.
+ * Estimates three durations: the run times of jobs, the delays between the send of an attempt and
+ * the start of its job, and the durations of health checks. The initial estimates of run times and
+ * start delays are derived from the latency objectives, and that of health checks from the tick of
+ * the dispatcher. Times are in microseconds.
  */
 final class ServiceTimeEstimator {
   /** The weight of a new sample in the mean run time of a class. */
   private static final double RUN_TIME_WEIGHT = 0.03;
 
-  /** The weight of a new sample in the mean start delay and its deviation. */
+  /** The weight of a new sample in the mean start delay and in the deviation of the start delay. */
   private static final double START_DELAY_WEIGHT = 0.05;
 
   /** The weight of a new sample in the mean duration of a health check. */
   private static final double HEALTH_CHECK_WEIGHT = 0.05;
 
   /**
-   * The number of mean absolute deviations above the mean start delay at which a start is overdue.
+   * The start of a job is overdue if its delay exceeds the mean start delay by more than this
+   * number of mean absolute deviations.
    */
   private static final double START_TIMEOUT_DEVIATIONS = 4;
 
@@ -30,20 +32,21 @@
   private static final double INITIAL_START_DELAY_DIVISOR = 16;
 
   /**
-   * The minimum of the timeout that is derived from the mean duration of health checks, in ticks.
+   * The minimum timeout of a health check, in ticks. If the latency objective of the request's
+   * class leads to a shorter timeout, that timeout is used.
    */
   private static final double MIN_HEALTH_CHECK_TIMEOUT_TICKS = 4;
 
-  /** The timeout of a health check as a multiple of the mean duration. */
+  /** The timeout of a health check, as a multiple of the mean duration of health checks. */
   private static final double HEALTH_CHECK_TIMEOUT_FACTOR = 4;
 
   /**
-   * The maximum timeout of a health check is the latency objective of the request's class divided
-   * by this number.
+   * A request waits for a health check at most for the latency objective of its class divided by
+   * this number.
    */
   private static final double HEALTH_CHECK_OBJECTIVE_DIVISOR = 8;
 
-  /** The initial estimate of the duration of a health check, in ticks. */
+  /** The initial estimate of the mean duration of a health check, in ticks. */
   private static final int INITIAL_HEALTH_CHECK_TICKS = 2;
 
   /** The run time, in microseconds, that is assumed if there are no request classes. */
@@ -55,12 +58,15 @@
   private final long tick;
   private final long shortestObjective;
 
-  /** The mean run time of each class, by the index of the class. */
+  /**
+   * The mean run time of each class, by the index of the class. The initial values are the latency
+   * objectives of the classes.
+   */
   private final double[] meanRunTime;
 
   private double meanStartDelay;
 
-  /** The mean absolute deviation of the start delay. */
+  /** The mean absolute deviation of the start delay from its mean. */
   private double startDelayDeviation;
 
   private double meanHealthCheckDuration;
@@ -78,7 +84,10 @@
     meanHealthCheckDuration = tick * INITIAL_HEALTH_CHECK_TICKS;
   }
 
-  /** Returns the shortest latency objective of all classes. */
+  /**
+   * Returns the shortest of the latency objectives of all classes. The part of an objective that
+   * grows with the work of a job is not included.
+   */
   long shortestObjective() {
     return shortestObjective;
   }
@@ -88,34 +97,40 @@
     return meanRunTime[classIndex];
   }
 
-  /** Returns the unweighted mean of the classes' mean run times. */
+  /** Returns the mean of the mean run times of the classes. All classes have the same weight. */
   double meanRunTime() {
     return Arrays.stream(meanRunTime).average().orElse(DEFAULT_RUN_TIME_MICROS);
   }
 
-  /** Returns the mean run time of the class whose jobs take longest. */
+  /** Returns the longest of the mean run times of the classes. */
   double longestMeanRunTime() {
     return Arrays.stream(meanRunTime).max().orElse(DEFAULT_RUN_TIME_MICROS);
   }
 
   /**
-   * Returns the work that a request is expected to take, as the number of its slots multiplied by
-   * the mean run time of its class.
+   * Returns the work that a request is expected to need: the number of its slots multiplied by the
+   * mean run time of its class. The result does not depend on the work that the request announces,
+   * {@link Event.RequestArrived#expectedWork}, which does not include the slots.
    */
   double expectedWork(PendingRequest request) {
     return request.arrival.slots() * meanRunTime[request.arrival.classIndex()];
   }
 
-  /** Records the time that a job of a request took. */
+  /**
+   * Records the run time of a job that was served.
+   *
+   * @param duration the run time of the job
+   */
   void recordRunTime(PendingRequest request, double duration) {
     int classIndex = request.arrival.classIndex();
     meanRunTime[classIndex] += RUN_TIME_WEIGHT * (duration - meanRunTime[classIndex]);
   }
 
   /**
-   * Records the start of a job.
+   * Records a start delay.
    *
-   * @param startDelay the time from the send of the attempt to the start of the job
+   * @param startDelay the time from the send of the attempt to the start of the job; if the attempt
+   *     ended without a start, the time to its end
    */
   void recordStartDelay(double startDelay) {
     startDelayDeviation +=
@@ -124,19 +139,19 @@
   }
 
   /**
-   * Returns the time after which the start of a job is overdue. It is derived from the start delays
-   * at all workers.
+   * Returns the time after the send of an attempt at which the start of its job is overdue. The
+   * same time applies to all workers, because it is derived from the start delays at all of them.
    */
   double startTimeout() {
     return meanStartDelay + START_TIMEOUT_DEVIATIONS * startDelayDeviation;
   }
 
-  /** Records the duration of a health check that was answered. */
+  /** Records the duration of a health check that succeeded. */
   void recordHealthCheck(long duration) {
     meanHealthCheckDuration += HEALTH_CHECK_WEIGHT * (duration - meanHealthCheckDuration);
   }
 
-  /** Returns the maximum time that a request waits for the answer to a health check. */
+  /** Returns the maximum time that a request waits for the answer to one health check. */
   long healthCheckTimeout(PendingRequest request) {
     double timeoutByMeanDuration =
         Math.max(
--- a/src/main/java/loomreel/decision/TokenBucket.java
+++ b/src/main/java/loomreel/decision/TokenBucket.java
@@ -1,18 +1,17 @@
 package loomreel.decision;
 
 /**
- * A token bucket that is full at first. Its refill rate and its capacity may differ from call to
- * call. Times are in microseconds.
+ * A token bucket that is full at the first call. The refill rate and the capacity are passed with
+ * each call and may differ from call to call. Times are in microseconds.
  */
 final class TokenBucket {
   private double tokens;
   private long updatedAt = Timestamp.NEVER;
 
   /**
-   * Refills the bucket and takes one token if there is one.
+   * Refills the bucket and takes one token if the bucket contains at least one.
    *
-   * @param tokensPerMicro the number of tokens per microsecond that are added for the time since
-   *     the last call
+   * @param tokensPerMicro the refill rate since the last call, in tokens per microsecond
    * @param capacity the maximum number of tokens in the bucket
    * @return whether a token was taken
    */
--- a/src/main/java/loomreel/decision/WorkerLoadHistory.java
+++ b/src/main/java/loomreel/decision/WorkerLoadHistory.java
@@ -1,20 +1,22 @@
 package loomreel.decision;
 
 /**
- * The loads and the slots of one worker, as observed from its load reports and other samples. A
- * load is a fraction of the worker's slots. It exceeds 1 if jobs are queued. Times are in
+ * The observed loads of one worker, and the number of its slots as estimated from its load reports.
+ * A load is a fraction of the worker's slots. It exceeds 1 if jobs are queued. Each sample of the
+ * load comes from a load report, or from the start or the outcome of an attempt. Times are in
  * microseconds.
  */
 final class WorkerLoadHistory {
-  /** The weight of a new report in the number of slots. */
+  /** The weight of a new report in the estimated number of slots. */
   private static final double SLOTS_WEIGHT = 0.2;
 
   /** The minimum weight of a new sample in the mean load. */
   private static final double MIN_SAMPLE_WEIGHT = 0.1;
 
   /**
-   * The weight of a new sample approaches 1 with the time since the previous one. Its time constant
-   * is {@link DecayingSum#RATE_TIME_CONSTANT_MICROS} divided by this factor.
+   * The weight of a new sample approaches 1 as the time since the previous sample grows. The time
+   * constant of this growth is {@link DecayingSum#RATE_TIME_CONSTANT_MICROS} divided by this
+   * factor.
    */
   private static final double AGE_WEIGHT_RATE_FACTOR = 2;
 
@@ -25,8 +27,8 @@
   private int samples;
 
   /**
-   * Resets the history because the worker has restarted. The slots and loads stay as they are and
-   * serve as the prior of later samples.
+   * Resets the history because the worker has restarted. The number of slots and the loads remain
+   * as prior values for later samples.
    */
   void reset() {
     sampledAt = Timestamp.NEVER;
@@ -48,7 +50,7 @@
     return lastLoad;
   }
 
-  /** Returns the mean load of the samples, in which recent samples have more weight. */
+  /** Returns the weighted mean of the load samples. Recent samples have more weight. */
   double meanLoad() {
     return meanLoad;
   }
@@ -59,18 +61,19 @@
   }
 
   /**
-   * Updates the number of slots from a report that has no number of active jobs.
+   * Updates the number of slots from a report that contains no number of active jobs. The number of
+   * free slots is a lower bound of the number of slots. The number of slots is also at least 1.
    *
-   * @param freeSlots the number of free slots, which is a lower bound of the number of slots
+   * @param freeSlots the reported number of free slots
    */
   void learnMinimumSlots(double freeSlots) {
     slots = Math.max(Math.max(1, freeSlots), slots);
   }
 
   /**
-   * Updates the number of slots from a report from which it can be computed.
+   * Updates the number of slots from a report that contains a number of active jobs.
    *
-   * @param reportedSlots the computed number of slots
+   * @param reportedSlots the number of slots that was computed from the report
    */
   void learnSlots(double reportedSlots) {
     boolean isFirst = slots == 0;
@@ -78,8 +81,8 @@
   }
 
   /**
-   * Records the mean load of all workers as the first sample, if there is no sample since the last
-   * reset.
+   * Sets the mean load to the mean load of all workers and counts it as the first sample. Does
+   * nothing if there is a sample since the last reset.
    */
   void startFrom(double fleetMeanLoad, long now) {
     if (sampledAt == Timestamp.NEVER) {
@@ -99,8 +102,10 @@
   }
 
   /**
-   * Returns the weight of a new sample. The first samples have equal weights, so that a peak in one
-   * of them does not determine the mean.
+   * Returns the weight of a new sample in the mean load. The weight of the n-th sample is at least
+   * 1/n, so that the first samples have equal weights and a peak in one of them does not determine
+   * the mean. The weight is also at least {@link #MIN_SAMPLE_WEIGHT}. It is higher if the previous
+   * sample is old.
    */
   private double sampleWeight(long now) {
     double ageWeight =
