--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one dispatcher. The policy takes events and returns actions. It uses no sockets
- * and reads no clock. It is not thread-safe.
+ * Makes the decisions of one dispatcher. The policy takes events and returns actions. It uses no
+ * sockets and reads no clock. It is not thread-safe.
  *
  * <p>{@link RequestScheduler} sends and queues requests, {@link WorkerSelector} selects workers,
- * {@link RetryPolicy} decides which attempts are allowed, {@link AdmissionController} sets
- * deadlines and quotas and determines rejections, and {@link HealthCheckPolicy} decides which
- * workers receive health checks.
+ * {@link RetryPolicy} decides which attempts are allowed, {@link AdmissionController} sets the
+ * deadlines of requests, applies quotas and determines rejections, and {@link HealthCheckPolicy}
+ * decides which workers receive health checks.
  */
 public final class DispatchPolicy {
   private PolicyState state;
@@ -23,17 +23,17 @@
   public DispatchPolicy() {}
 
   /**
-   * Handles one event and appends the resulting actions to a list, in the order in which they are
+   * Handles one event. The resulting actions are appended to a list in the order in which they are
    * to be executed.
    *
    * @param event the event; it must be a start if the policy has not started or was stopped
    * @param now the current time of the dispatcher's clock, in microseconds
-   * @param actions the list to which the actions are added
+   * @param actions the list to which the actions are appended
    * @throws NullPointerException if the event or the list is null
-   * @throws IllegalArgumentException if the time is earlier than that of the previous event since
-   *     the start
+   * @throws IllegalArgumentException if the policy has started and the time is earlier than that of
+   *     the previous event
    * @throws IllegalStateException if the policy has not started or was stopped and the event is not
-   *     a start, or if it has started and the event is a start
+   *     a start, or if the policy has started and the event is a start
    */
   public void on(Event event, long now, List<Action> actions) {
     Objects.requireNonNull(event, "event");
@@ -60,15 +60,16 @@
   private void start(Event.Start event, long now, List<Action> actions) {
     context = new PolicyContext(event.settings(), new SplittableRandom(event.seed()));
     context.beginEvent(now, actions);
-    double capacityFraction = state == null ? 1 : state.slowStart.capacityFraction();
-    state = new PolicyState(context, capacityFraction);
+    double processShare = state == null ? 1 : state.slowStart.processShare();
+    state = new PolicyState(context, processShare);
     handler = new PolicyEventHandler(state);
     started = true;
   }
 
   /**
-   * Returns the number of listed workers that are ejected or disabled. The policy must have been
-   * started before.
+   * Returns the number of listed workers that receive no attempts at the given time, because this
+   * dispatcher has ejected them or an operator has disabled them. The policy must have been started
+   * before.
    *
    * @param now the current time, in microseconds
    */
--- a/src/main/java/loomreel/decision/EndpointUpdater.java
+++ b/src/main/java/loomreel/decision/EndpointUpdater.java
@@ -5,8 +5,8 @@
 import loomreel.decision.Action.SetTimer;
 
 /**
- * Applies endpoint lists and the commands of operators to the table of workers, and schedules the
- * polls of discovery.
+ * Applies endpoint lists and the commands of operators to the worker table, and schedules the polls
+ * of discovery.
  */
 final class EndpointUpdater {
   private final PolicyState state;
@@ -19,18 +19,18 @@
     pollBackoff = new PollBackoff(context.settings().rules());
   }
 
-  /** Schedules the first poll of the endpoint list if the list has to be polled. */
+  /** Schedules the first poll of the endpoint list. Does nothing if the list is pushed. */
   void start() {
     schedulePoll(pollBackoff.firstPollAt(context.now(), context.random()));
   }
 
-  /** Polls the endpoint list. Called when the poll timer fires. */
+  /** Polls the endpoint list. Must be called when the poll timer fires. */
   void poll() {
     pollBackoff.pollStarted(context.now());
     context.emit(new PollEndpoints());
   }
 
-  /** Schedules the next poll after a poll has failed. */
+  /** Schedules the next poll after a poll has failed. Does nothing if the list is pushed. */
   void pollFailed() {
     schedulePoll(pollBackoff.nextPollAt(context.now(), context.random()));
   }
@@ -42,15 +42,16 @@
   }
 
   /**
-   * Applies changes of the endpoint list. A worker that drains or was removed receives no new
-   * attempts from now on. A worker that has restarted is treated as new.
+   * Applies changes of the endpoint list and resets the poll backoff. A worker that drains or was
+   * removed receives no new attempts from now on. If a worker is new or its process has restarted,
+   * the state of the worker is reset. Its warm-up counts from the start time in its entry.
    */
   void update(List<Endpoint> endpoints) {
     for (Endpoint endpoint : endpoints) {
       WorkerState worker = state.workers.getOrAdd(endpoint.id());
       if (worker.isReplacedBy(endpoint)) {
-        // All dispatchers learn of a new worker at about the same time. The random allowance
-        // spreads their first attempts.
+        // All dispatchers receive the entry of a new worker at about the same time. The random
+        // initial allowance spreads their first attempts over time.
         double initialAllowance = context.random().nextDouble() * state.slowStart.meanLightWork();
         worker.restart(context.now(), initialAllowance);
       }
@@ -62,10 +63,13 @@
   }
 
   /**
-   * Enables a worker that an operator has disabled. Operators restart the workers that they
-   * disable, so the worker warms up. The warm-up begins now, unless the endpoint list has reported
-   * a start of the worker since it was disabled. One job of mean run time of any class may be sent
-   * to the worker at once. Does nothing if the worker is not disabled.
+   * Enables a worker that an operator has disabled. Does nothing if the worker is not disabled.
+   *
+   * <p>Operators restart the workers that they disable, so the state of the worker is reset and the
+   * worker warms up. If the endpoint list contains a start of the worker's process after the worker
+   * was disabled, the warm-up began at that start. Otherwise the warm-up begins now. The initial
+   * slow-start allowance is the longest of the mean run times of the classes. One job of mean run
+   * time of any class may therefore be sent to the worker at once.
    */
   void enable(String workerId) {
     if (!state.workers.isDisabled(workerId)) {
--- a/src/main/java/loomreel/decision/PolicyEventHandler.java
+++ b/src/main/java/loomreel/decision/PolicyEventHandler.java
@@ -15,8 +15,9 @@
 import loomreel.decision.Event.WorkerEnabled;
 
 /**
- * Handles the events of one dispatcher from its start to its stop. It updates the state of the
- * policy and then calls the {@link RequestScheduler}.
+ * Handles the events of one dispatcher from its start to its stop. Each event first updates the
+ * state of the policy. If the event affects requests, the {@link RequestScheduler} then decides
+ * about them.
  */
 final class PolicyEventHandler {
   private final PolicyContext context;
@@ -65,7 +66,7 @@
     } else if (event instanceof WorkerEnabled enabled) {
       endpoints.enable(enabled.workerId());
     } else if (event instanceof CapacityFractionChanged change) {
-      state.slowStart.setCapacityFraction(change.fraction());
+      state.slowStart.setProcessShare(change.fraction());
     } else {
       throw new IllegalStateException("unknown event: " + event);
     }
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -9,7 +9,7 @@
   static final long POLL_TIMER = 0;
 
   /**
-   * The token of the timer that retries the queued requests. Tokens greater than this belong to the
+   * The token of the timer that places the queued requests again. Greater tokens belong to the
    * timers of requests.
    */
   static final long QUEUE_TIMER = 1;
@@ -25,22 +25,20 @@
   /**
    * Creates the state of a policy that has just started.
    *
-   * @param capacityFraction the fraction of the dispatcher's slow-start allowance that this process
-   *     may use, from 0 to 1
+   * @param processShare the share of this process in the rate at which this dispatcher may send
+   *     work to a warming worker, from 0 to 1
    */
-  PolicyState(PolicyContext context, double capacityFraction) {
+  PolicyState(PolicyContext context, double processShare) {
     this.context = context;
     Settings settings = context.settings();
     keyAffinities = new KeyAffinityTable(workers, new RendezvousRanking(settings.stableWeights()));
     serviceTimes = new ServiceTimeEstimator(settings);
     workerLoads = new LoadEstimator(context, workers, serviceTimes);
-    slowStart =
-        new SlowStartController(context, workers, serviceTimes, workerLoads, capacityFraction);
+    slowStart = new SlowStartController(context, workers, serviceTimes, workerLoads, processShare);
   }
 
   /**
-   * Records a new attempt of a request at a worker. It must be called for each attempt when it is
-   * started.
+   * Records a new attempt of a request at a worker. Must be called each time an attempt is started.
    */
   void recordAttempt(PendingRequest request, WorkerState worker) {
     AttemptState attempt = new AttemptState(request, worker, context.now());
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -4,23 +4,34 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * The schedule on which a dispatcher polls the endpoint list. Dispatchers that start together or
- * lose discovery together must not poll at the same time. The first poll is therefore spread over a
- * part of the poll interval. After a failure, the wait grows exponentially up to {@link
- * Rules#maxPollBackoff()}, with jitter over the upper half of each wait. If a failed call has
- * lasted at least as long as that maximum, discovery had accepted it, so the backoff starts again.
+ * The times at which a dispatcher polls the endpoint list. Many dispatchers may start together or
+ * lose the connection to discovery together, and should then not poll at the same time. The first
+ * poll is therefore made at a random time within a part of the poll interval.
+ *
+ * <p>After a failed poll, the dispatcher waits before the next poll. The backoff grows
+ * exponentially with each failure up to {@link Rules#maxPollBackoff()}, and the wait is drawn at
+ * random from half the backoff to the full backoff. If a failed poll has lasted at least as long as
+ * the maximum backoff, discovery had accepted it, so the backoff starts again from its first value.
  * Times are in microseconds.
  */
 final class PollBackoff {
   private static final int BACKOFF_FACTOR = 2;
 
-  /** The first backoff is the maximum backoff divided by this number. */
+  /**
+   * The first backoff is the maximum backoff divided by this number. Each later backoff is the
+   * previous one multiplied by {@link #BACKOFF_FACTOR}, plus the first backoff, up to the maximum.
+   */
   private static final int FIRST_BACKOFF_DIVISOR = 4;
 
-  /** The numerator of the fraction of the poll interval within which the first poll is made. */
+  /**
+   * The first poll is made within a fraction of the poll interval. This is the numerator of the
+   * fraction.
+   */
   private static final int FIRST_POLL_JITTER_NUMERATOR = 6;
 
-  /** The denominator of the fraction of the poll interval within which the first poll is made. */
+  /**
+   * The denominator of the fraction of which {@link #FIRST_POLL_JITTER_NUMERATOR} is the numerator.
+   */
   private static final int FIRST_POLL_JITTER_DENOMINATOR = 40;
 
   private final long maxBackoff;
@@ -36,13 +47,13 @@
         rules.pollInterval() * FIRST_POLL_JITTER_NUMERATOR / FIRST_POLL_JITTER_DENOMINATOR;
   }
 
-  /** Returns the time of the first poll. */
+  /** Returns the time of the first poll, which is drawn at random. */
   long firstPollAt(long now, SplittableRandom random) {
     return firstPollJitter == 0 ? now : now + random.nextLong(1 + firstPollJitter);
   }
 
   /**
-   * Returns the time of the next poll after a poll that has failed now, and increases the backoff.
+   * Increases the backoff after a poll that has failed now, and returns the time of the next poll.
    */
   long nextPollAt(long now, SplittableRandom random) {
     long previousBackoff = now - lastPollStartedAt < maxBackoff ? backoff : 0;
@@ -56,7 +67,7 @@
     lastPollStartedAt = now;
   }
 
-  /** Records a response of discovery, which resets the backoff. */
+  /** Records that discovery has answered a poll, and resets the backoff. */
   void pollSucceeded() {
     backoff = 0;
   }
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -5,47 +5,59 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * Limits the work that is sent to workers that warm up, so that all dispatchers together stay below
- * the load at which such a worker fails. {@link SlowStartLimiter} describes this bound. Work is the
- * number of slots multiplied by the run time in microseconds.
+ * Limits the work that is sent to workers that warm up. A worker is warming from its start until it
+ * has its full capacity, and warm afterwards. A warming worker fails if it receives too much work
+ * within the overload window; {@link Rules#overloadMultiple} describes this load. The limits keep
+ * the work that all dispatchers together send below this load, as {@link SlowStartLimiter}
+ * explains.
+ *
+ * <p>Unless stated otherwise, the work of a request is the number of its slots multiplied by its
+ * run time in microseconds. The run time is the announced one, or the mean run time of the class if
+ * the request announces none.
  */
 final class SlowStartController {
   /**
-   * The fraction of the overload limit that is used if the limit is estimated from the work of warm
-   * workers.
+   * The safety factor of the rate that is estimated from the work that this dispatcher has sent to
+   * all workers. Only this fraction of the resulting overload limit is used.
    */
-  private static final double WARM_WORKER_RATE_MARGIN = 0.33;
+  private static final double SENT_WORK_RATE_MARGIN = 0.33;
 
   /**
-   * The fraction of the overload limit that is used if the limit is estimated from the worker's own
-   * slots.
+   * The safety factor of the rate that is estimated from the slots of the warming worker itself.
+   * Only this fraction of the resulting overload limit is used.
    */
   private static final double OWN_SLOTS_RATE_MARGIN = 0.8;
 
-  /** The work that a slot of the slowest machine does per unit of time if its slots share cores. */
+  /**
+   * The lowest speed of a slot that is assumed, in work per unit of time. It is the speed of a slot
+   * of the slowest machine if the slots of the machine share cores.
+   */
   private static final double MIN_SPEED = 0.45;
 
   /**
-   * The amount of work, in jobs of mean run time, that warm workers of a kind must have served
-   * before their measured speed is used.
+   * The work that the warm workers of a kind must have served recently before their measured speed
+   * is used, as a number of jobs of mean run time.
    */
   private static final double MIN_JOBS_FOR_SPEED = 12;
 
   /**
-   * Requests that are too heavy for warming workers are kept from them only if the number of warm
-   * workers is at least the number of listed workers divided by this.
+   * The number of listed workers is divided by this number to get the minimum number of warm
+   * workers. While at least this minimum is warm, a warming worker receives no request that is
+   * heavier than {@link SlowStartLimiter#MAX_RELATIVE_WORK} times the mean work. While fewer
+   * workers are warm, a warming worker may receive heavier requests too.
    */
   private static final int MIN_WARM_WORKERS_DIVISOR = 3;
 
   /**
-   * A worker is warm once its age exceeds the maximum slow-start duration multiplied by this
-   * factor.
+   * The age beyond which a worker is warm without a calculation of its capacity, as a multiple of
+   * {@link Rules#slowStartDuration}. The calculated capacity of a worker is already full at an age
+   * of {@link Rules#slowStartDuration}.
    */
   private static final double WARM_UP_DURATION_FACTOR = 1.1;
 
   /**
-   * The work is assumed to be spread over more workers than the number of listed workers divided by
-   * this, however few of them are warm.
+   * The work that this dispatcher sends is assumed to be spread over the warm workers, but over at
+   * least the number of listed workers divided by this number, plus 1.
    */
   private static final int MIN_SERVING_WORKERS_DIVISOR = 2;
 
@@ -55,25 +67,32 @@
   private final ServiceTimeEstimator serviceTimes;
   private final LoadEstimator workerLoads;
 
-  /** The mean work of all requests. */
+  /** The mean work of all requests that have arrived. */
   private final MovingAverage meanWork;
 
-  /** The mean work of the requests that are light enough for warming workers. */
+  /** The mean work of the requests that were light enough for warming workers when they arrived. */
   private final MovingAverage meanLightWork;
 
-  /** The service rates of warm workers, by the kind of worker. */
+  /**
+   * The service times and the work of the jobs that warm workers have served, by the kind of
+   * worker.
+   */
   private final Map<String, ServiceRate> ratesByKind = new HashMap<>();
 
-  /** The work of the attempts that this dispatcher has sent. */
+  /**
+   * The work of the attempts that this dispatcher has sent to all workers, warm or not. The run
+   * time of each attempt is counted as the mean run time of its class.
+   */
   private final DecayingSum workSent = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
   /**
-   * The fraction of the dispatcher's allowance that this process may use. It is 1 unless two
-   * processes serve as the same dispatcher.
+   * The share of this process in the rate at which this dispatcher may send work to a warming
+   * worker, from 0 to 1. The share is 1 unless two processes serve as the same dispatcher, as in a
+   * hot restart.
    */
-  private double capacityFraction;
+  private double processShare;
 
-  /** The cached result of {@link #countWarmWorkers}. */
+  /** The last result of {@link #countWarmWorkers}, which is cached. */
   private long warmWorkerCount;
 
   private long warmCountedAt = Timestamp.NEVER;
@@ -84,28 +103,34 @@
       WorkerTable workers,
       ServiceTimeEstimator serviceTimes,
       LoadEstimator workerLoads,
-      double capacityFraction) {
+      double processShare) {
     this.context = context;
     this.rules = context.settings().rules();
     this.workers = workers;
     this.serviceTimes = serviceTimes;
     this.workerLoads = workerLoads;
-    this.capacityFraction = capacityFraction;
+    this.processShare = processShare;
     meanWork = new MovingAverage(serviceTimes.meanRunTime());
     meanLightWork = new MovingAverage(serviceTimes.meanRunTime());
   }
 
-  /** Returns the fraction of the dispatcher's slow-start allowance that this process may use. */
-  double capacityFraction() {
-    return capacityFraction;
+  /**
+   * Returns the share of this process in the rate at which this dispatcher may send work to a
+   * warming worker. The share is less than 1 while another process serves as the same dispatcher,
+   * as in a hot restart.
+   */
+  double processShare() {
+    return processShare;
   }
 
   /**
-   * Sets the fraction of the dispatcher's slow-start allowance that this process may use, from 0 to
-   * 1.
+   * Sets the share of this process in the rate at which this dispatcher may send work to a warming
+   * worker.
+   *
+   * @param fraction the share, from 0 to 1
    */
-  void setCapacityFraction(double fraction) {
-    capacityFraction = fraction;
+  void setProcessShare(double fraction) {
+    processShare = fraction;
   }
 
   /** Records the work of a request that has arrived. */
@@ -118,11 +143,13 @@
   }
 
   /**
-   * Records a job that was served. Ignores a job whose request announced no work, and a job of a
-   * worker that was not warm when the attempt was sent.
+   * Records a job that was served, to measure the speed of the slots of its worker's kind. Ignores
+   * a job whose request announced no work. Also ignores a job if its worker was not warm when the
+   * attempt was sent. The recorded work is the announced work of the job, without the number of
+   * slots.
    *
-   * @param serviceTime the time from the start of the job to its end, or from the send if no start
-   *     was reported
+   * @param serviceTime the time from the start of the job to its end; if no start was reported, the
+   *     time from the send of the attempt to its end
    */
   void recordServed(AttemptState attempt, double serviceTime) {
     double announcedWork = attempt.request.arrival.expectedWork();
@@ -135,25 +162,31 @@
     }
   }
 
-  /** Records that a request is sent to a worker. */
+  /**
+   * Records that a request is sent to a worker, and deducts its work from the slow-start allowance
+   * of the worker.
+   */
   void recordSent(PendingRequest request, WorkerState worker) {
     worker.slowStartLimiter.consume(work(request));
     workSent.add(serviceTimes.expectedWork(request), context.now());
   }
 
-  /** Returns the mean work of the requests that may be sent to warming workers. */
+  /** Returns the mean work of the requests that are light enough for warming workers. */
   double meanLightWork() {
     return meanLightWork.mean();
   }
 
-  /** Returns whether a worker has its full capacity. */
+  /**
+   * Returns whether a worker is warm at the given time, that is, whether it has its full capacity.
+   */
   boolean isWarm(WorkerState worker, long now) {
     return warmUpFraction(worker, now) >= 1;
   }
 
   /**
-   * Returns a lower bound of the fraction of its full capacity that a worker has. The result is at
-   * least 1 if the worker is warm.
+   * Returns a lower bound of the capacity of a worker, as a fraction of its full capacity. During
+   * the warm-up, the fraction grows linearly with time from {@link Rules#initialCapacityFraction}
+   * to 1. If the worker is warm, the result is at least 1.
    */
   private double warmUpFraction(WorkerState worker, long now) {
     long startedAt = worker.warmUpStartedAt();
@@ -168,8 +201,8 @@
   }
 
   /**
-   * Returns whether a request may be sent to a worker now. The result is true for every warm
-   * worker.
+   * Returns whether the slow-start limit allows a request to be sent to a worker now. The result is
+   * true if the worker is warm. If the worker is warming, its allowance is refilled first.
    */
   boolean allows(PendingRequest request, WorkerState worker) {
     long now = context.now();
@@ -177,41 +210,44 @@
     if (fraction >= 1) {
       return true;
     }
-    double rate = capacityFraction * fraction * rules.overloadMultiple() * safeRate(worker);
+    double rate = processShare * fraction * rules.overloadMultiple() * safeRate(worker);
     return worker.slowStartLimiter.allows(
         rate, meanLightWork.mean(), rules.overloadWindow(), work(request), maxWork(), now);
   }
 
   /**
-   * Returns an estimate of the work per microsecond that this dispatcher can at least send to a
-   * worker that is warm. It is the larger of two estimates, each multiplied by its margin. The
-   * first is the mean rate of the work that this dispatcher sends to warm workers. The second is
-   * this dispatcher's share of the work that the worker's own slots do at least. The first estimate
-   * alone is too low if most workers are cold, and for a dispatcher that has sent little work so
-   * far.
+   * Returns a low estimate of the work per microsecond that this dispatcher can send to a worker
+   * once the worker is warm. The result is the larger of two estimates, each multiplied by its
+   * safety factor.
+   *
+   * <p>The first estimate is the rate of the work that this dispatcher has sent to all workers,
+   * divided by the number of workers that are assumed to serve it. This estimate alone is too low
+   * if most workers are warming, or if this dispatcher has sent little work so far.
+   *
+   * <p>The second estimate is the rate of the work that the slots of the worker can do at least,
+   * divided by the number of dispatchers.
    */
   private double safeRate(WorkerState worker) {
     long now = context.now();
-    // The mean rate is taken over at least the overload window.
+    // The rate of the sent work is averaged over at least the overload window.
     double observedMicros =
         Math.max(
             DecayingSum.RATE_TIME_CONSTANT_MICROS * workerLoads.observedFraction(),
             (double) rules.overloadWindow());
     long servingWorkers =
         Math.max(countWarmWorkers(), 1 + workers.size() / MIN_SERVING_WORKERS_DIVISOR);
-    double rateByWarmWorkers = workSent.valueAt(now) / observedMicros / servingWorkers;
-    // A worker that has not reported its slots is assumed to have the typical number.
+    double rateBySentWork = workSent.valueAt(now) / observedMicros / servingWorkers;
+    // For a worker that has not reported its slots, the typical number of slots is used.
     double rateByOwnSlots =
         workerLoads.slots(worker)
             * speed(worker.endpoint().kind())
             / context.settings().dispatchers();
-    return Math.max(
-        WARM_WORKER_RATE_MARGIN * rateByWarmWorkers, OWN_SLOTS_RATE_MARGIN * rateByOwnSlots);
+    return Math.max(SENT_WORK_RATE_MARGIN * rateBySentWork, OWN_SLOTS_RATE_MARGIN * rateByOwnSlots);
   }
 
   /**
-   * Returns the number of warm workers. The result is cached for one point in time and one version
-   * of the worker table, because it is needed for every warming worker.
+   * Returns the number of listed workers that are warm. The result is needed for every warming
+   * worker, so it is cached until the time or the version of the worker table changes.
    */
   private long countWarmWorkers() {
     long now = context.now();
@@ -224,8 +260,9 @@
   }
 
   /**
-   * Returns the work of a request: the announced work, or the expected work of its class if none
-   * was announced.
+   * Returns the work of a request, which is the number of its slots multiplied by its announced
+   * work. If the request announces no work, the mean run time of its class replaces the announced
+   * work.
    */
   private double work(PendingRequest request) {
     double announcedWork = request.arrival.expectedWork();
@@ -235,8 +272,8 @@
   }
 
   /**
-   * Returns the maximum work of a request for a warming worker; infinite if too few other workers
-   * are warm.
+   * Returns the maximum work of a request that may be sent to a warming worker. The result is
+   * infinite if too few workers are warm to take the heavier requests.
    */
   private double maxWork() {
     boolean enoughWarmWorkers = MIN_WARM_WORKERS_DIVISOR * countWarmWorkers() >= workers.size();
@@ -246,9 +283,10 @@
   }
 
   /**
-   * Returns the work that a slot of a warm worker of a kind does per unit of time, or {@link
-   * #MIN_SPEED} while little is known. The estimate is conservative, because the service time of a
-   * job includes the time that the job waits.
+   * Returns the speed of a slot of a warm worker of a kind, in work per unit of time. The result is
+   * at least {@link #MIN_SPEED}, and equal to it while warm workers of the kind have served little
+   * work. The measured speed is a low estimate, because the service time of a job includes the time
+   * that the job waits.
    */
   private double speed(String kind) {
     long now = context.now();
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -5,14 +5,17 @@
 import java.util.SplittableRandom;
 
 /**
- * The state of a worker that the endpoint list names, as known to this dispatcher. Times are in
+ * The state of a worker in the endpoint list, as known to this dispatcher. Times are in
  * microseconds.
  */
 final class WorkerState {
-  /** The time constant of the worker's service rate, in microseconds. */
+  /** The time constant, in microseconds, of the sums of service times and work of one worker. */
   private static final double SERVICE_RATE_TIME_CONSTANT_MICROS = 4e6;
 
-  /** The maximum backoff of an ejection, in microseconds. */
+  /**
+   * The maximum backoff of an ejection, in microseconds. The duration of the ejection may be up to
+   * 1.5 times the backoff.
+   */
   private static final long MAX_EJECTION_MICROS = 16_000_000;
 
   private static final int EJECTION_BACKOFF_FACTOR = 2;
@@ -21,14 +24,14 @@
   private static final long NO_HEALTH_CHECK = -1;
 
   /**
-   * The value of {@link #enabledAt} for a worker that no operator has enabled since its process
-   * started.
+   * The value of {@link #operatorWarmUpStartedAt} if no command of an operator has started a
+   * warm-up since the last call of {@link #restart}.
    */
-  private static final long NOT_ENABLED = 0;
+  private static final long NO_OPERATOR_WARM_UP = 0;
 
   final String id;
 
-  /** The hash of the id. */
+  /** The hash of {@link #id}. */
   final long hash;
 
   /** Limits the work that is sent to the worker while it warms up. */
@@ -37,15 +40,25 @@
   final WorkerLoadHistory load = new WorkerLoadHistory();
 
   /**
-   * The slots of recent attempts, which the last load report may not include yet. The sum decays
-   * with the age of a load report at its arrival as its time constant.
+   * The slots of the attempts at this worker that the last load report may not include yet. The
+   * slots of an attempt are added when it is sent and subtracted when it ends. They decay over
+   * time, because later reports include the attempt. The time constant is the age that a load
+   * report has when it arrives.
    */
   final DecayingSum unreportedSlots;
 
+  /** The service times and the work of the jobs that the worker has served. */
   final ServiceRate serviceRate = new ServiceRate(SERVICE_RATE_TIME_CONSTANT_MICROS);
 
   private Endpoint endpoint;
-  private long enabledAt;
+
+  /**
+   * The start of the warm-up that began because an operator enabled the worker. If the worker's
+   * process started while the worker was disabled, that start begins the warm-up instead, and this
+   * field keeps the value {@link #NO_OPERATOR_WARM_UP}.
+   */
+  private long operatorWarmUpStartedAt;
+
   private long lastResponseAt;
   private long ejectedUntil;
   private long ejectionBackoff;
@@ -56,7 +69,7 @@
   /**
    * Creates a worker without an endpoint.
    *
-   * @param reportDelay the age of a load report when it arrives
+   * @param reportDelay the age that a load report has when it arrives
    */
   WorkerState(String id, double reportDelay) {
     this.id = id;
@@ -70,14 +83,14 @@
   }
 
   /**
-   * Returns whether an entry of the endpoint list belongs to a newer process of the worker than the
-   * current entry.
+   * Returns whether a new entry of the endpoint list belongs to a newer process of the worker than
+   * the current entry. The result is true if there is no current entry.
    */
   boolean isReplacedBy(Endpoint update) {
     return endpoint == null || update.startedAt() > endpoint.startedAt();
   }
 
-  /** Replaces the worker's entry in the endpoint list. */
+  /** Sets the worker's entry in the endpoint list. */
   void update(Endpoint newEndpoint) {
     endpoint = newEndpoint;
   }
@@ -88,10 +101,11 @@
   }
 
   /**
-   * Resets the state because the worker's process is new.
+   * Resets the state because the worker's process is new or may be new. The slots and the mean load
+   * of {@link #load}, the service rate, and the open attempts remain.
    *
-   * @param allowance the work that may be sent to the worker at once, in slots multiplied by
-   *     microseconds
+   * @param allowance the initial slow-start allowance, in slots multiplied by microseconds; this
+   *     work may be sent to the worker at once
    */
   void restart(long now, double allowance) {
     slowStartLimiter.restart(allowance, now);
@@ -99,20 +113,22 @@
     ejectedUntil = Timestamp.NEVER;
     ejectionBackoff = 0;
     lastResponseAt = Timestamp.NEVER;
-    enabledAt = NOT_ENABLED;
+    operatorWarmUpStartedAt = NO_OPERATOR_WARM_UP;
   }
 
-  /** Starts a warm-up because an operator has enabled the worker. */
+  /** Starts a warm-up of the worker because an operator has enabled it. */
   void startWarmUp(long now) {
-    enabledAt = now;
+    operatorWarmUpStartedAt = now;
   }
 
   /**
-   * Returns the time at which the worker's warm-up began: the start of its process, or the time at
-   * which an operator enabled it; 0 if the process started long ago.
+   * Returns the time at which the last warm-up of the worker began. A warm-up begins when the
+   * worker's process starts, and when {@link #startWarmUp} is called. The result is 0 if the
+   * process started long ago or at an unknown time and {@link #startWarmUp} was not called since
+   * the last {@link #restart}.
    */
   long warmUpStartedAt() {
-    return Math.max(endpoint.startedAt(), enabledAt);
+    return Math.max(endpoint.startedAt(), operatorWarmUpStartedAt);
   }
 
   /** Records that the worker has sent a response of any kind. */
@@ -120,31 +136,42 @@
     lastResponseAt = now;
   }
 
-  /** Records that the worker has handled an attempt, which ends its ejection. */
+  /**
+   * Records that the worker has responded to an attempt. The response ends an ejection of the
+   * worker and resets the ejection backoff.
+   */
   void recordReachable(long now) {
     lastResponseAt = now;
     ejectedUntil = Math.min(ejectedUntil, now);
     ejectionBackoff = 0;
   }
 
-  /** Returns the time of the worker's last response, or {@link Timestamp#NEVER}. */
+  /**
+   * Returns the time of the worker's last response; {@link Timestamp#NEVER} if there is none since
+   * the last {@link #restart}.
+   */
   long lastResponseAt() {
     return lastResponseAt;
   }
 
+  /** Returns whether the worker is ejected, so that it receives no attempts for now. */
   boolean isEjected(long now) {
     return now < ejectedUntil;
   }
 
-  /** Ejects the worker for a duration in microseconds, without a change of its backoff. */
+  /**
+   * Ejects the worker for a duration in microseconds. The backoff of later ejections stays the
+   * same.
+   */
   void ejectFor(long duration, long now) {
     ejectedUntil = now + duration;
   }
 
   /**
    * Ejects the worker with exponential backoff. The backoff doubles with each ejection, up to
-   * {@link #MAX_EJECTION_MICROS}. The jitter prevents dispatchers from using the worker again at
-   * the same time.
+   * {@link #MAX_EJECTION_MICROS}. {@link #recordReachable} resets it. The duration of the ejection
+   * is drawn at random from 0.5 to 1.5 times the backoff, so that the dispatchers do not use the
+   * worker again at the same time.
    *
    * @param firstBackoff the backoff of the first ejection, in microseconds
    */
@@ -178,7 +205,12 @@
     return healthCheckSentAt >= 0;
   }
 
-  /** Returns whether a health check has been pending for longer than a timeout in microseconds. */
+  /**
+   * Returns whether a health check of the worker is pending and was sent more than the given
+   * timeout ago.
+   *
+   * @param timeout the timeout, in microseconds
+   */
   boolean isHealthCheckOverdue(long timeout, long now) {
     return isHealthCheckPending() && now - healthCheckSentAt > timeout;
   }
@@ -191,7 +223,10 @@
     healthCheckSentAt = NO_HEALTH_CHECK;
   }
 
-  /** Lets a request wait for the pending health check, unless it already does. */
+  /**
+   * Makes a request wait for the pending health check of the worker. Does nothing if the request
+   * already waits for it.
+   */
   void addHealthCheckWaiter(PendingRequest request) {
     if (!healthCheckWaiters.contains(request)) {
       healthCheckWaiters.add(request);
@@ -204,8 +239,8 @@
   }
 
   /**
-   * Removes and returns the requests that wait for a health check, in the order in which they were
-   * added.
+   * Removes all requests that wait for a health check of the worker, and returns them in the order
+   * in which they were added.
    */
   List<PendingRequest> takeHealthCheckWaiters() {
     List<PendingRequest> waiters = List.copyOf(healthCheckWaiters);
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -10,13 +10,14 @@
 import loomreel.decision.Endpoint.State;
 
 /**
- * The workers that the endpoint list names, and the pools of those that are eligible for new
- * attempts.
+ * The workers in the endpoint list. A worker is eligible for new attempts if it is ready and no
+ * operator has disabled it. A pool contains the eligible workers of one kind, or those of one kind
+ * that accept the jobs of one queue.
  */
 final class WorkerTable {
   /**
-   * The age of a load report when it arrives, in microseconds. A report does not include the
-   * attempts that were sent within this time before its arrival.
+   * The age that a load report is assumed to have when it arrives, in microseconds. A report does
+   * not include the attempts that were sent within this time before the arrival of the report.
    */
   static final double REPORT_DELAY_MICROS = 1e6;
 
@@ -25,17 +26,19 @@
   private final TreeMap<String, WorkerState> workers = new TreeMap<>();
 
   /**
-   * The times at which operators disabled workers, by worker id. The workers need not be in the
-   * endpoint list.
+   * The times at which operators disabled workers, by worker id. A disabled worker need not be in
+   * the endpoint list.
    */
   private final Map<String, Long> disabledSince = new HashMap<>();
 
-  /** The eligible workers by kind. The key null maps to the eligible workers of all kinds. */
+  /**
+   * The eligible workers by kind. The key null maps to all eligible workers, whatever their kind.
+   */
   private final Map<String, WorkerState[]> poolsByKind = new HashMap<>();
 
   /**
-   * The eligible workers by queue and then by kind, for the queues that requests have named since
-   * the last rebuild.
+   * The eligible workers by queue and then by kind. A pool is added when a request first names the
+   * queue after {@link #rebuildPools}.
    */
   private final Map<String, Map<String, WorkerState[]>> poolsByQueue = new HashMap<>();
 
@@ -45,7 +48,9 @@
     rebuildPools();
   }
 
-  /** Returns a number that increases each time the eligible workers are determined. */
+  /**
+   * Returns the version of the pools, which increases each time {@link #rebuildPools} is called.
+   */
   long version() {
     return version;
   }
@@ -60,20 +65,22 @@
     return workers.values();
   }
 
-  /** Returns a listed worker; null if there is none with this id. */
+  /** Returns the listed worker with the given id; null if there is none. */
   WorkerState get(String id) {
     return workers.get(id);
   }
 
   /**
-   * Returns a listed worker, and adds it first if there is none with this id. An added worker has
-   * no endpoint yet.
+   * Returns the worker with the given id. If there is none, adds a worker that has no endpoint yet.
    */
   WorkerState getOrAdd(String id) {
     return workers.computeIfAbsent(id, absent -> new WorkerState(absent, REPORT_DELAY_MICROS));
   }
 
-  /** Marks all workers as removed. The caller then applies the new list. */
+  /**
+   * Marks all workers as removed. The caller then applies a complete endpoint list, which replaces
+   * the mark of each worker that is still listed.
+   */
   void markAllRemoved() {
     for (WorkerState worker : workers.values()) {
       worker.markRemoved();
@@ -85,7 +92,10 @@
     workers.values().removeIf(worker -> worker.endpoint().state() == State.REMOVED);
   }
 
-  /** Disables a worker. Does nothing if it is already disabled. */
+  /**
+   * Disables a worker and rebuilds the pools. If the worker is already disabled, the time at which
+   * it was disabled stays the same.
+   */
   void disable(String id, long now) {
     disabledSince.putIfAbsent(id, now);
     rebuildPools();
@@ -97,7 +107,8 @@
   }
 
   /**
-   * Enables a disabled worker. The caller has to call {@link #rebuildPools} afterwards.
+   * Enables a worker, which must be disabled. The caller has to call {@link #rebuildPools}
+   * afterwards.
    *
    * @return the time at which the worker was disabled
    */
@@ -106,8 +117,8 @@
   }
 
   /**
-   * Determines the eligible workers, which are those that are ready and not disabled, and orders
-   * them by id.
+   * Determines the eligible workers anew, ordered by id, and increases the version. A worker is
+   * eligible if it is ready and not disabled.
    */
   void rebuildPools() {
     version++;
@@ -124,7 +135,9 @@
     return worker.endpoint().state() == State.READY && !isDisabled(worker.id);
   }
 
-  /** Returns the eligible workers that may run a request, ordered by id. */
+  /**
+   * Returns the eligible workers whose kind and queues allow them to run a request, ordered by id.
+   */
   WorkerState[] pool(PendingRequest request) {
     String kind = request.requestClass.workerKind();
     String queue = request.arrival.queue();
@@ -143,7 +156,10 @@
         .toArray(WorkerState[]::new);
   }
 
-  /** Returns the number of listed workers that are ejected. */
+  /**
+   * Returns the number of listed workers that are ejected. Workers that are only disabled are not
+   * counted.
+   */
   long countEjected(long now) {
     return workers.values().stream().filter(worker -> worker.isEjected(now)).count();
   }
@@ -161,7 +177,7 @@
     return workers.values().stream().mapToInt(worker -> worker.openAttempts().size()).sum();
   }
 
-  /** Removes a request from the waiters of all health checks. */
+  /** Removes a request from the waiters of the health checks of all workers. */
   void removeHealthCheckWaiter(PendingRequest request) {
     for (WorkerState worker : workers.values()) {
       worker.removeHealthCheckWaiter(request);
