--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -9,39 +9,43 @@
  */
 final class AdmissionController {
   /**
-   * The load threshold of a request beyond the quota of its tenant, as a fraction of a worker's
-   * slots. It is lower than {@link WorkerSelector#FULL_THRESHOLD}, so that such a request is sent
-   * only to a worker with a low load.
+   * The load threshold for a request that exceeds the quota of its tenant, as a fraction of a
+   * worker's slots. It is lower than {@link WorkerSelector#FULL_THRESHOLD}, so that the request is
+   * sent only to a worker with a low load.
    */
   private static final double OVER_QUOTA_LOAD_THRESHOLD = 0.5;
 
   /**
-   * The factor by which a tenant may exceed a dispatcher's equal share of its quota. Traffic
-   * differs between zones, so some dispatchers receive more than an equal share.
+   * The factor by which a tenant may exceed the equal share of its quota at one dispatcher. The
+   * equal share is the quota divided by the number of dispatchers. Traffic differs between zones,
+   * so some dispatchers receive more than an equal share.
    */
   private static final double QUOTA_HEADROOM_FACTOR = 1.3;
 
   /**
-   * The time, in seconds, over which a tenant may accumulate unused quota. Together with {@link
-   * #BASE_BURST_REQUESTS}, it sets the maximum burst of a tenant.
+   * The time, in seconds, for which a tenant may accumulate unused quota. The maximum burst of a
+   * tenant is the quota for this time, plus {@link #BASE_BURST_REQUESTS}.
    */
   private static final double BURST_SECONDS = 2;
 
   /**
-   * The number of requests that a tenant may send in a burst in addition to those that its quota
-   * allows over {@link #BURST_SECONDS}.
+   * The number of requests that a tenant may send in a burst in addition to its quota for {@link
+   * #BURST_SECONDS}.
    */
   private static final double BASE_BURST_REQUESTS = 3;
 
   private static final double MICROS_PER_SECOND = 1e6;
 
   /**
-   * The assumed work of a job whose request announces none, as a fraction of the mean run time of
-   * its class.
+   * The work that is assumed for a job if its request announces none, as a fraction of the mean run
+   * time of its class.
    */
   private static final double DEFAULT_WORK_FRACTION = 0.4;
 
-  /** The time between the answer deadline and the client's deadline, in ticks of the dispatcher. */
+  /**
+   * The time between the answer deadline of a request and the client's deadline, in ticks of the
+   * dispatcher.
+   */
   private static final int ANSWER_MARGIN_TICKS = 2;
 
   private final PolicyContext context;
@@ -65,41 +69,44 @@
   }
 
   /**
-   * Sets the deadlines of a new request. The answer has its full value if the job starts early
-   * enough to meet its latency objective, which counts from the client's first attempt. If the
-   * request's class gives no value to a late answer, the request is given up at that time.
+   * Sets the deadlines of a new request. The latency objective counts from the client's first
+   * attempt. It is met if the job starts before the objective start deadline, which is not later
+   * than the client's deadline. If the request's class gives no value to a late answer, the
+   * objective start deadline is also the start deadline. Otherwise the start deadline is the
+   * client's deadline. {@link RequestDeadlines} describes the deadlines.
    */
   void setDeadlines(PendingRequest request) {
     RequestClass requestClass = request.requestClass;
     long deadline = request.arrival.deadline();
     long firstAttemptAt =
         firstAttemptEstimator.firstAttemptAt(request.arrival, requestClass, context.now());
-    long latestFullValueStart = Math.min(deadline, firstAttemptAt + maxStartDelay(request));
+    long objectiveStartDeadline = Math.min(deadline, firstAttemptAt + maxStartDelay(request));
     boolean hasLateValue = requestClass.latePriorityFraction() > 0;
-    long startDeadline = hasLateValue ? deadline : latestFullValueStart;
+    long startDeadline = hasLateValue ? deadline : objectiveStartDeadline;
     long answerDeadline = deadline - ANSWER_MARGIN_TICKS * context.settings().tick();
-    request.setDeadlines(new RequestDeadlines(latestFullValueStart, startDeadline, answerDeadline));
+    request.setDeadlines(
+        new RequestDeadlines(objectiveStartDeadline, startDeadline, answerDeadline));
   }
 
   /**
-   * Returns the maximum time between the client's first attempt and the start of the job for which
-   * the job still meets its latency objective.
+   * Returns the maximum time between the client's first attempt and the start of the job. If the
+   * job starts later, it does not meet its latency objective.
    */
   private long maxStartDelay(PendingRequest request) {
     RequestClass requestClass = request.requestClass;
     double announcedWork = request.arrival.expectedWork();
     double meanRunTime = serviceTimes.meanRunTime(request.arrival.classIndex());
     double work = Double.isNaN(announcedWork) ? DEFAULT_WORK_FRACTION * meanRunTime : announcedWork;
-    // The job's own run takes 1 unit of time per unit of work. The remainder of the objective per
-    // unit of work is available for the delay before the start.
+    // At speed 1, the job runs for 1 unit of time per unit of work. The objective allows more time
+    // per unit of work. The difference is available for the delay before the start.
     double slackPerWork = Math.max(0, requestClass.latencyObjectivePerWork() - 1);
     return requestClass.latencyObjective() + (long) (work * slackPerWork);
   }
 
   /**
-   * Counts a request against the quota of its tenant and sets its load threshold. A request beyond
-   * the quota may be sent only to workers below {@link #OVER_QUOTA_LOAD_THRESHOLD}. A request
-   * without a known tenant has no quota.
+   * Counts a request against the quota of its tenant. If the request exceeds the quota, its load
+   * threshold becomes {@link #OVER_QUOTA_LOAD_THRESHOLD}. If the tenant is unknown, no quota
+   * applies.
    */
   void applyQuota(PendingRequest request) {
     int tenantIndex = request.arrival.tenantIndex();
@@ -117,7 +124,9 @@
         isWithinQuota ? WorkerSelector.FULL_THRESHOLD : OVER_QUOTA_LOAD_THRESHOLD);
   }
 
-  /** Returns the reason for giving up a request for which no worker was available in time. */
+  /**
+   * Returns the reason for giving up a request whose job has not started before its start deadline.
+   */
   RejectionReason expirationReason(PendingRequest request) {
     if (!request.attempts().isEmpty()) {
       return RejectionReason.NOT_STARTED_IN_TIME;
@@ -135,10 +144,13 @@
 
   /**
    * Returns the final answer to a request that is given up, and records the rejection for the
-   * estimate of first attempts. The request is rejected if the client can safely send it again,
-   * that is, if it is idempotent or if no attempt of it ran. The rejection then includes a time to
-   * wait before a retry, if the deployment allows one, because an immediate retry would meet the
-   * same load. A request that may have run is failed, and so is an invalid one.
+   * estimate of first attempts.
+   *
+   * <p>The request is rejected if it is valid and the client can safely send it again. This is safe
+   * if the request is idempotent or no attempt of it ran. A keyed request does not count as
+   * idempotent here. If the deployment allows it, the rejection names a time to wait before a
+   * retry, because an immediate retry would meet the same load. All other requests are failed,
+   * because they are invalid or may have run.
    */
   Action giveUp(PendingRequest request, RejectionReason reason) {
     firstAttemptEstimator.recordRejection(reason, context.now());
--- a/src/main/java/loomreel/decision/HealthCheckPolicy.java
+++ b/src/main/java/loomreel/decision/HealthCheckPolicy.java
@@ -5,17 +5,19 @@
 /** Decides which workers receive a health check before a request is sent. */
 final class HealthCheckPolicy {
   /**
-   * A worker is not checked if the age of its last load sample, in microseconds, is below this
-   * limit.
+   * The age limit of a load sample, in microseconds. The load of a worker is known if the age of
+   * the worker's last load sample is below this limit. A worker whose load is known receives no
+   * health check.
    */
-  private static final long MAX_REPORT_AGE_MICROS = 400_000;
+  private static final long MAX_SAMPLE_AGE_MICROS = 400_000;
 
   /**
-   * The limit on the age of the last load sample, in microseconds, of fallback candidates that
-   * follow the hashed ones. Such a candidate needs only some free capacity rather than the least
-   * load, so an older sample is accurate enough.
+   * The age limit of a load sample, in microseconds, for the fallback candidates of a request whose
+   * hashed candidates were considered before. The request is sent to the first fallback candidate
+   * that has some free capacity, not to the least loaded one. An older sample is accurate enough
+   * for this purpose.
    */
-  private static final long MAX_REPORT_AGE_FOR_FALLBACK_MICROS = 4 * MAX_REPORT_AGE_MICROS;
+  private static final long MAX_SAMPLE_AGE_FOR_FALLBACK_MICROS = 4 * MAX_SAMPLE_AGE_MICROS;
 
   private final PolicyContext context;
   private final WorkerSelector selector;
@@ -35,9 +37,10 @@
   }
 
   /**
-   * Sends health checks to the candidates of a request whose load is unknown, one round after the
-   * other. Stops as soon as a candidate of an earlier round can be selected or the request has to
-   * wait.
+   * Sends health checks for a request to those of its candidates whose load is not known. The
+   * candidates are checked round by round. The method returns when a candidate of an earlier round
+   * can be selected, when the request has to wait for health checks, or after the last round. Does
+   * nothing if health checks are not allowed or workers report no load.
    *
    * @return whether the request waits for health checks to end
    */
@@ -61,7 +64,7 @@
     return false;
   }
 
-  /** Sends health checks to the candidates of one round that need one. */
+  /** Sends health checks to those candidates of one round that need a health check. */
   private void checkRound(PendingRequest request, CandidateRound round) {
     boolean followsHashedRound =
         round == CandidateRound.FALLBACK && !request.candidates().exceedsHashedWorkers();
@@ -73,16 +76,17 @@
   }
 
   /**
-   * Returns whether a worker needs a health check. It needs none if its load is known, or if the
-   * request would not be sent to it whatever the result.
+   * Returns whether a worker needs a health check for a request. A worker needs none if its load is
+   * known, or if the request cannot be sent to the worker whatever the result of the health check
+   * is.
    */
   private boolean shouldCheck(
       PendingRequest request, WorkerState worker, boolean followsHashedRound) {
     long now = context.now();
-    long maxAge = followsHashedRound ? MAX_REPORT_AGE_FOR_FALLBACK_MICROS : MAX_REPORT_AGE_MICROS;
+    long maxAge = followsHashedRound ? MAX_SAMPLE_AGE_FOR_FALLBACK_MICROS : MAX_SAMPLE_AGE_MICROS;
     boolean isLoadKnown = now - worker.load.sampledAt() < maxAge;
-    // The capacity of a worker that warms up is limited by its slow-start allowance, not by its
-    // load.
+    // A warming worker needs no health check as a fallback, because its capacity is limited by its
+    // slow-start allowance, not by its load.
     boolean isWarming = followsHashedRound && !slowStart.isWarm(worker, now);
     return !isLoadKnown
         && !isWarming
@@ -92,8 +96,9 @@
   }
 
   /**
-   * Sends a health check unless one is pending or the request has used up its health checks, and
-   * lets the request wait for a pending one that is not overdue.
+   * Sends a health check to a worker, unless a health check of the worker is already pending or the
+   * request has used up its own health checks. If a health check of the worker is then pending and
+   * not overdue, the request waits for it.
    */
   private void sendOrAwaitHealthCheck(PendingRequest request, WorkerState worker) {
     if (!worker.isHealthCheckPending() && request.tryAcquireHealthCheck()) {
--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -10,44 +10,48 @@
 
   private final DecayingSum demand = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
+  /** The version of the worker table for which the workers were last ranked. */
   private long rankedVersion = NOT_RANKED;
+
   private WorkerState[] ranking;
   private WorkerState secondChoice;
 
   /**
-   * Returns the highest-ranked workers for the key, best first; null before the first call of
-   * {@link #rank}.
+   * Returns the highest-ranked workers for the key, in the order of the ranking; null before the
+   * first call of {@link #rank}.
    */
   WorkerState[] ranking() {
     return ranking;
   }
 
   /**
-   * Returns the highest-ranked worker under a second, independent hash of the key; null if there
-   * are no workers or before the first call of {@link #rank}.
+   * Returns the highest-ranked worker for a second hash of the key, which is independent of the
+   * first. Returns null if there are no workers or before the first call of {@link #rank}.
    */
   WorkerState secondChoice() {
     return secondChoice;
   }
 
   /**
-   * Returns the mean number of slots that jobs with this key occupy, averaged over {@link
+   * Returns the demand of the jobs with this key at this dispatcher: the mean number of slots that
+   * these jobs are expected to occupy at a time. The mean is taken with the time constant {@link
    * DecayingSum#RATE_TIME_CONSTANT_MICROS}.
    */
   double demandAt(long now) {
     return demand.valueAt(now);
   }
 
-  /** Records the arrival of a request with this key. */
+  /** Adds the expected work of a request with this key to the demand. */
   void recordDemand(PendingRequest request, ServiceTimeEstimator serviceTimes, long now) {
     double slotMicros = serviceTimes.expectedWork(request);
     demand.add(slotMicros / DecayingSum.RATE_TIME_CONSTANT_MICROS, now);
   }
 
   /**
-   * Ranks the workers for the key, unless the set of eligible workers has not changed since the
-   * last ranking.
+   * Ranks the workers for the key. Does nothing if the workers have already been ranked for the
+   * given version of the worker table.
    *
+   * @param workers the workers that are eligible for jobs with this key
    * @param currentVersion the current version of the worker table
    * @param maxRankedWorkers the maximum length of the ranking
    */
--- a/src/main/java/loomreel/decision/KeyAffinityTable.java
+++ b/src/main/java/loomreel/decision/KeyAffinityTable.java
@@ -2,10 +2,14 @@
 
 import java.util.LinkedHashMap;
 
-/** A cache of the most recently used job keys with their rankings of the workers. */
+/**
+ * A cache of the affinities of the most recently used job keys. An affinity contains the ranking of
+ * the workers for a key and the demand of its jobs.
+ */
 final class KeyAffinityTable {
   /**
-   * The maximum number of cached keys. If it is exceeded, the least recently used key is evicted.
+   * The maximum number of cached affinities. If a new affinity exceeds this number, the least
+   * recently used affinity is evicted.
    */
   private static final int MAX_KEYS = 4096;
 
@@ -26,9 +30,10 @@
   }
 
   /**
-   * Returns the affinity of a request's key, with a ranking of the workers that are eligible for
-   * the request now. Jobs with the same key but different worker kinds or queues have separate
-   * affinities.
+   * Returns the affinity of a request's key, and creates it if it is not cached. The ranking of the
+   * returned affinity is updated to the workers that are eligible for the request now. Jobs with
+   * the same key have separate affinities if they need different kinds of workers or belong to
+   * different queues.
    */
   KeyAffinity get(PendingRequest request) {
     String queue = request.arrival.queue() == null ? "" : '/' + request.arrival.queue();
--- a/src/main/java/loomreel/decision/OutcomeRecorder.java
+++ b/src/main/java/loomreel/decision/OutcomeRecorder.java
@@ -8,13 +8,15 @@
  * Updates the estimates and the states of workers from the outcomes of attempts and health checks.
  */
 final class OutcomeRecorder {
-  /** The load sample that is recorded for a worker that rejected an attempt because it was full. */
+  /**
+   * The load sample that is recorded for a worker that has rejected an attempt because it was full.
+   */
   private static final double FULL_WORKER_LOAD = 2;
 
   /**
-   * A start is delayed if it takes longer than the start timeout divided by this number. If workers
-   * report no load, a delayed start counts as a load sample of 1 and any other start as a load
-   * sample of 0.
+   * The start of a job is delayed if it takes longer than the start timeout divided by this number.
+   * If workers report no load, each start is recorded as a load sample: 1 if the start is delayed,
+   * and 0 otherwise.
    */
   private static final double DELAYED_START_DIVISOR = 2;
 
@@ -28,7 +30,7 @@
     ejector = new OutlierEjector(state);
   }
 
-  /** Records that the job of an attempt has started. */
+  /** Records that a worker has reported the start of the job of an attempt. */
   void recordStart(AttemptState attempt) {
     attempt.recordStart(context.now());
     double startDelay = (double) (context.now() - attempt.sentAt);
@@ -39,7 +41,7 @@
     state.serviceTimes.recordStartDelay(startDelay);
   }
 
-  /** Records the end of an attempt. */
+  /** Records the end of an attempt, and ejects its worker if the outcome requires it. */
   void recordEnd(AttemptState attempt, AttemptEnded event) {
     WorkerState worker = attempt.worker;
     attempt.recordEnd(event.outcome());
@@ -73,23 +75,23 @@
     }
     double waitTime = (double) (context.now() - attempt.sentAt);
     state.serviceTimes.recordStartDelay(waitTime);
-    // A client may disconnect soon after the attempt was sent. Only a longer wait without any
-    // response indicates that the worker is unresponsive.
+    // A client may disconnect soon after the attempt was sent, so a short wait without a response
+    // does not indicate that the worker is unresponsive. Only a longer wait does.
     boolean isUnresponsive = attempt.worker.lastResponseAt() < attempt.sentAt;
     if (isUnresponsive && waitTime > state.serviceTimes.meanRunTime()) {
       ejector.ejectUnresponsive(attempt.worker, outcome);
     }
   }
 
-  /** Records the end of a health check. */
+  /** Records the end of a health check, and ejects the worker if the outcome requires it. */
   void recordHealthCheck(WorkerState worker, HealthChecked event) {
     if (event.outcome() == AttemptOutcome.OK) {
       worker.recordResponse(context.now());
       state.workerLoads.recordReport(worker, event.load());
       state.serviceTimes.recordHealthCheck(event.duration());
     } else if (event.outcome() != AttemptOutcome.RESET) {
-      // A reset is excluded because it shows that the worker's machine is up. If only its process
-      // is down, the next attempt fails.
+      // A reset is excluded because it shows that the worker's machine is up. If the worker's
+      // process is down, the next attempt at the worker fails.
       ejector.ejectUnresponsive(worker, event.outcome());
     }
   }
--- a/src/main/java/loomreel/decision/OutlierEjector.java
+++ b/src/main/java/loomreel/decision/OutlierEjector.java
@@ -1,31 +1,38 @@
 package loomreel.decision;
 
-/** Ejects workers that do not respond, with exponential backoff, and workers that are full. */
+/**
+ * Ejects workers. An ejected worker receives no attempts until the ejection ends. Workers that do
+ * not respond are ejected with exponential backoff. Workers that are full are ejected for a short
+ * time.
+ */
 final class OutlierEjector {
   /**
-   * A worker that has sent a response within this time, in microseconds, is not considered down
-   * after a failed connection.
+   * The time, in microseconds, during which a response counts as recent. A worker with a recent
+   * response is not considered down if a connection to it fails.
    */
   private static final long RECENT_RESPONSE_MICROS = 400_000;
 
   /**
-   * An unresponsive worker is ejected only while the number of ejected workers is less than the
-   * number of listed workers divided by this. Otherwise the remaining workers would be overloaded.
+   * An unresponsive worker is ejected only if the number of ejected workers is less than the number
+   * of listed workers divided by this number. Otherwise the remaining workers would be overloaded.
    */
   private static final int MAX_EJECTED_DIVISOR = 3;
 
-  /** The backoff of the first ejection of an unresponsive worker, in mean run times. */
+  /**
+   * The backoff of the first ejection of an unresponsive worker, as a multiple of the mean run
+   * time.
+   */
   private static final double UNRESPONSIVE_BACKOFF_RUN_TIMES = 8;
 
   /**
-   * The backoff of the first ejection of a worker that failed to connect but has responded
-   * recently, in mean run times.
+   * The backoff of the first ejection of a worker that has responded recently but to which a
+   * connection failed, as a multiple of the mean run time.
    */
   private static final double LOST_CONNECTION_BACKOFF_RUN_TIMES = 0.5;
 
   /**
-   * The minimum ejection time of a full worker, in mean run times. The jitter adds up to 1 mean run
-   * time.
+   * The minimum duration of the ejection of a full worker, as a multiple of the mean run time. The
+   * jitter adds up to 1 mean run time.
    */
   private static final double MIN_FULL_BACKOFF_RUN_TIMES = 0.5;
 
@@ -40,9 +47,11 @@
   }
 
   /**
-   * Ejects an unresponsive worker unless too many workers are ejected already. A worker that failed
-   * to connect but has responded recently may only have lost a connection, so its first backoff is
-   * short.
+   * Ejects an unresponsive worker, unless too many workers are already ejected. If a connection to
+   * the worker failed but the worker has responded recently, only a connection may have been lost,
+   * so the first backoff is short.
+   *
+   * @param outcome the outcome of the attempt or health check to which the worker did not respond
    */
   void ejectUnresponsive(WorkerState worker, AttemptOutcome outcome) {
     long now = context.now();
@@ -56,8 +65,8 @@
   }
 
   /**
-   * Ejects a worker that rejected an attempt because it was full. The ejection lasts 0.5 to 1.5
-   * mean run times.
+   * Ejects a worker that rejected an attempt because it was full. The duration of the ejection is
+   * drawn at random from 0.5 to 1.5 mean run times.
    */
   void ejectFull(WorkerState worker) {
     double backoff =
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -5,17 +5,21 @@
 import loomreel.decision.Event.RequestArrived;
 import loomreel.decision.Settings.RequestClass;
 
-/** A request that has no final answer yet, or that has open attempts. Times are in microseconds. */
+/**
+ * A request that the policy still has to handle: it has not ended, or it has open attempts. Times
+ * are in microseconds.
+ */
 final class PendingRequest {
-  /** The maximum number of health checks that one request may cause. */
+  /** The maximum number of health checks that the policy sends because of one request. */
   private static final int MAX_HEALTH_CHECKS = 4 * WorkerSelector.SAMPLE_WITH_HEALTH_CHECKS;
 
   final RequestArrived arrival;
   final RequestClass requestClass;
 
   /**
-   * The idempotency of the request's class, or {@link Idempotency#NON_IDEMPOTENT} if the class is
-   * keyed and the request has no idempotency key.
+   * The idempotency of the request. It is that of the request's class, with one exception. If the
+   * class is keyed and the request has no idempotency key, it is {@link
+   * Idempotency#NON_IDEMPOTENT}.
    */
   final Idempotency idempotency;
 
@@ -24,18 +28,27 @@
 
   private final List<AttemptState> attempts = new ArrayList<>(2);
 
-  /** Null until the request is admitted. */
+  /** The deadlines of the request; null until {@link #setDeadlines} is called. */
   private RequestDeadlines deadlines;
 
-  /** Null until the first candidates are drawn. */
+  /**
+   * The parameters from which the candidates of the request are derived; null until they are first
+   * drawn.
+   */
   private CandidateDraw candidates;
 
-  /** The next round of candidates that may receive health checks; null after the last round. */
+  /**
+   * The next round of candidates to consider for health checks; null before the first parameters
+   * are drawn and after the last round.
+   */
   private CandidateRound healthCheckRound;
 
   private double loadThreshold = WorkerSelector.FULL_THRESHOLD;
   private int rankingOffsetSamples;
+
+  /** The number of workers whose pending health check the request waits for. */
   private int pendingHealthChecks;
+
   private int healthChecksRequested;
   private boolean ended;
 
@@ -57,8 +70,8 @@
   }
 
   /**
-   * Returns whether the job has a key that determines its preferred workers. This is not the
-   * idempotency key.
+   * Returns whether the job has a key that determines its preferred workers. The idempotency key of
+   * a request is a different key.
    */
   boolean hasKey() {
     return arrival.key() != null;
@@ -75,8 +88,8 @@
 
   /**
    * Returns the load threshold of the request, as a fraction of a worker's slots. A worker may
-   * receive the request only if its load is below the threshold, which {@link WorkerSelector}
-   * raises if all workers are loaded.
+   * receive the request only if its load is below the threshold. {@link WorkerSelector} raises the
+   * threshold while the mean load of all workers is high.
    */
   double loadThreshold() {
     return loadThreshold;
@@ -99,12 +112,12 @@
     return attempts.stream().anyMatch(AttemptState::isOpen);
   }
 
-  /** Returns whether an open attempt has reported the start of its job. */
+  /** Returns whether a worker has reported the start of the job for an open attempt. */
   boolean anyAttemptRunning() {
     return attempts.stream().anyMatch(attempt -> attempt.isOpen() && attempt.hasStarted());
   }
 
-  /** Returns the attempt that was started last. There must be at least one. */
+  /** Returns the attempt that was started last. There must be at least one attempt. */
   AttemptState lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
@@ -117,15 +130,18 @@
     return candidates;
   }
 
-  /** Sets new parameters for the candidates and restarts the health checks with the first round. */
+  /**
+   * Sets new parameters from which the candidates are derived. The health checks begin again with
+   * the first round of candidates.
+   */
   void setCandidates(CandidateDraw draw) {
     candidates = draw;
     healthCheckRound = draw.firstRound();
   }
 
   /**
-   * Returns the offset, in samples, at which the fallback starts in the ranking of the request's
-   * key.
+   * Returns the distance by which the fallback sample is moved on in the ranking of the request's
+   * key, as a number of sample sizes.
    */
   int rankingOffsetSamples() {
     return rankingOffsetSamples;
@@ -136,28 +152,30 @@
   }
 
   /**
-   * Returns the next round of candidates that may receive health checks; null after the last round.
+   * Returns the next round of candidates to consider for health checks; null after the last round.
    */
   CandidateRound healthCheckRound() {
     return healthCheckRound;
   }
 
-  /** Moves to the next round of candidates. The current round must not be null. */
+  /**
+   * Moves on to the next round of candidates for health checks. The current round must not be null.
+   */
   void advanceHealthCheckRound() {
     healthCheckRound = healthCheckRound.next();
   }
 
   /**
-   * Takes one of the health checks that the request may cause.
+   * Counts a health check against the limit of {@link #MAX_HEALTH_CHECKS} for this request.
    *
-   * @return false if none is left
+   * @return whether the health check may be sent; false if the limit was already reached
    */
   boolean tryAcquireHealthCheck() {
     healthChecksRequested++;
     return healthChecksRequested <= MAX_HEALTH_CHECKS;
   }
 
-  /** Returns whether the request waits for a health check of at least one worker. */
+  /** Returns whether the request waits for the health check of at least one worker. */
   boolean awaitsHealthCheck() {
     return pendingHealthChecks > 0;
   }
@@ -174,7 +192,10 @@
     pendingHealthChecks = 0;
   }
 
-  /** Returns whether the request has its final answer or does not need one any more. */
+  /**
+   * Returns whether the request has ended, that is, has its final answer or needs no answer any
+   * more.
+   */
   boolean hasEnded() {
     return ended;
   }
--- a/src/main/java/loomreel/decision/RequestDeadlines.java
+++ b/src/main/java/loomreel/decision/RequestDeadlines.java
@@ -3,9 +3,14 @@
 /**
  * The deadlines of a request, in microseconds of the dispatcher's clock.
  *
- * @param latestFullValueStart the latest start of the job for which the answer has its full value
- * @param startDeadline the time from which an answer has no value if the job has not started
- * @param answerDeadline the time at which the request is given up at the latest, shortly before the
- *     client's deadline
+ * <p>An answer has its full value if the latency objective of the request is met. A late answer has
+ * only a fraction of this value, {@link Settings.RequestClass#latePriorityFraction}, which may be
+ * 0.
+ *
+ * @param objectiveStartDeadline the time before which the job must start to meet the latency
+ *     objective
+ * @param startDeadline the time before which the job must start for its answer to have any value
+ * @param answerDeadline the time, shortly before the client's deadline, at which the request is
+ *     given up if it has no final answer
  */
-record RequestDeadlines(long latestFullValueStart, long startDeadline, long answerDeadline) {}
+record RequestDeadlines(long objectiveStartDeadline, long startDeadline, long answerDeadline) {}
--- a/src/main/java/loomreel/decision/RequestQueue.java
+++ b/src/main/java/loomreel/decision/RequestQueue.java
@@ -5,15 +5,18 @@
 import java.util.List;
 import loomreel.decision.Action.SetTimer;
 
-/** The requests for which no worker had capacity. They wait for the next retry. */
+/**
+ * The requests that wait because no worker had capacity for them. A retry of the queue takes
+ * requests from the queue and tries to place them again.
+ */
 final class RequestQueue {
   /**
-   * The mean interval between two retries is the shortest latency objective divided by this number,
-   * but not less than {@link #MIN_RETRY_INTERVAL_TICKS}.
+   * The mean interval between two retries of the queue is the shortest latency objective divided by
+   * this number, but at least {@link #MIN_RETRY_INTERVAL_TICKS}.
    */
   private static final int RETRY_INTERVAL_DIVISOR = 16;
 
-  /** The minimum of the mean interval between two retries, in ticks of the dispatcher. */
+  /** The minimum mean interval between two retries of the queue, in ticks of the dispatcher. */
   private static final int MIN_RETRY_INTERVAL_TICKS = 2;
 
   private final PolicyState state;
@@ -37,8 +40,8 @@
   }
 
   /**
-   * Removes all requests from the queue and returns them, the highest priority first. Requests of
-   * equal priority are ordered by arrival, the latest first.
+   * Removes all requests from the queue and returns them. The request with the highest priority
+   * comes first. Among requests of equal priority, the request that arrived last comes first.
    */
   List<PendingRequest> drain(Comparator<PendingRequest> byPriority) {
     List<PendingRequest> drained = waiting;
@@ -48,8 +51,9 @@
   }
 
   /**
-   * Schedules the next retry after an interval with jitter, unless the queue is empty or a retry is
-   * already scheduled.
+   * Schedules the next retry of the queue. The time until the retry is drawn at random from 0.5 to
+   * 1.5 times the mean interval. Does nothing if the queue is empty or a retry is already
+   * scheduled.
    */
   void scheduleRetry() {
     if (retryScheduled || waiting.isEmpty()) {
@@ -64,7 +68,7 @@
     state.context.emit(new SetTimer(retryAt, PolicyState.QUEUE_TIMER));
   }
 
-  /** Records that the scheduled retry has started. */
+  /** Records that the scheduled retry of the queue has started. */
   void retryStarted() {
     retryScheduled = false;
   }
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -4,16 +4,17 @@
 import loomreel.decision.Action.StartAttempt;
 
 /**
- * Schedules requests. It sends them to workers, queues them while no worker has capacity, hedges
- * and retries them, and gives them up.
+ * Schedules requests. The scheduler sends requests to workers, queues them while no worker has
+ * capacity, retries and hedges them, and gives them up.
  */
 final class RequestScheduler {
-  /** The maximum number of queued requests that are placed again in one retry of the queue. */
+  /** The maximum number of queued requests that one retry of the queue places again. */
   private static final int MAX_REQUESTS_PER_QUEUE_RETRY = 32;
 
   /**
-   * The number of samples by which the fallback advances in the ranking of a request's key each
-   * time the request is queued.
+   * The distance by which the fallback moves on in the ranking of a request's key each time the
+   * request is queued. The fallback considers a sample of workers that are consecutive in the
+   * ranking, and the distance is a multiple of the size of this sample.
    */
   private static final int RANKING_STEP_SAMPLES = 2;
 
@@ -37,7 +38,10 @@
     healthCheckPolicy = new HealthCheckPolicy(state, selector, retryPolicy);
   }
 
-  /** Admits a new request, or rejects it if it arrived too late. */
+  /**
+   * Admits a new request and places it. Rejects the request if its start deadline has already
+   * passed.
+   */
   void admit(PendingRequest request) {
     admission.setDeadlines(request);
     if (context.now() >= request.deadlines().startDeadline()) {
@@ -52,15 +56,17 @@
     placeWithNewCandidates(request);
   }
 
-  /** Draws new candidates for a request and places it. */
+  /** Draws new candidates for a request, then places the request. */
   private void placeWithNewCandidates(PendingRequest request) {
-    selector.drawCandidates(request);
+    selector.drawCandidateParameters(request);
     place(request);
   }
 
   /**
-   * Places a request: sends it to a worker, starts health checks of its candidates, queues it, or
-   * gives it up. Does nothing if the request has ended or waits for a health check.
+   * Places a request. Placing sends the request to a worker, makes it wait for health checks of its
+   * candidates, queues it, or gives it up. Does nothing if the request has ended or already waits
+   * for a health check. Also does nothing if no further attempt is allowed while an attempt of the
+   * request is open.
    */
   private void place(PendingRequest request) {
     if (request.hasEnded() || request.awaitsHealthCheck()) {
@@ -90,7 +96,10 @@
     }
   }
 
-  /** Retries the queued requests, and schedules the next retry if some of them remain queued. */
+  /**
+   * Performs the scheduled retry of the queue, and schedules the next retry if requests remain in
+   * the queue.
+   */
   void retryQueueAndReschedule() {
     queue.retryStarted();
     retryQueue();
@@ -99,8 +108,8 @@
 
   /**
    * Places the queued requests with the highest priorities again, up to {@link
-   * #MAX_REQUESTS_PER_QUEUE_RETRY}, and gives up those whose answer has no value any more. The
-   * others stay queued.
+   * #MAX_REQUESTS_PER_QUEUE_RETRY}. Also gives up every other request whose start deadline has
+   * passed. The remaining requests stay in the queue.
    */
   private void retryQueue() {
     int retried = 0;
@@ -115,19 +124,19 @@
   }
 
   /**
-   * Returns the priority of a queued request, which is the value of its answer at this time divided
-   * by its expected work.
+   * Returns the priority of a queued request: the value that its answer would have if the job
+   * started now, divided by the expected work of the request.
    */
   private double priority(PendingRequest request) {
-    boolean hasFullValue = context.now() < request.deadlines().latestFullValueStart();
+    boolean hasFullValue = context.now() < request.deadlines().objectiveStartDeadline();
     return request.requestClass.priorityWeight()
         / state.serviceTimes.expectedWork(request)
         * (hasFullValue ? 1 : request.requestClass.latePriorityFraction());
   }
 
   /**
-   * Retries the queued requests at once if an endpoint belongs to a worker that pulls its jobs,
-   * because such a worker reports free capacity as soon as it has some.
+   * Retries the queued requests at once if an endpoint names queues. The reason is that the worker
+   * of such an endpoint pulls its jobs and reports free capacity as soon as it has some.
    */
   void retryQueueForPullWorker(Endpoint endpoint) {
     if (endpoint.queues() != null && !queue.isEmpty()) {
@@ -136,8 +145,8 @@
   }
 
   /**
-   * Places the requests that waited for a health check of a worker, except those that still wait
-   * for a health check of another worker.
+   * Places the requests that waited for the health check of a worker. A request that still waits
+   * for the health check of another worker is not placed yet.
    */
   void placeAfterHealthCheck(WorkerState worker) {
     for (PendingRequest request : worker.takeHealthCheckWaiters()) {
@@ -148,7 +157,10 @@
     }
   }
 
-  /** Starts an attempt of a request at a worker. No other method emits {@link StartAttempt}. */
+  /**
+   * Starts an attempt of a request at a worker. This is the only method that emits {@link
+   * StartAttempt}.
+   */
   private void startAttempt(PendingRequest request, WorkerState worker) {
     long writeDeadline = retryPolicy.writeDeadline(request);
     context.emit(new StartAttempt(request.id(), worker.id, 0, writeDeadline));
@@ -161,8 +173,9 @@
   }
 
   /**
-   * Starts another attempt of a request after an attempt has ended without an answer. If no further
-   * attempt is allowed and none is open, gives the request up.
+   * Handles a request after one of its attempts has ended without a final answer. If another
+   * attempt is allowed, places the request again. Otherwise gives the request up, unless another
+   * attempt of the request is still open.
    */
   void retryOrGiveUp(PendingRequest request) {
     if (retryPolicy.allowsAttempt(request)) {
@@ -173,8 +186,8 @@
   }
 
   /**
-   * Handles a timer of a request, which fires when a health check, the start of its job, or its
-   * answer is overdue.
+   * Handles a timer of a request. The timer may have been set for the answer deadline, for the
+   * start deadline, for the start timeout of an attempt, or for the timeout of a health check.
    */
   void handleRequestTimer(PendingRequest request) {
     if (context.now() >= request.deadlines().answerDeadline()) {
@@ -191,7 +204,11 @@
     }
   }
 
-  /** Gives up a request whose attempts have not started, or hedges it if a start is overdue. */
+  /**
+   * Handles a request with open attempts of which none has started. If the start deadline has
+   * passed, gives the request up. Otherwise, if the start of the last attempt is overdue and the
+   * rules allow another attempt, starts a hedged attempt at another worker.
+   */
   private void hedgeOrGiveUp(PendingRequest request) {
     if (context.now() >= request.deadlines().startDeadline()) {
       giveUp(request, RejectionReason.NOT_STARTED_IN_TIME);
@@ -204,7 +221,8 @@
   }
 
   /**
-   * Gives up a request for which no further attempt is allowed, unless one of its attempts is open.
+   * Gives up a request for which no further attempt is allowed. Does nothing if an attempt of the
+   * request is still open.
    */
   private void giveUpUnlessAttemptOpen(PendingRequest request) {
     if (!request.anyAttemptOpen()) {
@@ -216,15 +234,19 @@
     end(request, admission.giveUp(request, reason));
   }
 
-  /** Ends a request that already has its answer or does not need one any more. */
+  /**
+   * Ends a request without emitting an answer, because the request already has its final answer or
+   * needs none any more.
+   */
   void endWithoutAnswer(PendingRequest request) {
     end(request, null);
   }
 
   /**
-   * Ends a request. Every request is ended by this method. Does nothing if the request has ended.
+   * Ends a request and cancels its open attempts. Every request is ended by this method. Does
+   * nothing if the request has already ended.
    *
-   * @param answer the action that gives the final answer; null if no answer is needed
+   * @param answer the action that gives the final answer; null if none is needed
    */
   private void end(PendingRequest request, Action answer) {
     if (request.hasEnded()) {
--- a/src/main/java/loomreel/decision/RequestTable.java
+++ b/src/main/java/loomreel/decision/RequestTable.java
@@ -20,7 +20,10 @@
     lastToken = lastReservedToken;
   }
 
-  /** Adds a request that has arrived. */
+  /**
+   * Creates a pending request for an arrival, gives it the next timer token, and adds it to the
+   * table.
+   */
   PendingRequest add(RequestArrived arrival, RequestClass requestClass) {
     PendingRequest request = new PendingRequest(arrival, requestClass, ++lastToken);
     byId.put(request.id(), request);
@@ -28,21 +31,25 @@
     return request;
   }
 
-  /** Returns the pending request with an id; null if there is none. */
+  /**
+   * Returns the pending request with the given id; null if there is none. A request that has ended
+   * is still returned while one of its attempts is open.
+   */
   PendingRequest get(String id) {
     return byId.get(id);
   }
 
   /**
-   * Returns the request with a timer token; null if the request has ended or the token is unknown.
+   * Returns the pending request with the given timer token; null if the request has ended or the
+   * token is unknown.
    */
   PendingRequest byToken(long token) {
     return byToken.get(token);
   }
 
   /**
-   * Returns an open attempt of a request; null if the request or the attempt is unknown or the
-   * attempt has ended.
+   * Returns an open attempt of a request; null if the request is unknown, the attempt is unknown,
+   * or the attempt has ended.
    */
   AttemptState openAttempt(String requestId, int attemptNumber) {
     PendingRequest request = byId.get(requestId);
@@ -54,8 +61,8 @@
   }
 
   /**
-   * Removes the timer token of a request that has ended, so that its timers are ignored from now
-   * on.
+   * Removes the timer token of a request that has ended. The timers of the request are ignored from
+   * now on.
    */
   void end(PendingRequest request) {
     byToken.remove(request.token);
--- a/src/main/java/loomreel/decision/RetryPolicy.java
+++ b/src/main/java/loomreel/decision/RetryPolicy.java
@@ -4,16 +4,16 @@
 import loomreel.decision.Settings.Limits;
 
 /**
- * Decides which further attempts of a request the rules of the platform allow. The number of
- * attempts is limited, and no attempt is started at a draining worker. A request that is not
- * idempotent is not attempted again if it may have run. A keyed request that may have run is
- * attempted again only at workers that deduplicate its attempts, and only within the deduplication
- * window.
+ * Decides which attempts of a request are allowed by the rules of the platform and the limits of
+ * the deployment. The number of attempts is limited, and no attempt is started at a draining
+ * worker. If a request may have run and is not idempotent, it is not attempted again. If a keyed
+ * request may have run, it is attempted again only at workers that deduplicate its attempts, and
+ * only within the deduplication window.
  */
 final class RetryPolicy {
   /**
-   * The time, in ticks of the dispatcher, between the latest time to write the request of an
-   * attempt and the end of the deduplication window.
+   * The safety margin before the end of a deduplication window, in ticks of the dispatcher. A
+   * request that depends on deduplication is not written to a worker within this margin.
    */
   private static final int WRITE_MARGIN_TICKS = 2;
 
@@ -29,7 +29,10 @@
     serviceTimes = state.serviceTimes;
   }
 
-  /** Returns whether another attempt of a request may be started now, at some worker. */
+  /**
+   * Returns whether another attempt of a request may be started now, without regard to the worker.
+   * {@link #allowsWorker} decides about the worker.
+   */
   boolean allowsAttempt(PendingRequest request) {
     long now = context.now();
     return request.attempts().size() < limits.maxAttempts()
@@ -38,14 +41,20 @@
             .allMatch(attempt -> allowsAnotherAttemptAfter(request, attempt));
   }
 
-  /** Returns whether an attempt, open or ended, permits another attempt of its request. */
+  /**
+   * Returns whether an existing attempt permits another attempt of its request. The existing
+   * attempt may be open or ended.
+   */
   private boolean allowsAnotherAttemptAfter(PendingRequest request, AttemptState attempt) {
     boolean mayOverlap = !attempt.isOpen() || limits.hedging();
     boolean mayRepeat = attempt.neverRan() || request.idempotency != Idempotency.NON_IDEMPOTENT;
     return mayOverlap && mayRepeat && !attempt.isInvalid();
   }
 
-  /** Returns whether an attempt of a request may be started at a worker. */
+  /**
+   * Returns whether a worker may receive another attempt of a request. The worker must be ready and
+   * listed, and each earlier attempt of the request must permit the worker.
+   */
   boolean allowsWorker(PendingRequest request, WorkerState worker) {
     return worker.endpoint().state() == State.READY
         && workers.get(worker.id) == worker
@@ -53,9 +62,10 @@
   }
 
   /**
-   * Returns whether another attempt of the same request may be started at a worker after the given
-   * attempt. If the given attempt may have run, the worker must be a different one and, for a keyed
-   * request, must be in the same deduplication scope.
+   * Returns whether an earlier attempt of a request permits another attempt at a worker. If the
+   * earlier attempt never ran, it permits every worker. Otherwise the worker must not be that of
+   * the earlier attempt. If the request is keyed, both workers must also be in the same
+   * deduplication scope.
    */
   private static boolean allowsAttemptAfter(AttemptState attempt, WorkerState worker) {
     if (attempt.neverRan()) {
@@ -72,9 +82,10 @@
   }
 
   /**
-   * Returns the time, in microseconds, until which the request of an attempt may be written to its
-   * worker. For a keyed request with an attempt that may have run, this is shortly before the end
-   * of the deduplication window. Otherwise it is {@link Long#MAX_VALUE}.
+   * Returns the time, in microseconds, until which a request may be written to a worker. The time
+   * is limited if the request is keyed and an attempt of it may have run. The limit is then shortly
+   * before the end of the deduplication window, which begins with the send of the first such
+   * attempt. In all other cases, the result is {@link Long#MAX_VALUE}.
    */
   long writeDeadline(PendingRequest request) {
     long firstSentAt = Timestamp.NEVER;
@@ -91,8 +102,8 @@
   }
 
   /**
-   * Returns whether a hedged attempt may be started because the start of the last attempt is
-   * overdue.
+   * Returns whether a hedged attempt of a request may be started now. It may be started if the
+   * start of the last attempt is overdue and another attempt is allowed.
    */
   boolean shouldHedge(PendingRequest request) {
     return context.now() - request.lastAttempt().sentAt >= serviceTimes.startTimeout()
--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -11,11 +11,15 @@
  * @param zone the zone in which this dispatcher runs
  * @param classes the request classes; events refer to a class by its position in this list
  * @param tenants the tenants; events refer to a tenant by its position in this list
- * @param pollsEndpoints whether the dispatcher has to poll the endpoint list; otherwise the list is
+ * @param rules the rules that the platform sets for every dispatcher
+ * @param limits the limits that the deployment sets for this dispatcher
+ * @param pollsEndpoints whether the dispatcher has to poll the endpoint list; if not, the list is
  *     pushed
  * @param stableWeights whether the weight of a worker stays the same between endpoint lists
+ * @param loadReporting which responses of workers include load reports
  * @param reportsJobStart whether workers report that a job has started
- * @param tick the minimum time between two events of this dispatcher
+ * @param tick the minimum time between two events of this dispatcher; the policy also uses it as
+ *     the unit of short intervals, such as the margins before deadlines and the minimum timeouts
  * @param clientsMarkRetries whether clients mark their retries
  */
 public record Settings(
@@ -57,20 +61,22 @@
   }
 
   /**
-   * A class of requests.
+   * A class of requests. The latency objective of a request consists of a part for every job,
+   * {@code latencyObjective}, and a part that grows with the work of the job. An answer has a
+   * value, from which the priority of a queued request is computed.
    *
    * @param workerKind the kind of worker that the class needs; null if every worker may run its
    *     jobs
    * @param priority the configured priority, which the decision module does not use
-   * @param latencyObjectivePerWork the increase of the latency objective per microsecond of the
-   *     job's own work
-   * @param latencyObjective the latency up to which an answer has its full value, for a job without
-   *     work
-   * @param deadline the time that a client waits, over all of its attempts
+   * @param latencyObjectivePerWork the time that is added to the latency objective for each unit of
+   *     the job's work; times and work are in the same unit
+   * @param latencyObjective the latency objective of a job without work
+   * @param deadline the total time that a client waits for an answer, including its retries
    * @param priorityWeight the value of an answer that meets the latency objective
-   * @param latePriorityFraction the fraction of {@code priorityWeight} that a late answer has
+   * @param latePriorityFraction the value of an answer that does not meet the latency objective, as
+   *     a fraction of {@code priorityWeight}
    * @param deduplicationWindow the time during which workers recognize repetitions of a keyed
-   *     request, counted from the first attempt that may have run
+   *     request, counted from the send of the first attempt that may have run
    */
   public record RequestClass(
       String name,
@@ -97,15 +103,17 @@
    * The rules of a platform, which every dispatcher has to follow. All times and durations are in
    * microseconds.
    *
-   * @param drainGrace the time after a dispatcher is notified that a worker drains, during which
-   *     attempts may still be started at the worker
+   * @param drainGrace the time during which attempts may still be started at a draining worker,
+   *     counted from the notification of the dispatcher that the worker drains
    * @param pollInterval the maximum time between two polls of the endpoint list; 0 if the list is
    *     pushed
-   * @param initialCapacityFraction the minimum fraction of its full capacity that a worker has when
-   *     it starts
-   * @param slowStartDuration the maximum time after its start until a worker has its full capacity
-   * @param overloadMultiple the multiple of its current capacity at which a warming worker fails if
-   *     it receives that much work for the time of {@code overloadWindow}
+   * @param initialCapacityFraction the minimum capacity of a worker when it starts, as a fraction
+   *     of its full capacity
+   * @param slowStartDuration the maximum time from the start of a worker until it has its full
+   *     capacity
+   * @param overloadMultiple the overload limit of a warming worker, as a multiple of its current
+   *     capacity; the worker fails if the work that it receives over {@code overloadWindow} reaches
+   *     this limit
    * @param overloadWindow the time over which the work that a warming worker receives is compared
    *     with its capacity
    */
@@ -118,8 +126,8 @@
       long overloadWindow) {
     /**
      * The maximum time, in microseconds, until a dispatcher counts as notified of a change of the
-     * endpoint list. It starts when discovery has the change and can be reached. It applies whether
-     * or not the polls of the dispatcher succeed.
+     * endpoint list. The time begins when discovery has the change and can be reached. The
+     * dispatcher counts as notified at the end of this time, even if its polls have failed.
      */
     private static final long NOTIFICATION_DEADLINE_MICROS = 6_000_000;
 
@@ -130,22 +138,23 @@
     private static final long MAX_POLL_DURATION_MICROS = 1_500_000;
 
     /**
-     * The numerator of the fraction of the poll interval that limits the wait after a failed poll.
+     * The maximum wait after a failed poll is limited to a fraction of the poll interval. This is
+     * the numerator of the fraction.
      */
     private static final int MAX_BACKOFF_NUMERATOR = 6;
 
-    /**
-     * The denominator of the fraction of the poll interval that limits the wait after a failed
-     * poll.
-     */
+    /** The denominator of the fraction of which {@link #MAX_BACKOFF_NUMERATOR} is the numerator. */
     private static final int MAX_BACKOFF_DENOMINATOR = 10;
 
     /**
-     * Returns the maximum wait after a failed poll, in microseconds. Once discovery can be reached
-     * again, attempts at draining workers violate the rules after {@link
-     * #NOTIFICATION_DEADLINE_MICROS} and the drain grace. Two waits and two polls have to fit into
-     * that time, because discovery may reject the first poll after an outage. The wait is also
-     * shorter than the poll interval.
+     * Returns the maximum wait after a failed poll, in microseconds. The wait is shorter than the
+     * poll interval.
+     *
+     * <p>The wait is also limited by the rules for draining workers. Once discovery can be reached
+     * again after an outage, the time in which attempts at draining workers are allowed is {@link
+     * #NOTIFICATION_DEADLINE_MICROS} plus the drain grace. Later attempts violate the rules. Two
+     * waits and two polls have to fit into that time, because discovery may reject the first poll
+     * after an outage.
      */
     public long maxPollBackoff() {
       return Math.min(
@@ -158,11 +167,12 @@
    * The limits that the deployment sets.
    *
    * @param maxAttempts the maximum number of attempts of a request
-   * @param hedging whether an attempt may be started while another attempt of the request is open
+   * @param hedging whether an attempt may be started while another attempt of the same request is
+   *     open
    * @param cancellation whether attempts may be cancelled
    * @param healthChecks whether health checks may be sent to workers
-   * @param retryAfter whether a rejection may include a time to wait before a retry
-   * @param maxRetryAfter the maximum of that time, in microseconds
+   * @param retryAfter whether a rejection may name a time to wait before a retry
+   * @param maxRetryAfter the maximum time that a rejection may name, in microseconds
    */
   public record Limits(
       int maxAttempts,
@@ -182,7 +192,7 @@
     WITH_HEALTH_CHECKS
   }
 
-  /** A builder of settings. A setting that is not set has its default. */
+  /** A builder of settings. Rules and limits must be set. Every other setting has a default. */
   public static final class Builder {
     private static final long DEFAULT_TICK_MICROS = 1000;
 
@@ -225,19 +235,19 @@
       return this;
     }
 
-    /** Sets the rules of the platform, which have no default. */
+    /** Sets the rules of the platform. They must be set, because they have no default. */
     public Builder rules(Rules newValue) {
       rules = newValue;
       return this;
     }
 
-    /** Sets the limits of the deployment, which have no default. */
+    /** Sets the limits of the deployment. They must be set, because they have no default. */
     public Builder limits(Limits newValue) {
       limits = newValue;
       return this;
     }
 
-    /** Sets whether the dispatcher has to poll the endpoint list. */
+    /** Sets whether the dispatcher has to poll the endpoint list; if not, the list is pushed. */
     public Builder pollsEndpoints(boolean newValue) {
       pollsEndpoints = newValue;
       return this;
@@ -261,7 +271,10 @@
       return this;
     }
 
-    /** Sets the minimum time between two events, in microseconds. */
+    /**
+     * Sets the minimum time between two events of the dispatcher, in microseconds. The policy also
+     * uses it as the unit of short intervals.
+     */
     public Builder tick(long newValue) {
       tick = newValue;
       return this;
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -4,45 +4,54 @@
 import java.util.List;
 
 /**
- * Selects the worker of an attempt, based on Algorithm 1 of "Package-Aware Scheduling of FaaS
- * Functions". The key of a job hashes to two workers. The first of them whose load is below a
- * threshold is selected. If there is none, a fallback samples the next workers in the ranking of
- * the key. For a job without a key, the least loaded worker of a random sample is selected if its
- * load is below the threshold.
+ * Selects the worker of an attempt. The selection is based on Algorithm 1 of "Package-Aware
+ * Scheduling of FaaS Functions".
+ *
+ * <p>If the job has a key, the key hashes to two workers, and the first of them whose load is below
+ * the load threshold is selected. If neither has a load below the threshold, a fallback considers a
+ * sample of the next workers in the ranking of the key, and the first worker of the sample whose
+ * load is below the threshold is selected. If the job has no key, a random sample of workers is
+ * considered, and the least loaded of them is selected if its load is below the threshold.
  */
 final class WorkerSelector {
-  /** The load threshold below which a job can start at once, as a fraction of a worker's slots. */
+  /**
+   * The load of a worker, as a fraction of its slots, below which a job can start at once. It is
+   * the load threshold of a request within its quota, unless the mean load of all workers is high.
+   */
   static final double FULL_THRESHOLD = 1;
 
   /**
-   * The sample size of the fallback if health checks are allowed. Each sampled worker of unknown
-   * load then costs a health check.
+   * The sample size of the fallback if health checks are allowed. Each worker in the sample whose
+   * load is unknown then costs a health check.
    */
   static final int SAMPLE_WITH_HEALTH_CHECKS = 3;
 
   /**
-   * The sample size of the fallback if health checks are not allowed. It is larger, because
-   * sampling a worker then costs nothing.
+   * The sample size of the fallback if health checks are not allowed. This sample is larger than
+   * with health checks, because each worker in the sample costs nothing.
    */
   private static final int SAMPLE_WITHOUT_HEALTH_CHECKS = 8;
 
-  /** The score of every worker below the threshold, for a request with a key. */
+  /** The score of every worker whose load is below the threshold, for a request with a key. */
   private static final double BELOW_THRESHOLD_SCORE = -1;
 
   /**
-   * The ratio of the load threshold to the mean load if all workers are loaded. The threshold is
-   * limited by {@link #MAX_LOAD_THRESHOLD}.
+   * The load threshold as a multiple of the mean load of all workers, if the mean load is high. The
+   * multiple replaces {@link #FULL_THRESHOLD} if it is larger. It is limited by {@link
+   * #MAX_LOAD_THRESHOLD}.
    */
   private static final double MEAN_LOAD_THRESHOLD_FACTOR = 1.1;
 
   /**
-   * The maximum load threshold, as a fraction of a worker's slots, for a request within its quota.
+   * The maximum load threshold of a request within its quota, as a fraction of a worker's slots.
    */
   private static final double MAX_LOAD_THRESHOLD = 1.5;
 
   /**
-   * The mean load of all workers at and above which the fallback does not advance in the ranking
-   * for a queued request.
+   * The mean load of all workers from which the ranking offset of a request is ignored. If the mean
+   * load is at or above this limit, the fallback sample of a queued request starts at the same
+   * position of the ranking as before the request was queued. {@link
+   * PendingRequest#rankingOffsetSamples} describes the offset.
    */
   private static final double MAX_MEAN_LOAD_FOR_RANKING_OFFSET = 0.9;
 
@@ -64,8 +73,11 @@
     workerLoads = state.workerLoads;
   }
 
-  /** Draws new candidates for a request. */
-  void drawCandidates(PendingRequest request) {
+  /**
+   * Draws new parameters from which the candidates of a request are derived: the number of workers
+   * that the request's key needs, and a random seed.
+   */
+  void drawCandidateParameters(PendingRequest request) {
     boolean isRanked = request.hasKey() && workers.pool(request).length > 0;
     int workersNeeded =
         isRanked
@@ -75,14 +87,17 @@
     request.setCandidates(new CandidateDraw(workersNeeded, seed));
   }
 
-  /** Returns the worker for a request, or null if no candidate is below the load threshold. */
+  /**
+   * Returns the worker for a request; null if no candidate with a load below the threshold is
+   * available.
+   */
   WorkerState select(PendingRequest request) {
     return selectBeforeRound(null, request);
   }
 
   /**
-   * Returns the worker for a request, or null if no candidate in the considered rounds is below the
-   * load threshold.
+   * Returns the worker for a request; null if the considered rounds contain no available candidate
+   * with a load below the threshold.
    *
    * @param endRound the first round that is not considered; null to consider all rounds
    */
@@ -102,9 +117,9 @@
     WorkerState best = null;
     double leastScore = Double.POSITIVE_INFINITY;
     for (WorkerState worker : candidates(request, round)) {
-      // The score is negative only for a worker below the threshold. If the request has a key, all
-      // such workers have the same score, so the first one is selected. Otherwise the least loaded
-      // one is selected.
+      // A score can be negative only for a worker whose load is below the threshold. If the request
+      // has a key, all these workers have the same score, so the first of them is selected. If the
+      // request has no key, the least loaded of them is selected.
       double score = loadIfEligible(request, worker);
       if (score + extraSlotsFraction(request, worker) < loadThreshold) {
         if (round == CandidateRound.FALLBACK && request.hasKey()) {
@@ -120,7 +135,10 @@
     return leastScore < 0 ? best : null;
   }
 
-  /** Returns the load threshold for a request, which is raised if all workers are loaded. */
+  /**
+   * Returns the load threshold for a request, as a fraction of a worker's slots. The threshold is
+   * raised while the mean load of all workers is high.
+   */
   private double loadThreshold(PendingRequest request) {
     double thresholdByMeanLoad =
         Math.min(MAX_LOAD_THRESHOLD, MEAN_LOAD_THRESHOLD_FACTOR * workerLoads.meanLoad());
@@ -128,7 +146,9 @@
   }
 
   /**
-   * Returns the slots that a request needs beyond the first one, as a fraction of a worker's slots.
+   * Returns the number of slots that a request needs in addition to one slot, as a fraction of the
+   * slots of a worker. The request is assumed to need no more slots than the worker has. The result
+   * is negative if the request needs less than one slot.
    */
   private double extraSlotsFraction(PendingRequest request, WorkerState worker) {
     double slots = workerLoads.slots(worker);
@@ -136,8 +156,9 @@
   }
 
   /**
-   * Returns the load of a worker as a fraction of its slots; infinite if the request may not or
-   * should not be sent to the worker.
+   * Returns the estimated load of a worker, as a fraction of its slots. The result is infinite if
+   * the rules forbid the request at the worker, the worker is ejected, its slow-start limit does
+   * not allow the request, or a health check of the worker is overdue.
    */
   private double loadIfEligible(PendingRequest request, WorkerState worker) {
     long healthCheckTimeout = serviceTimes.healthCheckTimeout(request);
@@ -149,7 +170,7 @@
     return isEligible ? workerLoads.estimate(worker) : Double.POSITIVE_INFINITY;
   }
 
-  /** Returns the candidates of a round, in the order in which they are considered. */
+  /** Returns the candidates of a round for a request, in the order in which they are considered. */
   List<WorkerState> candidates(PendingRequest request, CandidateRound round) {
     WorkerState[] pool = workers.pool(request);
     KeyAffinity key = request.hasKey() && pool.length > 0 ? keyAffinities.get(request) : null;
@@ -173,7 +194,8 @@
   }
 
   /**
-   * Returns a random sample of the workers of a pool, in which a worker may occur more than once.
+   * Returns a random sample of the workers of a pool. A worker may occur more than once in the
+   * sample.
    */
   private static List<WorkerState> randomCandidates(
       PendingRequest request, WorkerState[] pool, int sampleSize) {
@@ -186,8 +208,12 @@
   }
 
   /**
-   * Returns a sample of the workers that follow the first one in the ranking of a key. If the key
-   * is hot, the sample starts at a random position among the workers that the key needs.
+   * Returns a sample of consecutive workers in the ranking of a key. The sample starts with the
+   * second worker of the ranking. If the key is hot, that is, needs more workers than it hashes to,
+   * the sample starts at a random position among the workers that the key needs. If the request was
+   * queued and the mean load is not high, the sample is moved on in the ranking by the offset of
+   * the request. At the end of the considered part of the ranking, the sample continues at its
+   * beginning.
    */
   private List<WorkerState> rankedCandidates(
       PendingRequest request, KeyAffinity key, int sampleSize) {
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Resets the state because the worker's process is new or may be new. The slots and the mean load
-   * of {@link #load}, the service rate, and the open attempts remain.
+   * Resets the state because the worker's process is new or may be new. The slots and the loads in
+   * {@link #load}, the service rate, and the open attempts remain.
    *
    * @param allowance the initial slow-start allowance, in slots multiplied by microseconds; this
    *     work may be sent to the worker at once
