--- a/src/main/java/loomreel/decision/AdmissionController.java
+++ b/src/main/java/loomreel/decision/AdmissionController.java
@@ -137,7 +137,10 @@
         : RejectionReason.NO_ELIGIBLE_WORKER;
   }
 
-  /** Returns whether a request exceeded the quota of its tenant when it arrived. */
+  /**
+   * Returns whether a request exceeded the quota of its tenant on arrival. The load threshold of
+   * the request shows this.
+   */
   boolean isOverQuota(PendingRequest request) {
     return request.loadThreshold() < WorkerSelector.FULL_THRESHOLD;
   }
--- a/src/main/java/loomreel/decision/AttemptCanceller.java
+++ b/src/main/java/loomreel/decision/AttemptCanceller.java
@@ -4,7 +4,7 @@
 
 /**
  * Cancels attempts whose results are not needed any more. Does nothing if {@link
- * Settings.Limits#cancellation} is false.
+ * Settings.Limits#cancellation()} is false.
  */
 final class AttemptCanceller {
   private final PolicyContext context;
--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -8,6 +8,11 @@
   /** The value of {@link #rankedVersion} before the first ranking. */
   private static final long NOT_RANKED = -1;
 
+  /**
+   * The demand of the jobs with this key. The expected work of each job, in slots multiplied by
+   * microseconds, is added after a division by the time constant of the sum. The sum is therefore
+   * the mean number of slots that the jobs are expected to occupy.
+   */
   private final DecayingSum demand = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
   /** The version of the worker table for which the workers were last ranked. */
--- a/src/main/java/loomreel/decision/LatencyEstimator.java
+++ b/src/main/java/loomreel/decision/LatencyEstimator.java
@@ -3,7 +3,7 @@
 /**
  * Compares the time per unit of work of one worker with that of all workers together. The work of a
  * job is the run time at speed 1 that its request announces; {@link
- * Event.RequestArrived#expectedWork} describes it. Work and times are in microseconds.
+ * Event.RequestArrived#expectedWork()} describes it. Work and times are in microseconds.
  */
 final class LatencyEstimator {
   /**
--- a/src/main/java/loomreel/decision/OutlierEjector.java
+++ b/src/main/java/loomreel/decision/OutlierEjector.java
@@ -25,8 +25,8 @@
   private static final double UNRESPONSIVE_BACKOFF_RUN_TIMES = 8;
 
   /**
-   * The backoff of the first ejection of a worker that has responded recently but to which a
-   * connection failed, as a multiple of the mean run time.
+   * The backoff of the first ejection after a failed connection to a worker that has responded
+   * recently, as a multiple of the mean run time.
    */
   private static final double LOST_CONNECTION_BACKOFF_RUN_TIMES = 0.5;
 
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -35,7 +35,10 @@
   private static final int FIRST_POLL_JITTER_DENOMINATOR = 40;
 
   private final long maxBackoff;
+
+  /** The maximum time between the start of the dispatcher and the first poll. */
   private final long firstPollJitter;
+
   private long backoff;
   private long lastPollStartedAt = Timestamp.NEVER;
 
--- a/src/main/java/loomreel/decision/ServiceRate.java
+++ b/src/main/java/loomreel/decision/ServiceRate.java
@@ -1,12 +1,11 @@
 package loomreel.decision;
 
 /**
- * The totals from which the speed of one or more workers is computed: the service times of the jobs
- * that they served, and the work of these jobs. Both totals are decaying sums. The total service
- * time divided by the total work is the time per unit of work, which is larger for slower workers.
- * The total work divided by the total service time is the speed. The work of a job is the run time
- * at speed 1 that its request announces, without the number of slots. Work and times are in
- * microseconds.
+ * The total service time and the total work of jobs that were served, as two decaying sums. The
+ * jobs are those of one worker or of several workers. The total service time divided by the total
+ * work is the time per unit of work. The total work divided by the total service time is the speed.
+ * The work of a job is the run time at speed 1 that its request announces, without the number of
+ * slots. Work and times are in microseconds.
  */
 final class ServiceRate {
   private final DecayingSum timeSpent;
--- a/src/main/java/loomreel/decision/ServiceTimeEstimator.java
+++ b/src/main/java/loomreel/decision/ServiceTimeEstimator.java
@@ -110,7 +110,7 @@
   /**
    * Returns the work that a request is expected to need: the number of its slots multiplied by the
    * mean run time of its class. The result does not depend on the work that the request announces,
-   * {@link Event.RequestArrived#expectedWork}, which does not include the slots.
+   * {@link Event.RequestArrived#expectedWork()}, which does not include the slots.
    */
   double expectedWork(PendingRequest request) {
     return request.arrival.slots() * meanRunTime[request.arrival.classIndex()];
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -7,7 +7,7 @@
 /**
  * Limits the work that is sent to workers that warm up. A worker is warming from its start until it
  * has its full capacity, and warm afterwards. A warming worker fails if it receives too much work
- * within the overload window; {@link Rules#overloadMultiple} describes this load. The limits keep
+ * within the overload window; {@link Rules#overloadMultiple()} describes this load. The limits keep
  * the work that all dispatchers together send below this load, as {@link SlowStartLimiter}
  * explains.
  *
@@ -50,8 +50,8 @@
 
   /**
    * The age beyond which a worker is warm without a calculation of its capacity, as a multiple of
-   * {@link Rules#slowStartDuration}. The calculated capacity of a worker is already full at an age
-   * of {@link Rules#slowStartDuration}.
+   * {@link Rules#slowStartDuration()}. At an age of {@link Rules#slowStartDuration()}, the
+   * calculated capacity is already the full capacity.
    */
   private static final double WARM_UP_DURATION_FACTOR = 1.1;
 
@@ -185,7 +185,7 @@
 
   /**
    * Returns a lower bound of the capacity of a worker, as a fraction of its full capacity. During
-   * the warm-up, the fraction grows linearly with time from {@link Rules#initialCapacityFraction}
+   * the warm-up, the fraction grows linearly with time from {@link Rules#initialCapacityFraction()}
    * to 1. If the worker is warm, the result is at least 1.
    */
   private double warmUpFraction(WorkerState worker, long now) {
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -13,8 +13,8 @@
   private static final double SERVICE_RATE_TIME_CONSTANT_MICROS = 4e6;
 
   /**
-   * The maximum backoff of an ejection, in microseconds. The duration of the ejection may be up to
-   * 1.5 times the backoff.
+   * The maximum backoff of an ejection, in microseconds. The ejection itself may last up to 1.5
+   * times as long as the backoff.
    */
   private static final long MAX_EJECTION_MICROS = 16_000_000;
 
