--- a/src/main/java/loomreel/decision/Endpoint.java
+++ b/src/main/java/loomreel/decision/Endpoint.java
@@ -12,8 +12,8 @@
  * @param startedAt the start time of the worker's process, in microseconds; 0 if the process
  *     started long ago or the time is unknown
  * @param weight the weight of the worker in the ranking of workers for job keys; if {@link
- *     Settings#stableWeights()} is true, the number of keys that prefer the worker is proportional to
- *     its weight
+ *     Settings#stableWeights()} is true, the number of keys that prefer the worker is proportional
+ *     to its weight
  * @param queues the queues whose jobs the worker accepts; null if it accepts the jobs of every
  *     queue
  */
