--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -44,7 +44,7 @@
   private CandidateRound healthCheckRound;
 
   private double loadThreshold = WorkerSelector.FULL_THRESHOLD;
-  private int rankingOffsetSamples;
+  private int rankingOffsetInSampleSizes;
 
   /** The number of workers whose pending health check the request waits for. */
   private int pendingHealthChecks;
@@ -141,14 +141,14 @@
 
   /**
    * Returns the distance by which the fallback sample is moved on in the ranking of the request's
-   * key, as a number of sample sizes.
+   * key. The unit is the size of a sample.
    */
-  int rankingOffsetSamples() {
-    return rankingOffsetSamples;
+  int rankingOffsetInSampleSizes() {
+    return rankingOffsetInSampleSizes;
   }
 
-  void increaseRankingOffset(int samples) {
-    rankingOffsetSamples += samples;
+  void increaseRankingOffset(int sampleSizes) {
+    rankingOffsetInSampleSizes += sampleSizes;
   }
 
   /**
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -13,10 +13,10 @@
 
   /**
    * The distance by which the fallback moves on in the ranking of a request's key each time the
-   * request is queued. The fallback considers a sample of workers that are consecutive in the
-   * ranking, and the distance is a multiple of the size of this sample.
+   * request is queued. The fallback considers a sample of consecutive workers in the ranking. The
+   * unit of the distance is the size of this sample.
    */
-  private static final int RANKING_STEP_SAMPLES = 2;
+  private static final int RANKING_STEP_IN_SAMPLE_SIZES = 2;
 
   private final PolicyState state;
   private final PolicyContext context;
@@ -90,7 +90,7 @@
     } else if (admission.isOverQuota(request)) {
       giveUp(request, RejectionReason.QUOTA_EXCEEDED);
     } else {
-      request.increaseRankingOffset(RANKING_STEP_SAMPLES);
+      request.increaseRankingOffset(RANKING_STEP_IN_SAMPLE_SIZES);
       queue.add(request);
       queue.scheduleRetry();
     }
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -48,10 +48,10 @@
   private static final double MAX_LOAD_THRESHOLD = 1.5;
 
   /**
-   * The mean load of all workers from which the ranking offset of a request is ignored. If the mean
-   * load is at or above this limit, the fallback sample of a queued request starts at the same
+   * The mean load of all workers from which on the ranking offset of a request is ignored. If the
+   * mean load is at or above this limit, the fallback sample of a queued request starts at the same
    * position of the ranking as before the request was queued. {@link
-   * PendingRequest#rankingOffsetSamples} describes the offset.
+   * PendingRequest#rankingOffsetInSampleSizes} describes the offset.
    */
   private static final double MAX_MEAN_LOAD_FOR_RANKING_OFFSET = 0.9;
 
@@ -222,9 +222,9 @@
     boolean isHot = draw.exceedsHashedWorkers();
     int startIndex = isHot ? (int) Long.remainderUnsigned(draw.seed(), draw.workersNeeded()) : 1;
     int rankedWorkers = Math.min(ranking.length, Math.max(draw.workersNeeded(), sampleSize + 1));
-    if (request.rankingOffsetSamples() > 0
+    if (request.rankingOffsetInSampleSizes() > 0
         && workerLoads.meanLoad() < MAX_MEAN_LOAD_FOR_RANKING_OFFSET) {
-      startIndex += request.rankingOffsetSamples() * sampleSize;
+      startIndex += request.rankingOffsetInSampleSizes() * sampleSize;
       rankedWorkers = Math.min(ranking.length, KeyAffinityTable.MAX_RANKED_WORKERS);
     }
     List<WorkerState> candidates = new ArrayList<>(sampleSize);
