--- a/src/main/java/loomreel/decision/AttemptCanceller.java
+++ b/src/main/java/loomreel/decision/AttemptCanceller.java
@@ -2,7 +2,10 @@
 
 import loomreel.decision.Action.CancelAttempt;
 
-/** Cancels attempts whose results are not needed, where the platform allows that. */
+/**
+ * Cancels attempts whose results are not needed any more. Does nothing if {@link
+ * Settings.Limits#cancellation()} is false.
+ */
 final class AttemptCanceller {
   private final PolicyContext context;
 
@@ -10,12 +13,15 @@
     this.context = context;
   }
 
-  /** Cancels the open attempts of a request. */
+  /** Cancels all open attempts of a request. */
   void cancelAll(PendingRequest request) {
     cancel(request, true);
   }
 
-  /** Cancels the open attempts of a request that have not started: another one runs. */
+  /**
+   * Cancels the open attempts of a request whose start no worker has reported. The method is called
+   * when a worker reports the start of another attempt of the same request.
+   */
   void cancelUnstarted(PendingRequest request) {
     cancel(request, false);
   }
--- a/src/main/java/loomreel/decision/AttemptOutcome.java
+++ b/src/main/java/loomreel/decision/AttemptOutcome.java
@@ -1,24 +1,27 @@
 package loomreel.decision;
 
-/** How an attempt or a health check ended. */
+/**
+ * The outcome of an attempt or of a health check. An attempt has run if the worker has started its
+ * job.
+ */
 public enum AttemptOutcome {
-  /** It succeeded. */
+  /** The attempt or health check succeeded. */
   OK(false),
   /** The worker reported an error. */
   ERROR(false),
-  /** The worker found the request invalid, as every other worker would. */
+  /** The worker rejected the request as invalid. Every other worker would reject it too. */
   INVALID(false),
-  /** The worker rejected it before it ran, for lack of capacity. */
+  /** The worker had no capacity, so it rejected the attempt before the attempt ran. */
   REJECTED(true),
-  /** No answer arrived in time. */
+  /** No answer arrived before the timeout. */
   TIMEOUT(false),
-  /** No connection could be opened. */
+  /** No connection could be established. */
   CONNECT_FAILED(true),
-  /** The connection broke after something may have been sent. */
+  /** The connection was lost after a part of the request may have been sent. */
   RESET(false),
-  /** This dispatcher stopped waiting for it. */
+  /** The dispatcher cancelled the attempt and stopped waiting for the answer. */
   CANCELLED(false),
-  /** It was ended before anything of it was sent. */
+  /** The attempt ended before any part of the request was sent. */
   NOT_ATTEMPTED(true);
 
   private final boolean neverRan;
@@ -27,7 +30,10 @@
     this.neverRan = neverRan;
   }
 
-  /** Whether this outcome proves that the attempt never ran, so that any work may be repeated. */
+  /**
+   * Returns whether this outcome proves that the attempt never ran. After an attempt that never
+   * ran, another attempt is safe even for a request that is not idempotent.
+   */
   public boolean neverRan() {
     return neverRan;
   }
--- a/src/main/java/loomreel/decision/DecayingSum.java
+++ b/src/main/java/loomreel/decision/DecayingSum.java
@@ -1,27 +1,37 @@
 package loomreel.decision;
 
-/** A sum that decays exponentially with time. Times are microseconds. */
+/**
+ * A sum of amounts in which each amount decays exponentially with the time since it was added.
+ * Times are in microseconds.
+ */
 final class DecayingSum {
-  /** Time constant of rates and means: long against one job, short against a day. */
+  /**
+   * The time constant, in microseconds, of the sums from which long-term rates and means are
+   * computed. This time constant is long compared with the run time of a job and short compared
+   * with a day. Users of this class pass it to the constructor. Sums for other purposes have other
+   * time constants.
+   */
   static final double RATE_TIME_CONSTANT_MICROS = 10e6;
 
-  private final double timeConstant;
+  private final double timeConstantMicros;
   private double sum;
   private long updatedAt = Timestamp.NEVER;
 
   /**
-   * @param timeConstant the time after which 1/e of an amount remains, in microseconds
+   * Creates a sum of 0.
+   *
+   * @param timeConstantMicros the time after which the fraction 1/e of an amount remains
    */
-  DecayingSum(double timeConstant) {
-    this.timeConstant = timeConstant;
+  DecayingSum(double timeConstantMicros) {
+    this.timeConstantMicros = timeConstantMicros;
   }
 
-  /** What remains of everything that was added. */
+  /** Returns the sum of the amounts that remain at the given time. */
   double valueAt(long now) {
-    return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstant);
+    return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstantMicros);
   }
 
-  /** Adds an amount, which may be negative. */
+  /** Adds an amount, which may be negative, at the given time. */
   void add(double amount, long now) {
     sum = valueAt(now) + amount;
     updatedAt = now;
--- a/src/main/java/loomreel/decision/Endpoint.java
+++ b/src/main/java/loomreel/decision/Endpoint.java
@@ -3,13 +3,19 @@
 import java.util.Set;
 
 /**
- * A worker as the endpoint list names it.
+ * The entry of a worker in the endpoint list.
  *
- * @param id the same at every dispatcher, and after a restart
- * @param failureDomain the part of the zone that fails together, such as a rack, or -1
- * @param startedAt when its process started, in microseconds; 0 if it has been up for long
- * @param weight its fraction of the keys relative to the weights of other workers
- * @param queues the queues whose jobs it accepts, or null for all
+ * @param id the id of the worker, which is the same at every dispatcher and does not change when
+ *     the worker restarts
+ * @param kind the kind of the worker; a request class may require workers of one kind
+ * @param failureDomain the part of the zone that fails as a unit, such as a rack; -1 if unknown
+ * @param startedAt the start time of the worker's process, in microseconds; 0 if the process
+ *     started long ago or the time is unknown
+ * @param weight the weight of the worker in the ranking of workers for job keys; if {@link
+ *     Settings#stableWeights()} is true, the number of keys that prefer the worker is proportional
+ *     to its weight
+ * @param queues the queues whose jobs the worker accepts; null if it accepts the jobs of every
+ *     queue
  */
 public record Endpoint(
     String id,
@@ -20,7 +26,7 @@
     long startedAt,
     double weight,
     Set<String> queues) {
-  /** Creates an endpoint that accepts the jobs of all queues. */
+  /** Creates an endpoint that accepts the jobs of every queue. */
   public Endpoint(
       String id,
       String zone,
@@ -32,23 +38,26 @@
     this(id, zone, kind, failureDomain, state, startedAt, weight, null);
   }
 
-  /** The same worker in another state. */
-  public Endpoint withState(State next) {
-    return new Endpoint(id, zone, kind, failureDomain, next, startedAt, weight, queues);
+  /** Returns a copy of this endpoint with another state. */
+  public Endpoint withState(State newState) {
+    return new Endpoint(id, zone, kind, failureDomain, newState, startedAt, weight, queues);
   }
 
-  /** Whether it accepts the jobs of a queue; null stands for jobs without one, which go to any. */
+  /**
+   * Returns whether the worker accepts the jobs of a queue. If {@code queue} is null, the job has
+   * no queue, and every worker accepts it.
+   */
   boolean accepts(String queue) {
     return queues == null || queue == null || queues.contains(queue);
   }
 
-  /** The state of a worker according to the endpoint list. */
+  /** The state of a worker in the endpoint list. */
   public enum State {
-    /** It accepts new attempts. */
+    /** The worker accepts new attempts. */
     READY,
-    /** It finishes what it has and accepts nothing new. */
+    /** The worker completes its open attempts and accepts no new ones. */
     DRAINING,
-    /** The list does not name it any more. */
+    /** The worker is no longer in the list. */
     REMOVED
   }
 }
--- a/src/main/java/loomreel/decision/EndpointUpdater.java
+++ b/src/main/java/loomreel/decision/EndpointUpdater.java
@@ -4,7 +4,10 @@
 import loomreel.decision.Action.PollEndpoints;
 import loomreel.decision.Action.SetTimer;
 
-/** Applies the endpoint list and the commands of operators to the table of workers. */
+/**
+ * Applies endpoint lists and the commands of operators to the worker table, and schedules the polls
+ * of discovery.
+ */
 final class EndpointUpdater {
   private final PolicyState state;
   private final PolicyContext context;
@@ -16,18 +19,18 @@
     pollBackoff = new PollBackoff(context.settings().rules());
   }
 
-  /** Schedules the first poll of the list, where it has to be polled. */
+  /** Schedules the first poll of the endpoint list. Does nothing if the list is pushed. */
   void start() {
     schedulePoll(pollBackoff.firstPollAt(context.now(), context.random()));
   }
 
-  /** Polls the list; called when the timer for that has fired. */
+  /** Polls the endpoint list. Must be called when the poll timer fires. */
   void poll() {
     pollBackoff.pollStarted(context.now());
     context.emit(new PollEndpoints());
   }
 
-  /** The last poll has failed. */
+  /** Schedules the next poll after a poll has failed. Does nothing if the list is pushed. */
   void pollFailed() {
     schedulePoll(pollBackoff.nextPollAt(context.now(), context.random()));
   }
@@ -39,16 +42,18 @@
   }
 
   /**
-   * Applies changes of the list: a worker that drains or was removed gets no new attempts from here
-   * on, and a restarted one counts as new.
+   * Applies changes of the endpoint list and resets the poll backoff. A worker that drains or was
+   * removed receives no new attempts from now on. If a worker is new or its process has restarted,
+   * the state of the worker is reset. Its warm-up counts from the start time in its entry.
    */
   void update(List<Endpoint> endpoints) {
     for (Endpoint endpoint : endpoints) {
       WorkerState worker = state.workers.getOrAdd(endpoint.id());
       if (worker.isReplacedBy(endpoint)) {
-        // Dispatchers are notified together: jitter keeps their first attempts apart.
-        double allowance = context.random().nextDouble() * state.slowStart.meanLightCost();
-        worker.restart(context.now(), allowance);
+        // All dispatchers receive the entry of a new worker at about the same time. The random
+        // initial allowance spreads their first attempts over time.
+        double initialAllowance = context.random().nextDouble() * state.slowStart.meanLightWork();
+        worker.restart(context.now(), initialAllowance);
       }
       worker.update(endpoint);
     }
@@ -58,8 +63,13 @@
   }
 
   /**
-   * Enables a worker. Operators restart what they disable, so it warms up: from now on, unless the
-   * list has reported a start since it was disabled. One job of any class may go there at once.
+   * Enables a worker that an operator has disabled. Does nothing if the worker is not disabled.
+   *
+   * <p>Operators restart the workers that they disable, so the state of the worker is reset and the
+   * worker warms up. If the endpoint list contains a start of the worker's process after the worker
+   * was disabled, the warm-up began at that start. Otherwise the warm-up begins now. The initial
+   * slow-start allowance is the longest of the mean run times of the classes. One job of mean run
+   * time of any class may therefore be sent to the worker at once.
    */
   void enable(String workerId) {
     if (!state.workers.isDisabled(workerId)) {
@@ -68,10 +78,10 @@
     long disabledSince = state.workers.enable(workerId);
     WorkerState worker = state.workers.get(workerId);
     if (worker != null) {
-      worker.restart(context.now(), state.times.largestMeanWork());
+      worker.restart(context.now(), state.serviceTimes.longestMeanRunTime());
       boolean hasRestarted = worker.endpoint().startedAt() > disabledSince;
       if (!hasRestarted) {
-        worker.warmUpFrom(context.now());
+        worker.startWarmUp(context.now());
       }
     }
     state.workers.rebuildPools();
--- a/src/main/java/loomreel/decision/FirstAttemptEstimator.java
+++ b/src/main/java/loomreel/decision/FirstAttemptEstimator.java
@@ -4,54 +4,80 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * Estimates when the client of a request made its first attempt, from which its latency objective
- * counts. A request with less time than its class's deadline is either a client's retry, which has
- * used up part of the deadline, or the first attempt of a client that gives up early. Where clients
- * mark their retries, the mark decides.
+ * Estimates when the client of a request made its first attempt. The latency objective of the
+ * request counts from that time. Times are in microseconds.
  *
- * <p>Where they do not, a request with half of the deadline or more remaining counts as a retry.
- * One with less remaining would be a late retry, which is less likely than a client that gives up
- * early; unless this dispatcher has lately rejected at least half as many requests as arrived with
- * so little time. Requests that were rejected as too late do not count as rejected here: they would
- * confirm the estimate that rejected them. Times are microseconds.
+ * <p>The deadline of a request class is the total time that a client waits, including its retries.
+ * If at least this time remains until the client's deadline, the request is a first attempt. If
+ * less time remains, the request is either a retry, before which the client has already waited, or
+ * the first attempt of a client with a shorter timeout. The following rules distinguish these two
+ * cases.
+ *
+ * <p>If the client marked the request as a retry, the request is a retry. If clients mark their
+ * retries and this request has no mark, the request is a first attempt.
+ *
+ * <p>If clients do not mark their retries, the remaining time decides. A request with at least half
+ * of the class's deadline remaining is a retry. A request with less time remaining has a short time
+ * budget. It counts as a first attempt, because a client with a short timeout is more likely than a
+ * late retry. There is one exception: if this dispatcher's recent rejections number at least half
+ * of its recent requests with a short time budget, the request counts as a retry. A rejection with
+ * reason {@link RejectionReason#ARRIVED_TOO_LATE} is not counted, because it results from this
+ * estimate and would confirm the estimate.
  */
 final class FirstAttemptEstimator {
-  /** Less than the class's deadline divided by this is a short time budget. */
+  /**
+   * A request has a short time budget if the time until the client's deadline is less than the
+   * class's deadline divided by this number.
+   */
   private static final int SHORT_BUDGET_DIVISOR = 2;
 
-  /** How many requests with short budgets one rejection explains as retries. */
-  private static final double REJECTION_WEIGHT = 2;
+  /**
+   * The number of requests with a short time budget that one rejection explains as retries. If the
+   * recent rejections explain all recent requests with a short time budget, these requests count as
+   * retries.
+   */
+  private static final double SHORT_BUDGETS_PER_REJECTION = 2;
 
-  private final boolean retriesAreMarked;
-  private final DecayingSum shortBudgets;
+  private final boolean clientsMarkRetries;
+  private final DecayingSum shortBudgetRequests;
   private final DecayingSum rejections;
 
   /**
-   * @param retriesAreMarked whether clients mark their retries
-   * @param timeConstant for how long requests and rejections count
+   * Creates an estimator without observations.
+   *
+   * @param clientsMarkRetries whether clients mark their retries
+   * @param timeConstantMicros the time constant of the decaying counts of requests and rejections
    */
-  FirstAttemptEstimator(boolean retriesAreMarked, double timeConstant) {
-    this.retriesAreMarked = retriesAreMarked;
-    shortBudgets = new DecayingSum(timeConstant);
-    rejections = new DecayingSum(timeConstant);
+  FirstAttemptEstimator(boolean clientsMarkRetries, double timeConstantMicros) {
+    this.clientsMarkRetries = clientsMarkRetries;
+    shortBudgetRequests = new DecayingSum(timeConstantMicros);
+    rejections = new DecayingSum(timeConstantMicros);
   }
 
-  /** When the client of a request that arrives now made its first attempt. */
+  /**
+   * Returns the estimated time of the client's first attempt for a request that arrives now. For a
+   * retry, this is the client's deadline minus the class's deadline. If the request has a short
+   * time budget and no mark decides whether it is a retry, it is counted for later estimates.
+   */
   long firstAttemptAt(RequestArrived arrival, RequestClass requestClass, long now) {
     long remaining = arrival.deadline() - now;
-    if (remaining >= requestClass.deadline() || (retriesAreMarked && !arrival.clientRetry())) {
+    if (remaining >= requestClass.deadline() || (clientsMarkRetries && !arrival.clientRetry())) {
       return now;
     }
     if (!arrival.clientRetry() && remaining < requestClass.deadline() / SHORT_BUDGET_DIVISOR) {
-      shortBudgets.add(1, now);
-      if (REJECTION_WEIGHT * rejections.valueAt(now) < shortBudgets.valueAt(now)) {
+      shortBudgetRequests.add(1, now);
+      if (SHORT_BUDGETS_PER_REJECTION * rejections.valueAt(now)
+          < shortBudgetRequests.valueAt(now)) {
         return now;
       }
     }
     return arrival.deadline() - requestClass.deadline();
   }
 
-  /** A request was rejected; its client may retry. */
+  /**
+   * Records that a request was given up, so that its client may retry. Does nothing if the reason
+   * is {@link RejectionReason#ARRIVED_TOO_LATE}.
+   */
   void recordRejection(RejectionReason reason, long now) {
     if (reason != RejectionReason.ARRIVED_TOO_LATE) {
       rejections.add(1, now);
--- a/src/main/java/loomreel/decision/HealthCheckPolicy.java
+++ b/src/main/java/loomreel/decision/HealthCheckPolicy.java
@@ -2,35 +2,47 @@
 
 import loomreel.decision.Settings.LoadReporting;
 
-/** Decides which workers have their load queried before a request is placed. */
+/** Decides which workers receive a health check before a request is sent. */
 final class HealthCheckPolicy {
-  /** A worker whose last report is younger than this is not checked. */
-  private static final long MAX_REPORT_AGE_MICROS = 400_000;
+  /**
+   * The age limit of a load sample, in microseconds. The load of a worker is known if the age of
+   * the worker's last load sample is below this limit. A worker whose load is known receives no
+   * health check.
+   */
+  private static final long MAX_SAMPLE_AGE_MICROS = 400_000;
 
-  /** The fallback needs any capacity, not the least load, so older reports suffice. */
-  private static final long MAX_REPORT_AGE_FOR_FALLBACK_MICROS = 4 * MAX_REPORT_AGE_MICROS;
+  /**
+   * The age limit of a load sample, in microseconds, for the fallback candidates of a request whose
+   * hashed candidates were considered before. The request is sent to the first fallback candidate
+   * that has some free capacity, not to the least loaded one. An older sample is accurate enough
+   * for this purpose.
+   */
+  private static final long MAX_SAMPLE_AGE_FOR_FALLBACK_MICROS = 4 * MAX_SAMPLE_AGE_MICROS;
 
   private final PolicyContext context;
   private final WorkerSelector selector;
-  private final RetryPolicy retries;
+  private final RetryPolicy retryPolicy;
   private final SlowStartController slowStart;
-  private final ServiceTimeEstimator times;
+  private final ServiceTimeEstimator serviceTimes;
   private final boolean enabled;
 
-  HealthCheckPolicy(PolicyState state, WorkerSelector selector, RetryPolicy retries) {
+  HealthCheckPolicy(PolicyState state, WorkerSelector selector, RetryPolicy retryPolicy) {
     this.selector = selector;
-    this.retries = retries;
+    this.retryPolicy = retryPolicy;
     context = state.context;
     slowStart = state.slowStart;
-    times = state.times;
+    serviceTimes = state.serviceTimes;
     Settings settings = context.settings();
     enabled = settings.limits().healthChecks() && settings.loadReporting() != LoadReporting.NONE;
   }
 
   /**
-   * Checks the candidates whose load is not known, round by round.
+   * Sends health checks for a request to those of its candidates whose load is not known. The
+   * candidates are checked round by round. The method returns when a candidate of an earlier round
+   * can be selected, when the request has to wait for health checks, or after the last round. Does
+   * nothing if health checks are not allowed or workers report no load.
    *
-   * @return whether the request waits for answers
+   * @return whether the request waits for health checks to end
    */
   boolean checkCandidates(PendingRequest request) {
     if (!enabled) {
@@ -38,13 +50,13 @@
     }
     while (request.healthCheckRound() != null) {
       CandidateRound round = request.healthCheckRound();
-      if (selector.selectBefore(round, request) != null) {
+      if (selector.selectBeforeRound(round, request) != null) {
         return false;
       }
       checkRound(request, round);
       request.advanceHealthCheckRound();
       if (request.awaitsHealthCheck()) {
-        long timeout = times.healthCheckTimeout(request);
+        long timeout = serviceTimes.healthCheckTimeout(request);
         context.setTimer(request, context.now() + timeout + context.settings().tick());
         return true;
       }
@@ -52,38 +64,51 @@
     return false;
   }
 
+  /** Sends health checks to those candidates of one round that need a health check. */
   private void checkRound(PendingRequest request, CandidateRound round) {
-    boolean isFallback =
+    boolean followsHashedRound =
         round == CandidateRound.FALLBACK && !request.candidates().exceedsHashedWorkers();
     for (WorkerState worker : selector.candidates(request, round)) {
-      if (isWorthChecking(request, worker, isFallback)) {
-        check(request, worker);
+      if (shouldCheck(request, worker, followsHashedRound)) {
+        sendOrAwaitHealthCheck(request, worker);
       }
     }
   }
 
-  /** Not if its load is known, or if the request would not go there whatever the answer. */
-  private boolean isWorthChecking(PendingRequest request, WorkerState worker, boolean isFallback) {
+  /**
+   * Returns whether a worker needs a health check for a request. A worker needs none if its load is
+   * known, or if the request cannot be sent to the worker whatever the result of the health check
+   * is.
+   */
+  private boolean shouldCheck(
+      PendingRequest request, WorkerState worker, boolean followsHashedRound) {
     long now = context.now();
-    long maxAge = isFallback ? MAX_REPORT_AGE_FOR_FALLBACK_MICROS : MAX_REPORT_AGE_MICROS;
-    boolean isKnown = now - worker.load.sampledAt() < maxAge;
-    // The capacity of a warming worker is its slow-start allowance.
-    boolean isWarming = isFallback && !slowStart.isWarm(worker, now);
-    return !isKnown
+    long maxAge = followsHashedRound ? MAX_SAMPLE_AGE_FOR_FALLBACK_MICROS : MAX_SAMPLE_AGE_MICROS;
+    boolean isLoadKnown = now - worker.load.sampledAt() < maxAge;
+    // A warming worker needs no health check as a fallback, because its capacity is limited by its
+    // slow-start allowance, not by its load.
+    boolean isWarming = followsHashedRound && !slowStart.isWarm(worker, now);
+    return !isLoadKnown
         && !isWarming
-        && retries.allowsWorker(request, worker)
+        && retryPolicy.allowsWorker(request, worker)
         && !worker.isEjected(now)
         && slowStart.allows(request, worker);
   }
 
-  private void check(PendingRequest request, WorkerState worker) {
-    if (!worker.isHealthCheckPending() && request.takeHealthCheck()) {
-      worker.healthCheckSent(context.now());
+  /**
+   * Sends a health check to a worker, unless a health check of the worker is already pending or the
+   * request has used up its own health checks. If a health check of the worker is then pending and
+   * not overdue, the request waits for it.
+   */
+  private void sendOrAwaitHealthCheck(PendingRequest request, WorkerState worker) {
+    if (!worker.isHealthCheckPending() && request.tryAcquireHealthCheck()) {
+      worker.recordHealthCheckSent(context.now());
       context.emit(new Action.CheckHealth(worker.id));
     }
     boolean isAwaited =
         worker.isHealthCheckPending()
-            && !worker.isHealthCheckOverdue(times.healthCheckTimeout(request), context.now());
+            && !worker.isHealthCheckOverdue(
+                serviceTimes.healthCheckTimeout(request), context.now());
     if (isAwaited) {
       worker.addHealthCheckWaiter(request);
     }
--- a/src/main/java/loomreel/decision/KeyAffinityTable.java
+++ b/src/main/java/loomreel/decision/KeyAffinityTable.java
@@ -2,18 +2,24 @@
 
 import java.util.LinkedHashMap;
 
-/** A cache of the most recently used keys, each with its ranking of the workers. */
+/**
+ * A cache of the affinities of the most recently used job keys. An affinity contains the ranking of
+ * the workers for a key and the demand of its jobs.
+ */
 final class KeyAffinityTable {
-  /** How many keys are cached; the least recently used is evicted. */
+  /**
+   * The maximum number of cached affinities. If a new affinity exceeds this number, the least
+   * recently used affinity is evicted.
+   */
   private static final int MAX_KEYS = 4096;
 
-  /** How many places of a key's ranking are cached. */
+  /** The maximum number of workers in the cached ranking of a key. */
   static final int MAX_RANKED_WORKERS = 64;
 
   private static final int INITIAL_CAPACITY = 64;
   private static final float LOAD_FACTOR = 0.75f;
 
-  private final LinkedHashMap<String, KeyAffinity> keys =
+  private final LinkedHashMap<String, KeyAffinity> affinitiesByCacheKey =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
   private final WorkerTable workers;
   private final RendezvousRanking ranking;
@@ -23,14 +29,20 @@
     this.ranking = ranking;
   }
 
-  /** The affinity of a request's key, ranked by the current list. */
+  /**
+   * Returns the affinity of a request's key, and creates it if it is not cached. The ranking of the
+   * returned affinity is updated to the workers that are eligible for the request now. Jobs with
+   * the same key have separate affinities if they need different kinds of workers or belong to
+   * different queues.
+   */
   KeyAffinity get(PendingRequest request) {
     String queue = request.arrival.queue() == null ? "" : '/' + request.arrival.queue();
     String key = request.arrival.key();
-    String name = key + '/' + request.requestClass.workerKind() + queue;
-    KeyAffinity affinity = keys.computeIfAbsent(name, absent -> new KeyAffinity());
-    if (keys.size() > MAX_KEYS) {
-      keys.remove(keys.keySet().iterator().next());
+    String cacheKey = key + '/' + request.requestClass.workerKind() + queue;
+    KeyAffinity affinity =
+        affinitiesByCacheKey.computeIfAbsent(cacheKey, absent -> new KeyAffinity());
+    if (affinitiesByCacheKey.size() > MAX_KEYS) {
+      affinitiesByCacheKey.remove(affinitiesByCacheKey.keySet().iterator().next());
     }
     affinity.rank(key, workers.pool(request), workers.version(), ranking, MAX_RANKED_WORKERS);
     return affinity;
--- a/src/main/java/loomreel/decision/LatencyEstimator.java
+++ b/src/main/java/loomreel/decision/LatencyEstimator.java
@@ -1,47 +1,70 @@
 package loomreel.decision;
 
-/** Compares how long jobs take at one worker with how long they take at all. */
+/**
+ * Compares the time per unit of work of one worker with that of all workers together. The work of a
+ * job is the run time at speed 1 that its request announces; {@link
+ * Event.RequestArrived#expectedWork()} describes it. Work and times are in microseconds.
+ */
 final class LatencyEstimator {
-  /** The weight of the prior, which is the usual latency, in mean jobs. */
-  private static final double PRIOR_JOBS = 3;
+  /**
+   * The number of assumed jobs that are added to the jobs that a worker has served. The work of an
+   * assumed job is the mean run time, and its time per unit of work is that of all workers. The
+   * assumed jobs keep the ratio of a worker that has served few jobs close to 1.
+   */
+  private static final double PRIOR_WEIGHT_JOBS = 3;
+
+  private final ServiceTimeEstimator serviceTimes;
 
-  private final ServiceTimeEstimator times;
+  /** The service times and the work of the jobs of all workers. */
   private final ServiceRate serviceRate = new ServiceRate(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
-  LatencyEstimator(ServiceTimeEstimator times) {
-    this.times = times;
+  LatencyEstimator(ServiceTimeEstimator serviceTimes) {
+    this.serviceTimes = serviceTimes;
   }
 
-  /** A job has been served; the time counts from its start, or its send if none was reported. */
-  void recordServed(AttemptState attempt, double time, long now) {
+  /**
+   * Records a job that was served. Ignores a job whose request announced no work.
+   *
+   * @param serviceTime the time from the start of the job to its end; if no start was reported, the
+   *     time from the send of the attempt to its end
+   */
+  void recordServed(AttemptState attempt, double serviceTime, long now) {
     double work = attempt.request.arrival.expectedWork();
     if (!Double.isNaN(work)) {
-      attempt.worker.serviceRate.add(time, work, now);
-      serviceRate.add(time, work, now);
+      attempt.worker.serviceRate.add(serviceTime, work, now);
+      serviceRate.add(serviceTime, work, now);
     }
   }
 
   /**
-   * How many times as long jobs take at this worker as at all of them, for the work that they
-   * announce; about 1 while little is known. An open job counts once it has taken longer than
-   * usual, but no more than a mean job: its answer may be lost, and one job is weak evidence.
+   * Returns the time per unit of work of one worker, divided by that of all workers. The ratio is
+   * above 1 if the worker is slower than the mean of all workers. It is 1 while no worker has
+   * served a job with announced work, and close to 1 while this worker has served few such jobs.
+   *
+   * <p>An open attempt with announced work is included from the time at which it has taken longer
+   * than this work takes at all workers on average. Its time counts only up to this average time
+   * plus the average time of a job of mean run time. The limit is needed because the answer to the
+   * job may have been lost and a single job is weak evidence.
    */
   double latencyRatio(WorkerState worker, long now) {
     if (serviceRate.workDone(now) <= 0) {
       return 1;
     }
-    double usual = serviceRate.timeSpent(now) / serviceRate.workDone(now);
-    double prior = PRIOR_JOBS * times.meanRunTime();
-    double work = prior + worker.serviceRate.workDone(now);
-    double time = prior * usual + worker.serviceRate.timeSpent(now);
+    double fleetTimePerWork = serviceRate.timeSpent(now) / serviceRate.workDone(now);
+    double priorWork = PRIOR_WEIGHT_JOBS * serviceTimes.meanRunTime();
+    double work = priorWork + worker.serviceRate.workDone(now);
+    double serviceTime = priorWork * fleetTimePerWork + worker.serviceRate.timeSpent(now);
     for (AttemptState attempt : worker.openAttempts()) {
-      double announced = attempt.request.arrival.expectedWork();
+      double announcedWork = attempt.request.arrival.expectedWork();
       long elapsed = now - attempt.startedOrSentAt();
-      if (elapsed > usual * announced) {
-        work += announced;
-        time += Math.min((double) elapsed, usual * (announced + times.meanRunTime()));
+      if (elapsed > fleetTimePerWork * announcedWork) {
+        work += announcedWork;
+        serviceTime +=
+            Math.min(
+                (double) elapsed,
+                fleetTimePerWork * (announcedWork + serviceTimes.meanRunTime()));
       }
     }
-    return time / work / usual;
+    return serviceTime / work / fleetTimePerWork;
   }
 }
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -3,60 +3,91 @@
 import loomreel.decision.Settings.LoadReporting;
 
 /**
- * Estimates how loaded workers are, as a fraction of their slots, from their load reports and from
- * what this dispatcher has sent them since. What is known of one worker decays into what is known
- * of all. Times are microseconds.
+ * Estimates the loads of workers. The load of a worker is a fraction of its slots, and it exceeds 1
+ * if jobs are queued. If workers report their load, the estimate for a worker is computed from its
+ * last report and from the attempts that this dispatcher has sent to it since then. As the last
+ * report becomes older, the estimate approaches the mean load of all workers. If workers do not
+ * report their load, the estimate is computed from the delays of job starts, from rejected
+ * attempts, and from this dispatcher's open attempts. In both cases, a worker whose jobs take
+ * longer than at other workers receives a penalty. Times are in microseconds.
  */
 final class LoadEstimator {
-  /** Slots of a worker before the first report. */
+  /** The assumed number of slots of a worker before the first load report of any worker. */
   private static final double DEFAULT_SLOTS = 4;
 
-  /** The mean load before the first report, where workers report any. */
+  /** The assumed mean load before the first load report, if workers report their load. */
   private static final double INITIAL_MEAN_LOAD = 0.5;
 
-  /** Time constant with which a worker's own load decays into the usual one. */
-  private static final double DECAY_TO_USUAL_MICROS = 0.8e6;
+  /**
+   * The time constant, in microseconds, with which the estimate changes from the mean load of one
+   * worker to the mean load of all workers, as the last sample of the worker becomes older.
+   */
+  private static final double LOAD_DECAY_TIME_CONSTANT_MICROS = 0.8e6;
 
-  /** After this many mean run times, 1/e of a report still holds. */
-  private static final double REPORT_DECAY_JOBS = 2;
+  /**
+   * The time constant with which the weight of a worker's last load report decays, as a multiple of
+   * the mean run time of jobs.
+   */
+  private static final double REPORT_TIME_CONSTANT_RUN_TIMES = 2;
 
-  /** A worker whose jobs take this many times as long as everywhere gets a load penalty. */
-  private static final double PENALIZED_LATENCY_RATIO = 1.25;
+  /**
+   * The latency ratio up to which the estimated load of a worker has no penalty. If the ratio is
+   * larger, the excess is added to the estimated load. {@link LatencyEstimator#latencyRatio}
+   * defines the ratio.
+   */
+  private static final double MAX_UNPENALIZED_LATENCY_RATIO = 1.25;
 
-  /** The fraction of a worker that one key may fill before it is spread over more workers. */
-  private static final double MAX_KEY_FRACTION = 0.25;
+  /**
+   * The maximum fraction of a worker's slots that the jobs of one key may be expected to occupy. If
+   * the demand for a key is higher, its jobs are spread over more workers.
+   */
+  private static final double MAX_WORKER_FRACTION_PER_KEY = 0.25;
 
-  /** Demand within this many standard deviations of zero may be due to chance. */
-  private static final double CHANCE_DEVIATIONS = 1.5;
+  /**
+   * The number of standard deviations by which the observed demand for a key is reduced. The
+   * remaining demand is unlikely to be due to chance.
+   */
+  private static final double DEMAND_NOISE_DEVIATIONS = 1.5;
 
-  /** The class whose mean run time stands for that of a key's jobs. */
+  /**
+   * The index of the first request class. The mean run time of this class is used to compute the
+   * standard deviation of the demand for every key.
+   */
   private static final int FIRST_CLASS = 0;
 
-  private static final double MEAN_WEIGHT = 0.02;
+  /**
+   * The weight of a new load report in the mean load and in the mean number of slots of all
+   * workers.
+   */
+  private static final double SAMPLE_WEIGHT = 0.02;
 
-  /** The most that one sample counts for in the mean load. */
+  /**
+   * The maximum load in the mean load of all workers. A sample with a higher load is counted with
+   * this value.
+   */
   private static final double MAX_LOAD_IN_MEAN = 2;
 
-  /** A worker that reports less than this many free slots is full. */
-  private static final double NO_FREE_SLOT = 0.5;
+  /** A worker counts as full if it reports fewer free slots than this. */
+  private static final double MIN_FREE_SLOTS = 0.5;
 
+  /** The minimum load that is recorded for a worker that counts as full. */
   private static final double FULL_LOAD = 1;
 
   private final PolicyContext context;
-  private final ServiceTimeEstimator times;
-  private final LatencyEstimator latencies;
-  private final TrafficEstimator traffic;
+  private final ServiceTimeEstimator serviceTimes;
+  private final LatencyEstimator latencyEstimator;
+  private final TrafficEstimator trafficEstimator;
   private final long startedAt;
   private double meanLoad;
 
-  /** Mean slots of all workers; 0 before the first report. */
+  /** The mean number of slots of all workers; 0 before the first load report. */
   private double meanSlots;
 
-  LoadEstimator(PolicyContext context, WorkerTable workers, ServiceTimeEstimator times) {
+  LoadEstimator(PolicyContext context, WorkerTable workers, ServiceTimeEstimator serviceTimes) {
     this.context = context;
-    this.times = times;
-    latencies = new LatencyEstimator(times);
-    traffic = new TrafficEstimator(context.settings().dispatchers(), workers);
+    this.serviceTimes = serviceTimes;
+    latencyEstimator = new LatencyEstimator(serviceTimes);
+    trafficEstimator = new TrafficEstimator(context.settings().dispatchers(), workers);
     startedAt = context.now();
     meanLoad = reportsLoad() ? INITIAL_MEAN_LOAD : 0;
   }
@@ -65,12 +96,15 @@
     return context.settings().loadReporting() != LoadReporting.NONE;
   }
 
-  /** The mean load of all workers. */
+  /** Returns the mean load of all workers, as a fraction of their slots. */
   double meanLoad() {
     return meanLoad;
   }
 
-  /** A worker's slots, or those of a typical one while they are not known. */
+  /**
+   * Returns the number of slots of a worker. If the number is not known, returns the mean number of
+   * slots of all workers. Before the first report of any worker, returns {@link #DEFAULT_SLOTS}.
+   */
   double slots(WorkerState worker) {
     return worker.load.hasSlots() ? worker.load.slots() : typicalSlots();
   }
@@ -79,73 +113,101 @@
     return meanSlots > 0 ? meanSlots : DEFAULT_SLOTS;
   }
 
-  /** The fraction of the time constant of rates that this dispatcher has been up for. */
+  /**
+   * Returns how much of its steady value a {@link DecayingSum} has reached since this dispatcher
+   * started. The sum has the time constant {@link DecayingSum#RATE_TIME_CONSTANT_MICROS}, and
+   * amounts are assumed to be added at a constant rate. A sum divided by the result is an estimate
+   * of its steady value. The result is greater than 0 and approaches 1.
+   */
   double observedFraction() {
+    // The time since the start, negated for the exponent. The additional microsecond keeps the
+    // result above 0.
     double age = startedAt - context.now() - 1;
     return 1 - Math.exp(age / DecayingSum.RATE_TIME_CONSTANT_MICROS);
   }
 
   /**
-   * How many workers a key needs, from this dispatcher's traffic times the number of dispatchers: a
-   * hot key fills both of its candidates while each dispatcher's own count is still low. Traffic
-   * that may be due to chance does not count.
+   * Returns the number of workers over which the jobs of a key should be spread. The demand of all
+   * dispatchers is estimated as the demand at this dispatcher multiplied by the number of
+   * dispatchers. The demand at a single dispatcher does not suffice, because all dispatchers
+   * together can fill the hashed workers of a hot key while the demand at each of them is still
+   * low. Demand that may be due to chance is not counted. The result is 0 if no demand is counted.
    */
   int workersNeeded(KeyAffinity key) {
-    double observed = key.demandAt(context.now());
-    double deviation =
+    double observedDemand = key.demandAt(context.now());
+    double demandDeviation =
         Math.sqrt(
-            observed * times.meanRunTime(FIRST_CLASS) / DecayingSum.RATE_TIME_CONSTANT_MICROS);
-    double demand = Math.max(0, observed - CHANCE_DEVIATIONS * deviation);
-    double keyCapacity = typicalSlots() * MAX_KEY_FRACTION;
+            observedDemand
+                * serviceTimes.meanRunTime(FIRST_CLASS)
+                / DecayingSum.RATE_TIME_CONSTANT_MICROS);
+    double demand = Math.max(0, observedDemand - DEMAND_NOISE_DEVIATIONS * demandDeviation);
+    double keyCapacity = typicalSlots() * MAX_WORKER_FRACTION_PER_KEY;
     int dispatchers = context.settings().dispatchers();
     return (int) Math.ceil(demand / observedFraction() * dispatchers / keyCapacity);
   }
 
-  /** This dispatcher's traffic relative to the mean of all: 1, unless it is a hot one. */
+  /**
+   * Returns the traffic of this dispatcher divided by the mean traffic of all dispatchers. The
+   * result is 1 unless this dispatcher is hot; {@link TrafficEstimator} defines when it is hot.
+   */
   double trafficFactor() {
-    return traffic.factor(context.now());
+    return trafficEstimator.factor(context.now());
   }
 
-  /** A job has been served; the time counts from its start, or its send if none was reported. */
-  void recordServed(AttemptState attempt, double time) {
-    latencies.recordServed(attempt, time, context.now());
+  /**
+   * Records a job that was served.
+   *
+   * @param serviceTime the time from the start of the job to its end; if no start was reported, the
+   *     time from the send of the attempt to its end
+   */
+  void recordServed(AttemptState attempt, double serviceTime) {
+    latencyEstimator.recordServed(attempt, serviceTime, context.now());
   }
 
-  /** A worker has reported its load; null and a report without free slots are ignored. */
+  /**
+   * Records a load report of a worker. Does nothing if the report is null or does not contain the
+   * number of free slots.
+   */
   void recordReport(WorkerState worker, WorkerLoad report) {
     if (report == null || Double.isNaN(report.freeSlots())) {
       return;
     }
     if (!Double.isNaN(report.activeJobs())) {
-      traffic.recordReportedJobs(report.activeJobs(), context.now());
+      trafficEstimator.recordReportedJobs(report.activeJobs(), context.now());
     }
-    double free = Math.max(0, report.freeSlots());
-    double queued = Double.isNaN(report.queuedJobs()) ? 0 : Math.max(0, report.queuedJobs());
-    learnSlots(worker.load, report, free, queued);
+    double freeSlots = Math.max(0, report.freeSlots());
+    double queuedJobs = Double.isNaN(report.queuedJobs()) ? 0 : Math.max(0, report.queuedJobs());
+    learnSlots(worker.load, report, freeSlots, queuedJobs);
     double slots = worker.load.slots();
-    double load = Math.max(0, slots - free + queued) / slots;
+    double load = Math.max(0, slots - freeSlots + queuedJobs) / slots;
     worker.load.startFrom(meanLoad, context.now());
-    recordSample(worker, free < NO_FREE_SLOT ? Math.max(FULL_LOAD, load) : load);
-    meanLoad += MEAN_WEIGHT * (Math.min(MAX_LOAD_IN_MEAN, worker.load.lastLoad()) - meanLoad);
+    recordSample(worker, freeSlots < MIN_FREE_SLOTS ? Math.max(FULL_LOAD, load) : load);
+    meanLoad += SAMPLE_WEIGHT * (Math.min(MAX_LOAD_IN_MEAN, worker.load.lastLoad()) - meanLoad);
   }
 
-  private void learnSlots(WorkerLoadHistory load, WorkerLoad report, double free, double queued) {
+  private void learnSlots(
+      WorkerLoadHistory load, WorkerLoad report, double freeSlots, double queuedJobs) {
     if (Double.isNaN(report.activeJobs())) {
-      load.learnMinimumSlots(free);
+      load.learnMinimumSlots(freeSlots);
     } else {
-      load.learnSlots(Math.max(1, report.activeJobs() - queued + free));
+      load.learnSlots(Math.max(1, report.activeJobs() - queuedJobs + freeSlots));
     }
     boolean isFirst = meanSlots == 0;
-    meanSlots = isFirst ? load.slots() : meanSlots + MEAN_WEIGHT * (load.slots() - meanSlots);
+    meanSlots = isFirst ? load.slots() : meanSlots + SAMPLE_WEIGHT * (load.slots() - meanSlots);
   }
 
-  /** A worker's load has been observed. */
+  /**
+   * Records one sample of the load of a worker.
+   *
+   * @param load the load, as a fraction of the worker's slots
+   */
   void recordSample(WorkerState worker, double load) {
     worker.load.addSample(load, context.now());
   }
 
   /**
-   * A worker's load as a fraction of its slots; infinite while the start of a job there is overdue.
+   * Returns the estimated load of a worker, as a fraction of its slots. The result is infinite if
+   * the start of a job that this dispatcher has sent to the worker is overdue.
    */
   double estimate(WorkerState worker) {
     long now = context.now();
@@ -156,32 +218,47 @@
       }
       ownSlots += attempt.request.arrival.slots();
     }
-    double penalty = Math.max(0, latencies.latencyRatio(worker, now) - PENALIZED_LATENCY_RATIO);
+    double penalty =
+        Math.max(0, latencyEstimator.latencyRatio(worker, now) - MAX_UNPENALIZED_LATENCY_RATIO);
     double age = now - worker.load.sampledAt();
-    double usual = usualLoad(worker.load, age);
+    double decayedMean = decayedMeanLoad(worker.load, age);
     if (!reportsLoad()) {
-      return usual + ownSlots / slots(worker) + penalty;
+      return decayedMean + ownSlots / slots(worker) + penalty;
     }
-    double trust = trustInReport(age);
-    double unreported = worker.unreportedSlots.valueAt(now) / slots(worker);
-    return trust * worker.load.lastLoad() + (1 - trust) * usual + unreported + penalty;
+    double reportWeight = reportWeight(age);
+    double unreportedLoad = worker.unreportedSlots.valueAt(now) / slots(worker);
+    return reportWeight * worker.load.lastLoad()
+        + (1 - reportWeight) * decayedMean
+        + unreportedLoad
+        + penalty;
   }
 
-  /** The mean load of a worker, which decays into that of all with the age of the last sample. */
-  private double usualLoad(WorkerLoadHistory load, double age) {
-    double decay = Math.exp(-age / DECAY_TO_USUAL_MICROS);
+  /**
+   * Returns a load between the mean load of a worker and the mean load of all workers. The older
+   * the last sample of the worker is, the closer is the result to the mean load of all workers.
+   *
+   * @param age the time since the last sample of the worker
+   */
+  private double decayedMeanLoad(WorkerLoadHistory load, double age) {
+    double decay = Math.exp(-age / LOAD_DECAY_TIME_CONSTANT_MICROS);
     return meanLoad + (load.meanLoad() - meanLoad) * decay;
   }
 
-  /** How far the last report still holds, from 0 to 1. */
-  private double trustInReport(double age) {
-    double timeConstant = REPORT_DECAY_JOBS * times.meanRunTime();
+  /**
+   * Returns the weight of a worker's last load in the estimate, from 0 to 1. The weight decays with
+   * the age of the information, which is already {@link WorkerTable#REPORT_DELAY_MICROS} when a
+   * report arrives.
+   *
+   * @param age the time since the last sample of the worker
+   */
+  private double reportWeight(double age) {
+    double timeConstant = REPORT_TIME_CONSTANT_RUN_TIMES * serviceTimes.meanRunTime();
     return Math.exp(-(age + WorkerTable.REPORT_DELAY_MICROS) / timeConstant);
   }
 
   private boolean isStartOverdue(AttemptState attempt) {
     return context.settings().reportsJobStart()
         && !attempt.hasStarted()
-        && context.now() - attempt.sentAt > times.startTimeout();
+        && context.now() - attempt.sentAt > serviceTimes.startTimeout();
   }
 }
--- a/src/main/java/loomreel/decision/OutcomeRecorder.java
+++ b/src/main/java/loomreel/decision/OutcomeRecorder.java
@@ -4,13 +4,21 @@
 import loomreel.decision.Event.HealthChecked;
 import loomreel.decision.Settings.LoadReporting;
 
-/** Updates estimates and workers from the outcomes of attempts and health checks. */
+/**
+ * Updates the estimates and the states of workers from the outcomes of attempts and health checks.
+ */
 final class OutcomeRecorder {
-  /** The load that is assumed of a worker that has rejected an attempt as full. */
-  private static final double LOAD_WHEN_FULL = 2;
+  /**
+   * The load sample that is recorded for a worker that has rejected an attempt because it was full.
+   */
+  private static final double FULL_WORKER_LOAD = 2;
 
-  /** A start that takes longer than this part of the start timeout shows a loaded worker. */
-  private static final double SLOW_START_DIVISOR = 2;
+  /**
+   * The start of a job is delayed if it takes longer than the start timeout divided by this number.
+   * If workers report no load, each start is recorded as a load sample: 1 if the start is delayed,
+   * and 0 otherwise.
+   */
+  private static final double DELAYED_START_DIVISOR = 2;
 
   private final PolicyState state;
   private final PolicyContext context;
@@ -22,32 +30,32 @@
     ejector = new OutlierEjector(state);
   }
 
-  /** The job of an attempt has started. */
+  /** Records that a worker has reported the start of the job of an attempt. */
   void recordStart(AttemptState attempt) {
-    attempt.start(context.now());
+    attempt.recordStart(context.now());
     double startDelay = (double) (context.now() - attempt.sentAt);
     if (context.settings().loadReporting() == LoadReporting.NONE) {
-      boolean isSlow = startDelay > state.times.startTimeout() / SLOW_START_DIVISOR;
-      state.loads.recordSample(attempt.worker, isSlow ? 1 : 0);
+      boolean isDelayed = startDelay > state.serviceTimes.startTimeout() / DELAYED_START_DIVISOR;
+      state.workerLoads.recordSample(attempt.worker, isDelayed ? 1 : 0);
     }
-    state.times.recordStartDelay(startDelay);
+    state.serviceTimes.recordStartDelay(startDelay);
   }
 
-  /** An attempt has ended. */
+  /** Records the end of an attempt, and ejects its worker if the outcome requires it. */
   void recordEnd(AttemptState attempt, AttemptEnded event) {
     WorkerState worker = attempt.worker;
-    attempt.end(event.outcome());
+    attempt.recordEnd(event.outcome());
     worker.removeAttempt(attempt, context.now());
-    state.loads.recordReport(worker, event.load());
+    state.workerLoads.recordReport(worker, event.load());
     switch (event.outcome()) {
       case OK -> recordServed(attempt, event.duration());
       case ERROR, INVALID, RESET -> worker.recordReachable(context.now());
       case REJECTED -> {
         worker.recordReachable(context.now());
-        state.loads.recordSample(worker, LOAD_WHEN_FULL);
+        state.workerLoads.recordSample(worker, FULL_WORKER_LOAD);
         ejector.ejectFull(worker);
       }
-      case CONNECT_FAILED, TIMEOUT -> ejector.ejectSilent(worker, event.outcome());
+      case CONNECT_FAILED, TIMEOUT -> ejector.ejectUnresponsive(worker, event.outcome());
       case CANCELLED, NOT_ATTEMPTED -> recordCancelled(attempt, event.outcome());
     }
   }
@@ -55,34 +63,36 @@
   private void recordServed(AttemptState attempt, long duration) {
     attempt.worker.recordReachable(context.now());
     long elapsed = context.now() - attempt.startedOrSentAt();
-    double time = (double) (attempt.hasStarted() ? elapsed : duration);
-    state.times.recordRunTime(attempt.request, time);
-    state.loads.recordServed(attempt, time);
-    state.slowStart.recordServed(attempt, time);
+    double serviceTime = (double) (attempt.hasStarted() ? elapsed : duration);
+    state.serviceTimes.recordRunTime(attempt.request, serviceTime);
+    state.workerLoads.recordServed(attempt, serviceTime);
+    state.slowStart.recordServed(attempt, serviceTime);
   }
 
   private void recordCancelled(AttemptState attempt, AttemptOutcome outcome) {
     if (attempt.hasStarted()) {
       return;
     }
-    double waited = (double) (context.now() - attempt.sentAt);
-    state.times.recordStartDelay(waited);
-    // A client that disconnects at once is no evidence against the worker.
-    boolean isSilent = attempt.worker.lastResponseAt() < attempt.sentAt;
-    if (isSilent && waited > state.times.meanRunTime()) {
-      ejector.ejectSilent(attempt.worker, outcome);
+    double waitTime = (double) (context.now() - attempt.sentAt);
+    state.serviceTimes.recordStartDelay(waitTime);
+    // A client may disconnect soon after the attempt was sent, so a short wait without a response
+    // does not indicate that the worker is unresponsive. Only a longer wait does.
+    boolean isUnresponsive = attempt.worker.lastResponseAt() < attempt.sentAt;
+    if (isUnresponsive && waitTime > state.serviceTimes.meanRunTime()) {
+      ejector.ejectUnresponsive(attempt.worker, outcome);
     }
   }
 
-  /** A health check has ended. */
+  /** Records the end of a health check, and ejects the worker if the outcome requires it. */
   void recordHealthCheck(WorkerState worker, HealthChecked event) {
     if (event.outcome() == AttemptOutcome.OK) {
       worker.recordResponse(context.now());
-      state.loads.recordReport(worker, event.load());
-      state.times.recordHealthCheck(event.duration());
+      state.workerLoads.recordReport(worker, event.load());
+      state.serviceTimes.recordHealthCheck(event.duration());
     } else if (event.outcome() != AttemptOutcome.RESET) {
-      // A machine that is up has sent the reset; if its process is down, the next attempt fails.
-      ejector.ejectSilent(worker, event.outcome());
+      // A reset is excluded because it shows that the worker's machine is up. If the worker's
+      // process is down, the next attempt at the worker fails.
+      ejector.ejectUnresponsive(worker, event.outcome());
     }
   }
 }
--- a/src/main/java/loomreel/decision/OutlierEjector.java
+++ b/src/main/java/loomreel/decision/OutlierEjector.java
@@ -1,49 +1,76 @@
 package loomreel.decision;
 
-/** Ejects workers that do not answer, with exponential backoff. */
+/**
+ * Ejects workers. An ejected worker receives no attempts until the ejection ends. Workers that do
+ * not respond are ejected with exponential backoff. Workers that are full are ejected for a short
+ * time.
+ */
 final class OutlierEjector {
-  /** A worker whose last response is younger than this is not silent yet. */
+  /**
+   * The time, in microseconds, during which a response counts as recent. A worker with a recent
+   * response is not considered down if a connection to it fails.
+   */
   private static final long RECENT_RESPONSE_MICROS = 400_000;
 
-  /** At most one worker in this many is ejected at a time, or the others would be overloaded. */
+  /**
+   * An unresponsive worker is ejected only if the number of ejected workers is less than the number
+   * of listed workers divided by this number. Otherwise the remaining workers would be overloaded.
+   */
   private static final int MAX_EJECTED_DIVISOR = 3;
 
-  /** The first backoff of a silent worker, in mean run times. */
-  private static final double SILENT_BACKOFF_JOBS = 8;
+  /**
+   * The backoff of the first ejection of an unresponsive worker, as a multiple of the mean run
+   * time.
+   */
+  private static final double UNRESPONSIVE_BACKOFF_RUN_TIMES = 8;
 
-  /** The first backoff of a worker that has responded recently, in mean run times. */
-  private static final double LOST_CONNECTION_BACKOFF_JOBS = 0.5;
+  /**
+   * The backoff of the first ejection after a failed connection to a worker that has responded
+   * recently, as a multiple of the mean run time.
+   */
+  private static final double LOST_CONNECTION_BACKOFF_RUN_TIMES = 0.5;
 
-  /** The least backoff of a full worker, in mean run times; the jitter is one more. */
-  private static final double MIN_FULL_BACKOFF_JOBS = 0.5;
+  /**
+   * The minimum duration of the ejection of a full worker, as a multiple of the mean run time. The
+   * jitter adds up to 1 mean run time.
+   */
+  private static final double MIN_FULL_BACKOFF_RUN_TIMES = 0.5;
 
   private final PolicyContext context;
   private final WorkerTable workers;
-  private final ServiceTimeEstimator times;
+  private final ServiceTimeEstimator serviceTimes;
 
   OutlierEjector(PolicyState state) {
     context = state.context;
     workers = state.workers;
-    times = state.times;
+    serviceTimes = state.serviceTimes;
   }
 
   /**
-   * Ejects a silent worker, unless many are ejected. One that has responded recently may only have
-   * lost a connection: its first backoff is short.
+   * Ejects an unresponsive worker, unless too many workers are already ejected. If a connection to
+   * the worker failed but the worker has responded recently, only a connection may have been lost,
+   * so the first backoff is short.
+   *
+   * @param outcome the outcome of the attempt or health check to which the worker did not respond
    */
-  void ejectSilent(WorkerState worker, AttemptOutcome outcome) {
+  void ejectUnresponsive(WorkerState worker, AttemptOutcome outcome) {
     long now = context.now();
-    boolean hasRespondedRecently = now - worker.lastResponseAt() < RECENT_RESPONSE_MICROS;
-    boolean isBrief = outcome == AttemptOutcome.CONNECT_FAILED && hasRespondedRecently;
+    boolean hasRecentResponse = now - worker.lastResponseAt() < RECENT_RESPONSE_MICROS;
+    boolean isLostConnection = outcome == AttemptOutcome.CONNECT_FAILED && hasRecentResponse;
     if (MAX_EJECTED_DIVISOR * workers.countEjected(now) < workers.size()) {
-      double jobs = isBrief ? LOST_CONNECTION_BACKOFF_JOBS : SILENT_BACKOFF_JOBS;
-      worker.eject((long) (jobs * times.meanRunTime()), now, context.random());
+      double backoffRunTimes =
+          isLostConnection ? LOST_CONNECTION_BACKOFF_RUN_TIMES : UNRESPONSIVE_BACKOFF_RUN_TIMES;
+      worker.eject((long) (backoffRunTimes * serviceTimes.meanRunTime()), now, context.random());
     }
   }
 
-  /** Ejects a worker that has rejected an attempt as full, for 0.5 to 1.5 mean run times. */
+  /**
+   * Ejects a worker that rejected an attempt because it was full. The duration of the ejection is
+   * drawn at random from 0.5 to 1.5 mean run times.
+   */
   void ejectFull(WorkerState worker) {
-    double backoff = times.meanRunTime() * (MIN_FULL_BACKOFF_JOBS + context.random().nextDouble());
+    double backoff =
+        serviceTimes.meanRunTime() * (MIN_FULL_BACKOFF_RUN_TIMES + context.random().nextDouble());
     worker.ejectFor((long) backoff, context.now());
   }
 }
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -5,33 +5,50 @@
 import loomreel.decision.Event.RequestArrived;
 import loomreel.decision.Settings.RequestClass;
 
-/** A request until its answer is given and all of its attempts have ended. */
+/**
+ * A request that the policy still has to handle: it has not ended, or it has open attempts. Times
+ * are in microseconds.
+ */
 final class PendingRequest {
+  /** The maximum number of health checks that the policy sends because of one request. */
   private static final int MAX_HEALTH_CHECKS = 4 * WorkerSelector.SAMPLE_WITH_HEALTH_CHECKS;
 
   final RequestArrived arrival;
   final RequestClass requestClass;
 
-  /** That of its class; without an idempotency key a keyed request is not idempotent. */
+  /**
+   * The idempotency of the request. It is that of the request's class, with one exception. If the
+   * class is keyed and the request has no idempotency key, it is {@link
+   * Idempotency#NON_IDEMPOTENT}.
+   */
   final Idempotency idempotency;
 
-  /** The token of its timers, and its number in the order of arrival. */
+  /** The token of the request's timers. Tokens increase in the order of arrival. */
   final long token;
 
   private final List<AttemptState> attempts = new ArrayList<>(2);
 
-  /** Null until it is admitted. */
+  /** The deadlines of the request; null until {@link #setDeadlines} is called. */
   private RequestDeadlines deadlines;
 
-  /** Null until its first placement. */
+  /**
+   * The parameters from which the candidates of the request are derived; null until they are first
+   * drawn.
+   */
   private CandidateDraw candidates;
 
-  /** The next round of candidates whose load may be queried; null after the last. */
+  /**
+   * The next round of candidates to consider for health checks; null before the first parameters
+   * are drawn and after the last round.
+   */
   private CandidateRound healthCheckRound;
 
   private double loadThreshold = WorkerSelector.FULL_THRESHOLD;
-  private int rankingOffset;
+  private int rankingOffsetInSampleSizes;
+
+  /** The number of workers whose pending health check the request waits for. */
   private int pendingHealthChecks;
+
   private int healthChecksRequested;
   private boolean ended;
 
@@ -43,20 +60,24 @@
   }
 
   private static Idempotency idempotency(RequestArrived arrival, RequestClass requestClass) {
-    boolean lacksKey =
+    boolean lacksIdempotencyKey =
         requestClass.idempotency() == Idempotency.KEYED && !arrival.hasIdempotencyKey();
-    return lacksKey ? Idempotency.NON_IDEMPOTENT : requestClass.idempotency();
+    return lacksIdempotencyKey ? Idempotency.NON_IDEMPOTENT : requestClass.idempotency();
   }
 
   String id() {
     return arrival.requestId();
   }
 
+  /**
+   * Returns whether the job has a key that determines its preferred workers. The idempotency key of
+   * a request is a different key.
+   */
   boolean hasKey() {
     return arrival.key() != null;
   }
 
-  /** When its answer loses its value; null until {@link #setDeadlines}. */
+  /** Returns the deadlines of the request; null until {@link #setDeadlines} is called. */
   RequestDeadlines deadlines() {
     return deadlines;
   }
@@ -65,7 +86,11 @@
     deadlines = newDeadlines;
   }
 
-  /** The load, as a fraction of a worker's slots, below which this request may go there. */
+  /**
+   * Returns the load threshold of the request, as a fraction of a worker's slots. A worker may
+   * receive the request only if its load is below the threshold. {@link WorkerSelector} raises the
+   * threshold while the mean load of all workers is high.
+   */
   double loadThreshold() {
     return loadThreshold;
   }
@@ -74,7 +99,7 @@
     loadThreshold = threshold;
   }
 
-  /** The attempts in the order of their starts. */
+  /** Returns the attempts in the order in which they were started. */
   List<AttemptState> attempts() {
     return attempts;
   }
@@ -87,70 +112,95 @@
     return attempts.stream().anyMatch(AttemptState::isOpen);
   }
 
+  /** Returns whether a worker has reported the start of the job for an open attempt. */
   boolean anyAttemptRunning() {
     return attempts.stream().anyMatch(attempt -> attempt.isOpen() && attempt.hasStarted());
   }
 
+  /** Returns the attempt that was started last. There must be at least one attempt. */
   AttemptState lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
 
-  /** What its candidates are drawn from; null until {@link #setCandidates}. */
+  /**
+   * Returns the parameters from which the request's candidates are derived; null until {@link
+   * #setCandidates} is called.
+   */
   CandidateDraw candidates() {
     return candidates;
   }
 
-  /** Sets new candidates, whose health checks start with the first round. */
+  /**
+   * Sets new parameters from which the candidates are derived. The health checks begin again with
+   * the first round of candidates.
+   */
   void setCandidates(CandidateDraw draw) {
     candidates = draw;
     healthCheckRound = draw.firstRound();
   }
 
-  /** How far the fallback has moved down the key's ranking, in samples. */
-  int rankingOffset() {
-    return rankingOffset;
+  /**
+   * Returns the distance by which the fallback sample is moved on in the ranking of the request's
+   * key. The unit is the size of a sample.
+   */
+  int rankingOffsetInSampleSizes() {
+    return rankingOffsetInSampleSizes;
   }
 
-  void moveDownRanking(int samples) {
-    rankingOffset += samples;
+  void increaseRankingOffset(int sampleSizes) {
+    rankingOffsetInSampleSizes += sampleSizes;
   }
 
-  /** The next round of candidates whose load may be queried; null after the last. */
+  /**
+   * Returns the next round of candidates to consider for health checks; null after the last round.
+   */
   CandidateRound healthCheckRound() {
     return healthCheckRound;
   }
 
+  /**
+   * Moves on to the next round of candidates for health checks. The current round must not be null.
+   */
   void advanceHealthCheckRound() {
     healthCheckRound = healthCheckRound.next();
   }
 
-  /** Takes one health check of those that the request may cause; false if none remains. */
-  boolean takeHealthCheck() {
+  /**
+   * Counts a health check against the limit of {@link #MAX_HEALTH_CHECKS} for this request.
+   *
+   * @return whether the health check may be sent; false if the limit was already reached
+   */
+  boolean tryAcquireHealthCheck() {
     healthChecksRequested++;
     return healthChecksRequested <= MAX_HEALTH_CHECKS;
   }
 
+  /** Returns whether the request waits for the health check of at least one worker. */
   boolean awaitsHealthCheck() {
     return pendingHealthChecks > 0;
   }
 
-  void healthCheckAwaited() {
+  void incrementPendingHealthChecks() {
     pendingHealthChecks++;
   }
 
-  void healthCheckAnswered() {
+  void decrementPendingHealthChecks() {
     pendingHealthChecks--;
   }
 
-  void stopAwaitingHealthChecks() {
+  void resetPendingHealthChecks() {
     pendingHealthChecks = 0;
   }
 
-  /** Whether it has its answer, or needs none any more. */
+  /**
+   * Returns whether the request has ended, that is, has its final answer or needs no answer any
+   * more.
+   */
   boolean hasEnded() {
     return ended;
   }
 
+  /** Marks the request as ended. */
   void end() {
     ended = true;
   }
--- a/src/main/java/loomreel/decision/PolicyEventHandler.java
+++ b/src/main/java/loomreel/decision/PolicyEventHandler.java
@@ -15,8 +15,9 @@
 import loomreel.decision.Event.WorkerEnabled;
 
 /**
- * Handles the events of one dispatcher from its start to its stop: brings the state up to date,
- * then has the {@link RequestScheduler} act on it.
+ * Handles the events of one dispatcher from its start to its stop. Each event first updates the
+ * state of the policy. If the event affects requests, the {@link RequestScheduler} then decides
+ * about them.
  */
 final class PolicyEventHandler {
   private final PolicyContext context;
@@ -37,9 +38,9 @@
   }
 
   /**
-   * Handles one event.
+   * Handles one event other than a start or a stop.
    *
-   * @throws IllegalStateException if its type is unknown, or it is a start
+   * @throws IllegalStateException if the type of the event is not handled here
    */
   void handle(Event event) {
     if (event instanceof AttemptEnded end) {
@@ -65,7 +66,7 @@
     } else if (event instanceof WorkerEnabled enabled) {
       endpoints.enable(enabled.workerId());
     } else if (event instanceof CapacityFractionChanged change) {
-      state.slowStart.setCapacityFraction(change.fraction());
+      state.slowStart.setProcessShare(change.fraction());
     } else {
       throw new IllegalStateException("unknown event: " + event);
     }
@@ -78,7 +79,7 @@
 
   private void updateEndpoints(List<Endpoint> update) {
     endpoints.update(update);
-    update.forEach(scheduler::retryQueueIfPulled);
+    update.forEach(scheduler::retryQueueForPullWorker);
   }
 
   private void onRequestArrived(RequestArrived event) {
@@ -119,13 +120,13 @@
       scheduler.retryOrGiveUp(attempt.request);
     }
     state.requests.removeIfComplete(attempt.request);
-    scheduler.retryQueueIfPulled(attempt.worker.endpoint());
+    scheduler.retryQueueForPullWorker(attempt.worker.endpoint());
   }
 
   private void onHealthChecked(HealthChecked event) {
     WorkerState worker = state.workers.get(event.workerId());
     if (worker != null) {
-      worker.healthCheckEnded();
+      worker.recordHealthCheckEnded();
       outcomes.recordHealthCheck(worker, event);
       scheduler.placeAfterHealthCheck(worker);
     }
@@ -139,7 +140,7 @@
     } else {
       PendingRequest request = state.requests.byToken(event.token());
       if (request != null) {
-        scheduler.review(request);
+        scheduler.handleRequestTimer(request);
       }
     }
   }
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -1,35 +1,45 @@
 package loomreel.decision;
 
-/** What the policy knows of workers, requests and keys, and its estimates. It decides nothing. */
+/**
+ * The state of a started policy: its workers, requests, job keys and estimates. This class makes no
+ * decisions.
+ */
 final class PolicyState {
-  /** Token of the timer that polls the endpoint list. */
+  /** The token of the timer that polls the endpoint list. */
   static final long POLL_TIMER = 0;
 
-  /** Token of the timer that retries queued requests; those above it are requests' timers. */
+  /**
+   * The token of the timer that places the queued requests again. Greater tokens belong to the
+   * timers of requests.
+   */
   static final long QUEUE_TIMER = 1;
 
   final PolicyContext context;
   final WorkerTable workers = new WorkerTable();
   final RequestTable requests = new RequestTable(QUEUE_TIMER);
-  final KeyAffinityTable keys;
-  final ServiceTimeEstimator times;
-  final LoadEstimator loads;
+  final KeyAffinityTable keyAffinities;
+  final ServiceTimeEstimator serviceTimes;
+  final LoadEstimator workerLoads;
   final SlowStartController slowStart;
 
   /**
-   * @param capacityFraction the fraction of the dispatcher's slow-start allowance that this process
-   *     may use
+   * Creates the state of a policy that has just started.
+   *
+   * @param processShare the share of this process in the rate at which this dispatcher may send
+   *     work to a warming worker, from 0 to 1
    */
-  PolicyState(PolicyContext context, double capacityFraction) {
+  PolicyState(PolicyContext context, double processShare) {
     this.context = context;
     Settings settings = context.settings();
-    keys = new KeyAffinityTable(workers, new RendezvousRanking(settings.stableWeights()));
-    times = new ServiceTimeEstimator(settings);
-    loads = new LoadEstimator(context, workers, times);
-    slowStart = new SlowStartController(context, workers, times, loads, capacityFraction);
+    keyAffinities = new KeyAffinityTable(workers, new RendezvousRanking(settings.stableWeights()));
+    serviceTimes = new ServiceTimeEstimator(settings);
+    workerLoads = new LoadEstimator(context, workers, serviceTimes);
+    slowStart = new SlowStartController(context, workers, serviceTimes, workerLoads, processShare);
   }
 
-  /** An attempt of a request is being started. */
+  /**
+   * Records a new attempt of a request at a worker. Must be called each time an attempt is started.
+   */
   void recordAttempt(PendingRequest request, WorkerState worker) {
     AttemptState attempt = new AttemptState(request, worker, context.now());
     request.addAttempt(attempt);
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -4,52 +4,73 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * When a dispatcher polls the endpoint list, where it has to poll. Dispatchers that start or lose
- * discovery together must not poll together: the first poll is spread over a part of the interval,
- * and failures are followed by exponential backoff up to {@link Rules#maxPollBackoff()}, with
- * jitter over the upper half of each wait. A call that took as long as the longest wait was
- * accepted by discovery, so the backoff is reset after it. Times are microseconds.
+ * The times at which a dispatcher polls the endpoint list. Many dispatchers may start together or
+ * lose the connection to discovery together, and should then not poll at the same time. The first
+ * poll is therefore made at a random time within a part of the poll interval.
+ *
+ * <p>After a failed poll, the dispatcher waits before the next poll. The backoff grows
+ * exponentially with each failure up to {@link Rules#maxPollBackoff()}, and the wait is drawn at
+ * random from half the backoff to the full backoff. If a failed poll has lasted at least as long as
+ * the maximum backoff, discovery had accepted it, so the backoff starts again from its first value.
+ * Times are in microseconds.
  */
 final class PollBackoff {
   private static final int BACKOFF_FACTOR = 2;
 
-  /** The first backoff is this part of the longest. */
+  /**
+   * The first backoff is the maximum backoff divided by this number. Each later backoff is the
+   * previous one multiplied by {@link #BACKOFF_FACTOR}, plus the first backoff, up to the maximum.
+   */
   private static final int FIRST_BACKOFF_DIVISOR = 4;
 
-  /** The first poll is made within this fraction of the interval. */
-  private static final int START_JITTER_NUMERATOR = 6;
+  /**
+   * The first poll is made within a fraction of the poll interval. This is the numerator of the
+   * fraction.
+   */
+  private static final int FIRST_POLL_JITTER_NUMERATOR = 6;
 
-  private static final int START_JITTER_DENOMINATOR = 40;
+  /**
+   * The denominator of the fraction of which {@link #FIRST_POLL_JITTER_NUMERATOR} is the numerator.
+   */
+  private static final int FIRST_POLL_JITTER_DENOMINATOR = 40;
 
   private final long maxBackoff;
-  private final long startJitter;
+
+  /** The maximum time between the start of the dispatcher and the first poll. */
+  private final long firstPollJitter;
+
   private long backoff;
-  private long lastPollAt = Timestamp.NEVER;
+  private long lastPollStartedAt = Timestamp.NEVER;
 
   PollBackoff(Rules rules) {
     maxBackoff = rules.maxPollBackoff();
-    // Soon after a start, since a restarted dispatcher has an old list.
-    startJitter = rules.pollInterval() * START_JITTER_NUMERATOR / START_JITTER_DENOMINATOR;
+    // The first poll is made early, because the endpoint list of a restarted dispatcher may be
+    // outdated.
+    firstPollJitter =
+        rules.pollInterval() * FIRST_POLL_JITTER_NUMERATOR / FIRST_POLL_JITTER_DENOMINATOR;
   }
 
-  /** When to poll for the first time. */
+  /** Returns the time of the first poll, which is drawn at random. */
   long firstPollAt(long now, SplittableRandom random) {
-    return startJitter == 0 ? now : now + random.nextLong(1 + startJitter);
+    return firstPollJitter == 0 ? now : now + random.nextLong(1 + firstPollJitter);
   }
 
-  /** When to poll after a call that has failed. */
+  /**
+   * Increases the backoff after a poll that has failed now, and returns the time of the next poll.
+   */
   long nextPollAt(long now, SplittableRandom random) {
-    long previous = now - lastPollAt < maxBackoff ? backoff : 0;
-    backoff = Math.min(BACKOFF_FACTOR * previous + maxBackoff / FIRST_BACKOFF_DIVISOR, maxBackoff);
+    long previousBackoff = now - lastPollStartedAt < maxBackoff ? backoff : 0;
+    backoff =
+        Math.min(BACKOFF_FACTOR * previousBackoff + maxBackoff / FIRST_BACKOFF_DIVISOR, maxBackoff);
     return now + backoff / 2 + random.nextLong(1 + backoff / 2);
   }
 
-  /** A poll has started. */
+  /** Records the start of a poll. */
   void pollStarted(long now) {
-    lastPollAt = now;
+    lastPollStartedAt = now;
   }
 
-  /** Discovery has answered. */
+  /** Records that discovery has answered a poll, and resets the backoff. */
   void pollSucceeded() {
     backoff = 0;
   }
--- a/src/main/java/loomreel/decision/RejectionReason.java
+++ b/src/main/java/loomreel/decision/RejectionReason.java
@@ -1,18 +1,38 @@
 package loomreel.decision;
 
-/** Why a request was rejected or failed. */
+/**
+ * The reason for which a request was rejected or failed. If the job has not started at the start
+ * deadline of the request, an answer has no value any more. {@link RequestDeadlines} describes the
+ * start deadline.
+ */
 public enum RejectionReason {
-  /** It arrived when an answer had no value any more. */
+  /**
+   * The request arrived at or after its start deadline, when an answer already had no value any
+   * more.
+   */
   ARRIVED_TOO_LATE,
-  /** Its tenant is over its quota, and no worker was idle enough for such requests. */
+  /**
+   * The request exceeded the quota of its tenant, and no candidate worker could take the request.
+   * The load threshold for such a request is lower than for other requests.
+   */
   QUOTA_EXCEEDED,
-  /** The endpoint list names no worker that may run its class. */
+  /** None of the workers that are ready and not disabled may run the request. */
   NO_ELIGIBLE_WORKER,
-  /** No worker had capacity, or slow-start allowance, while an answer still had a value. */
+  /**
+   * No worker had capacity or slow-start allowance for the request before its start deadline. No
+   * attempt was started.
+   */
   NO_CAPACITY_IN_TIME,
-  /** It was sent, but no worker started it while an answer still had a value. */
+  /**
+   * At least one attempt was started, but no worker started the job before the start deadline of
+   * the request.
+   */
   NOT_STARTED_IN_TIME,
-  /** Its last attempt has ended, and its class or the limit of attempts allows no other. */
+  /**
+   * All attempts of the request have ended, and no further attempt is allowed. The request is
+   * invalid, or its idempotency, its deadlines or the maximum number of attempts forbid another
+   * attempt.
+   */
   RETRIES_EXHAUSTED,
   /** The client's deadline is about to pass. */
   CLIENT_DEADLINE
--- a/src/main/java/loomreel/decision/RequestQueue.java
+++ b/src/main/java/loomreel/decision/RequestQueue.java
@@ -5,12 +5,19 @@
 import java.util.List;
 import loomreel.decision.Action.SetTimer;
 
-/** Requests that no worker had capacity for, until the next retry. */
+/**
+ * The requests that wait because no worker had capacity for them. A retry of the queue takes
+ * requests from the queue and tries to place them again.
+ */
 final class RequestQueue {
-  /** The mean pause between two retries is this part of the shortest latency objective. */
-  private static final int PAUSE_DIVISOR = 16;
+  /**
+   * The mean interval between two retries of the queue is the shortest latency objective divided by
+   * this number, but at least {@link #MIN_RETRY_INTERVAL_TICKS}.
+   */
+  private static final int RETRY_INTERVAL_DIVISOR = 16;
 
-  private static final int MIN_PAUSE_TICKS = 2;
+  /** The minimum mean interval between two retries of the queue, in ticks of the dispatcher. */
+  private static final int MIN_RETRY_INTERVAL_TICKS = 2;
 
   private final PolicyState state;
   private List<PendingRequest> waiting = new ArrayList<>();
@@ -32,7 +39,10 @@
     waiting.remove(request);
   }
 
-  /** Empties the queue: the highest priority first, then the newest. */
+  /**
+   * Removes all requests from the queue and returns them. The request with the highest priority
+   * comes first. Among requests of equal priority, the request that arrived last comes first.
+   */
   List<PendingRequest> drain(Comparator<PendingRequest> byPriority) {
     List<PendingRequest> drained = waiting;
     waiting = new ArrayList<>();
@@ -41,7 +51,8 @@
   }
 
   /**
-   * Schedules the next retry after a pause with jitter, unless the queue is empty or a retry is
+   * Schedules the next retry of the queue. The time until the retry is drawn at random from 0.5 to
+   * 1.5 times the mean interval. Does nothing if the queue is empty or a retry is already
    * scheduled.
    */
   void scheduleRetry() {
@@ -49,15 +60,15 @@
       return;
     }
     retryScheduled = true;
-    long minPause = MIN_PAUSE_TICKS * state.context.settings().tick();
-    long shortestObjective = state.times.shortestObjective();
-    long pause = Math.max(minPause, shortestObjective / PAUSE_DIVISOR);
-    long jitter = state.context.random().nextLong(pause);
-    long time = state.context.now() + pause / 2 + jitter;
-    state.context.emit(new SetTimer(time, PolicyState.QUEUE_TIMER));
+    long minRetryInterval = MIN_RETRY_INTERVAL_TICKS * state.context.settings().tick();
+    long shortestObjective = state.serviceTimes.shortestObjective();
+    long retryInterval = Math.max(minRetryInterval, shortestObjective / RETRY_INTERVAL_DIVISOR);
+    long jitter = state.context.random().nextLong(retryInterval);
+    long retryAt = state.context.now() + retryInterval / 2 + jitter;
+    state.context.emit(new SetTimer(retryAt, PolicyState.QUEUE_TIMER));
   }
 
-  /** The scheduled retry has started. */
+  /** Records that the scheduled retry of the queue has started. */
   void retryStarted() {
     retryScheduled = false;
   }
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -3,69 +3,85 @@
 import java.util.Comparator;
 import loomreel.decision.Action.StartAttempt;
 
-/** Places requests: sends them to workers, queues them, hedges them and gives them up. */
+/**
+ * Schedules requests. The scheduler sends requests to workers, queues them while no worker has
+ * capacity, retries and hedges them, and gives them up.
+ */
 final class RequestScheduler {
-  /** How many queued requests are retried at a time. */
-  private static final int MAX_QUEUE_RETRIES = 32;
+  /** The maximum number of queued requests that one retry of the queue places again. */
+  private static final int MAX_REQUESTS_PER_QUEUE_RETRY = 32;
 
-  /** By how many samples the fallback moves down the ranking each time a request is queued. */
-  private static final int RANKING_STEP = 2;
+  /**
+   * The distance by which the fallback moves on in the ranking of a request's key each time the
+   * request is queued. The fallback considers a sample of consecutive workers in the ranking. The
+   * unit of the distance is the size of this sample.
+   */
+  private static final int RANKING_STEP_IN_SAMPLE_SIZES = 2;
 
   private final PolicyState state;
   private final PolicyContext context;
   private final RequestQueue queue;
   private final AttemptCanceller canceller;
-  private final RetryPolicy retries;
+  private final RetryPolicy retryPolicy;
   private final AdmissionController admission;
   private final WorkerSelector selector;
-  private final HealthCheckPolicy healthChecks;
+  private final HealthCheckPolicy healthCheckPolicy;
 
   RequestScheduler(PolicyState state, AttemptCanceller canceller) {
     this.state = state;
     this.canceller = canceller;
     context = state.context;
     queue = new RequestQueue(state);
-    retries = new RetryPolicy(state);
+    retryPolicy = new RetryPolicy(state);
     admission = new AdmissionController(state);
-    selector = new WorkerSelector(state, retries);
-    healthChecks = new HealthCheckPolicy(state, selector, retries);
+    selector = new WorkerSelector(state, retryPolicy);
+    healthCheckPolicy = new HealthCheckPolicy(state, selector, retryPolicy);
   }
 
-  /** Admits a new request, or rejects it. */
+  /**
+   * Admits a new request and places it. Rejects the request if its start deadline has already
+   * passed.
+   */
   void admit(PendingRequest request) {
     admission.setDeadlines(request);
-    if (context.now() >= request.deadlines().giveUpAt()) {
+    if (context.now() >= request.deadlines().startDeadline()) {
       giveUp(request, RejectionReason.ARRIVED_TOO_LATE);
       return;
     }
     context.setTimer(request, request.deadlines().answerDeadline());
     admission.applyQuota(request);
     if (request.hasKey()) {
-      state.keys.get(request).recordDemand(request, state.times, context.now());
+      state.keyAffinities.get(request).recordDemand(request, state.serviceTimes, context.now());
     }
-    placeAnew(request);
+    placeWithNewCandidates(request);
   }
 
-  private void placeAnew(PendingRequest request) {
-    selector.drawCandidates(request);
+  /** Draws new candidates for a request, then places the request. */
+  private void placeWithNewCandidates(PendingRequest request) {
+    selector.drawCandidateParameters(request);
     place(request);
   }
 
-  /** Sends a request, checks its candidates, queues it or gives it up. */
+  /**
+   * Places a request. Placing sends the request to a worker, makes it wait for health checks of its
+   * candidates, queues it, or gives it up. Does nothing if the request has ended or already waits
+   * for a health check. Also does nothing if no further attempt is allowed while an attempt of the
+   * request is open.
+   */
   private void place(PendingRequest request) {
     if (request.hasEnded() || request.awaitsHealthCheck()) {
       return;
     }
-    if (!retries.allowsAttempt(request)) {
-      // The deduplication window of keyed work may have ended while the request waited.
-      giveUpUnlessOpen(request);
+    if (!retryPolicy.allowsAttempt(request)) {
+      // The deduplication window of a keyed request may have ended while the request waited.
+      giveUpUnlessAttemptOpen(request);
       return;
     }
-    if (context.now() >= request.deadlines().giveUpAt()) {
-      giveUp(request, admission.reasonWhenExpired(request));
+    if (context.now() >= request.deadlines().startDeadline()) {
+      giveUp(request, admission.expirationReason(request));
       return;
     }
-    if (healthChecks.checkCandidates(request)) {
+    if (healthCheckPolicy.checkCandidates(request)) {
       return;
     }
     WorkerState worker = selector.select(request);
@@ -74,85 +90,113 @@
     } else if (admission.isOverQuota(request)) {
       giveUp(request, RejectionReason.QUOTA_EXCEEDED);
     } else {
-      request.moveDownRanking(RANKING_STEP);
+      request.increaseRankingOffset(RANKING_STEP_IN_SAMPLE_SIZES);
       queue.add(request);
       queue.scheduleRetry();
     }
   }
 
-  /** Retries the queued requests, and schedules the next retry if some remain queued. */
+  /**
+   * Performs the scheduled retry of the queue, and schedules the next retry if requests remain in
+   * the queue.
+   */
   void retryQueueAndReschedule() {
     queue.retryStarted();
     retryQueue();
     queue.scheduleRetry();
   }
 
+  /**
+   * Places the queued requests with the highest priorities again, up to {@link
+   * #MAX_REQUESTS_PER_QUEUE_RETRY}. Also gives up every other request whose start deadline has
+   * passed. The remaining requests stay in the queue.
+   */
   private void retryQueue() {
     int retried = 0;
     for (PendingRequest request : queue.drain(Comparator.comparingDouble(this::priority))) {
-      if (retried++ < MAX_QUEUE_RETRIES || context.now() >= request.deadlines().giveUpAt()) {
-        placeAnew(request);
+      if (retried++ < MAX_REQUESTS_PER_QUEUE_RETRY
+          || context.now() >= request.deadlines().startDeadline()) {
+        placeWithNewCandidates(request);
       } else if (!request.hasEnded()) {
         queue.add(request);
       }
     }
   }
 
-  /** The value of a request's answer for its work. */
+  /**
+   * Returns the priority of a queued request: the value that its answer would have if the job
+   * started now, divided by the expected work of the request.
+   */
   private double priority(PendingRequest request) {
-    boolean inTime = context.now() < request.deadlines().fullValueUntil();
+    boolean hasFullValue = context.now() < request.deadlines().objectiveStartDeadline();
     return request.requestClass.priorityWeight()
-        / state.times.expectedWork(request)
-        * (inTime ? 1 : request.requestClass.latePriorityFraction());
+        / state.serviceTimes.expectedWork(request)
+        * (hasFullValue ? 1 : request.requestClass.latePriorityFraction());
   }
 
-  /** A worker that pulls its jobs reports free capacity at once: queued requests need not wait. */
-  void retryQueueIfPulled(Endpoint endpoint) {
+  /**
+   * Retries the queued requests at once if an endpoint names queues. The reason is that the worker
+   * of such an endpoint pulls its jobs and reports free capacity as soon as it has some.
+   */
+  void retryQueueForPullWorker(Endpoint endpoint) {
     if (endpoint.queues() != null && !queue.isEmpty()) {
       retryQueue();
     }
   }
 
-  /** Places the requests that waited for the load of a worker and for no other. */
+  /**
+   * Places the requests that waited for the health check of a worker. A request that still waits
+   * for the health check of another worker is not placed yet.
+   */
   void placeAfterHealthCheck(WorkerState worker) {
     for (PendingRequest request : worker.takeHealthCheckWaiters()) {
-      request.healthCheckAnswered();
+      request.decrementPendingHealthChecks();
       if (!request.awaitsHealthCheck()) {
         place(request);
       }
     }
   }
 
-  /** The only place that starts an attempt. */
+  /**
+   * Starts an attempt of a request at a worker. This is the only method that emits {@link
+   * StartAttempt}.
+   */
   private void startAttempt(PendingRequest request, WorkerState worker) {
-    long writeDeadline = retries.writeDeadline(request);
+    long writeDeadline = retryPolicy.writeDeadline(request);
     context.emit(new StartAttempt(request.id(), worker.id, 0, writeDeadline));
     state.recordAttempt(request, worker);
     if (context.settings().reportsJobStart()) {
-      long startTimeout = (long) state.times.startTimeout();
+      long startTimeout = (long) state.serviceTimes.startTimeout();
       context.setTimer(request, context.now() + startTimeout + context.settings().tick());
-      context.setTimer(request, request.deadlines().giveUpAt());
+      context.setTimer(request, request.deadlines().startDeadline());
     }
   }
 
-  /** An attempt has ended without an answer: starts another one, if that is allowed. */
+  /**
+   * Handles a request after one of its attempts has ended without a final answer. If another
+   * attempt is allowed, places the request again. Otherwise gives the request up, unless another
+   * attempt of the request is still open.
+   */
   void retryOrGiveUp(PendingRequest request) {
-    if (retries.allowsAttempt(request)) {
-      placeAnew(request);
+    if (retryPolicy.allowsAttempt(request)) {
+      placeWithNewCandidates(request);
     } else {
-      giveUpUnlessOpen(request);
+      giveUpUnlessAttemptOpen(request);
     }
   }
 
-  /** A request's timer has fired: a health check, a start or the answer is overdue. */
-  void review(PendingRequest request) {
+  /**
+   * Handles a timer of a request. The timer may have been set for the answer deadline, for the
+   * start deadline, for the start timeout of an attempt, or for the timeout of a health check.
+   */
+  void handleRequestTimer(PendingRequest request) {
     if (context.now() >= request.deadlines().answerDeadline()) {
       giveUp(request, RejectionReason.CLIENT_DEADLINE);
       return;
     }
     if (!request.anyAttemptOpen() && request.awaitsHealthCheck()) {
       state.workers.removeHealthCheckWaiter(request);
-      request.stopAwaitingHealthChecks();
+      request.resetPendingHealthChecks();
       place(request);
     }
     if (request.anyAttemptOpen() && !request.anyAttemptRunning()) {
@@ -160,11 +204,15 @@
     }
   }
 
-  /** No attempt has started yet: gives the request up, or hedges it if a start is overdue. */
+  /**
+   * Handles a request with open attempts of which none has started. If the start deadline has
+   * passed, gives the request up. Otherwise, if the start of the last attempt is overdue and the
+   * rules allow another attempt, starts a hedged attempt at another worker.
+   */
   private void hedgeOrGiveUp(PendingRequest request) {
-    if (context.now() >= request.deadlines().giveUpAt()) {
+    if (context.now() >= request.deadlines().startDeadline()) {
       giveUp(request, RejectionReason.NOT_STARTED_IN_TIME);
-    } else if (retries.shouldHedge(request)) {
+    } else if (retryPolicy.shouldHedge(request)) {
       WorkerState worker = selector.select(request);
       if (worker != null) {
         startAttempt(request, worker);
@@ -172,7 +220,11 @@
     }
   }
 
-  private void giveUpUnlessOpen(PendingRequest request) {
+  /**
+   * Gives up a request for which no further attempt is allowed. Does nothing if an attempt of the
+   * request is still open.
+   */
+  private void giveUpUnlessAttemptOpen(PendingRequest request) {
     if (!request.anyAttemptOpen()) {
       giveUp(request, RejectionReason.RETRIES_EXHAUSTED);
     }
@@ -182,12 +234,20 @@
     end(request, admission.giveUp(request, reason));
   }
 
-  /** Ends a request that has its answer, or whose client has disconnected. */
+  /**
+   * Ends a request without emitting an answer, because the request already has its final answer or
+   * needs none any more.
+   */
   void endWithoutAnswer(PendingRequest request) {
     end(request, null);
   }
 
-  /** The only place that ends a request; the answer is null where none is needed. */
+  /**
+   * Ends a request and cancels its open attempts. Every request is ended by this method. Does
+   * nothing if the request has already ended.
+   *
+   * @param answer the action that gives the final answer; null if none is needed
+   */
   private void end(PendingRequest request, Action answer) {
     if (request.hasEnded()) {
       return;
--- a/src/main/java/loomreel/decision/RequestTable.java
+++ b/src/main/java/loomreel/decision/RequestTable.java
@@ -5,19 +5,25 @@
 import loomreel.decision.Event.RequestArrived;
 import loomreel.decision.Settings.RequestClass;
 
-/** The pending requests, by id and by the token of their timers. */
+/** The pending requests, indexed by their ids and by the tokens of their timers. */
 final class RequestTable {
   private final Map<String, PendingRequest> byId = new HashMap<>();
   private final Map<Long, PendingRequest> byToken = new HashMap<>();
   private long lastToken;
 
   /**
-   * @param lastReservedToken the highest timer token that is not a request's
+   * Creates an empty table.
+   *
+   * @param lastReservedToken the highest timer token that does not belong to a request
    */
   RequestTable(long lastReservedToken) {
     lastToken = lastReservedToken;
   }
 
+  /**
+   * Creates a pending request for an arrival, gives it the next timer token, and adds it to the
+   * table.
+   */
   PendingRequest add(RequestArrived arrival, RequestClass requestClass) {
     PendingRequest request = new PendingRequest(arrival, requestClass, ++lastToken);
     byId.put(request.id(), request);
@@ -25,32 +31,44 @@
     return request;
   }
 
-  /** A pending request, or null. */
+  /**
+   * Returns the pending request with the given id; null if there is none. A request that has ended
+   * is still returned while one of its attempts is open.
+   */
   PendingRequest get(String id) {
     return byId.get(id);
   }
 
-  /** The request whose timer has fired, or null if it has ended. */
+  /**
+   * Returns the pending request with the given timer token; null if the request has ended or the
+   * token is unknown.
+   */
   PendingRequest byToken(long token) {
     return byToken.get(token);
   }
 
-  /** The attempt with that number if it is open, or null. */
-  AttemptState openAttempt(String requestId, int number) {
+  /**
+   * Returns an open attempt of a request; null if the request is unknown, the attempt is unknown,
+   * or the attempt has ended.
+   */
+  AttemptState openAttempt(String requestId, int attemptNumber) {
     PendingRequest request = byId.get(requestId);
-    if (request == null || number < 0 || number >= request.attempts().size()) {
+    if (request == null || attemptNumber < 0 || attemptNumber >= request.attempts().size()) {
       return null;
     }
-    AttemptState attempt = request.attempts().get(number);
+    AttemptState attempt = request.attempts().get(attemptNumber);
     return attempt.isOpen() ? attempt : null;
   }
 
-  /** The request has ended: its timers are ignored from now on. */
+  /**
+   * Removes the timer token of a request that has ended. The timers of the request are ignored from
+   * now on.
+   */
   void end(PendingRequest request) {
     byToken.remove(request.token);
   }
 
-  /** Drops a request that has ended, once all of its attempts have. */
+  /** Removes a request that has ended, unless one of its attempts is still open. */
   void removeIfComplete(PendingRequest request) {
     if (request.hasEnded() && !request.anyAttemptOpen()) {
       byId.remove(request.id());
--- a/src/main/java/loomreel/decision/ServiceTimeEstimator.java
+++ b/src/main/java/loomreel/decision/ServiceTimeEstimator.java
@@ -4,45 +4,72 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * Learns how long jobs run, how long they wait for their start and how long health checks take. The
- * latency objectives are the first estimates. Times are microseconds.
+ * Estimates three durations: the run times of jobs, the delays between the send of an attempt and
+ * the start of its job, and the durations of health checks. The initial estimates of run times and
+ * start delays are derived from the latency objectives, and that of health checks from the tick of
+ * the dispatcher. Times are in microseconds.
  */
 final class ServiceTimeEstimator {
+  /** The weight of a new sample in the mean run time of a class. */
   private static final double RUN_TIME_WEIGHT = 0.03;
+
+  /** The weight of a new sample in the mean start delay and in the deviation of the start delay. */
   private static final double START_DELAY_WEIGHT = 0.05;
+
+  /** The weight of a new sample in the mean duration of a health check. */
   private static final double HEALTH_CHECK_WEIGHT = 0.05;
 
-  /** Deviations from the mean start delay after which a start counts as overdue. */
+  /**
+   * The start of a job is overdue if its delay exceeds the mean start delay by more than this
+   * number of mean absolute deviations.
+   */
   private static final double START_TIMEOUT_DEVIATIONS = 4;
 
-  /** The first estimate of the start delay is this part of the shortest latency objective. */
+  /**
+   * The initial estimate of the start delay is the shortest latency objective divided by this
+   * number.
+   */
   private static final double INITIAL_START_DELAY_DIVISOR = 16;
 
-  /** The least timeout of a health check, in ticks. */
-  private static final double MIN_TIMEOUT_TICKS = 4;
+  /**
+   * The minimum timeout of a health check, in ticks. If the latency objective of the request's
+   * class leads to a shorter timeout, that timeout is used.
+   */
+  private static final double MIN_HEALTH_CHECK_TIMEOUT_TICKS = 4;
 
-  /** The usual timeout of a health check, in mean durations. */
-  private static final double TIMEOUT_FACTOR = 4;
+  /** The timeout of a health check, as a multiple of the mean duration of health checks. */
+  private static final double HEALTH_CHECK_TIMEOUT_FACTOR = 4;
 
-  /** A health check takes no more than this part of the latency objective. */
-  private static final double OBJECTIVE_DIVISOR = 8;
+  /**
+   * A request waits for a health check at most for the latency objective of its class divided by
+   * this number.
+   */
+  private static final double HEALTH_CHECK_OBJECTIVE_DIVISOR = 8;
 
+  /** The initial estimate of the mean duration of a health check, in ticks. */
   private static final int INITIAL_HEALTH_CHECK_TICKS = 2;
 
-  /** Stands for a run time where there are no request classes. */
-  private static final double UNKNOWN_RUN_TIME_MICROS = 1;
+  /** The run time, in microseconds, that is assumed if there are no request classes. */
+  private static final double DEFAULT_RUN_TIME_MICROS = 1;
 
+  /** The latency objective, in microseconds, that is assumed if there are no request classes. */
   private static final long DEFAULT_OBJECTIVE_MICROS = 1_000_000;
 
   private final long tick;
   private final long shortestObjective;
 
-  /** Mean run time of each class. */
+  /**
+   * The mean run time of each class, by the index of the class. The initial values are the latency
+   * objectives of the classes.
+   */
   private final double[] meanRunTime;
 
   private double meanStartDelay;
+
+  /** The mean absolute deviation of the start delay from its mean. */
   private double startDelayDeviation;
-  private double meanHealthCheckTime;
+
+  private double meanHealthCheckDuration;
 
   ServiceTimeEstimator(Settings settings) {
     tick = settings.tick();
@@ -54,63 +81,85 @@
             .orElse(DEFAULT_OBJECTIVE_MICROS);
     meanStartDelay = shortestObjective / INITIAL_START_DELAY_DIVISOR;
     startDelayDeviation = meanStartDelay;
-    meanHealthCheckTime = tick * INITIAL_HEALTH_CHECK_TICKS;
+    meanHealthCheckDuration = tick * INITIAL_HEALTH_CHECK_TICKS;
   }
 
-  /** The shortest latency objective of all classes. */
+  /**
+   * Returns the shortest of the latency objectives of all classes. The part of an objective that
+   * grows with the work of a job is not included.
+   */
   long shortestObjective() {
     return shortestObjective;
   }
 
-  /** The mean run time of a class. */
+  /** Returns the mean run time of the jobs of a class. */
   double meanRunTime(int classIndex) {
     return meanRunTime[classIndex];
   }
 
-  /** The mean of the classes' run times. */
+  /** Returns the mean of the mean run times of the classes. All classes have the same weight. */
   double meanRunTime() {
-    return Arrays.stream(meanRunTime).average().orElse(UNKNOWN_RUN_TIME_MICROS);
+    return Arrays.stream(meanRunTime).average().orElse(DEFAULT_RUN_TIME_MICROS);
   }
 
-  /** The work of a mean request of the heaviest class. */
-  double largestMeanWork() {
-    return Arrays.stream(meanRunTime).max().orElse(UNKNOWN_RUN_TIME_MICROS);
+  /** Returns the longest of the mean run times of the classes. */
+  double longestMeanRunTime() {
+    return Arrays.stream(meanRunTime).max().orElse(DEFAULT_RUN_TIME_MICROS);
   }
 
-  /** The work that a request is expected to take: slots times time. */
+  /**
+   * Returns the work that a request is expected to need: the number of its slots multiplied by the
+   * mean run time of its class. The result does not depend on the work that the request announces,
+   * {@link Event.RequestArrived#expectedWork()}, which does not include the slots.
+   */
   double expectedWork(PendingRequest request) {
     return request.arrival.slots() * meanRunTime[request.arrival.classIndex()];
   }
 
-  /** A job has run for a time. */
-  void recordRunTime(PendingRequest request, double time) {
+  /**
+   * Records the run time of a job that was served.
+   *
+   * @param duration the run time of the job
+   */
+  void recordRunTime(PendingRequest request, double duration) {
     int classIndex = request.arrival.classIndex();
-    meanRunTime[classIndex] += RUN_TIME_WEIGHT * (time - meanRunTime[classIndex]);
+    meanRunTime[classIndex] += RUN_TIME_WEIGHT * (duration - meanRunTime[classIndex]);
   }
 
-  /** A job has started; the delay counts from its send. */
-  void recordStartDelay(double delay) {
+  /**
+   * Records a start delay.
+   *
+   * @param startDelay the time from the send of the attempt to the start of the job; if the attempt
+   *     ended without a start, the time to its end
+   */
+  void recordStartDelay(double startDelay) {
     startDelayDeviation +=
-        START_DELAY_WEIGHT * (Math.abs(delay - meanStartDelay) - startDelayDeviation);
-    meanStartDelay += START_DELAY_WEIGHT * (delay - meanStartDelay);
+        START_DELAY_WEIGHT * (Math.abs(startDelay - meanStartDelay) - startDelayDeviation);
+    meanStartDelay += START_DELAY_WEIGHT * (startDelay - meanStartDelay);
   }
 
   /**
-   * How long a job's start may take before its worker counts as silent, by the delays at all
-   * workers.
+   * Returns the time after the send of an attempt at which the start of its job is overdue. The
+   * same time applies to all workers, because it is derived from the start delays at all of them.
    */
   double startTimeout() {
     return meanStartDelay + START_TIMEOUT_DEVIATIONS * startDelayDeviation;
   }
 
-  /** A health check has been answered after a time. */
-  void recordHealthCheck(long time) {
-    meanHealthCheckTime += HEALTH_CHECK_WEIGHT * (time - meanHealthCheckTime);
+  /** Records the duration of a health check that succeeded. */
+  void recordHealthCheck(long duration) {
+    meanHealthCheckDuration += HEALTH_CHECK_WEIGHT * (duration - meanHealthCheckDuration);
   }
 
-  /** How long a request waits for the answer to a health check. */
+  /** Returns the maximum time that a request waits for the answer to one health check. */
   long healthCheckTimeout(PendingRequest request) {
-    double usual = Math.max(MIN_TIMEOUT_TICKS * tick, TIMEOUT_FACTOR * meanHealthCheckTime);
-    return (long) Math.min(request.requestClass.latencyObjective() / OBJECTIVE_DIVISOR, usual);
+    double timeoutByMeanDuration =
+        Math.max(
+            MIN_HEALTH_CHECK_TIMEOUT_TICKS * tick,
+            HEALTH_CHECK_TIMEOUT_FACTOR * meanHealthCheckDuration);
+    return (long)
+        Math.min(
+            request.requestClass.latencyObjective() / HEALTH_CHECK_OBJECTIVE_DIVISOR,
+            timeoutByMeanDuration);
   }
 }
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -5,195 +5,294 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * Limits what is sent to workers that warm up, so that all dispatchers together stay under the load
- * at which such a worker fails; {@link SlowStartLimiter} states the bound. Work is slots times
- * microseconds.
+ * Limits the work that is sent to workers that warm up. A worker is warming from its start until it
+ * has its full capacity, and warm afterwards. A warming worker fails if it receives too much work
+ * within the overload window; {@link Rules#overloadMultiple()} describes this load. The limits keep
+ * the work that all dispatchers together send below this load, as {@link SlowStartLimiter}
+ * explains.
+ *
+ * <p>Unless stated otherwise, the work of a request is the number of its slots multiplied by its
+ * run time in microseconds. The run time is the announced one, or the mean run time of the class if
+ * the request announces none.
  */
 final class SlowStartController {
-  /** The fraction of the overload limit that is used, where it is estimated from warm workers. */
-  private static final double MARGIN_BY_WARM_WORKERS = 0.33;
+  /**
+   * The safety factor of the rate that is estimated from the work that this dispatcher has sent to
+   * all workers. Only this fraction of the resulting overload limit is used.
+   */
+  private static final double SENT_WORK_RATE_MARGIN = 0.33;
 
-  /** The same where it is estimated from the worker's own slots. */
-  private static final double MARGIN_BY_OWN_SLOTS = 0.8;
+  /**
+   * The safety factor of the rate that is estimated from the slots of the warming worker itself.
+   * Only this fraction of the resulting overload limit is used.
+   */
+  private static final double OWN_SLOTS_RATE_MARGIN = 0.8;
 
-  /** The work that a slot of the slowest machine does per unit of time, where slots share cores. */
+  /**
+   * The lowest speed of a slot that is assumed, in work per unit of time. It is the speed of a slot
+   * of the slowest machine if the slots of the machine share cores.
+   */
   private static final double MIN_SPEED = 0.45;
 
-  /** Mean jobs that warm workers of a kind must have served before their speed is used. */
+  /**
+   * The work that the warm workers of a kind must have served recently before their measured speed
+   * is used, as a number of jobs of mean run time.
+   */
   private static final double MIN_JOBS_FOR_SPEED = 12;
 
-  /** One warm worker in this many is enough for requests that are too heavy for the others. */
-  private static final int MIN_WARM_DIVISOR = 3;
+  /**
+   * The number of listed workers is divided by this number to get the minimum number of warm
+   * workers. While at least this minimum is warm, a warming worker receives no request that is
+   * heavier than {@link SlowStartLimiter#MAX_RELATIVE_WORK} times the mean work. While fewer
+   * workers are warm, a warming worker may receive heavier requests too.
+   */
+  private static final int MIN_WARM_WORKERS_DIVISOR = 3;
 
-  /** A worker counts as warm after this many times the longest duration of a slow start. */
-  private static final double WARM_UP_SLACK = 1.1;
+  /**
+   * The age beyond which a worker is warm without a calculation of its capacity, as a multiple of
+   * {@link Rules#slowStartDuration()}. At an age of {@link Rules#slowStartDuration()}, the
+   * calculated capacity is already the full capacity.
+   */
+  private static final double WARM_UP_DURATION_FACTOR = 1.1;
 
-  /** The work is spread over at least the fleet divided by this, however few workers are warm. */
-  private static final int MIN_SERVING_DIVISOR = 2;
+  /**
+   * The work that this dispatcher sends is assumed to be spread over the warm workers, but over at
+   * least the number of listed workers divided by this number, plus 1.
+   */
+  private static final int MIN_SERVING_WORKERS_DIVISOR = 2;
 
   private final PolicyContext context;
   private final Rules rules;
   private final WorkerTable workers;
-  private final ServiceTimeEstimator times;
-  private final LoadEstimator loads;
+  private final ServiceTimeEstimator serviceTimes;
+  private final LoadEstimator workerLoads;
 
-  /** The mean work of all requests. */
-  private final MovingAverage meanCost;
+  /** The mean work of all requests that have arrived. */
+  private final MovingAverage meanWork;
 
-  /** The mean work of the requests that are light enough for warming workers. */
-  private final MovingAverage meanLightCost;
+  /** The mean work of the requests that were light enough for warming workers when they arrived. */
+  private final MovingAverage meanLightWork;
 
-  /** The service rate of warm workers, by kind. */
+  /**
+   * The service times and the work of the jobs that warm workers have served, by the kind of
+   * worker.
+   */
   private final Map<String, ServiceRate> ratesByKind = new HashMap<>();
 
+  /**
+   * The work of the attempts that this dispatcher has sent to all workers, warm or not. The run
+   * time of each attempt is counted as the mean run time of its class.
+   */
   private final DecayingSum workSent = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
-  /** The fraction of the dispatcher's allowance for this process: 1, unless two serve as one. */
-  private double capacityFraction;
+  /**
+   * The share of this process in the rate at which this dispatcher may send work to a warming
+   * worker, from 0 to 1. The share is 1 unless two processes serve as the same dispatcher, as in a
+   * hot restart.
+   */
+  private double processShare;
+
+  /** The last result of {@link #countWarmWorkers}, which is cached. */
+  private long warmWorkerCount;
 
-  private long warmCount;
   private long warmCountedAt = Timestamp.NEVER;
   private long warmCountedVersion;
 
   SlowStartController(
       PolicyContext context,
       WorkerTable workers,
-      ServiceTimeEstimator times,
-      LoadEstimator loads,
-      double capacityFraction) {
+      ServiceTimeEstimator serviceTimes,
+      LoadEstimator workerLoads,
+      double processShare) {
     this.context = context;
     this.rules = context.settings().rules();
     this.workers = workers;
-    this.times = times;
-    this.loads = loads;
-    this.capacityFraction = capacityFraction;
-    meanCost = new MovingAverage(times.meanRunTime());
-    meanLightCost = new MovingAverage(times.meanRunTime());
+    this.serviceTimes = serviceTimes;
+    this.workerLoads = workerLoads;
+    this.processShare = processShare;
+    meanWork = new MovingAverage(serviceTimes.meanRunTime());
+    meanLightWork = new MovingAverage(serviceTimes.meanRunTime());
   }
 
-  double capacityFraction() {
-    return capacityFraction;
+  /**
+   * Returns the share of this process in the rate at which this dispatcher may send work to a
+   * warming worker. The share is less than 1 while another process serves as the same dispatcher,
+   * as in a hot restart.
+   */
+  double processShare() {
+    return processShare;
   }
 
-  void setCapacityFraction(double fraction) {
-    capacityFraction = fraction;
+  /**
+   * Sets the share of this process in the rate at which this dispatcher may send work to a warming
+   * worker.
+   *
+   * @param fraction the share, from 0 to 1
+   */
+  void setProcessShare(double fraction) {
+    processShare = fraction;
   }
 
-  /** A request has arrived. */
+  /** Records the work of a request that has arrived. */
   void recordArrival(PendingRequest request) {
-    double cost = cost(request);
-    meanCost.add(cost);
-    if (cost <= SlowStartLimiter.MAX_RELATIVE_WORK * meanCost.mean()) {
-      meanLightCost.add(cost);
+    double work = work(request);
+    meanWork.add(work);
+    if (work <= SlowStartLimiter.MAX_RELATIVE_WORK * meanWork.mean()) {
+      meanLightWork.add(work);
     }
   }
 
-  /** A job has been served; the time counts from its start, or its send if none was reported. */
-  void recordServed(AttemptState attempt, double time) {
-    double work = attempt.request.arrival.expectedWork();
-    if (!Double.isNaN(work) && isWarm(attempt.worker, attempt.sentAt)) {
+  /**
+   * Records a job that was served, to measure the speed of the slots of its worker's kind. Ignores
+   * a job whose request announced no work. Also ignores a job if its worker was not warm when the
+   * attempt was sent. The recorded work is the announced work of the job, without the number of
+   * slots.
+   *
+   * @param serviceTime the time from the start of the job to its end; if no start was reported, the
+   *     time from the send of the attempt to its end
+   */
+  void recordServed(AttemptState attempt, double serviceTime) {
+    double announcedWork = attempt.request.arrival.expectedWork();
+    if (!Double.isNaN(announcedWork) && isWarm(attempt.worker, attempt.sentAt)) {
       ratesByKind
           .computeIfAbsent(
               attempt.worker.endpoint().kind(),
               absent -> new ServiceRate(DecayingSum.RATE_TIME_CONSTANT_MICROS))
-          .add(time, work, context.now());
+          .add(serviceTime, announcedWork, context.now());
     }
   }
 
-  /** A request is sent to a worker. */
+  /**
+   * Records that a request is sent to a worker, and deducts its work from the slow-start allowance
+   * of the worker.
+   */
   void recordSent(PendingRequest request, WorkerState worker) {
-    worker.slowStart.consume(cost(request));
-    workSent.add(times.expectedWork(request), context.now());
+    worker.slowStartLimiter.consume(work(request));
+    workSent.add(serviceTimes.expectedWork(request), context.now());
   }
 
-  /** The mean work of the requests that may go to warming workers. */
-  double meanLightCost() {
-    return meanLightCost.mean();
+  /** Returns the mean work of the requests that are light enough for warming workers. */
+  double meanLightWork() {
+    return meanLightWork.mean();
   }
 
+  /**
+   * Returns whether a worker is warm at the given time, that is, whether it has its full capacity.
+   */
   boolean isWarm(WorkerState worker, long now) {
     return warmUpFraction(worker, now) >= 1;
   }
 
-  /** The least fraction of its full capacity that a worker has; 1 once it is warm. */
+  /**
+   * Returns a lower bound of the capacity of a worker, as a fraction of its full capacity. During
+   * the warm-up, the fraction grows linearly with time from {@link Rules#initialCapacityFraction()}
+   * to 1. If the worker is warm, the result is at least 1.
+   */
   private double warmUpFraction(WorkerState worker, long now) {
     long startedAt = worker.warmUpStartedAt();
     double age = now - startedAt;
-    if (startedAt == 0 || age > rules.slowStartDuration() * WARM_UP_SLACK) {
+    if (startedAt == 0 || age > rules.slowStartDuration() * WARM_UP_DURATION_FACTOR) {
       return 1;
     }
-    double initial = rules.initialCapacityFraction();
-    return Math.max(initial, initial + (1 - initial) * age / rules.slowStartDuration());
+    double initialFraction = rules.initialCapacityFraction();
+    return Math.max(
+        initialFraction,
+        initialFraction + (1 - initialFraction) * age / rules.slowStartDuration());
   }
 
-  /** Whether a request may go to a worker now: always if that is warm. */
+  /**
+   * Returns whether the slow-start limit allows a request to be sent to a worker now. The result is
+   * true if the worker is warm. If the worker is warming, its allowance is refilled first.
+   */
   boolean allows(PendingRequest request, WorkerState worker) {
     long now = context.now();
     double fraction = warmUpFraction(worker, now);
     if (fraction >= 1) {
       return true;
     }
-    double rate = capacityFraction * fraction * rules.overloadMultiple() * safeRate(worker);
-    return worker.slowStart.allows(
-        rate, meanLightCost.mean(), rules.overloadWindow(), cost(request), maxCost(), now);
+    double rate = processShare * fraction * rules.overloadMultiple() * safeRate(worker);
+    return worker.slowStartLimiter.allows(
+        rate, meanLightWork.mean(), rules.overloadWindow(), work(request), maxWork(), now);
   }
 
   /**
-   * Work per microsecond that a warm worker can take from this dispatcher at least: what warm
-   * workers get on average, or what its own slots do at least. The first alone is too low in a
-   * fleet that is mostly cold, and for a dispatcher that has sent little so far.
+   * Returns a low estimate of the work per microsecond that this dispatcher can send to a worker
+   * once the worker is warm. The result is the larger of two estimates, each multiplied by its
+   * safety factor.
+   *
+   * <p>The first estimate is the rate of the work that this dispatcher has sent to all workers,
+   * divided by the number of workers that are assumed to serve it. This estimate alone is too low
+   * if most workers are warming, or if this dispatcher has sent little work so far.
+   *
+   * <p>The second estimate is the rate of the work that the slots of the worker can do at least,
+   * divided by the number of dispatchers.
    */
   private double safeRate(WorkerState worker) {
     long now = context.now();
-    // The average needs at least the overload window.
-    double observed =
+    // The rate of the sent work is averaged over at least the overload window.
+    double observedMicros =
         Math.max(
-            DecayingSum.RATE_TIME_CONSTANT_MICROS * loads.observedFraction(),
+            DecayingSum.RATE_TIME_CONSTANT_MICROS * workerLoads.observedFraction(),
             (double) rules.overloadWindow());
-    long servingWorkers = Math.max(countWarm(), 1 + workers.size() / MIN_SERVING_DIVISOR);
-    double byWarmWorkers = workSent.valueAt(now) / observed / servingWorkers;
-    // A worker that has reported nothing yet counts as a typical one.
-    double byOwnSlots =
-        loads.slots(worker) * speed(worker.endpoint().kind()) / context.settings().dispatchers();
-    return Math.max(MARGIN_BY_WARM_WORKERS * byWarmWorkers, MARGIN_BY_OWN_SLOTS * byOwnSlots);
+    long servingWorkers =
+        Math.max(countWarmWorkers(), 1 + workers.size() / MIN_SERVING_WORKERS_DIVISOR);
+    double rateBySentWork = workSent.valueAt(now) / observedMicros / servingWorkers;
+    // For a worker that has not reported its slots, the typical number of slots is used.
+    double rateByOwnSlots =
+        workerLoads.slots(worker)
+            * speed(worker.endpoint().kind())
+            / context.settings().dispatchers();
+    return Math.max(SENT_WORK_RATE_MARGIN * rateBySentWork, OWN_SLOTS_RATE_MARGIN * rateByOwnSlots);
   }
 
-  /** Counted once for each list and point in time, since every warming worker needs it. */
-  private long countWarm() {
+  /**
+   * Returns the number of listed workers that are warm. The result is needed for every warming
+   * worker, so it is cached until the time or the version of the worker table changes.
+   */
+  private long countWarmWorkers() {
     long now = context.now();
     if (warmCountedAt != now || warmCountedVersion != workers.version()) {
-      warmCount = workers.all().stream().filter(worker -> isWarm(worker, now)).count();
+      warmWorkerCount = workers.all().stream().filter(worker -> isWarm(worker, now)).count();
       warmCountedAt = now;
       warmCountedVersion = workers.version();
     }
-    return warmCount;
+    return warmWorkerCount;
   }
 
-  /** The work that a request counts for: what it announces, or the mean of its class. */
-  private double cost(PendingRequest request) {
-    double announced = request.arrival.expectedWork();
-    return Double.isNaN(announced)
-        ? times.expectedWork(request)
-        : request.arrival.slots() * announced;
+  /**
+   * Returns the work of a request, which is the number of its slots multiplied by its announced
+   * work. If the request announces no work, the mean run time of its class replaces the announced
+   * work.
+   */
+  private double work(PendingRequest request) {
+    double announcedWork = request.arrival.expectedWork();
+    return Double.isNaN(announcedWork)
+        ? serviceTimes.expectedWork(request)
+        : request.arrival.slots() * announcedWork;
   }
 
-  /** The heaviest request for a warming worker; unlimited where too few others are warm. */
-  private double maxCost() {
-    boolean enoughWarm = MIN_WARM_DIVISOR * countWarm() >= workers.size();
-    return enoughWarm
-        ? SlowStartLimiter.MAX_RELATIVE_WORK * meanCost.mean()
+  /**
+   * Returns the maximum work of a request that may be sent to a warming worker. The result is
+   * infinite if too few workers are warm to take the heavier requests.
+   */
+  private double maxWork() {
+    boolean enoughWarmWorkers = MIN_WARM_WORKERS_DIVISOR * countWarmWorkers() >= workers.size();
+    return enoughWarmWorkers
+        ? SlowStartLimiter.MAX_RELATIVE_WORK * meanWork.mean()
         : Double.POSITIVE_INFINITY;
   }
 
   /**
-   * The work that a slot of a warm worker of this kind does in its time, or the least of any while
-   * little is known. The estimate is low: the time of a job includes its waits.
+   * Returns the speed of a slot of a warm worker of a kind, in work per unit of time. The result is
+   * at least {@link #MIN_SPEED}, and equal to it while warm workers of the kind have served little
+   * work. The measured speed is a low estimate, because the service time of a job includes the time
+   * that the job waits.
    */
   private double speed(String kind) {
     long now = context.now();
     ServiceRate rate = ratesByKind.get(kind);
-    double enough = MIN_JOBS_FOR_SPEED * times.meanRunTime();
-    if (rate == null || rate.workDone(now) < enough) {
+    double minWork = MIN_JOBS_FOR_SPEED * serviceTimes.meanRunTime();
+    if (rate == null || rate.workDone(now) < minWork) {
       return MIN_SPEED;
     }
     return Math.max(MIN_SPEED, rate.workDone(now) / rate.timeSpent(now));
--- a/src/main/java/loomreel/decision/Timestamp.java
+++ b/src/main/java/loomreel/decision/Timestamp.java
@@ -1,8 +1,8 @@
 package loomreel.decision;
 
-/** Special values of points in time, which are microseconds of the dispatcher's clock. */
+/** Special values of timestamps, which are in microseconds of the dispatcher's clock. */
 final class Timestamp {
-  /** Earlier than any clock reading: the event in question has not happened. */
+  /** A timestamp for an event that has not occurred. It is earlier than every time of the clock. */
   static final long NEVER = Long.MIN_VALUE / 2;
 
   private Timestamp() {}
--- a/src/main/java/loomreel/decision/TokenBucket.java
+++ b/src/main/java/loomreel/decision/TokenBucket.java
@@ -1,20 +1,23 @@
 package loomreel.decision;
 
-/** A token bucket that starts full. Its rate and capacity may differ from call to call. */
+/**
+ * A token bucket that is full at the first call. The refill rate and the capacity are passed with
+ * each call and may differ from call to call. Times are in microseconds.
+ */
 final class TokenBucket {
   private double tokens;
   private long updatedAt = Timestamp.NEVER;
 
   /**
-   * Takes one token, if there is one.
+   * Refills the bucket and takes one token if the bucket contains at least one.
    *
-   * @param rate tokens per microsecond since the last call
-   * @param capacity the most tokens that the bucket holds
-   * @return whether there was a token
+   * @param tokensPerMicro the refill rate since the last call, in tokens per microsecond
+   * @param capacity the maximum number of tokens in the bucket
+   * @return whether a token was taken
    */
-  boolean tryAcquire(double rate, double capacity, long now) {
+  boolean tryAcquire(double tokensPerMicro, double capacity, long now) {
     boolean isNew = updatedAt == Timestamp.NEVER;
-    tokens = isNew ? capacity : Math.min(capacity, tokens + rate * (now - updatedAt));
+    tokens = isNew ? capacity : Math.min(capacity, tokens + tokensPerMicro * (now - updatedAt));
     updatedAt = now;
     boolean acquired = tokens >= 1;
     tokens -= acquired ? 1 : 0;
--- a/src/main/java/loomreel/decision/WorkerLoadHistory.java
+++ b/src/main/java/loomreel/decision/WorkerLoadHistory.java
@@ -1,15 +1,24 @@
 package loomreel.decision;
 
 /**
- * What the load reports and samples of one worker have shown. A load is a fraction of the worker's
- * slots; it is above 1 where jobs are queued. Times are microseconds.
+ * The observed loads of one worker, and the number of its slots as estimated from its load reports.
+ * A load is a fraction of the worker's slots. It exceeds 1 if jobs are queued. Each sample of the
+ * load comes from a load report, or from the start or the outcome of an attempt. Times are in
+ * microseconds.
  */
 final class WorkerLoadHistory {
+  /** The weight of a new report in the estimated number of slots. */
   private static final double SLOTS_WEIGHT = 0.2;
+
+  /** The minimum weight of a new sample in the mean load. */
   private static final double MIN_SAMPLE_WEIGHT = 0.1;
 
-  /** A sample's weight for its age approaches 1 with half of the time constant of rates. */
-  private static final double AGE_RATE_FACTOR = 2;
+  /**
+   * The weight of a new sample approaches 1 as the time since the previous sample grows. The time
+   * constant of this growth is {@link DecayingSum#RATE_TIME_CONSTANT_MICROS} divided by this
+   * factor.
+   */
+  private static final double AGE_WEIGHT_RATE_FACTOR = 2;
 
   private double slots;
   private double lastLoad;
@@ -17,53 +26,64 @@
   private long sampledAt;
   private int samples;
 
-  /** Forgets the samples; slots and loads stay as the prior of the next ones. */
+  /**
+   * Resets the history because the worker has restarted. The number of slots and the loads remain
+   * as prior values for later samples.
+   */
   void reset() {
     sampledAt = Timestamp.NEVER;
     samples = 0;
   }
 
-  /** Whether the slots are known. */
+  /** Returns whether the number of slots is known. */
   boolean hasSlots() {
     return slots > 0;
   }
 
-  /** The slots as learned from load reports; 0 while unknown. */
+  /** Returns the number of slots, as estimated from load reports; 0 if it is not known. */
   double slots() {
     return slots;
   }
 
-  /** The load of the last sample. */
+  /** Returns the load of the last sample. */
   double lastLoad() {
     return lastLoad;
   }
 
-  /** The mean load over the samples so far. */
+  /** Returns the weighted mean of the load samples. Recent samples have more weight. */
   double meanLoad() {
     return meanLoad;
   }
 
-  /** When the last sample was taken, or {@link Timestamp#NEVER}. */
+  /** Returns the time of the last sample, or {@link Timestamp#NEVER}. */
   long sampledAt() {
     return sampledAt;
   }
 
   /**
-   * Learns the slots from a report that has no count of jobs.
+   * Updates the number of slots from a report that contains no number of active jobs. The number of
+   * free slots is a lower bound of the number of slots. The number of slots is also at least 1.
    *
-   * @param freeSlots the free slots, which are a lower bound
+   * @param freeSlots the reported number of free slots
    */
   void learnMinimumSlots(double freeSlots) {
     slots = Math.max(Math.max(1, freeSlots), slots);
   }
 
-  /** Learns the slots from a report that allows to compute them. */
+  /**
+   * Updates the number of slots from a report that contains a number of active jobs.
+   *
+   * @param reportedSlots the number of slots that was computed from the report
+   */
   void learnSlots(double reportedSlots) {
     boolean isFirst = slots == 0;
     slots = isFirst ? reportedSlots : slots + SLOTS_WEIGHT * (reportedSlots - slots);
   }
 
-  /** Counts the mean load of all workers as the first sample, if there is none yet. */
+  /**
+   * Sets the mean load to the mean load of all workers and counts it as the first sample. Does
+   * nothing if there is a sample since the last reset.
+   */
   void startFrom(double fleetMeanLoad, long now) {
     if (sampledAt == Timestamp.NEVER) {
       meanLoad = fleetMeanLoad;
@@ -81,10 +101,19 @@
     sampledAt = now;
   }
 
-  /** The first samples count equally, so that a peak in one of them does not set the mean. */
+  /**
+   * Returns the weight of a new sample in the mean load. The weight of the n-th sample is at least
+   * 1/n, so that the first samples have equal weights and a peak in one of them does not determine
+   * the mean. The weight is also at least {@link #MIN_SAMPLE_WEIGHT}. It is higher if the previous
+   * sample is old.
+   */
   private double sampleWeight(long now) {
-    double byAge =
-        1 - Math.exp((sampledAt - now) / DecayingSum.RATE_TIME_CONSTANT_MICROS * AGE_RATE_FACTOR);
-    return Math.max(1.0 / samples, Math.max(MIN_SAMPLE_WEIGHT, byAge));
+    double ageWeight =
+        1
+            - Math.exp(
+                (sampledAt - now)
+                    / DecayingSum.RATE_TIME_CONSTANT_MICROS
+                    * AGE_WEIGHT_RATE_FACTOR);
+    return Math.max(1.0 / samples, Math.max(MIN_SAMPLE_WEIGHT, ageWeight));
   }
 }
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -4,40 +4,72 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** What this dispatcher knows of a worker that the endpoint list names. */
+/**
+ * The state of a worker in the endpoint list, as known to this dispatcher. Times are in
+ * microseconds.
+ */
 final class WorkerState {
+  /** The time constant, in microseconds, of the sums of service times and work of one worker. */
   private static final double SERVICE_RATE_TIME_CONSTANT_MICROS = 4e6;
+
+  /**
+   * The maximum backoff of an ejection, in microseconds. The ejection itself may last up to 1.5
+   * times as long as the backoff.
+   */
   private static final long MAX_EJECTION_MICROS = 16_000_000;
+
   private static final int EJECTION_BACKOFF_FACTOR = 2;
+
+  /** The value of {@link #healthCheckSentAt} while no health check is pending. */
   private static final long NO_HEALTH_CHECK = -1;
 
-  /** Stands for a worker that no operator has enabled since its process started. */
-  private static final long NOT_ENABLED = 0;
+  /**
+   * The value of {@link #operatorWarmUpStartedAt} if no command of an operator has started a
+   * warm-up since the last call of {@link #restart}.
+   */
+  private static final long NO_OPERATOR_WARM_UP = 0;
 
   final String id;
+
+  /** The hash of {@link #id}. */
   final long hash;
 
-  /** Limits what is sent while the worker warms up. */
-  final SlowStartLimiter slowStart = new SlowStartLimiter();
+  /** Limits the work that is sent to the worker while it warms up. */
+  final SlowStartLimiter slowStartLimiter = new SlowStartLimiter();
 
   final WorkerLoadHistory load = new WorkerLoadHistory();
 
-  /** Slots of the attempts sent since about the last report: what the report does not show. */
+  /**
+   * The slots of the attempts at this worker that the last load report may not include yet. The
+   * slots of an attempt are added when it is sent and subtracted when it ends. They decay over
+   * time, because later reports include the attempt. The time constant is the age that a load
+   * report has when it arrives.
+   */
   final DecayingSum unreportedSlots;
 
+  /** The service times and the work of the jobs that the worker has served. */
   final ServiceRate serviceRate = new ServiceRate(SERVICE_RATE_TIME_CONSTANT_MICROS);
 
   private Endpoint endpoint;
-  private long enabledAt;
+
+  /**
+   * The start of the warm-up that began because an operator enabled the worker. If the worker's
+   * process started while the worker was disabled, that start begins the warm-up instead, and this
+   * field keeps the value {@link #NO_OPERATOR_WARM_UP}.
+   */
+  private long operatorWarmUpStartedAt;
+
   private long lastResponseAt;
   private long ejectedUntil;
   private long ejectionBackoff;
-  private long healthCheckedAt = NO_HEALTH_CHECK;
+  private long healthCheckSentAt = NO_HEALTH_CHECK;
   private final List<PendingRequest> healthCheckWaiters = new ArrayList<>();
   private final List<AttemptState> openAttempts = new ArrayList<>();
 
   /**
-   * @param reportDelay the age of a load report on its arrival, in microseconds
+   * Creates a worker without an endpoint.
+   *
+   * @param reportDelay the age that a load report has when it arrives
    */
   WorkerState(String id, double reportDelay) {
     this.id = id;
@@ -45,82 +77,101 @@
     this.unreportedSlots = new DecayingSum(reportDelay);
   }
 
-  /** The worker's entry in the endpoint list; null until its first update. */
+  /** Returns the worker's entry in the endpoint list; null before the first {@link #update}. */
   Endpoint endpoint() {
     return endpoint;
   }
 
-  /** Whether an entry of the endpoint list belongs to a newer process than the known one. */
+  /**
+   * Returns whether a new entry of the endpoint list belongs to a newer process of the worker than
+   * the current entry. The result is true if there is no current entry.
+   */
   boolean isReplacedBy(Endpoint update) {
     return endpoint == null || update.startedAt() > endpoint.startedAt();
   }
 
-  /** Takes over an entry of the endpoint list. */
+  /** Sets the worker's entry in the endpoint list. */
   void update(Endpoint newEndpoint) {
     endpoint = newEndpoint;
   }
 
-  /** Marks the worker as missing from the endpoint list. */
+  /** Marks the worker as removed from the endpoint list. */
   void markRemoved() {
     endpoint = endpoint.withState(Endpoint.State.REMOVED);
   }
 
   /**
-   * The worker's process is new: forgets what was known of the previous one.
+   * Resets the state because the worker's process is new or may be new. The slots and the loads in
+   * {@link #load}, the service rate, and the open attempts remain.
    *
-   * @param allowance the work that may be sent at once, in slots times microseconds
+   * @param allowance the initial slow-start allowance, in slots multiplied by microseconds; this
+   *     work may be sent to the worker at once
    */
   void restart(long now, double allowance) {
-    slowStart.restart(allowance, now);
+    slowStartLimiter.restart(allowance, now);
     load.reset();
     ejectedUntil = Timestamp.NEVER;
     ejectionBackoff = 0;
     lastResponseAt = Timestamp.NEVER;
-    enabledAt = NOT_ENABLED;
+    operatorWarmUpStartedAt = NO_OPERATOR_WARM_UP;
   }
 
-  /** The worker warms up from now on, since an operator has enabled it. */
-  void warmUpFrom(long now) {
-    enabledAt = now;
+  /** Starts a warm-up of the worker because an operator has enabled it. */
+  void startWarmUp(long now) {
+    operatorWarmUpStartedAt = now;
   }
 
   /**
-   * When its warm-up began: at the start of its process, or when an operator enabled it; 0 if it
-   * has been up for long.
+   * Returns the time at which the last warm-up of the worker began. A warm-up begins when the
+   * worker's process starts, and when {@link #startWarmUp} is called. The result is 0 if the
+   * process started long ago or at an unknown time and {@link #startWarmUp} was not called since
+   * the last {@link #restart}.
    */
   long warmUpStartedAt() {
-    return Math.max(endpoint.startedAt(), enabledAt);
+    return Math.max(endpoint.startedAt(), operatorWarmUpStartedAt);
   }
 
-  /** The worker has sent a response of any kind. */
+  /** Records that the worker has sent a response of any kind. */
   void recordResponse(long now) {
     lastResponseAt = now;
   }
 
-  /** The worker has handled an attempt: it is reachable, and no longer ejected. */
+  /**
+   * Records that the worker has responded to an attempt. The response ends an ejection of the
+   * worker and resets the ejection backoff.
+   */
   void recordReachable(long now) {
     lastResponseAt = now;
     ejectedUntil = Math.min(ejectedUntil, now);
     ejectionBackoff = 0;
   }
 
-  /** When it last sent a response, or {@link Timestamp#NEVER}. */
+  /**
+   * Returns the time of the worker's last response; {@link Timestamp#NEVER} if there is none since
+   * the last {@link #restart}.
+   */
   long lastResponseAt() {
     return lastResponseAt;
   }
 
+  /** Returns whether the worker is ejected, so that it receives no attempts for now. */
   boolean isEjected(long now) {
     return now < ejectedUntil;
   }
 
-  /** Takes this worker out of selection for a time in microseconds, without a longer backoff. */
+  /**
+   * Ejects the worker for a duration in microseconds. The backoff of later ejections stays the
+   * same.
+   */
   void ejectFor(long duration, long now) {
     ejectedUntil = now + duration;
   }
 
   /**
-   * Takes this worker out of selection, twice as long each time up to {@link #MAX_EJECTION_MICROS},
-   * with jitter so that dispatchers do not return together.
+   * Ejects the worker with exponential backoff. The backoff doubles with each ejection, up to
+   * {@link #MAX_EJECTION_MICROS}. {@link #recordReachable} resets it. The duration of the ejection
+   * is drawn at random from 0.5 to 1.5 times the backoff, so that the dispatchers do not use the
+   * worker again at the same time.
    *
    * @param firstBackoff the backoff of the first ejection, in microseconds
    */
@@ -133,45 +184,53 @@
     ejectedUntil = now + ejectionBackoff / 2 + jitter;
   }
 
-  /** Attempts here whose end has not been reported yet. */
+  /** Returns the attempts at this worker whose end has not been reported yet. */
   List<AttemptState> openAttempts() {
     return openAttempts;
   }
 
-  /** An attempt has been sent here. */
+  /** Records that an attempt was sent to this worker. */
   void addAttempt(AttemptState attempt, long now) {
     openAttempts.add(attempt);
     unreportedSlots.add(attempt.request.arrival.slots(), now);
   }
 
-  /** An attempt here has ended. */
+  /** Records that an attempt at this worker has ended. */
   void removeAttempt(AttemptState attempt, long now) {
     openAttempts.remove(attempt);
     unreportedSlots.add(-attempt.request.arrival.slots(), now);
   }
 
   boolean isHealthCheckPending() {
-    return healthCheckedAt >= 0;
+    return healthCheckSentAt >= 0;
   }
 
-  /** Whether a health check has been pending for longer than a time, in microseconds. */
+  /**
+   * Returns whether a health check of the worker is pending and was sent more than the given
+   * timeout ago.
+   *
+   * @param timeout the timeout, in microseconds
+   */
   boolean isHealthCheckOverdue(long timeout, long now) {
-    return isHealthCheckPending() && now - healthCheckedAt > timeout;
+    return isHealthCheckPending() && now - healthCheckSentAt > timeout;
   }
 
-  void healthCheckSent(long now) {
-    healthCheckedAt = now;
+  void recordHealthCheckSent(long now) {
+    healthCheckSentAt = now;
   }
 
-  void healthCheckEnded() {
-    healthCheckedAt = NO_HEALTH_CHECK;
+  void recordHealthCheckEnded() {
+    healthCheckSentAt = NO_HEALTH_CHECK;
   }
 
-  /** Has a request wait for the pending health check, unless it does already. */
+  /**
+   * Makes a request wait for the pending health check of the worker. Does nothing if the request
+   * already waits for it.
+   */
   void addHealthCheckWaiter(PendingRequest request) {
     if (!healthCheckWaiters.contains(request)) {
       healthCheckWaiters.add(request);
-      request.healthCheckAwaited();
+      request.incrementPendingHealthChecks();
     }
   }
 
@@ -179,7 +238,10 @@
     healthCheckWaiters.remove(request);
   }
 
-  /** Removes and returns the requests that wait for a health check, in the order of waiting. */
+  /**
+   * Removes all requests that wait for a health check of the worker, and returns them in the order
+   * in which they were added.
+   */
   List<PendingRequest> takeHealthCheckWaiters() {
     List<PendingRequest> waiters = List.copyOf(healthCheckWaiters);
     healthCheckWaiters.clear();
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -9,22 +9,37 @@
 import java.util.stream.Collectors;
 import loomreel.decision.Endpoint.State;
 
-/** The workers that the endpoint list names, and those of them that may get new work. */
+/**
+ * The workers in the endpoint list. A worker is eligible for new attempts if it is ready and no
+ * operator has disabled it. A pool contains the eligible workers of one kind, or those of one kind
+ * that accept the jobs of one queue.
+ */
 final class WorkerTable {
-  /** The age of a load report on its arrival: attempts sent since then are not in it. */
+  /**
+   * The age that a load report is assumed to have when it arrives, in microseconds. A report does
+   * not include the attempts that were sent within this time before the arrival of the report.
+   */
   static final double REPORT_DELAY_MICROS = 1e6;
 
-  private static final WorkerState[] NONE = {};
+  private static final WorkerState[] NO_WORKERS = {};
 
   private final TreeMap<String, WorkerState> workers = new TreeMap<>();
 
-  /** The workers that operators have disabled, listed or not, and since when. */
+  /**
+   * The times at which operators disabled workers, by worker id. A disabled worker need not be in
+   * the endpoint list.
+   */
   private final Map<String, Long> disabledSince = new HashMap<>();
 
-  /** The eligible workers of each kind, and all of them under null. */
+  /**
+   * The eligible workers by kind. The key null maps to all eligible workers, whatever their kind.
+   */
   private final Map<String, WorkerState[]> poolsByKind = new HashMap<>();
 
-  /** The eligible workers by queue, then kind, for the queues that jobs have named so far. */
+  /**
+   * The eligible workers by queue and then by kind. A pool is added when a request first names the
+   * queue after {@link #rebuildPools}.
+   */
   private final Map<String, Map<String, WorkerState[]>> poolsByQueue = new HashMap<>();
 
   private long version;
@@ -33,62 +48,78 @@
     rebuildPools();
   }
 
-  /** Counts the changes of the eligible workers. */
+  /**
+   * Returns the version of the pools, which increases each time {@link #rebuildPools} is called.
+   */
   long version() {
     return version;
   }
 
+  /** Returns the number of listed workers. */
   int size() {
     return workers.size();
   }
 
-  /** All listed workers, by id. */
+  /** Returns all listed workers, ordered by id. */
   Collection<WorkerState> all() {
     return workers.values();
   }
 
-  /** A listed worker, or null. */
+  /** Returns the listed worker with the given id; null if there is none. */
   WorkerState get(String id) {
     return workers.get(id);
   }
 
-  /** A listed worker; a new one has no endpoint yet. */
+  /**
+   * Returns the worker with the given id. If there is none, adds a worker that has no endpoint yet.
+   */
   WorkerState getOrAdd(String id) {
     return workers.computeIfAbsent(id, absent -> new WorkerState(absent, REPORT_DELAY_MICROS));
   }
 
-  /** Marks all workers as removed; the caller then applies the new list. */
+  /**
+   * Marks all workers as removed. The caller then applies a complete endpoint list, which replaces
+   * the mark of each worker that is still listed.
+   */
   void markAllRemoved() {
     for (WorkerState worker : workers.values()) {
       worker.markRemoved();
     }
   }
 
-  /** Drops the workers that are marked as removed. */
+  /** Removes the workers that are marked as removed. */
   void dropRemoved() {
     workers.values().removeIf(worker -> worker.endpoint().state() == State.REMOVED);
   }
 
-  /** Disables a worker, unless it is disabled. */
+  /**
+   * Disables a worker and rebuilds the pools. If the worker is already disabled, the time at which
+   * it was disabled stays the same.
+   */
   void disable(String id, long now) {
     disabledSince.putIfAbsent(id, now);
     rebuildPools();
   }
 
+  /** Returns whether an operator has disabled a worker. */
   boolean isDisabled(String id) {
     return disabledSince.containsKey(id);
   }
 
   /**
-   * Enables a worker again; the caller then calls {@link #rebuildPools}.
+   * Enables a worker, which must be disabled. The caller has to call {@link #rebuildPools}
+   * afterwards.
    *
-   * @return when it was disabled
+   * @return the time at which the worker was disabled
    */
   long enable(String id) {
     return disabledSince.remove(id);
   }
 
-  /** Finds out which workers are eligible: ready and not disabled, sorted by id. */
+  /**
+   * Determines the eligible workers anew, ordered by id, and increases the version. A worker is
+   * eligible if it is ready and not disabled.
+   */
   void rebuildPools() {
     version++;
     poolsByQueue.clear();
@@ -104,31 +135,36 @@
     return worker.endpoint().state() == State.READY && !isDisabled(worker.id);
   }
 
-  /** The eligible workers that may run a request. */
+  /**
+   * Returns the eligible workers whose kind and queues allow them to run a request, ordered by id.
+   */
   WorkerState[] pool(PendingRequest request) {
     String kind = request.requestClass.workerKind();
     String queue = request.arrival.queue();
-    WorkerState[] ofKind = poolsByKind.getOrDefault(kind, NONE);
+    WorkerState[] workersOfKind = poolsByKind.getOrDefault(kind, NO_WORKERS);
     if (queue == null) {
-      return ofKind;
+      return workersOfKind;
     }
     return poolsByQueue
         .computeIfAbsent(queue, absent -> new HashMap<>())
-        .computeIfAbsent(kind, absent -> accepting(queue, ofKind));
+        .computeIfAbsent(kind, absent -> workersAcceptingQueue(queue, workersOfKind));
   }
 
-  private static WorkerState[] accepting(String queue, WorkerState[] workers) {
+  private static WorkerState[] workersAcceptingQueue(String queue, WorkerState[] workers) {
     return Arrays.stream(workers)
         .filter(worker -> worker.endpoint().accepts(queue))
         .toArray(WorkerState[]::new);
   }
 
-  /** How many listed workers are ejected now. */
+  /**
+   * Returns the number of listed workers that are ejected. Workers that are only disabled are not
+   * counted.
+   */
   long countEjected(long now) {
     return workers.values().stream().filter(worker -> worker.isEjected(now)).count();
   }
 
-  /** How many listed workers are ejected or disabled now. */
+  /** Returns the number of listed workers that are ejected or disabled. */
   int countUnavailable(long now) {
     return (int)
         workers.values().stream()
@@ -136,12 +172,12 @@
             .count();
   }
 
-  /** How many attempts are open at all listed workers. */
+  /** Returns the number of open attempts at all listed workers. */
   int countOpenAttempts() {
     return workers.values().stream().mapToInt(worker -> worker.openAttempts().size()).sum();
   }
 
-  /** Takes a request off the lists of those that wait for a health check. */
+  /** Removes a request from the waiters of the health checks of all workers. */
   void removeHealthCheckWaiter(PendingRequest request) {
     for (WorkerState worker : workers.values()) {
       worker.removeHealthCheckWaiter(request);
