--- a/src/main/java/loomreel/simulator/ActionWriter.java
+++ b/src/main/java/loomreel/simulator/ActionWriter.java
@@ -9,18 +9,20 @@
   private final JsonGenerator json;
 
   /**
-   * Creates a writer for one reply.
+   * Creates a writer for the actions of one reply.
    *
-   * @param json where the objects go; the caller owns and closes it
+   * @param json the generator that receives the objects; the caller owns and closes it
    */
   ActionWriter(JsonGenerator json) {
     this.json = json;
   }
 
   /**
-   * Writes one action.
+   * Writes one action as one JSON object. A timeout or retry delay of 0 is omitted. The protocol
+   * has no fields for the write deadline of an attempt and the reason of a rejection or failure.
    *
    * @throws IOException if the generator's stream fails
+   * @throws IllegalStateException if the type of the action is unknown
    */
   void write(Action action) throws IOException {
     if (action instanceof Action.StartAttempt start) {
@@ -30,23 +32,28 @@
     } else if (action instanceof Action.Reject reject) {
       writeReject(reject);
     } else if (action instanceof Action.Fail fail) {
-      writeTextObject(WireNames.FAIL_REQUEST, WireNames.REQUEST_ID, fail.requestId());
+      writeSingleFieldObject(WireNames.FAIL_REQUEST, WireNames.REQUEST_ID, fail.requestId());
     } else if (action instanceof Action.CheckHealth check) {
-      writeTextObject(WireNames.CHECK_HEALTH, WireNames.WORKER_ID, check.workerId());
+      writeSingleFieldObject(WireNames.CHECK_HEALTH, WireNames.WORKER_ID, check.workerId());
     } else if (action instanceof Action.SetTimer timer) {
       writeSetTimer(timer);
     } else if (action instanceof Action.PollEndpoints) {
       writePollEndpoints();
     } else if (action instanceof Action.Log log) {
-      writeTextObject(WireNames.LOG, WireNames.TEXT, log.text());
+      writeSingleFieldObject(WireNames.LOG, WireNames.TEXT, log.text());
     } else {
-      throw new IllegalStateException("no translation for " + action);
+      throw new IllegalStateException("no JSON object is defined for the action " + action);
     }
   }
 
-  /** Reports that the policy failed on an event, instead of its actions. */
+  /**
+   * Writes the object that replaces the actions of an event on which the policy threw an exception.
+   *
+   * @param failure the exception, whose {@code toString()} is written
+   * @throws IOException if the generator's stream fails
+   */
   void writeFailure(RuntimeException failure) throws IOException {
-    writeTextObject(WireNames.POLICY_FAILED, WireNames.TEXT, failure.toString());
+    writeSingleFieldObject(WireNames.POLICY_FAILED, WireNames.TEXT, failure.toString());
   }
 
   private void writeStartAttempt(Action.StartAttempt start) throws IOException {
@@ -84,11 +91,11 @@
 
   private void writePollEndpoints() throws IOException {
     startObject(WireNames.POLL_ENDPOINTS);
-    json.writeBooleanField(WireNames.POLLS, true);
+    json.writeBooleanField(WireNames.POLL_REQUESTED, true);
     json.writeEndObject();
   }
 
-  private void writeTextObject(String kind, String field, String text) throws IOException {
+  private void writeSingleFieldObject(String kind, String field, String text) throws IOException {
     startObject(kind);
     json.writeStringField(field, text);
     json.writeEndObject();
--- a/src/main/java/loomreel/simulator/BatchReader.java
+++ b/src/main/java/loomreel/simulator/BatchReader.java
@@ -9,49 +9,50 @@
 import loomreel.config.JsonTree;
 
 /**
- * Reads the JSON of batches. Unknown fields of a batch or of an element of {@code parts} are
- * skipped; the fields of events are stored unchecked, for {@link WireEventReader} to check when the
- * event is handled.
+ * Reads batches of events from JSON. Unknown fields of a batch or of an element of {@code parts}
+ * are skipped. The fields of events are stored unchecked; {@link WireEventReader} checks them when
+ * the event is handled.
  */
 final class BatchReader {
   private BatchReader() {}
 
   /**
-   * Reads the batch that the parser stands on, up to and including its closing brace.
+   * Reads one batch, up to and including its closing brace.
    *
-   * @throws MalformedBatchException if it is JSON, but no batch
-   * @throws IOException if the stream fails or is not JSON
+   * @param json a parser whose current token is the first token of the batch
+   * @throws MalformedBatchException if the input is valid JSON but not a valid batch
+   * @throws IOException if the stream fails or is not valid JSON
    */
   static WireBatch read(JsonParser json) throws MalformedBatchException, IOException {
-    expect(json, JsonToken.START_OBJECT, "a batch is not an object");
-    Long number = null;
+    expect(json, JsonToken.START_OBJECT, "batch is not a JSON object");
+    Long batchNumber = null;
     Long timeMicros = null;
     List<WireBatch.DispatcherEvents> dispatchers = null;
     while (json.nextToken() != JsonToken.END_OBJECT) {
-      String name = json.currentName();
+      String fieldName = json.currentName();
       JsonToken value = json.nextToken();
-      switch (name) {
+      switch (fieldName) {
         case WireNames.BATCH_NUMBER -> {
-          expectNumber(value, name);
-          number = json.getLongValue();
+          expectNumber(value, fieldName);
+          batchNumber = json.getLongValue();
         }
         case WireNames.TIME_SECONDS -> {
-          expectNumber(value, name);
+          expectNumber(value, fieldName);
           timeMicros = WireObject.toMicros(json.getDoubleValue());
         }
         case WireNames.DISPATCHERS -> dispatchers = readDispatchers(json);
         default -> json.skipChildren();
       }
     }
-    require(number, "a batch without batch");
-    require(timeMicros, "a batch without SimTimeS");
-    require(dispatchers, "a batch without parts");
-    return new WireBatch(number, timeMicros, dispatchers);
+    require(batchNumber, "batch lacks the field batch");
+    require(timeMicros, "batch lacks the field SimTimeS");
+    require(dispatchers, "batch lacks the field parts");
+    return new WireBatch(batchNumber, timeMicros, dispatchers);
   }
 
   private static List<WireBatch.DispatcherEvents> readDispatchers(JsonParser json)
       throws MalformedBatchException, IOException {
-    expect(json, JsonToken.START_ARRAY, "parts is not an array");
+    expect(json, JsonToken.START_ARRAY, "field parts is not a JSON array");
     List<WireBatch.DispatcherEvents> dispatchers = new ArrayList<>();
     while (json.nextToken() != JsonToken.END_ARRAY) {
       dispatchers.add(readDispatcherEvents(json));
@@ -61,48 +62,48 @@
 
   private static WireBatch.DispatcherEvents readDispatcherEvents(JsonParser json)
       throws MalformedBatchException, IOException {
-    expect(json, JsonToken.START_OBJECT, "a part is not an object");
-    Integer instance = null;
+    expect(json, JsonToken.START_OBJECT, "part is not a JSON object");
+    Integer dispatcherNumber = null;
     List<WireObject> events = new ArrayList<>();
     while (json.nextToken() != JsonToken.END_OBJECT) {
-      String name = json.currentName();
+      String fieldName = json.currentName();
       JsonToken value = json.nextToken();
-      switch (name) {
+      switch (fieldName) {
         case WireNames.DISPATCHER_NUMBER -> {
-          expectNumber(value, name);
-          instance = json.getIntValue();
+          expectNumber(value, fieldName);
+          dispatcherNumber = json.getIntValue();
         }
         case WireNames.EVENTS -> readEvents(json, events);
         default -> json.skipChildren();
       }
     }
-    require(instance, "a part without I");
-    return new WireBatch.DispatcherEvents(instance, events);
+    require(dispatcherNumber, "part lacks the field I");
+    return new WireBatch.DispatcherEvents(dispatcherNumber, events);
   }
 
   private static void readEvents(JsonParser json, List<WireObject> events)
       throws MalformedBatchException, IOException {
-    expect(json, JsonToken.START_ARRAY, "events is not an array");
+    expect(json, JsonToken.START_ARRAY, "field events is not a JSON array");
     while (json.nextToken() != JsonToken.END_ARRAY) {
       events.add(readEvent(json));
     }
   }
 
   private static WireObject readEvent(JsonParser json) throws MalformedBatchException, IOException {
-    expect(json, JsonToken.START_OBJECT, "an event is not an object");
+    expect(json, JsonToken.START_OBJECT, "event is not a JSON object");
     String kind = null;
     Map<String, Object> fields = WireObject.newFieldMap();
     while (json.nextToken() != JsonToken.END_OBJECT) {
-      String name = json.currentName();
+      String fieldName = json.currentName();
       json.nextToken();
-      if (name.equals(WireNames.KIND)) {
-        expect(json, JsonToken.VALUE_STRING, "an event's kind is not a string");
+      if (fieldName.equals(WireNames.KIND)) {
+        expect(json, JsonToken.VALUE_STRING, "field kind of an event is not a string");
         kind = json.getText();
       } else {
-        fields.put(name, JsonTree.read(json));
+        fields.put(fieldName, JsonTree.read(json));
       }
     }
-    require(kind, "an event without kind");
+    require(kind, "event lacks the field kind");
     return new WireObject(kind, fields);
   }
 
@@ -119,9 +120,10 @@
     }
   }
 
-  private static void expectNumber(JsonToken token, String name) throws MalformedBatchException {
+  private static void expectNumber(JsonToken token, String fieldName)
+      throws MalformedBatchException {
     if (token != JsonToken.VALUE_NUMBER_INT && token != JsonToken.VALUE_NUMBER_FLOAT) {
-      throw new MalformedBatchException(name + " is not a number");
+      throw new MalformedBatchException(fieldName + " is not a number");
     }
   }
 }
--- a/src/main/java/loomreel/simulator/EventTranslator.java
+++ b/src/main/java/loomreel/simulator/EventTranslator.java
@@ -10,31 +10,35 @@
 import loomreel.decision.Settings;
 
 /**
- * Translates the wire events of one dispatcher into events of the decision module. The module
- * identifies classes and tenants by their positions in that dispatcher's settings.
+ * Translates the wire events of one dispatcher into events of the decision module. Wire events name
+ * request classes and tenants; the decision module identifies them by their index in the settings
+ * of the dispatcher.
  */
 final class EventTranslator {
-  /** The position that stands for a tenant that the settings do not name. */
+  /** The index for requests without a tenant, or with a tenant that the settings do not name. */
   private static final int UNKNOWN_TENANT = -1;
 
-  private final Map<Long, List<Endpoint>> endpointLists;
-  private final Map<String, Integer> classIndexes = new HashMap<>();
-  private final Map<String, Integer> tenantIndexes = new HashMap<>();
+  private final Map<Long, List<Endpoint>> endpointListsById;
+  private final Map<String, Integer> classIndexByName = new HashMap<>();
+  private final Map<String, Integer> tenantIndexByName = new HashMap<>();
 
   /**
-   * Creates the translator of a dispatcher that is about to start.
+   * Creates a translator for a dispatcher that is about to start.
    *
-   * @param endpointLists the lists defined so far, by number; the adapter owns and fills it
+   * @param endpointListsById the endpoint lists defined so far, by id; the adapter owns the map and
+   *     adds lists to it
    */
-  EventTranslator(Map<Long, List<Endpoint>> endpointLists) {
-    this.endpointLists = endpointLists;
+  EventTranslator(Map<Long, List<Endpoint>> endpointListsById) {
+    this.endpointListsById = endpointListsById;
   }
 
   /**
-   * Translates one event.
+   * Translates one event. The start of the dispatcher also registers the request classes and
+   * tenants of its settings, so it must come before events that name them.
    *
-   * @return empty where the event carries nothing for the policy
-   * @throws MalformedBatchException if it names a class or an endpoint list that was never defined
+   * @return the event for the policy, or empty if the wire event has no meaning for the policy
+   * @throws MalformedBatchException if the event names an unknown request class or an endpoint list
+   *     that is not defined
    */
   Optional<Event> translate(WireEvent event) throws MalformedBatchException {
     if (event instanceof WireEvent.RequestReceived request) {
@@ -46,8 +50,8 @@
           new Event.AttemptProgressed(progress.requestId(), progress.attemptNumber()));
     } else if (event instanceof WireEvent.TimerElapsed timer) {
       return Optional.of(new Event.TimerFired(timer.token()));
-    } else if (event instanceof WireEvent.RequestCancelledByClient withdrawal) {
-      return Optional.of(new Event.RequestCancelled(withdrawal.requestId()));
+    } else if (event instanceof WireEvent.RequestCancelledByClient cancellation) {
+      return Optional.of(new Event.RequestCancelled(cancellation.requestId()));
     } else if (event instanceof WireEvent.HealthCheckCompleted check) {
       return Optional.of(healthCheck(check));
     } else if (event instanceof WireEvent.EndpointSnapshotReceived snapshot) {
@@ -67,28 +71,29 @@
   private Event start(WireEvent.DispatcherStarted event) {
     Settings settings = new SettingsReader(event.settings()).read();
     for (Settings.RequestClass requestClass : settings.classes()) {
-      classIndexes.put(requestClass.name(), classIndexes.size());
+      classIndexByName.put(requestClass.name(), classIndexByName.size());
     }
     for (Settings.Tenant tenant : settings.tenants()) {
-      tenantIndexes.put(tenant.name(), tenantIndexes.size());
+      tenantIndexByName.put(tenant.name(), tenantIndexByName.size());
     }
     return new Event.Start(event.seed(), settings);
   }
 
   private Event arrival(WireEvent.RequestReceived request) throws MalformedBatchException {
-    Integer classIndex = classIndexes.get(request.className());
+    Integer classIndex = classIndexByName.get(request.className());
     if (classIndex == null) {
-      throw new MalformedBatchException("Inbound of unknown class " + request.className());
+      throw new MalformedBatchException(
+          "Inbound names the unknown request class " + request.className());
     }
     return new Event.RequestArrived(
         request.requestId(),
         request.key(),
         request.slots(),
         classIndex,
-        tenantIndexes.getOrDefault(request.tenantName(), UNKNOWN_TENANT),
-        request.deadline(),
+        tenantIndexByName.getOrDefault(request.tenantName(), UNKNOWN_TENANT),
+        request.deadlineMicros(),
         request.clientRetry(),
-        request.expectedWork());
+        request.expectedWorkMicros());
   }
 
   private static Event attemptEnd(WireEvent.AttemptCompleted attempt) {
@@ -98,19 +103,19 @@
         attempt.workerId(),
         attempt.outcome(),
         attempt.answered(),
-        attempt.duration(),
+        attempt.durationMicros(),
         attempt.load());
   }
 
   private static Event healthCheck(WireEvent.HealthCheckCompleted check) {
     return new Event.HealthChecked(
-        check.workerId(), check.outcome(), check.duration(), check.load());
+        check.workerId(), check.outcome(), check.durationMicros(), check.load());
   }
 
   private List<Endpoint> endpoints(long listId) throws MalformedBatchException {
-    List<Endpoint> endpoints = endpointLists.get(listId);
+    List<Endpoint> endpoints = endpointListsById.get(listId);
     if (endpoints == null) {
-      throw new MalformedBatchException("Members names a list that was never defined");
+      throw new MalformedBatchException("Members names an endpoint list that is not defined");
     }
     return endpoints;
   }
--- a/src/main/java/loomreel/simulator/MalformedBatchException.java
+++ b/src/main/java/loomreel/simulator/MalformedBatchException.java
@@ -1,8 +1,9 @@
 package loomreel.simulator;
 
 /**
- * Input that does not follow the simulator's protocol; the message names the fault and the batch it
- * was found in.
+ * Thrown when the input violates the simulator's protocol. When {@link SimulatorAdapter#run()}
+ * throws it, the message describes the violation and names the batch that contains it, or the last
+ * batch that was read before it.
  */
 public final class MalformedBatchException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/loomreel/simulator/SimulatorAdapter.java
+++ b/src/main/java/loomreel/simulator/SimulatorAdapter.java
@@ -20,32 +20,33 @@
 
 /**
  * Connects {@link DispatchPolicy} to the simulator: reads batches of events, passes each event to
- * the policy of its dispatcher, and writes one reply for each batch. It translates and decides
- * nothing.
+ * the policy of its dispatcher, and writes one reply for each batch. The adapter only translates;
+ * the policies make every decision.
  *
- * <p>The adapter reads and writes on the calling thread. The caller owns both streams; {@link
- * #run()} closes the input.
+ * <p>The adapter reads and writes on the calling thread. {@link #run()} closes the input stream and
+ * leaves the output stream open; the caller owns both.
  */
 public final class SimulatorAdapter {
+  /** The initial capacity of the reply buffer, in bytes. */
   private static final int INITIAL_REPLY_BYTES = 1 << 16;
 
-  /** A running dispatcher: its policy, and the translator that knows its settings. */
+  /** A running dispatcher: its policy and the translator that holds the indexes of its settings. */
   private record Dispatcher(DispatchPolicy policy, EventTranslator translator) {}
 
   private final JsonFactory jsonFactory = new JsonFactory();
   private final InputStream input;
   private final OutputStream output;
   private final Map<Integer, Dispatcher> dispatchers = new HashMap<>();
-  private final Map<Long, List<Endpoint>> endpointLists = new HashMap<>();
+  private final Map<Long, List<Endpoint>> endpointListsById = new HashMap<>();
 
-  /** The actions of the current event; reused to avoid an allocation for each event. */
+  /** The actions of the current event. The list is reused to avoid an allocation for each event. */
   private final List<Action> actions = new ArrayList<>();
 
   /**
-   * Creates an adapter between two streams.
+   * Creates an adapter that reads batches from one stream and writes the replies to another.
    *
-   * @param input the batches
-   * @param output for the replies; nothing else is written there
+   * @param input the stream of batches
+   * @param output the stream that receives the replies and nothing else
    */
   public SimulatorAdapter(InputStream input, OutputStream output) {
     this.input = input;
@@ -53,10 +54,10 @@
   }
 
   /**
-   * Answers batches until the input ends.
+   * Reads batches until the input ends, and writes and flushes one line with the reply to each.
    *
-   * @throws MalformedBatchException if a batch is malformed; the replies written so far are
-   *     complete
+   * @throws MalformedBatchException if the input is not JSON or a batch violates the protocol;
+   *     every reply that was written before is complete
    * @throws IOException if a stream fails
    */
   public void run() throws MalformedBatchException, IOException {
@@ -88,10 +89,10 @@
       json.writeArrayFieldStart(WireNames.DISPATCHERS);
       for (WireBatch.DispatcherEvents dispatcher : batch.dispatchers()) {
         json.writeStartObject();
-        json.writeNumberField(WireNames.DISPATCHER_NUMBER, dispatcher.instance());
+        json.writeNumberField(WireNames.DISPATCHER_NUMBER, dispatcher.dispatcherNumber());
         json.writeArrayFieldStart(WireNames.ACTIONS);
         for (WireObject event : dispatcher.events()) {
-          handle(dispatcher.instance(), event, batch.timeMicros(), writer);
+          handle(dispatcher.dispatcherNumber(), event, batch.timeMicros(), writer);
         }
         json.writeEndArray();
         json.writeEndObject();
@@ -103,39 +104,43 @@
     }
   }
 
-  private void handle(int instance, WireObject wireObject, long now, ActionWriter writer)
+  private void handle(
+      int dispatcherNumber, WireObject wireObject, long nowMicros, ActionWriter writer)
       throws MalformedBatchException, IOException {
     String kind = wireObject.kind();
     if (kind.equals(WireNames.DISPATCHER_STARTED)) {
       dispatchers.put(
-          instance, new Dispatcher(new DispatchPolicy(), new EventTranslator(endpointLists)));
+          dispatcherNumber,
+          new Dispatcher(new DispatchPolicy(), new EventTranslator(endpointListsById)));
     }
-    // A list's definition concerns all dispatchers and may precede the start of any.
-    if (!kind.equals(WireNames.ENDPOINT_LIST_DEFINED) && !dispatchers.containsKey(instance)) {
-      throw new MalformedBatchException(kind + " for instance " + instance + " before its Up");
+    // All dispatchers share the endpoint lists, so a definition may precede the start of any.
+    if (!kind.equals(WireNames.ENDPOINT_LIST_DEFINED)
+        && !dispatchers.containsKey(dispatcherNumber)) {
+      throw new MalformedBatchException(
+          kind + " for dispatcher " + dispatcherNumber + " before its Up event");
     }
     WireEvent event = WireEventReader.read(wireObject);
     if (event instanceof WireEvent.EndpointListDefined list) {
-      endpointLists.put(list.listId(), list.endpoints());
+      endpointListsById.put(list.listId(), list.endpoints());
       return;
     }
-    Dispatcher dispatcher = dispatchers.get(instance);
-    Optional<Event> translated = dispatcher.translator().translate(event);
-    if (translated.isPresent()) {
-      decide(dispatcher.policy(), translated.get(), now, writer);
+    Dispatcher dispatcher = dispatchers.get(dispatcherNumber);
+    Optional<Event> policyEvent = dispatcher.translator().translate(event);
+    if (policyEvent.isPresent()) {
+      applyPolicy(dispatcher.policy(), policyEvent.get(), nowMicros, writer);
     }
     if (event instanceof WireEvent.DispatcherStopped) {
-      dispatchers.remove(instance);
+      dispatchers.remove(dispatcherNumber);
     }
   }
 
-  private void decide(DispatchPolicy policy, Event event, long now, ActionWriter writer)
+  private void applyPolicy(DispatchPolicy policy, Event event, long nowMicros, ActionWriter writer)
       throws IOException {
     actions.clear();
     try {
-      policy.on(event, now, actions);
+      policy.on(event, nowMicros, actions);
     } catch (RuntimeException e) {
-      // The actions that the policy had emitted before it failed are dropped.
+      // The actions that the policy emitted before the exception are discarded.
       writer.writeFailure(e);
       return;
     }
--- a/src/main/java/loomreel/simulator/WireBatch.java
+++ b/src/main/java/loomreel/simulator/WireBatch.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * One batch of the protocol: what happens to the simulated dispatchers at one moment.
+ * One batch of the protocol: the events of the simulated dispatchers at one point in simulated
+ * time.
  *
- * @param number the batch's number, repeated in the reply
- * @param timeMicros the simulated time in microseconds
- * @param dispatchers the events by dispatcher, in the order of the wire
+ * @param number the number of the batch, which the reply repeats
+ * @param timeMicros the simulated time, in microseconds
+ * @param dispatchers the events of each dispatcher, in the order in which they were received
  */
 record WireBatch(long number, long timeMicros, List<DispatcherEvents> dispatchers) {
   /**
    * The events of one dispatcher.
    *
-   * @param instance the dispatcher's number
-   * @param events its events in order, not yet checked
+   * @param dispatcherNumber the number of the dispatcher
+   * @param events the events in the order in which they occurred; their fields are not checked yet
    */
-  record DispatcherEvents(int instance, List<WireObject> events) {}
+  record DispatcherEvents(int dispatcherNumber, List<WireObject> events) {}
 }
--- a/src/main/java/loomreel/simulator/WireEventReader.java
+++ b/src/main/java/loomreel/simulator/WireEventReader.java
@@ -20,29 +20,30 @@
 import loomreel.simulator.WireEvent.RequestReceived;
 import loomreel.simulator.WireEvent.TimerElapsed;
 
-/** Checks the fields of wire events and turns them into typed {@link WireEvent}s. */
+/** Checks the fields of events from the wire and converts them to typed {@link WireEvent}s. */
 final class WireEventReader {
-  /** Bit of {@code Marks}: the request gives its expected work in {@code WeightHintS}. */
-  private static final long MARK_EXPECTED_WORK = 1;
+  /** Bit of {@code Marks} that is set if {@code WeightHintS} states the expected work. */
+  private static final long FLAG_EXPECTED_WORK = 1;
 
-  /** Bit of {@code Marks}: the client marked the request as a retry. */
-  private static final long MARK_CLIENT_RETRY = 2;
+  /** Bit of {@code Marks} that is set if the client marked the request as a retry. */
+  private static final long FLAG_CLIENT_RETRY = 2;
 
-  /** Value of {@code Sort} in {@code UpdateOf}: the job started. */
-  private static final long SORT_STARTED = 1;
+  /** Value of {@code Sort} in {@code UpdateOf} that reports the start of the job. */
+  private static final long UPDATE_TYPE_STARTED = 1;
 
-  /** Value of {@code Sort} in {@code UpdateOf}: the job made progress. */
-  private static final long SORT_PROGRESSED = 2;
+  /** Value of {@code Sort} in {@code UpdateOf} that reports progress of the job. */
+  private static final long UPDATE_TYPE_PROGRESSED = 2;
 
+  /** The failure domain of an endpoint that states none. */
   private static final int NO_FAILURE_DOMAIN = -1;
 
   private WireEventReader() {}
 
   /**
-   * Reads one event.
+   * Converts one event.
    *
-   * @throws MalformedBatchException if its kind is unknown or its fields are not what the kind
-   *     needs
+   * @throws MalformedBatchException if the kind of the event is unknown, a required field is
+   *     absent, or a field has an invalid type or value
    */
   static WireEvent read(WireObject event) throws MalformedBatchException {
     return switch (event.kind()) {
@@ -50,21 +51,21 @@
       case WireNames.DISPATCHER_STARTED ->
           new DispatcherStarted(event.integer(WireNames.SEED), event.object(WireNames.SETTINGS));
       case WireNames.DISPATCHER_STOPPED -> new DispatcherStopped();
-      case WireNames.ENDPOINTS_CHANGED -> members(event);
-      case WireNames.REQUEST_RECEIVED -> request(event);
+      case WireNames.ENDPOINTS_CHANGED -> endpointChange(event);
+      case WireNames.REQUEST_RECEIVED -> requestReceived(event);
       case WireNames.REQUEST_CANCELLED ->
           new RequestCancelledByClient(event.text(WireNames.REQUEST_ID));
-      case WireNames.ATTEMPT_STARTED -> progress(event);
-      case WireNames.ATTEMPT_UPDATED -> update(event);
-      case WireNames.ATTEMPT_COMPLETED -> attemptEnd(event);
-      case WireNames.HEALTH_CHECK_COMPLETED -> healthCheck(event);
+      case WireNames.ATTEMPT_STARTED -> attemptProgress(event);
+      case WireNames.ATTEMPT_UPDATED -> attemptUpdate(event);
+      case WireNames.ATTEMPT_COMPLETED -> attemptCompleted(event);
+      case WireNames.HEALTH_CHECK_COMPLETED -> healthCheckCompleted(event);
       case WireNames.TIMER_ELAPSED -> new TimerElapsed(event.integer(WireNames.TIMER_TOKEN));
       case WireNames.COMMENT_RECEIVED -> new Ignored();
       default -> throw new MalformedBatchException("unknown event " + event.kind());
     };
   }
 
-  private static WireEvent members(WireObject event) throws MalformedBatchException {
+  private static WireEvent endpointChange(WireObject event) throws MalformedBatchException {
     String scope = event.text(WireNames.SCOPE);
     return switch (scope) {
       case WireNames.SCOPE_WATCH_LOST -> new EndpointWatchLost();
@@ -72,48 +73,50 @@
           new EndpointUpdateReceived(event.integer(WireNames.ENDPOINT_LIST_ID));
       case WireNames.SCOPE_SNAPSHOT, WireNames.SCOPE_CACHED_SNAPSHOT ->
           new EndpointSnapshotReceived(event.integer(WireNames.ENDPOINT_LIST_ID));
-      default -> throw new MalformedBatchException("Members of unknown scope " + scope);
+      default -> throw new MalformedBatchException("Members has the unknown Scope " + scope);
     };
   }
 
-  private static WireEvent request(WireObject event) throws MalformedBatchException {
-    long marks = (long) event.number(WireNames.MARKS, 0);
+  private static WireEvent requestReceived(WireObject event) throws MalformedBatchException {
+    long flags = (long) event.number(WireNames.REQUEST_FLAGS, 0);
     return new RequestReceived(
         event.text(WireNames.REQUEST_ID),
         event.has(WireNames.KEY) ? event.text(WireNames.KEY) : null,
         Math.max(1, event.number(WireNames.SLOTS, 1)),
         event.text(WireNames.REQUEST_CLASS),
-        event.optional(WireNames.TENANT) instanceof String tenantName ? tenantName : null,
+        event.valueOrNull(WireNames.TENANT) instanceof String tenantName ? tenantName : null,
         event.micros(WireNames.DEADLINE_SECONDS),
-        (marks & MARK_CLIENT_RETRY) != 0,
-        (marks & MARK_EXPECTED_WORK) != 0
+        (flags & FLAG_CLIENT_RETRY) != 0,
+        (flags & FLAG_EXPECTED_WORK) != 0
             ? event.number(WireNames.EXPECTED_WORK_SECONDS, Double.NaN)
                 * WireObject.MICROS_PER_SECOND
             : Double.NaN);
   }
 
-  private static WireEvent progress(WireObject event) throws MalformedBatchException {
+  private static WireEvent attemptProgress(WireObject event) throws MalformedBatchException {
     return new AttemptProgressReported(
         event.text(WireNames.REQUEST_ID), (int) event.integer(WireNames.ATTEMPT_NUMBER));
   }
 
-  private static WireEvent update(WireObject event) throws MalformedBatchException {
-    long sort = event.integer(WireNames.UPDATE_SORT);
-    return sort == SORT_STARTED || sort == SORT_PROGRESSED ? progress(event) : new Ignored();
+  private static WireEvent attemptUpdate(WireObject event) throws MalformedBatchException {
+    long updateType = event.integer(WireNames.UPDATE_TYPE);
+    return updateType == UPDATE_TYPE_STARTED || updateType == UPDATE_TYPE_PROGRESSED
+        ? attemptProgress(event)
+        : new Ignored();
   }
 
-  private static WireEvent attemptEnd(WireObject event) throws MalformedBatchException {
+  private static WireEvent attemptCompleted(WireObject event) throws MalformedBatchException {
     return new AttemptCompleted(
         event.text(WireNames.REQUEST_ID),
         (int) event.integer(WireNames.ATTEMPT_NUMBER),
         event.text(WireNames.WORKER_ID),
         outcome(event),
-        Boolean.TRUE.equals(event.optional(WireNames.ANSWERED)),
+        Boolean.TRUE.equals(event.valueOrNull(WireNames.ANSWERED)),
         event.micros(WireNames.DURATION_SECONDS, 0),
         load(event));
   }
 
-  private static WireEvent healthCheck(WireObject event) throws MalformedBatchException {
+  private static WireEvent healthCheckCompleted(WireObject event) throws MalformedBatchException {
     return new HealthCheckCompleted(
         event.text(WireNames.WORKER_ID),
         outcome(event),
@@ -121,10 +124,10 @@
         load(event));
   }
 
-  /** The outcome from the field {@code How}, which holds 0 or one of Linux's errno values. */
+  /** Returns the outcome that the field {@code How} states as 0 or as an errno value of Linux. */
   private static AttemptOutcome outcome(WireObject event) throws MalformedBatchException {
-    int code = (int) event.integer(WireNames.OUTCOME);
-    return switch (code) {
+    int outcomeCode = (int) event.integer(WireNames.OUTCOME);
+    return switch (outcomeCode) {
       case 0 -> AttemptOutcome.OK;
       case 5 -> AttemptOutcome.ERROR; // EIO
       case 11 -> AttemptOutcome.REJECTED; // EAGAIN
@@ -133,37 +136,39 @@
       case 111 -> AttemptOutcome.CONNECT_FAILED; // ECONNREFUSED
       case 114 -> AttemptOutcome.NOT_ATTEMPTED; // EALREADY
       case 125 -> AttemptOutcome.CANCELLED; // ECANCELED
-      default -> throw new MalformedBatchException(event.kind() + " with unknown outcome " + code);
+      default ->
+          throw new MalformedBatchException(event.kind() + " with unknown outcome " + outcomeCode);
     };
   }
 
-  /** The load report in the field {@code Usage}, or null where there is none. */
+  /** Returns the load report in the field {@code Usage}, or null if there is none. */
   private static WorkerLoad load(WireObject event) {
-    if (!(event.optional(WireNames.LOAD_REPORT) instanceof Map<?, ?> usage)) {
+    if (!(event.valueOrNull(WireNames.LOAD_REPORT) instanceof Map<?, ?> reportFields)) {
       return null;
     }
     return new WorkerLoad(
-        numberOrNaN(usage, WireNames.QUEUED_JOBS),
-        numberOrNaN(usage, WireNames.ACTIVE_JOBS),
-        numberOrNaN(usage, WireNames.UTILIZATION),
-        numberOrNaN(usage, WireNames.FREE_SLOTS));
+        numberOrNaN(reportFields, WireNames.QUEUED_JOBS),
+        numberOrNaN(reportFields, WireNames.ACTIVE_JOBS),
+        numberOrNaN(reportFields, WireNames.UTILIZATION),
+        numberOrNaN(reportFields, WireNames.FREE_SLOTS));
   }
 
   private static WireEvent endpointList(WireObject event) throws MalformedBatchException {
     long listId = event.integer(WireNames.ENDPOINT_LIST_ID);
-    List<?> items = event.array(WireNames.ENDPOINTS);
-    List<Endpoint> endpoints = new ArrayList<>(items.size());
-    for (Object item : items) {
-      endpoints.add(endpoint(item));
+    List<?> endpointObjects = event.array(WireNames.ENDPOINTS);
+    List<Endpoint> endpoints = new ArrayList<>(endpointObjects.size());
+    for (Object endpointObject : endpointObjects) {
+      endpoints.add(endpoint(endpointObject));
     }
     return new EndpointListDefined(listId, endpoints);
   }
 
-  private static Endpoint endpoint(Object item) throws MalformedBatchException {
-    if (!(item instanceof Map<?, ?> fields)
+  private static Endpoint endpoint(Object endpointObject) throws MalformedBatchException {
+    if (!(endpointObject instanceof Map<?, ?> fields)
         || !(fields.get(WireNames.WORKER_ID) instanceof String id)
-        || !(fields.get(WireNames.STATE) instanceof String health)) {
-      throw new MalformedBatchException("DefineList: an entry without Executor or Health");
+        || !(fields.get(WireNames.STATE) instanceof String stateName)) {
+      throw new MalformedBatchException(
+          "DefineList: an endpoint lacks the string field Executor or Health");
     }
     double startedAtSeconds = numberOrNaN(fields, WireNames.STARTED_AT_SECONDS);
     double weight = numberOrNaN(fields, WireNames.WEIGHT);
@@ -171,20 +176,20 @@
         id,
         fields.get(WireNames.ZONE) instanceof String zone ? zone : "",
         fields.get(WireNames.WORKER_KIND) instanceof String kind ? kind : "",
-        fields.get(WireNames.FAILURE_DOMAIN) instanceof Number pod
-            ? pod.intValue()
+        fields.get(WireNames.FAILURE_DOMAIN) instanceof Number failureDomain
+            ? failureDomain.intValue()
             : NO_FAILURE_DOMAIN,
-        state(health),
+        state(stateName),
         Double.isNaN(startedAtSeconds) ? 0 : WireObject.toMicros(startedAtSeconds),
         weight > 0 ? weight : 1);
   }
 
-  private static Endpoint.State state(String health) throws MalformedBatchException {
-    return switch (health) {
+  private static Endpoint.State state(String stateName) throws MalformedBatchException {
+    return switch (stateName) {
       case WireNames.READY -> Endpoint.State.READY;
       case WireNames.DRAINING -> Endpoint.State.DRAINING;
       case WireNames.REMOVED -> Endpoint.State.REMOVED;
-      default -> throw new MalformedBatchException("DefineList: unknown Health " + health);
+      default -> throw new MalformedBatchException("DefineList: unknown Health " + stateName);
     };
   }
 
--- a/src/main/java/loomreel/simulator/WireNames.java
+++ b/src/main/java/loomreel/simulator/WireNames.java
@@ -1,8 +1,10 @@
 package loomreel.simulator;
 
-/** The names in the simulator's protocol, by what they mean in this program. */
+/**
+ * The names of the simulator's protocol, as constants named after their meaning in this program.
+ */
 final class WireNames {
-  // A batch and its reply.
+  // Fields of a batch and of its reply.
   static final String BATCH_NUMBER = "batch";
   static final String TIME_SECONDS = "SimTimeS";
   static final String DISPATCHERS = "parts";
@@ -36,7 +38,7 @@
   static final String LOG = "Remark";
   static final String POLICY_FAILED = "Fatal";
 
-  // Fields that several kinds have.
+  // Fields of several kinds of events and actions.
   static final String REQUEST_ID = "MsgId";
   static final String WORKER_ID = "Executor";
   static final String ATTEMPT_NUMBER = "Leg";
@@ -47,28 +49,28 @@
   static final String TIMER_TOKEN = "KeyBack";
   static final String TEXT = "Words";
 
-  // Fields of the start of a dispatcher.
+  // Fields of DISPATCHER_STARTED.
   static final String SEED = "Nonce64";
   static final String SETTINGS = "Setup";
 
-  // Fields of a change of endpoints, and its scopes.
+  // The field of ENDPOINTS_CHANGED that holds its scope, and the values of that field.
   static final String SCOPE = "Scope";
   static final String SCOPE_WATCH_LOST = "lost";
   static final String SCOPE_UPDATE = "incr";
   static final String SCOPE_SNAPSHOT = "total";
   static final String SCOPE_CACHED_SNAPSHOT = "warm_copy";
 
-  // Fields of a request.
+  // Fields of REQUEST_RECEIVED.
   static final String KEY = "Resource";
   static final String SLOTS = "CoresNeeded";
   static final String REQUEST_CLASS = "Type";
   static final String TENANT = "Owner";
   static final String DEADLINE_SECONDS = "DueS";
-  static final String MARKS = "Marks";
+  static final String REQUEST_FLAGS = "Marks";
   static final String EXPECTED_WORK_SECONDS = "WeightHintS";
 
-  // Fields of the progress and the end of an attempt.
-  static final String UPDATE_SORT = "Sort";
+  // A field of ATTEMPT_UPDATED and a field of ATTEMPT_COMPLETED.
+  static final String UPDATE_TYPE = "Sort";
   static final String ANSWERED = "Finished";
 
   // Fields of a load report.
@@ -77,7 +79,7 @@
   static final String UTILIZATION = "load_share";
   static final String FREE_SLOTS = "x0";
 
-  // Fields of an endpoint list and its entries.
+  // Fields of an endpoint list and of its endpoints, and the values of STATE.
   static final String ENDPOINTS = "Items";
   static final String ZONE = "Az";
   static final String WORKER_KIND = "Kind";
@@ -93,7 +95,7 @@
   static final String TIMEOUT_SECONDS = "CapS";
   static final String RETRY_AFTER_SECONDS = "HoldOffS";
   static final String TIMER_TIME_SECONDS = "AlarmTimeS";
-  static final String POLLS = "Want";
+  static final String POLL_REQUESTED = "Want";
 
   private WireNames() {}
 }
--- a/src/main/java/loomreel/simulator/WireObject.java
+++ b/src/main/java/loomreel/simulator/WireObject.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 
 /**
- * One event as a JSON object of the wire: its kind and its fields by name. A field that is {@code
- * null} on the wire counts as absent. The accessors throw {@link MalformedBatchException} where a
- * required field is absent or of the wrong type.
+ * An event as it was read from JSON, with unchecked fields: its kind, and the values of its other
+ * fields by name, as {@link loomreel.config.JsonTree} represents them. A field whose value is
+ * {@code null} counts as absent. The accessors of a type throw {@link MalformedBatchException} if
+ * the field is absent and has no default, or if its value is of another type.
  */
 final class WireObject {
-  /** Factor from the wire's seconds to microseconds. */
+  /** The factor that converts seconds, the unit of time in the protocol, to microseconds. */
   static final double MICROS_PER_SECOND = 1e6;
 
   private final String kind;
@@ -21,12 +22,12 @@
     this.fields = fields;
   }
 
-  /** A builder's map for the fields of one event, sized for the largest kind. */
+  /** Returns an empty map for the fields of one event, sized for the kind with the most fields. */
   static Map<String, Object> newFieldMap() {
     return new HashMap<>(16);
   }
 
-  /** Converts the wire's seconds to microseconds. */
+  /** Converts seconds to microseconds and rounds to the nearest integer. */
   static long toMicros(double seconds) {
     return Math.round(seconds * MICROS_PER_SECOND);
   }
@@ -35,74 +36,87 @@
     return kind;
   }
 
-  boolean has(String name) {
-    return fields.get(name) != null;
+  /** Returns whether a field is present and not null. */
+  boolean has(String fieldName) {
+    return fields.get(fieldName) != null;
   }
 
-  /** The value of an optional field, or null where it is absent. */
-  Object optional(String name) {
-    return fields.get(name);
+  /** Returns the value of a field of any type, or null if it is absent. */
+  Object valueOrNull(String fieldName) {
+    return fields.get(fieldName);
   }
 
-  String text(String name) throws MalformedBatchException {
-    if (required(name) instanceof String text) {
+  /** Returns the value of a required string field. */
+  String text(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof String text) {
       return text;
     }
-    throw wrongType(name, "a string");
+    throw wrongType(fieldName, "a string");
   }
 
-  double number(String name) throws MalformedBatchException {
-    return numeric(name).doubleValue();
+  /** Returns the value of a required number field. */
+  double number(String fieldName) throws MalformedBatchException {
+    return requiredNumber(fieldName).doubleValue();
   }
 
-  double number(String name, double defaultValue) throws MalformedBatchException {
-    return has(name) ? number(name) : defaultValue;
+  /** Returns the value of a number field, or the default if it is absent. */
+  double number(String fieldName, double defaultValue) throws MalformedBatchException {
+    return has(fieldName) ? number(fieldName) : defaultValue;
   }
 
-  /** An integer; only the low 64 bits of a larger one. */
-  long integer(String name) throws MalformedBatchException {
-    return numeric(name).longValue();
+  /**
+   * Returns the value of a required number field as an integer. A fraction is discarded, and an
+   * integer of more than 64 bits is reduced to its low 64 bits.
+   */
+  long integer(String fieldName) throws MalformedBatchException {
+    return requiredNumber(fieldName).longValue();
   }
 
-  /** A time or duration, given in seconds on the wire, in microseconds. */
-  long micros(String name) throws MalformedBatchException {
-    return toMicros(number(name));
+  /** Returns the value of a required time or duration field, converted to microseconds. */
+  long micros(String fieldName) throws MalformedBatchException {
+    return toMicros(number(fieldName));
   }
 
-  long micros(String name, double defaultSeconds) throws MalformedBatchException {
-    return toMicros(number(name, defaultSeconds));
+  /**
+   * Returns the value of a time or duration field, or the default if it is absent, converted to
+   * microseconds.
+   */
+  long micros(String fieldName, double defaultSeconds) throws MalformedBatchException {
+    return toMicros(number(fieldName, defaultSeconds));
   }
 
-  Map<?, ?> object(String name) throws MalformedBatchException {
-    if (required(name) instanceof Map<?, ?> object) {
+  /** Returns the fields of a required object field. */
+  Map<?, ?> object(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof Map<?, ?> object) {
       return object;
     }
-    throw wrongType(name, "an object");
+    throw wrongType(fieldName, "an object");
   }
 
-  List<?> array(String name) throws MalformedBatchException {
-    if (required(name) instanceof List<?> array) {
+  /** Returns the elements of a required array field. */
+  List<?> array(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof List<?> array) {
       return array;
     }
-    throw wrongType(name, "an array");
+    throw wrongType(fieldName, "an array");
   }
 
-  private Number numeric(String name) throws MalformedBatchException {
-    if (required(name) instanceof Number number) {
+  private Number requiredNumber(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof Number number) {
       return number;
     }
-    throw wrongType(name, "a number");
+    throw wrongType(fieldName, "a number");
   }
 
-  private Object required(String name) throws MalformedBatchException {
-    Object value = fields.get(name);
+  private Object requiredValue(String fieldName) throws MalformedBatchException {
+    Object value = fields.get(fieldName);
     if (value == null) {
-      throw new MalformedBatchException(kind + " without " + name);
+      throw new MalformedBatchException(kind + " lacks the field " + fieldName);
     }
     return value;
   }
 
-  private MalformedBatchException wrongType(String name, String expected) {
-    return new MalformedBatchException(kind + ": " + name + " is not " + expected);
+  private MalformedBatchException wrongType(String fieldName, String expected) {
+    return new MalformedBatchException(kind + ": " + fieldName + " is not " + expected);
   }
 }
--- a/src/test/java/loomreel/simulator/ActionWriterTest.java
+++ b/src/test/java/loomreel/simulator/ActionWriterTest.java
@@ -13,7 +13,7 @@
 import loomreel.decision.RejectionReason;
 import org.junit.jupiter.api.Test;
 
-/** Each action under its names on the wire. */
+/** Tests the JSON that {@link ActionWriter} writes for each type of action. */
 class ActionWriterTest {
   private static final Map<Action, String> JSON_BY_ACTION =
       Map.of(
@@ -35,42 +35,43 @@
           "{\"kind\":\"Remark\",\"Words\":\"text\"}");
 
   private interface Writing {
-    void to(ActionWriter writer) throws IOException;
+    void writeTo(ActionWriter writer) throws IOException;
   }
 
-  private static String write(Writing writing) throws IOException {
+  private static String write(Writing writeCall) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
-      writing.to(new ActionWriter(json));
+      writeCall.writeTo(new ActionWriter(json));
     }
     return text.toString();
   }
 
   @Test
-  void eachActionHasItsNamesOnTheWire() throws IOException {
+  void eachActionIsWrittenWithTheNamesOfTheProtocol() throws IOException {
     for (Map.Entry<Action, String> entry : JSON_BY_ACTION.entrySet()) {
       assertEquals(entry.getValue(), write(writer -> writer.write(entry.getKey())));
     }
 
-    Set<Class<?>> written =
+    Set<Class<?>> writtenTypes =
         JSON_BY_ACTION.keySet().stream().map(Action::getClass).collect(Collectors.toSet());
-    assertEquals(Set.of(Action.class.getPermittedSubclasses()), written);
+    assertEquals(Set.of(Action.class.getPermittedSubclasses()), writtenTypes);
   }
 
   @Test
-  void timesThatStandForNoneAreOmitted() throws IOException {
-    Action unlimited = new Action.StartAttempt("r", "w", 0, Long.MAX_VALUE);
-    Action withoutAdvice = new Action.Reject("r", 0, RejectionReason.QUOTA_EXCEEDED);
+  void aTimeoutOrRetryDelayOfZeroIsOmitted() throws IOException {
+    Action attemptWithoutTimeout = new Action.StartAttempt("r", "w", 0, Long.MAX_VALUE);
+    Action rejectionWithoutRetryDelay = new Action.Reject("r", 0, RejectionReason.QUOTA_EXCEEDED);
 
     assertEquals(
         "{\"kind\":\"Issue\",\"MsgId\":\"r\",\"Executor\":\"w\"}",
-        write(writer -> writer.write(unlimited)));
+        write(writer -> writer.write(attemptWithoutTimeout)));
     assertEquals(
-        "{\"kind\":\"Refuse\",\"MsgId\":\"r\"}", write(writer -> writer.write(withoutAdvice)));
+        "{\"kind\":\"Refuse\",\"MsgId\":\"r\"}",
+        write(writer -> writer.write(rejectionWithoutRetryDelay)));
   }
 
   @Test
-  void aFailureOfThePolicyHasItsNamesOnTheWire() throws IOException {
+  void anExceptionOfThePolicyIsWrittenAsFatal() throws IOException {
     assertEquals(
         "{\"kind\":\"Fatal\",\"Words\":\"java.lang.IllegalStateException: why\"}",
         write(writer -> writer.writeFailure(new IllegalStateException("why"))));
--- a/src/test/java/loomreel/simulator/WireEventReaderTest.java
+++ b/src/test/java/loomreel/simulator/WireEventReaderTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Events of the wire, as typed records. */
+/** Tests the conversion of events from the wire to typed records. */
 class WireEventReaderTest {
   private static WireEvent read(String kind, Map<String, Object> fields)
       throws MalformedBatchException {
     return WireEventReader.read(new WireObject(kind, fields));
   }
 
-  private static WireEvent.RequestReceived request(int marks) throws MalformedBatchException {
+  private static WireEvent.RequestReceived request(int flags) throws MalformedBatchException {
     Map<String, Object> fields =
         Map.of(
             "MsgId",
@@ -31,7 +31,7 @@
             "DueS",
             15.5,
             "Marks",
-            marks,
+            flags,
             "WeightHintS",
             0.25,
             "Owner",
@@ -50,14 +50,15 @@
     "114, NOT_ATTEMPTED",
     "125, CANCELLED"
   })
-  void outcomesAreErrnoValues(int code, AttemptOutcome outcome) throws Exception {
-    WireEvent event = read("StatusBack", Map.of("Executor", "e.a", "How", code, "TookS", 0.5));
+  void outcomeCodesAreErrnoValues(int outcomeCode, AttemptOutcome outcome) throws Exception {
+    WireEvent event =
+        read("StatusBack", Map.of("Executor", "e.a", "How", outcomeCode, "TookS", 0.5));
 
     assertEquals(new WireEvent.HealthCheckCompleted("e.a", outcome, 500_000, null), event);
   }
 
   @Test
-  void anUnknownOutcomeIsMalformed() {
+  void anUnknownOutcomeThrowsMalformedBatchException() {
     MalformedBatchException failure =
         assertThrows(
             MalformedBatchException.class,
@@ -67,12 +68,12 @@
   }
 
   @Test
-  void marksAreBitsForExpectedWorkAndRetries() throws Exception {
-    assertTrue(Double.isNaN(request(0).expectedWork()));
-    assertEquals(250_000, request(1).expectedWork());
+  void flagBitsSelectExpectedWorkAndClientRetry() throws Exception {
+    assertTrue(Double.isNaN(request(0).expectedWorkMicros()));
+    assertEquals(250_000, request(1).expectedWorkMicros());
     assertEquals(false, request(1).clientRetry());
     assertEquals(true, request(2).clientRetry());
-    assertTrue(Double.isNaN(request(2).expectedWork()));
+    assertTrue(Double.isNaN(request(2).expectedWorkMicros()));
     assertEquals(true, request(3).clientRetry());
   }
 
@@ -83,22 +84,22 @@
     assertEquals(null, request.key());
     assertEquals(1, request.slots());
     assertEquals(null, request.tenantName());
-    assertEquals(15_500_000, request.deadline());
+    assertEquals(15_500_000, request.deadlineMicros());
   }
 
   @Test
-  void onlyStartAndProgressAmongUpdatesAreReported() throws Exception {
+  void onlyUpdatesForStartAndProgressAreReported() throws Exception {
     WireEvent progress = new WireEvent.AttemptProgressReported("00aa", 1);
     Map<String, Object> fields = new HashMap<>(Map.of("MsgId", "00aa", "Leg", 1));
-    for (int sort : new int[] {1, 2}) {
-      fields.put("Sort", sort);
+    for (int updateType : new int[] {1, 2}) {
+      fields.put("Sort", updateType);
       assertEquals(progress, read("UpdateOf", fields));
     }
     assertEquals(new WireEvent.Ignored(), read("UpdateOf", Map.of("Sort", 3)));
   }
 
   @Test
-  void aLoadReportHasNanForWhatItLacks() throws Exception {
+  void absentFieldsOfALoadReportAreNan() throws Exception {
     Map<String, Object> fields =
         Map.of(
             "MsgId",
@@ -127,11 +128,11 @@
 
   @Test
   void anEndpointWithoutOptionalFieldsHasDefaults() throws Exception {
-    List<Object> items = List.of(Map.of("Executor", "e.a", "Health", "quiescing"));
+    List<Object> endpointObjects = List.of(Map.of("Executor", "e.a", "Health", "quiescing"));
     WireEvent expected =
         new WireEvent.EndpointListDefined(
             2, List.of(new Endpoint("e.a", "", "", -1, Endpoint.State.DRAINING, 0, 1)));
-    assertEquals(expected, read("DefineList", Map.of("RosterId", 2, "Items", items)));
+    assertEquals(expected, read("DefineList", Map.of("RosterId", 2, "Items", endpointObjects)));
   }
 
   @Test
@@ -165,7 +166,7 @@
 
   @Test
   void everyFieldOfAnEndpointIsRead() throws Exception {
-    Map<String, Object> item =
+    Map<String, Object> endpointFields =
         Map.of(
             "Executor", "e.a",
             "Az", "zone",
@@ -175,7 +176,7 @@
             "CameUpS", 2.5,
             "Scale", 1.5);
 
-    WireEvent event = read("DefineList", Map.of("RosterId", 2, "Items", List.of(item)));
+    WireEvent event = read("DefineList", Map.of("RosterId", 2, "Items", List.of(endpointFields)));
 
     Endpoint expected =
         new Endpoint("e.a", "zone", "kind", 3, Endpoint.State.READY, 2_500_000, 1.5);
@@ -184,10 +185,13 @@
 
   @Test
   void everyFieldOfALoadReportIsRead() throws Exception {
-    Map<String, Object> report = Map.of("depth", 3, "concurrent", 5, "load_share", 0.5, "x0", 2);
+    Map<String, Object> reportFields =
+        Map.of("depth", 3, "concurrent", 5, "load_share", 0.5, "x0", 2);
 
     WireEvent event =
-        read("StatusBack", Map.of("Executor", "e.a", "How", 0, "TookS", 0.5, "Usage", report));
+        read(
+            "StatusBack",
+            Map.of("Executor", "e.a", "How", 0, "TookS", 0.5, "Usage", reportFields));
 
     assertEquals(
         new WireEvent.HealthCheckCompleted(
@@ -196,12 +200,12 @@
   }
 
   @Test
-  void everyOtherKindIsReadAsItsEvent() throws Exception {
-    Map<String, Object> setup = Map.of("TickS", 0.004);
+  void everyOtherKindIsReadAsItsRecord() throws Exception {
+    Map<String, Object> settings = Map.of("TickS", 0.004);
     Map<WireEvent, WireEvent> eventByExpected =
         Map.of(
-            new WireEvent.DispatcherStarted(9, setup),
-            read("Up", Map.of("Nonce64", 9, "Setup", setup)),
+            new WireEvent.DispatcherStarted(9, settings),
+            read("Up", Map.of("Nonce64", 9, "Setup", settings)),
             new WireEvent.DispatcherStopped(),
             read("Stop", Map.of()),
             new WireEvent.EndpointSnapshotReceived(2),
