--- a/src/test/java/loomreel/decision/DecayingSumTest.java
+++ b/src/test/java/loomreel/decision/DecayingSumTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 class DecayingSumTest {
-  private static final double TIME_CONSTANT = 1000;
+  private static final double TIME_CONSTANT_MICROS = 1000;
   private static final double TOLERANCE = 1e-9;
 
-  private final DecayingSum sum = new DecayingSum(TIME_CONSTANT);
+  private final DecayingSum sum = new DecayingSum(TIME_CONSTANT_MICROS);
 
   @Test
   void anEmptySumIsZeroAtAnyTime() {
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void anAmountDecaysToOneEthInTheTimeConstant() {
+  void anAmountDecaysByAFactorOfEInOneTimeConstant() {
     sum.add(5, 100);
 
     assertEquals(5, sum.valueAt(100), TOLERANCE);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void amountsAddUpAfterTheDecayOfEarlierOnes() {
+  void aNewAmountIsAddedToTheDecayedSum() {
     sum.add(5, 0);
     sum.add(1, 1000);
 
--- a/src/test/java/loomreel/decision/DispatchPolicyTest.java
+++ b/src/test/java/loomreel/decision/DispatchPolicyTest.java
@@ -19,80 +19,85 @@
 import loomreel.decision.Event.WatchFailed;
 import org.junit.jupiter.api.Test;
 
-/** The contract of {@link DispatchPolicy#on}: what it rejects, ignores and forgets. */
+/** Tests the calls that {@link DispatchPolicy#on} rejects, the events it ignores, and a restart. */
 class DispatchPolicyTest {
   private final DispatcherHarness dispatcher = new DispatcherHarness();
   private final DispatchPolicy policy = dispatcher.policy;
   private final List<Action> actions = new ArrayList<>();
 
   @Test
-  void nullIsRejected() {
-    assertThrows(NullPointerException.class, () -> policy.on(null, dispatcher.now, actions));
+  void aNullEventOrActionListThrowsNullPointerException() {
+    assertThrows(NullPointerException.class, () -> policy.on(null, dispatcher.nowMicros, actions));
     assertThrows(
-        NullPointerException.class, () -> policy.on(new WatchFailed(), dispatcher.now, null));
+        NullPointerException.class, () -> policy.on(new WatchFailed(), dispatcher.nowMicros, null));
   }
 
   @Test
-  void timeMustNotRunBackwards() {
+  void aTimeBeforeThePreviousEventThrowsIllegalArgumentException() {
     assertThrows(
         IllegalArgumentException.class,
-        () -> policy.on(new WatchFailed(), dispatcher.now - 1, actions));
+        () -> policy.on(new WatchFailed(), dispatcher.nowMicros - 1, actions));
   }
 
   @Test
-  void aSecondStartNeedsAStop() {
+  void aSecondStartWithoutAStopThrowsIllegalStateException() {
     assertThrows(
         IllegalStateException.class, () -> dispatcher.handle(new Start(1, dispatcher.settings)));
   }
 
   @Test
-  void theFirstEventMustBeAStart() {
+  void anEventBeforeTheStartThrowsIllegalStateException() {
     assertThrows(
         IllegalStateException.class, () -> new DispatchPolicy().on(new WatchFailed(), 0, actions));
   }
 
   @Test
-  void aStopForgetsTheWorkers() {
+  void aStopDiscardsTheEndpointList() {
     DispatcherHarness restarted = DispatcherHarness.withWorkers(20);
 
     restarted.handle(new Stop());
     restarted.handle(new Start(2, restarted.settings));
 
-    assertTrue(attempts(restarted.arrive("a", "key", DispatcherHarness.READ)).isEmpty());
+    assertTrue(
+        attempts(restarted.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS)).isEmpty());
   }
 
   @Test
   void eventsOfUnknownRequestsAndTimersAreIgnored() {
-    DispatcherHarness listed = DispatcherHarness.withWorkers(20);
-
-    assertTrue(listed.endAttempt("never", 0, "w01", AttemptOutcome.OK).isEmpty());
-    assertTrue(listed.handle(new AttemptProgressed("never", 3)).isEmpty());
-    assertTrue(listed.handle(new RequestCancelled("never")).isEmpty());
-    assertTrue(listed.handle(new TimerFired(12345)).isEmpty());
-    assertTrue(listed.handle(new HealthChecked("w01", AttemptOutcome.OK, 10, null)).isEmpty());
+    DispatcherHarness dispatcherWithWorkers = DispatcherHarness.withWorkers(20);
+
+    assertTrue(dispatcherWithWorkers.endAttempt("never", 0, "w01", AttemptOutcome.OK).isEmpty());
+    assertTrue(dispatcherWithWorkers.handle(new AttemptProgressed("never", 3)).isEmpty());
+    assertTrue(dispatcherWithWorkers.handle(new RequestCancelled("never")).isEmpty());
+    assertTrue(dispatcherWithWorkers.handle(new TimerFired(12345)).isEmpty());
+    assertTrue(
+        dispatcherWithWorkers.handle(
+            new HealthChecked("w01", AttemptOutcome.OK, 10, null)).isEmpty());
   }
 
   @Test
   void eventsOfUnknownAndEndedAttemptsAreIgnored() {
-    DispatcherHarness listed = DispatcherHarness.withWorkers(20);
-    String worker = listed.workerFor("a", "key", DispatcherHarness.READ);
+    DispatcherHarness dispatcherWithWorkers = DispatcherHarness.withWorkers(20);
+    String worker = dispatcherWithWorkers.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    List<Action> unknown = listed.handle(new AttemptProgressed("a", 7));
-    listed.endAttempt("a", 0, worker, AttemptOutcome.OK);
-    List<Action> ended = listed.endAttempt("a", 0, worker, AttemptOutcome.ERROR);
+    List<Action> actionsAfterUnknownAttempt =
+        dispatcherWithWorkers.handle(new AttemptProgressed("a", 7));
+    dispatcherWithWorkers.endAttempt("a", 0, worker, AttemptOutcome.OK);
+    List<Action> actionsAfterEndedAttempt =
+        dispatcherWithWorkers.endAttempt("a", 0, worker, AttemptOutcome.ERROR);
 
-    assertTrue(unknown.isEmpty());
-    assertTrue(ended.isEmpty());
+    assertTrue(actionsAfterUnknownAttempt.isEmpty());
+    assertTrue(actionsAfterEndedAttempt.isEmpty());
   }
 
   @Test
-  void everyTypeOfEventIsHandled() {
+  void everyTypeOfEventIsHandledWithoutAnException() {
     List<Event> events =
         List.of(
             new Event.EndpointSnapshot(DispatcherHarness.endpoints(2)),
             new Event.EndpointUpdate(DispatcherHarness.endpoints(3)),
             new WatchFailed(),
-            dispatcher.request("a", "key", DispatcherHarness.READ, Double.NaN),
+            dispatcher.request("a", "key", DispatcherHarness.IDEMPOTENT_CLASS, Double.NaN),
             new AttemptProgressed("a", 0),
             new Event.AttemptEnded("a", 0, "w00", AttemptOutcome.OK, true, 1000, null),
             new RequestCancelled("a"),
@@ -108,7 +113,7 @@
       assertDoesNotThrow(() -> dispatcher.handle(event));
     }
 
-    Set<Class<?>> handled = events.stream().map(Event::getClass).collect(Collectors.toSet());
-    assertEquals(Set.of(Event.class.getPermittedSubclasses()), handled);
+    Set<Class<?>> handledTypes = events.stream().map(Event::getClass).collect(Collectors.toSet());
+    assertEquals(Set.of(Event.class.getPermittedSubclasses()), handledTypes);
   }
 }
--- a/src/test/java/loomreel/decision/EndpointUpdateTest.java
+++ b/src/test/java/loomreel/decision/EndpointUpdateTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The endpoint list, its polls, and the workers that operators disable and enable. */
+/** Tests changes and polls of the endpoint list, and workers that operators disable or enable. */
 class EndpointUpdateTest {
   @ParameterizedTest
   @EnumSource(
@@ -36,26 +36,27 @@
       names = {"DRAINING", "REMOVED"})
   void aWorkerThatDrainsOrIsRemovedGetsNoNewAttempt(State state) {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    String worker = dispatcher.workerFor("a", "key", DispatcherHarness.READ);
+    String worker = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    dispatcher.updateEndpoint(DispatcherHarness.number(worker), state, 0);
+    dispatcher.updateEndpoint(DispatcherHarness.workerNumber(worker), state, 0);
 
     for (int i = 0; i < 50; i++) {
       String key = i % 2 == 0 ? "key" : null;
       for (StartAttempt attempt :
-          attempts(dispatcher.arrive("b" + i, key, DispatcherHarness.READ))) {
+          attempts(dispatcher.arrive("b" + i, key, DispatcherHarness.IDEMPOTENT_CLASS))) {
         assertFalse(attempt.workerId().equals(worker));
       }
     }
   }
 
   @Test
-  void aFailedWatchChangesNothing() {
+  void aFailedWatchKeepsTheEndpointList() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
     dispatcher.handle(new WatchFailed());
 
-    assertEquals(1, attempts(dispatcher.arrive("a", "key", DispatcherHarness.READ)).size());
+    assertEquals(
+        1, attempts(dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS)).size());
   }
 
   @Test
@@ -64,74 +65,79 @@
 
     dispatcher.handle(new EndpointSnapshot(List.of(DispatcherHarness.endpoint(5, State.READY, 0))));
 
-    assertEquals("w05", dispatcher.workerFor("b", "key", DispatcherHarness.READ));
+    assertEquals("w05", dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS));
   }
 
   @Test
-  void theListIsPolledWithinItsIntervalAndAgainAfterAFailure() {
-    Settings polling = DispatcherHarness.settings(1, true, false, LoadReporting.NONE, true);
+  void theEndpointListIsPolledWithinThePollIntervalAndAgainAfterAFailure() {
+    Settings pollingSettings = DispatcherHarness.settings(1, true, false, LoadReporting.NONE, true);
     for (int seed = 0; seed < 50; seed++) {
       DispatcherHarness dispatcher = new DispatcherHarness();
       dispatcher.handle(new Stop());
 
-      List<Action> start = dispatcher.handle(new Start(seed, polling));
+      List<Action> startActions = dispatcher.handle(new Start(seed, pollingSettings));
 
-      SetTimer firstPoll = actionsOf(SetTimer.class, start).get(0);
-      assertTrue(firstPoll.time() - dispatcher.now < 10 * SECOND);
-      dispatcher.now = firstPoll.time();
+      SetTimer firstPoll = actionsOf(SetTimer.class, startActions).get(0);
+      assertTrue(firstPoll.time() - dispatcher.nowMicros < 10 * SECOND);
+      dispatcher.nowMicros = firstPoll.time();
       assertEquals(
           List.of(new PollEndpoints()), dispatcher.handle(new TimerFired(firstPoll.token())));
-      List<Action> failure = dispatcher.handle(new WatchFailed());
-      SetTimer nextPoll = actionsOf(SetTimer.class, failure).get(0);
-      assertTrue(nextPoll.time() > dispatcher.now);
-      assertTrue(nextPoll.time() - dispatcher.now < 10 * SECOND);
+      List<Action> failureActions = dispatcher.handle(new WatchFailed());
+      SetTimer nextPoll = actionsOf(SetTimer.class, failureActions).get(0);
+      assertTrue(nextPoll.time() > dispatcher.nowMicros);
+      assertTrue(nextPoll.time() - dispatcher.nowMicros < 10 * SECOND);
     }
   }
 
-  /** No first attempt, no retry and no health check, however often the list names it as ready. */
+  /**
+   * Verifies that a disabled worker gets no first attempt, no retry and no health check while the
+   * endpoint list states that it is ready.
+   */
   @Test
-  void aDisabledWorkerGetsNothing() {
+  void aDisabledWorkerGetsNoAttemptAndNoHealthCheck() {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(2)));
 
     dispatcher.handle(new WorkerDisabled("w00"));
 
-    assertEquals(1, dispatcher.policy.ejectedWorkers(dispatcher.now));
-    int attemptsElsewhere = 0;
+    assertEquals(1, dispatcher.policy.ejectedWorkers(dispatcher.nowMicros));
+    int attemptsAtEnabledWorker = 0;
     for (int i = 0; i < 50; i++) {
-      dispatcher.now += SECOND / 10;
+      dispatcher.nowMicros += SECOND / 10;
       dispatcher.updateEndpoint(0, State.READY, 0);
       dispatcher.reportHealth("w01", loadReport(0, 0, 4));
       List<Action> actions =
-          new ArrayList<>(dispatcher.arrive("r" + i, null, DispatcherHarness.READ));
-      attemptsElsewhere += attempts(actions).size();
+          new ArrayList<>(dispatcher.arrive("r" + i, null, DispatcherHarness.IDEMPOTENT_CLASS));
+      attemptsAtEnabledWorker += attempts(actions).size();
       actions.addAll(dispatcher.endAttempt("r" + i, 0, "w01", AttemptOutcome.REJECTED));
       assertTrue(attempts(actions).stream().noneMatch(a -> a.workerId().equals("w00")));
       assertTrue(healthChecks(actions).stream().noneMatch(c -> c.workerId().equals("w00")));
-      dispatcher.now += SECOND;
+      dispatcher.nowMicros += SECOND;
       dispatcher.handle(new RequestCancelled("r" + i));
     }
-    assertTrue(attemptsElsewhere > 0, "the other one serves");
+    assertTrue(attemptsAtEnabledWorker > 0, "the enabled worker gets requests");
   }
 
   @Test
-  void anEnabledWorkerWarmsUp() {
+  void anEnabledWorkerGetsOnlyItsSlowStartAllowance() {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(2)));
     dispatcher.handle(new WorkerDisabled("w00"));
-    dispatcher.now += 55 * SECOND;
+    dispatcher.nowMicros += 55 * SECOND;
     dispatcher.updateEndpoint(0, State.READY, 0);
 
     dispatcher.handle(new WorkerEnabled("w00"));
 
     dispatcher.handle(new WorkerDisabled("w01"));
-    assertEquals(1, dispatcher.policy.ejectedWorkers(dispatcher.now));
+    assertEquals(1, dispatcher.policy.ejectedWorkers(dispatcher.nowMicros));
     int attempts = 0;
     for (int i = 0; i < 20; i++) {
       dispatcher.reportHealth("w00", loadReport(0, 0, 4));
-      attempts += attempts(dispatcher.arrive("s" + i, null, DispatcherHarness.READ)).size();
+      attempts += attempts(
+          dispatcher.arrive("s" + i, null, DispatcherHarness.IDEMPOTENT_CLASS)).size();
     }
     assertTrue(
-        attempts >= 1 && attempts < 20, attempts + " at once to a worker that may have restarted");
+        attempts >= 1 && attempts < 20,
+        attempts + " attempts at once at a worker that may have restarted");
   }
 }
--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -25,39 +25,68 @@
 import loomreel.decision.Event.TimerFired;
 
 /**
- * Many dispatchers and workers on one virtual clock, for sums over all dispatchers. Seeds and ticks
- * are fixed, so every run gives the same results. Times are microseconds.
+ * Deterministic simulation of many dispatchers and workers on one virtual clock. Tests use it to
+ * check quantities that are summed over all dispatchers. The seed and the tick of the settings are
+ * fixed for a run, so equal runs give equal results. Times are in microseconds.
  */
 final class FleetSimulation {
+  /** The number of microseconds in a second. */
   static final long SECOND = DispatcherHarness.SECOND;
-  private static final long ROUND_TRIP = 20_000;
-  private static final long CONNECT_TIMEOUT = 250_000;
-  private static final long REJECTION_DELAY = 1000;
-  private static final long CLIENT_DEADLINE = 5 * SECOND;
 
-  /** Larger values draw the first keys more often. */
+  /** The time, in microseconds, from the start of a health check to its result. */
+  private static final long ROUND_TRIP_MICROS = 20_000;
+
+  /**
+   * The time, in microseconds, after which an attempt or health check at an unreachable worker
+   * fails.
+   */
+  private static final long CONNECT_TIMEOUT_MICROS = 250_000;
+
+  /** The time, in microseconds, after which a worker rejects an attempt. */
+  private static final long REJECTION_DELAY_MICROS = 1000;
+
+  /** The time, in microseconds, that a client waits for an answer. */
+  private static final long CLIENT_TIMEOUT_MICROS = 5 * SECOND;
+
+  /**
+   * The exponent of the uniform random number from 0 to 1 that selects a key. A larger exponent
+   * selects keys with low numbers more often.
+   */
   private static final double KEY_SKEW = 2;
 
-  private record ScheduledTask(long time, long order, Runnable task) {}
+  /**
+   * A task that runs at a time. Tasks with the same time run in the order of their sequence
+   * numbers.
+   */
+  private record ScheduledTask(long time, long sequenceNumber, Runnable task) {}
 
   final Settings settings;
   final Map<String, SimulatedWorker> workers = new TreeMap<>();
 
-  /** When dispatchers polled the endpoint list. */
-  final List<Long> polls = new ArrayList<>();
+  /** The times, in microseconds, at which dispatchers polled the endpoint list. */
+  final List<Long> pollTimesMicros = new ArrayList<>();
+
+  /** The current time, in microseconds. */
+  long nowMicros = 100 * SECOND;
+
+  /** The number of requests that a successful attempt answered. */
+  int servedCount;
+
+  /** The number of requests that dispatchers rejected. */
+  int rejectedCount;
+
+  /** The number of requests that dispatchers failed. */
+  int failedCount;
 
-  long now = 100 * SECOND;
-  int served;
-  int rejected;
-  int failed;
   private final List<DispatchPolicy> dispatchers = new ArrayList<>();
   private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledTask::time).thenComparingLong(ScheduledTask::order));
+          Comparator.comparingLong(ScheduledTask::time)
+              .thenComparingLong(ScheduledTask::sequenceNumber));
   private final SplittableRandom random;
   private final Set<String> unanswered = new HashSet<>();
-  private final Map<String, Integer> attempts = new HashMap<>();
-  private final Map<String, Double> workById = new HashMap<>();
+  private final Map<String, Integer> attemptCountById = new HashMap<>();
+  private final Map<String, Double> workMicrosById = new HashMap<>();
   private long taskCount;
 
   FleetSimulation(Settings settings, long seed) {
@@ -65,7 +94,7 @@
     random = new SplittableRandom(seed);
   }
 
-  /** Starts dispatchers now, each with this endpoint list. */
+  /** Starts {@code count} dispatchers and delivers an endpoint list to each. */
   void start(int count, List<Endpoint> endpoints) {
     for (int i = 0; i < count; i++) {
       DispatchPolicy dispatcher = new DispatchPolicy();
@@ -83,122 +112,163 @@
     tasks.add(new ScheduledTask(time, taskCount++, task));
   }
 
-  /** Has requests arrive at every dispatcher until a time; some keys are more frequent. */
-  void addLoad(double requestsPerSecond, int keys, double meanWork, long until) {
+  /**
+   * Schedules requests at every dispatcher, with exponentially distributed pauses and work. Keys
+   * with low numbers are more frequent.
+   *
+   * @param requestsPerSecond the mean arrival rate at each dispatcher
+   * @param keyCount the number of different keys
+   * @param meanWorkMicros the mean run time of a job at a warm worker of speed 1
+   * @param untilMicros the time at which the arrivals end
+   */
+  void addLoad(double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
     for (int number = 0; number < dispatchers.size(); number++) {
-      addLoad(number, requestsPerSecond, keys, meanWork, until);
+      addLoad(number, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
     }
   }
 
-  /** The same at one dispatcher; requests are of the first tenant if there is one. */
-  void addLoad(int number, double requestsPerSecond, int keys, double meanWork, long until) {
-    scheduleArrival(dispatchers.get(number), requestsPerSecond, keys, meanWork, until);
+  /**
+   * Schedules requests at one dispatcher as {@link #addLoad(double, int, double, long)} does at
+   * all. They belong to the last tenant of the settings, or to none if the settings have no
+   * tenants.
+   *
+   * @param number the index of the dispatcher in the order of starts
+   */
+  void addLoad(
+      int number, double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
+    scheduleArrival(
+        dispatchers.get(number), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
   }
 
   private void scheduleArrival(
-      DispatchPolicy dispatcher, double rate, int keys, double meanWork, long until) {
-    long next = now + (long) (drawExponential() / rate * SECOND);
-    if (next < until) {
+      DispatchPolicy dispatcher,
+      double arrivalsPerSecond,
+      int keyCount,
+      double meanWorkMicros,
+      long untilMicros) {
+    long next = nowMicros + (long) (drawExponential() / arrivalsPerSecond * SECOND);
+    if (next < untilMicros) {
       schedule(
           next,
           () -> {
-            arrive(dispatcher, keys, meanWork);
-            scheduleArrival(dispatcher, rate, keys, meanWork, until);
+            arrive(dispatcher, keyCount, meanWorkMicros);
+            scheduleArrival(dispatcher, arrivalsPerSecond, keyCount, meanWorkMicros, untilMicros);
           });
     }
   }
 
-  /** Draws from the exponential distribution with mean 1. */
+  /** Returns a random number from the exponential distribution with mean 1. */
   private double drawExponential() {
     return -Math.log(1 - random.nextDouble());
   }
 
-  private void arrive(DispatchPolicy dispatcher, int keys, double meanWork) {
+  private void arrive(DispatchPolicy dispatcher, int keyCount, double meanWorkMicros) {
     String id = Long.toHexString(random.nextLong());
-    double work = drawExponential() * meanWork;
+    double workMicros = drawExponential() * meanWorkMicros;
     unanswered.add(id);
-    workById.put(id, work);
-    String key = "k" + (int) (keys * Math.pow(random.nextDouble(), KEY_SKEW));
-    int requestClass = random.nextInt(2) * DispatcherHarness.ISSUE;
+    workMicrosById.put(id, workMicros);
+    String key = "k" + (int) (keyCount * Math.pow(random.nextDouble(), KEY_SKEW));
+    int requestClass = random.nextInt(2) * DispatcherHarness.NON_IDEMPOTENT_CLASS;
     int tenant = settings.tenants().size() - 1;
     deliver(
         dispatcher,
-        new RequestArrived(id, key, 1, requestClass, tenant, now + CLIENT_DEADLINE, false, work));
+        new RequestArrived(
+            id,
+            key,
+            1,
+            requestClass,
+            tenant,
+            nowMicros + CLIENT_TIMEOUT_MICROS,
+            false,
+            workMicros));
   }
 
-  /** How many requests have arrived and have no answer yet. */
+  /** Returns the number of requests that have arrived and have no answer yet. */
   int unansweredCount() {
     return unanswered.size();
   }
 
-  /** Advances the clock. */
-  void run(long until) {
-    while (!tasks.isEmpty() && tasks.peek().time() <= until) {
+  /** Runs the tasks up to a time in the order of their times, and advances the clock to it. */
+  void run(long untilMicros) {
+    while (!tasks.isEmpty() && tasks.peek().time() <= untilMicros) {
       ScheduledTask next = tasks.poll();
-      now = Math.max(now, next.time());
+      nowMicros = Math.max(nowMicros, next.time());
       next.task().run();
     }
-    now = until;
+    nowMicros = untilMicros;
   }
 
+  /** Delivers an event to a dispatcher at the current time and executes the resulting actions. */
   void deliver(DispatchPolicy dispatcher, Event event) {
     List<Action> actions = new ArrayList<>();
-    dispatcher.on(event, now, actions);
+    dispatcher.on(event, nowMicros, actions);
     actions.forEach(action -> execute(dispatcher, action));
   }
 
+  /** Executes an action. Cancellations and log lines have no effect. */
   private void execute(DispatchPolicy dispatcher, Action action) {
     if (action instanceof SetTimer timer) {
       schedule(
-          Math.max(timer.time(), now + settings.tick()),
+          Math.max(timer.time(), nowMicros + settings.tick()),
           () -> deliver(dispatcher, new TimerFired(timer.token())));
     } else if (action instanceof StartAttempt start) {
       startAttempt(dispatcher, start);
     } else if (action instanceof CheckHealth check) {
       checkHealth(dispatcher, check.workerId());
     } else if (action instanceof PollEndpoints) {
-      polls.add(now);
+      pollTimesMicros.add(nowMicros);
     } else if (action instanceof Reject reject) {
-      rejected += unanswered.remove(reject.requestId()) ? 1 : 0;
+      rejectedCount += unanswered.remove(reject.requestId()) ? 1 : 0;
     } else if (action instanceof Fail fail) {
-      failed += unanswered.remove(fail.requestId()) ? 1 : 0;
+      failedCount += unanswered.remove(fail.requestId()) ? 1 : 0;
     }
   }
 
   private void checkHealth(DispatchPolicy dispatcher, String workerId) {
     SimulatedWorker worker = workers.get(workerId);
-    worker.healthChecks.add(now);
+    worker.healthCheckTimesMicros.add(nowMicros);
     boolean isUnreachable = worker.mode == SimulatedWorker.Mode.UNREACHABLE;
     schedule(
-        now + (isUnreachable ? CONNECT_TIMEOUT : ROUND_TRIP),
+        nowMicros + (isUnreachable ? CONNECT_TIMEOUT_MICROS : ROUND_TRIP_MICROS),
         () -> deliver(dispatcher, healthCheckResult(worker)));
   }
 
   private static HealthChecked healthCheckResult(SimulatedWorker worker) {
     String id = worker.endpoint.id();
     return switch (worker.mode) {
-      case SERVING -> new HealthChecked(id, AttemptOutcome.OK, ROUND_TRIP, worker.loadReport());
-      case REJECTING -> new HealthChecked(id, AttemptOutcome.ERROR, ROUND_TRIP, null);
-      case UNREACHABLE -> new HealthChecked(id, AttemptOutcome.CONNECT_FAILED, ROUND_TRIP, null);
+      case SERVING -> new HealthChecked(
+          id, AttemptOutcome.OK, ROUND_TRIP_MICROS, worker.loadReport());
+      case REJECTING -> new HealthChecked(id, AttemptOutcome.ERROR, ROUND_TRIP_MICROS, null);
+      case UNREACHABLE -> new HealthChecked(
+          id, AttemptOutcome.CONNECT_FAILED, ROUND_TRIP_MICROS, null);
     };
   }
 
   private void startAttempt(DispatchPolicy dispatcher, StartAttempt start) {
     SimulatedWorker worker = workers.get(start.workerId());
-    int number = attempts.merge(start.requestId(), 1, Integer::sum) - 1;
-    double work = workById.get(start.requestId());
-    worker.recordAttempt(work, now);
+    int number = attemptCountById.merge(start.requestId(), 1, Integer::sum) - 1;
+    double workMicros = workMicrosById.get(start.requestId());
+    worker.recordAttempt(workMicros, nowMicros);
     switch (worker.mode) {
       case SERVING -> {
-        long endsAt = worker.startJob(work, now, settings.rules());
-        schedule(endsAt, worker::endJob);
-        scheduleEnd(dispatcher, start, number, AttemptOutcome.OK, endsAt);
+        long endsAtMicros = worker.startJob(workMicros, nowMicros, settings.rules());
+        schedule(endsAtMicros, worker::endJob);
+        scheduleEnd(dispatcher, start, number, AttemptOutcome.OK, endsAtMicros);
       }
       case REJECTING ->
-          scheduleEnd(dispatcher, start, number, AttemptOutcome.REJECTED, now + REJECTION_DELAY);
+          scheduleEnd(
+              dispatcher,
+              start,
+              number,
+              AttemptOutcome.REJECTED,
+              nowMicros + REJECTION_DELAY_MICROS);
       case UNREACHABLE ->
           scheduleEnd(
-              dispatcher, start, number, AttemptOutcome.CONNECT_FAILED, now + CONNECT_TIMEOUT);
+              dispatcher,
+              start,
+              number,
+              AttemptOutcome.CONNECT_FAILED,
+              nowMicros + CONNECT_TIMEOUT_MICROS);
       default -> throw new AssertionError(worker.mode);
     }
   }
@@ -208,13 +278,14 @@
       StartAttempt start,
       int number,
       AttemptOutcome outcome,
-      long endsAt) {
-    long sentAt = now;
+      long endsAtMicros) {
+    long sentAtMicros = nowMicros;
     schedule(
-        endsAt,
+        endsAtMicros,
         () -> {
-          boolean isFirst = outcome == AttemptOutcome.OK && unanswered.remove(start.requestId());
-          served += isFirst ? 1 : 0;
+          boolean isFirstAnswer =
+              outcome == AttemptOutcome.OK && unanswered.remove(start.requestId());
+          servedCount += isFirstAnswer ? 1 : 0;
           boolean isAnswered = !unanswered.contains(start.requestId());
           deliver(
               dispatcher,
@@ -224,7 +295,7 @@
                   start.workerId(),
                   outcome,
                   isAnswered,
-                  now - sentAt,
+                  nowMicros - sentAtMicros,
                   null));
         });
   }
--- a/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
+++ b/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
@@ -19,10 +19,10 @@
 import loomreel.decision.Event.HealthChecked;
 import org.junit.jupiter.api.Test;
 
-/** Which workers are checked before a request is placed, and what follows from the results. */
+/** Tests which workers are checked before a request is sent, and how the results are used. */
 class HealthCheckPolicyTest {
-  private static final WorkerLoad IDLE = loadReport(0, 0, 4);
-  private static final WorkerLoad FULL = loadReport(8, 12, 0);
+  private static final WorkerLoad IDLE_LOAD = loadReport(0, 0, 4);
+  private static final WorkerLoad FULL_LOAD = loadReport(8, 12, 0);
 
   private static DispatcherHarness dispatcher(int dispatchers, long seed) {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(dispatchers, seed);
@@ -31,28 +31,33 @@
   }
 
   /**
-   * Has every health check succeed, also those that follow from the results.
+   * Delivers the success of every health check among the actions, and of every health check that
+   * the policy starts in response.
    *
-   * @param checked where the ids of the checked workers are added
-   * @return the actions other than health checks
+   * @param checkedWorkers the set to which the ids of the checked workers are added
+   * @param load the load report of every checked worker
+   * @return all actions other than health checks
    */
-  private static List<Action> answerHealthChecks(
-      DispatcherHarness dispatcher, List<Action> actions, Set<String> checked, WorkerLoad load) {
-    List<Action> others = new ArrayList<>();
-    List<Action> current = actions;
-    while (!current.isEmpty()) {
-      List<Action> next = new ArrayList<>();
-      for (Action action : current) {
+  private static List<Action> completeHealthChecks(
+      DispatcherHarness dispatcher,
+      List<Action> actions,
+      Set<String> checkedWorkers,
+      WorkerLoad load) {
+    List<Action> otherActions = new ArrayList<>();
+    List<Action> pendingActions = actions;
+    while (!pendingActions.isEmpty()) {
+      List<Action> nextActions = new ArrayList<>();
+      for (Action action : pendingActions) {
         if (action instanceof CheckHealth check) {
-          checked.add(check.workerId());
-          next.addAll(dispatcher.reportHealth(check.workerId(), load));
+          checkedWorkers.add(check.workerId());
+          nextActions.addAll(dispatcher.reportHealth(check.workerId(), load));
         } else {
-          others.add(action);
+          otherActions.add(action);
         }
       }
-      current = next;
+      pendingActions = nextActions;
     }
-    return others;
+    return otherActions;
   }
 
   private static boolean isAmong(List<CheckHealth> checks, StartAttempt attempt) {
@@ -62,8 +67,8 @@
   @Test
   void aRequestIsSentToACheckedCandidate() {
     DispatcherHarness dispatcher = dispatcher(1, 3);
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
-    List<CheckHealth> checks = healthChecks(arrival);
+    List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    List<CheckHealth> checks = healthChecks(arrivalActions);
 
     List<Action> results = new ArrayList<>();
     for (CheckHealth check : checks) {
@@ -72,7 +77,7 @@
           dispatcher.handle(new HealthChecked(check.workerId(), AttemptOutcome.OK, 500, load)));
     }
 
-    assertTrue(attempts(arrival).isEmpty());
+    assertTrue(attempts(arrivalActions).isEmpty());
     assertTrue(isAmong(checks, onlyAttempt(results)));
   }
 
@@ -80,17 +85,19 @@
   void unansweredHealthChecksDoNotBlockTheRequest() {
     DispatcherHarness dispatcher = dispatcher(1, 3);
 
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
-    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.now + SECOND);
+    List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    List<Action> laterActions =
+        dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
 
-    assertFalse(healthChecks(arrival).isEmpty());
-    assertFalse(attempts(later).isEmpty());
+    assertFalse(healthChecks(arrivalActions).isEmpty());
+    assertFalse(attempts(laterActions).isEmpty());
   }
 
   @Test
   void aResetHealthCheckDoesNotEjectItsWorker() {
     DispatcherHarness dispatcher = dispatcher(1, 3);
-    List<CheckHealth> checks = healthChecks(dispatcher.arrive("a", "key", DispatcherHarness.READ));
+    List<CheckHealth> checks =
+        healthChecks(dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS));
 
     List<Action> results = new ArrayList<>();
     for (CheckHealth check : checks) {
@@ -101,18 +108,24 @@
     assertTrue(isAmong(checks, attempts(results).get(0)));
   }
 
-  /** It has no affinity to lose, and the least loaded worker is the likeliest to stay free. */
+  /**
+   * Verifies that a request without a key is sent to the checked worker with the least load. Such a
+   * request has no key affinity that the choice could break, and the least loaded worker is the
+   * most likely to have a free slot when the request reaches it.
+   */
   @Test
   void aRequestWithoutAKeyIsSentToTheLeastLoadedOfTheCheckedWorkers() {
     for (int seed = 0; seed < 20; seed++) {
       DispatcherHarness dispatcher = dispatcher(1, seed);
-      List<CheckHealth> checks = healthChecks(dispatcher.arrive("a", null, DispatcherHarness.READ));
+      List<CheckHealth> checks =
+          healthChecks(dispatcher.arrive("a", null, DispatcherHarness.IDEMPOTENT_CLASS));
 
       List<Action> lastResult = List.of();
       for (int i = 0; i < checks.size(); i++) {
-        int free = 1 + (i + seed) % checks.size();
+        int freeSlots = 1 + (i + seed) % checks.size();
         lastResult =
-            dispatcher.reportHealth(checks.get(i).workerId(), loadReport(0, 4 - free, free));
+            dispatcher.reportHealth(
+                checks.get(i).workerId(), loadReport(0, 4 - freeSlots, freeSlots));
       }
 
       int leastLoaded = (2 * checks.size() - 1 - seed % checks.size()) % checks.size();
@@ -123,64 +136,77 @@
     }
   }
 
-  /** A dispatcher that starts under load gets a peak first, which is not the usual load. */
+  /**
+   * Verifies that a high load in the first report of a worker does not dominate the later reports.
+   * A dispatcher that starts under load gets such a report, and it does not show the usual load.
+   */
   @Test
-  void aPeakInTheFirstReportLosesItsWeightSoon() {
+  void aLoadPeakInTheFirstReportIsOutweighedByFiveLaterReports() {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(1)));
     dispatcher.reportHealth("w00", loadReport(30, 34, 0));
     for (int i = 0; i < 5; i++) {
-      dispatcher.now += SECOND / 10;
-      dispatcher.reportHealth("w00", IDLE);
+      dispatcher.nowMicros += SECOND / 10;
+      dispatcher.reportHealth("w00", IDLE_LOAD);
     }
 
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
+    List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    assertEquals(1, attempts(arrival).size());
+    assertEquals(1, attempts(arrivalActions).size());
   }
 
-  /** One of many dispatchers cannot know a worker's load from its own jobs. */
+  /**
+   * Verifies that a fallback candidate is checked before it gets a request. One of many dispatchers
+   * cannot derive the load of a worker from the jobs that it has sent there.
+   */
   @Test
-  void theFallbackIsCheckedBeforeItIsUsed() {
+  void aFallbackCandidateIsCheckedBeforeItGetsARequest() {
     for (int seed = 0; seed < 30; seed++) {
       DispatcherHarness dispatcher = dispatcher(60, seed);
       List<Action> results = new ArrayList<>();
-      Set<String> hashed = new HashSet<>();
+      Set<String> hashedWorkers = new HashSet<>();
       for (CheckHealth check :
-          healthChecks(dispatcher.arrive("a", "key" + seed, DispatcherHarness.READ))) {
-        hashed.add(check.workerId());
-        results.addAll(dispatcher.reportHealth(check.workerId(), FULL));
+          healthChecks(dispatcher.arrive("a", "key" + seed, DispatcherHarness.IDEMPOTENT_CLASS))) {
+        hashedWorkers.add(check.workerId());
+        results.addAll(dispatcher.reportHealth(check.workerId(), FULL_LOAD));
       }
       assertTrue(
-          attempts(results).isEmpty(), "both candidates are full, and no other load is known");
+          attempts(results).isEmpty(),
+          "the hashed candidates are full, and no other load is known");
 
-      Set<String> fallback = new HashSet<>();
-      List<Action> later = answerHealthChecks(dispatcher, results, fallback, IDLE);
+      Set<String> fallbackWorkers = new HashSet<>();
+      List<Action> laterActions =
+          completeHealthChecks(dispatcher, results, fallbackWorkers, IDLE_LOAD);
 
       assertTrue(
-          fallback.contains(onlyAttempt(later).workerId()),
-          later + " of " + fallback + " beside " + hashed);
+          fallbackWorkers.contains(onlyAttempt(laterActions).workerId()),
+          laterActions + " of " + fallbackWorkers + " besides " + hashedWorkers);
     }
   }
 
-  /** The requests of a hot key spread over many workers, and each is sent to a checked one. */
+  /**
+   * Verifies that the requests of a hot key are spread over many workers, and that each request is
+   * sent to a worker that was checked for it.
+   */
   @Test
-  void aRequestWithAHotKeyIsSentToACheckedWorker() {
+  void requestsWithAHotKeyAreSentToManyCheckedWorkers() {
     DispatcherHarness dispatcher = dispatcher(60, 3);
-    Set<String> used = new HashSet<>();
+    Set<String> usedWorkers = new HashSet<>();
     for (int i = 0; i < 40; i++) {
-      dispatcher.now += SECOND / 2;
-      Set<String> checked = new HashSet<>();
-      List<Action> arrival = dispatcher.arrive("r" + i, "hot", DispatcherHarness.READ);
-
-      List<Action> later = answerHealthChecks(dispatcher, arrival, checked, IDLE);
-
-      String worker = onlyAttempt(later).workerId();
-      assertTrue(checked.contains(worker), worker + " was not among " + checked);
-      assertTrue(checked.size() <= 3, checked.toString());
-      used.add(worker);
+      dispatcher.nowMicros += SECOND / 2;
+      Set<String> checkedWorkers = new HashSet<>();
+      List<Action> arrivalActions =
+          dispatcher.arrive("r" + i, "hot", DispatcherHarness.IDEMPOTENT_CLASS);
+
+      List<Action> laterActions =
+          completeHealthChecks(dispatcher, arrivalActions, checkedWorkers, IDLE_LOAD);
+
+      String worker = onlyAttempt(laterActions).workerId();
+      assertTrue(checkedWorkers.contains(worker), worker + " was not among " + checkedWorkers);
+      assertTrue(checkedWorkers.size() <= 3, checkedWorkers.toString());
+      usedWorkers.add(worker);
       dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
     }
-    assertTrue(used.size() > 3, "it is spread: " + used);
+    assertTrue(usedWorkers.size() > 3, "the key uses only " + usedWorkers);
   }
 }
--- a/src/test/java/loomreel/decision/OutlierEjectionTest.java
+++ b/src/test/java/loomreel/decision/OutlierEjectionTest.java
@@ -23,9 +23,10 @@
    * @return the worker that it was sent to
    */
   private String serve(String id, String key, String slowWorker) {
-    dispatcher.now += SECOND / 50;
+    dispatcher.nowMicros += SECOND / 50;
     List<Action> arrival =
-        dispatcher.handle(dispatcher.request(id, key, DispatcherHarness.READ, SECOND / 10));
+        dispatcher.handle(
+            dispatcher.request(id, key, DispatcherHarness.IDEMPOTENT_CLASS, SECOND / 10));
     String worker = attempts(arrival).get(0).workerId();
     long duration = worker.equals(slowWorker) ? 5 * SECOND : SECOND / 10;
     dispatcher.handle(new AttemptEnded(id, 0, worker, AttemptOutcome.OK, true, duration, null));
@@ -36,19 +37,19 @@
   void aSilentWorkerIsNotSelectedUntilItRespondsAgain() {
     for (int i = 0; i < 40; i++) {
       String id = "warm" + i;
-      String worker = dispatcher.workerFor(id, "other" + i, DispatcherHarness.READ);
-      dispatcher.now += 2000;
+      String worker = dispatcher.dispatch(id, "other" + i, DispatcherHarness.IDEMPOTENT_CLASS);
+      dispatcher.nowMicros += 2000;
       dispatcher.handle(new AttemptProgressed(id, 0));
       dispatcher.endAttempt(id, 0, worker, AttemptOutcome.OK);
     }
-    dispatcher.now += 5 * SECOND;
-    String silent = dispatcher.workerFor("a", "key", DispatcherHarness.ISSUE);
+    dispatcher.nowMicros += 5 * SECOND;
+    String silent = dispatcher.dispatch("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
 
-    dispatcher.now += SECOND / 2;
-    String whileSilent = dispatcher.workerFor("b", "key", DispatcherHarness.READ);
+    dispatcher.nowMicros += SECOND / 2;
+    String whileSilent = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.handle(new AttemptProgressed("a", 0));
-    dispatcher.now += SECOND;
-    String afterResponse = dispatcher.workerFor("c", "key", DispatcherHarness.READ);
+    dispatcher.nowMicros += SECOND;
+    String afterResponse = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
     assertNotEquals(silent, whileSilent);
     assertEquals(silent, afterResponse);
@@ -57,17 +58,17 @@
   /** Clients disconnect and connections break while a worker is up: it must not stay idle. */
   @Test
   void aWorkerThatRespondedRecentlyIsSelectedAgainSoon() {
-    String worker = dispatcher.workerFor("a", "key", DispatcherHarness.READ);
-    dispatcher.now += 1000;
+    String worker = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    dispatcher.nowMicros += 1000;
     dispatcher.handle(new RequestCancelled("a"));
     dispatcher.handle(new AttemptEnded("a", 0, worker, AttemptOutcome.CANCELLED, true, 1000, null));
-    assertEquals(worker, dispatcher.workerFor("b", "key", DispatcherHarness.READ));
+    assertEquals(worker, dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS));
     dispatcher.handle(new AttemptProgressed("b", 0));
 
     List<Action> lostConnection =
         dispatcher.endAttempt("b", 0, worker, AttemptOutcome.CONNECT_FAILED);
-    dispatcher.now += SECOND;
-    String later = dispatcher.workerFor("c", "key", DispatcherHarness.READ);
+    dispatcher.nowMicros += SECOND;
+    String later = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
     assertNotEquals(worker, attempts(lostConnection).get(0).workerId());
     assertEquals(worker, later);
@@ -82,7 +83,7 @@
     }
 
     String atOnce = serve("b", "key", slow);
-    dispatcher.now += 60 * SECOND;
+    dispatcher.nowMicros += 60 * SECOND;
     String later = serve("c", "key", slow);
 
     assertNotEquals(slow, atOnce);
@@ -96,10 +97,11 @@
     for (int i = 0; i < 200; i++) {
       serve("r" + i, "key", NO_WORKER);
     }
-    dispatcher.now += 20 * SECOND;
-    dispatcher.handle(dispatcher.request("lost", "key", DispatcherHarness.READ, SECOND / 10));
+    dispatcher.nowMicros += 20 * SECOND;
+    dispatcher.handle(
+        dispatcher.request("lost", "key", DispatcherHarness.IDEMPOTENT_CLASS, SECOND / 10));
     dispatcher.handle(new AttemptProgressed("lost", 0));
-    dispatcher.now += 3 * SECOND;
+    dispatcher.nowMicros += 3 * SECOND;
 
     assertEquals("w00", serve("next", "key", NO_WORKER));
   }
--- a/src/test/java/loomreel/decision/PollBackoffTest.java
+++ b/src/test/java/loomreel/decision/PollBackoffTest.java
@@ -32,15 +32,17 @@
 
   @Test
   void failuresBackOffUpToTheLimit() {
-    long now = 0;
+    long nowMicros = 0;
     for (int failures = 0; failures < 10; failures++) {
-      backoff.pollStarted(now);
-      long wait = backoff.nextPollAt(now, random) - now;
+      backoff.pollStarted(nowMicros);
+      long wait = backoff.nextPollAt(nowMicros, random) - nowMicros;
 
       assertTrue(wait >= MAX / 8 && wait <= MAX, failures + " failures: " + wait);
-      now += 1;
+      nowMicros += 1;
     }
-    assertTrue(backoff.nextPollAt(now, random) - now >= MAX / 2, "the upper half of the limit");
+    assertTrue(
+        backoff.nextPollAt(nowMicros, random) - nowMicros >= MAX / 2,
+        "the upper half of the limit");
   }
 
   @Test
--- a/src/test/java/loomreel/decision/RandomEvents.java
+++ b/src/test/java/loomreel/decision/RandomEvents.java
@@ -12,7 +12,7 @@
   static final long TICK = 2000;
 
   final Random random;
-  long now = 50 * DispatcherHarness.SECOND;
+  long nowMicros = 50 * DispatcherHarness.SECOND;
   long attemptCount;
 
   private final Map<String, List<Long>> attemptTimes = new HashMap<>();
@@ -23,7 +23,7 @@
 
   void recordAttempt(String worker) {
     attemptCount++;
-    attemptTimes.computeIfAbsent(worker, absent -> new ArrayList<>()).add(now);
+    attemptTimes.computeIfAbsent(worker, absent -> new ArrayList<>()).add(nowMicros);
   }
 
   /** Forgets the attempts at a worker, whose process is new. */
--- a/src/test/java/loomreel/decision/RandomEventsTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -54,7 +54,9 @@
       dispatcher.update(DispatcherHarness.endpoints(WORKERS));
     }
 
-    for (long end = run.now + RUN_SECONDS * SECOND; run.now < end; run.now += RandomEvents.TICK) {
+    for (long end = run.nowMicros + RUN_SECONDS * SECOND;
+        run.nowMicros < end;
+        run.nowMicros += RandomEvents.TICK) {
       step();
     }
 
@@ -89,9 +91,9 @@
             ? List.of(State.READY, State.DRAINING, State.REMOVED).get(run.random.nextInt(3))
             : State.READY;
     boolean restarts = state == State.READY;
-    Endpoint endpoint = DispatcherHarness.endpoint(number, state, restarts ? run.now : 0);
+    Endpoint endpoint = DispatcherHarness.endpoint(number, state, restarts ? run.nowMicros : 0);
     if (restarts) {
-      restartedAt.put(endpoint.id(), run.now);
+      restartedAt.put(endpoint.id(), run.nowMicros);
       run.resetAttempts(endpoint.id());
     }
     dispatchers.forEach(dispatcher -> dispatcher.update(List.of(endpoint)));
--- a/src/test/java/loomreel/decision/RequestAnswerTest.java
+++ b/src/test/java/loomreel/decision/RequestAnswerTest.java
@@ -22,8 +22,8 @@
   @Test
   void everyRequestIsAnsweredOnceByItsDeadline() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.ISSUE);
-    long deadline = dispatcher.now + 10 * SECOND;
+    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
+    long deadline = dispatcher.nowMicros + 10 * SECOND;
 
     List<Action> later = dispatcher.fireTimers(arrival, deadline + SECOND);
     List<Action> afterAnswer =
@@ -37,13 +37,14 @@
   @Test
   void aRequestThatArrivesTooLateIsRejectedAtOnce() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    long classDeadline = DispatcherHarness.CLASSES.get(DispatcherHarness.READ).deadline();
-    long deadline = dispatcher.now + classDeadline - 5 * SECOND;
+    long classDeadline =
+        DispatcherHarness.CLASSES.get(DispatcherHarness.IDEMPOTENT_CLASS).deadline();
+    long deadline = dispatcher.nowMicros + classDeadline - 5 * SECOND;
 
     List<Action> actions =
         dispatcher.handle(
             new RequestArrived(
-                "late", "key", 1, DispatcherHarness.READ, -1, deadline, true, SECOND));
+                "late", "key", 1, DispatcherHarness.IDEMPOTENT_CLASS, -1, deadline, true, SECOND));
 
     assertEquals(
         List.of(new Reject("late", SECOND, RejectionReason.ARRIVED_TOO_LATE)),
@@ -54,14 +55,14 @@
   @Test
   void aRequestWithoutAWorkerIsRejectedLongBeforeItsDeadline() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
+    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.now + 3 * SECOND);
+    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.nowMicros + 3 * SECOND);
 
     assertEquals(
         List.of(new Reject("a", SECOND, RejectionReason.NO_ELIGIBLE_WORKER)),
         actionsOf(Reject.class, later));
-    assertTrue(dispatcher.now < 105 * SECOND, "long before the client's deadline");
+    assertTrue(dispatcher.nowMicros < 105 * SECOND, "long before the client's deadline");
   }
 
   @Test
@@ -77,9 +78,9 @@
               "late" + i,
               "key",
               1,
-              DispatcherHarness.READ,
+              DispatcherHarness.IDEMPOTENT_CLASS,
               0,
-              dispatcher.now + SECOND,
+              dispatcher.nowMicros + SECOND,
               true,
               SECOND));
     }
@@ -90,9 +91,9 @@
                 "a",
                 "key",
                 1,
-                DispatcherHarness.READ,
+                DispatcherHarness.IDEMPOTENT_CLASS,
                 0,
-                dispatcher.now + 10 * SECOND,
+                dispatcher.nowMicros + 10 * SECOND,
                 false,
                 SECOND));
 
@@ -103,7 +104,7 @@
   @Test
   void aCancelledRequestIsNotRetried() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
+    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
     List<Action> cancellation = dispatcher.handle(new RequestCancelled("a"));
     List<Action> attemptEnd =
@@ -111,6 +112,6 @@
 
     assertEquals(1, actionsOf(CancelAttempt.class, cancellation).size());
     assertTrue(attemptEnd.isEmpty());
-    assertTrue(dispatcher.fireTimers(arrival, dispatcher.now + 20 * SECOND).isEmpty());
+    assertTrue(dispatcher.fireTimers(arrival, dispatcher.nowMicros + 20 * SECOND).isEmpty());
   }
 }
--- a/src/test/java/loomreel/decision/RetryPolicyTest.java
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -27,7 +27,7 @@
   /** Starts a first attempt, which runs for a tenth of a second; then it ends. */
   private List<Action> endFirstAttempt(int requestClass, AttemptOutcome outcome) {
     StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", requestClass));
-    dispatcher.now += SECOND / 10;
+    dispatcher.nowMicros += SECOND / 10;
     dispatcher.handle(new AttemptProgressed("a", 0));
     return dispatcher.endAttempt("a", 0, first.workerId(), outcome);
   }
@@ -38,13 +38,18 @@
       names = {"OK", "TIMEOUT", "INVALID"},
       mode = EnumSource.Mode.EXCLUDE)
   void idempotentWorkIsRetriedAfterAnyOutcome(AttemptOutcome outcome) {
-    List<Action> actions = endFirstAttempt(DispatcherHarness.READ, outcome);
+    List<Action> actions = endFirstAttempt(DispatcherHarness.IDEMPOTENT_CLASS, outcome);
 
     assertEquals(1, attempts(actions).size(), "after " + outcome);
   }
 
   @ParameterizedTest
-  @ValueSource(ints = {DispatcherHarness.READ, DispatcherHarness.ISSUE, DispatcherHarness.PAY})
+  @ValueSource(
+      ints = {
+        DispatcherHarness.IDEMPOTENT_CLASS,
+        DispatcherHarness.NON_IDEMPOTENT_CLASS,
+        DispatcherHarness.KEYED_CLASS
+      })
   void invalidWorkIsNotRetried(int requestClass) {
     List<Action> actions = endFirstAttempt(requestClass, AttemptOutcome.INVALID);
 
@@ -59,7 +64,7 @@
       names = {"OK", "TIMEOUT"},
       mode = EnumSource.Mode.EXCLUDE)
   void nonIdempotentWorkIsRetriedOnlyIfItNeverRan(AttemptOutcome outcome) {
-    List<Action> actions = endFirstAttempt(DispatcherHarness.ISSUE, outcome);
+    List<Action> actions = endFirstAttempt(DispatcherHarness.NON_IDEMPOTENT_CLASS, outcome);
 
     if (outcome.neverRan()) {
       assertEquals(1, attempts(actions).size(), "after " + outcome);
@@ -78,8 +83,8 @@
       names = {"OK", "TIMEOUT"},
       mode = EnumSource.Mode.EXCLUDE)
   void keyedWorkThatMayHaveRunIsRetriedInItsFailureDomain(AttemptOutcome outcome) {
-    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.PAY));
-    dispatcher.now += SECOND / 10;
+    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.KEYED_CLASS));
+    dispatcher.nowMicros += SECOND / 10;
     dispatcher.handle(new AttemptProgressed("a", 0));
 
     List<Action> actions = dispatcher.endAttempt("a", 0, first.workerId(), outcome);
@@ -89,7 +94,7 @@
     } else {
       List<StartAttempt> retries =
           attempts(actions).isEmpty()
-              ? attempts(dispatcher.fireTimers(actions, dispatcher.now + SECOND / 2))
+              ? attempts(dispatcher.fireTimers(actions, dispatcher.nowMicros + SECOND / 2))
               : attempts(actions);
       for (StartAttempt retry : retries) {
         assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
@@ -99,17 +104,19 @@
 
   @Test
   void keyedWorkIsRetriedInItsFailureDomainAndDeduplicationWindow() {
-    long window = DispatcherHarness.CLASSES.get(DispatcherHarness.PAY).deduplicationWindow();
+    long window =
+        DispatcherHarness.CLASSES.get(DispatcherHarness.KEYED_CLASS).deduplicationWindow();
     int retries = 0;
     for (int key = 0; key < KEYS; key++) {
       DispatcherHarness keyed = DispatcherHarness.withWorkers(20);
-      StartAttempt first = onlyAttempt(keyed.arrive("a", "key" + key, DispatcherHarness.PAY));
-      long sentAt = keyed.now;
+      StartAttempt first =
+          onlyAttempt(keyed.arrive("a", "key" + key, DispatcherHarness.KEYED_CLASS));
+      long sentAt = keyed.nowMicros;
       boolean isInWindow = key % 2 == 0;
-      keyed.now += isInWindow ? SECOND / 100 : window;
+      keyed.nowMicros += isInWindow ? SECOND / 100 : window;
 
       List<Action> atOnce = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
-      List<StartAttempt> later = attempts(keyed.fireTimers(atOnce, keyed.now + 6 * SECOND));
+      List<StartAttempt> later = attempts(keyed.fireTimers(atOnce, keyed.nowMicros + 6 * SECOND));
 
       for (StartAttempt retry : later) {
         assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
@@ -132,20 +139,20 @@
               "a",
               "key" + key,
               1,
-              DispatcherHarness.PAY,
+              DispatcherHarness.KEYED_CLASS,
               -1,
-              keyed.now + 10 * SECOND,
+              keyed.nowMicros + 10 * SECOND,
               false,
               Double.NaN,
               null,
               false);
       StartAttempt first = onlyAttempt(keyed.handle(request));
-      keyed.now += SECOND / 100;
+      keyed.nowMicros += SECOND / 100;
 
       List<Action> actions = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
 
       assertEquals(1, actionsOf(Fail.class, actions).size());
-      assertTrue(attempts(keyed.fireTimers(actions, keyed.now + 6 * SECOND)).isEmpty());
+      assertTrue(attempts(keyed.fireTimers(actions, keyed.nowMicros + 6 * SECOND)).isEmpty());
     }
   }
 }
--- a/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
+++ b/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
@@ -98,12 +98,13 @@
   }
 
   private void schedule(long time, Event event) {
-    scheduled.add(new ScheduledEvent(Math.max(time, run.now + RandomEvents.TICK), order++, event));
+    scheduled.add(
+        new ScheduledEvent(Math.max(time, run.nowMicros + RandomEvents.TICK), order++, event));
   }
 
   private void deliver(Event event) {
     List<Action> actions = new ArrayList<>();
-    policy.on(event, run.now, actions);
+    policy.on(event, run.nowMicros, actions);
     actions.forEach(this::execute);
   }
 
@@ -144,7 +145,7 @@
     } else if (action instanceof SetTimer timer) {
       schedule(timer.time(), new TimerFired(timer.token()));
     } else if (action instanceof PollEndpoints) {
-      schedule(run.now + SECOND, new WatchFailed());
+      schedule(run.nowMicros + SECOND, new WatchFailed());
     }
   }
 
@@ -156,7 +157,7 @@
     assertTrue(
         worker != null && worker.state() == State.READY, "rule 3: sent to a draining worker");
     request.attempts.forEach(previous -> checkRepetition(request, previous, start));
-    request.attempts.add(new AttemptRecord(start.workerId(), run.now));
+    request.attempts.add(new AttemptRecord(start.workerId(), run.nowMicros));
     run.recordAttempt(start.workerId());
     scheduleOutcome(request, request.attempts.size() - 1);
   }
@@ -174,7 +175,7 @@
           failureDomain(start.workerId()),
           "rule 2: outside the deduplication scope");
       assertTrue(
-          run.now < previous.sentAt + requestClass.deduplicationWindow(),
+          run.nowMicros < previous.sentAt + requestClass.deduplicationWindow(),
           "rule 2: after the deduplication window");
     }
   }
@@ -194,7 +195,10 @@
         cancel.attemptNumber() < request.attempts.size(), "cancels an attempt that was not sent");
     if (random.nextInt(4) > 0) {
       scheduleEnd(
-          request, cancel.attemptNumber(), AttemptOutcome.CANCELLED, run.now + RandomEvents.TICK);
+          request,
+          cancel.attemptNumber(),
+          AttemptOutcome.CANCELLED,
+          run.nowMicros + RandomEvents.TICK);
     }
   }
 
@@ -202,16 +206,16 @@
     assertTrue(
         settings.limits().healthChecks() && endpoints.containsKey(check.workerId()),
         "health check not allowed");
-    long time = run.now + random.nextInt(400_000);
+    long time = run.nowMicros + random.nextInt(400_000);
     AttemptOutcome outcome = random.nextInt(8) == 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
     schedule(time, new HealthChecked(check.workerId(), outcome, 1000, run.loadReport()));
   }
 
   private void scheduleOutcome(RequestRecord request, int attempt) {
     long deadline = request.arrival.deadline();
-    long remaining = Math.max(1, deadline - run.now);
+    long remaining = Math.max(1, deadline - run.nowMicros);
     double fraction = Math.min(1, random.nextDouble() * random.nextDouble() * 1.3);
-    long endsAt = run.now + (long) (remaining * fraction);
+    long endsAt = run.nowMicros + (long) (remaining * fraction);
     AttemptOutcome[] all = AttemptOutcome.values();
     AttemptOutcome drawn =
         random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length)];
@@ -219,7 +223,7 @@
     scheduleEnd(request, attempt, outcome, endsAt);
     if (random.nextBoolean()) {
       schedule(
-          run.now + (endsAt - run.now) / 3,
+          run.nowMicros + (endsAt - run.nowMicros) / 3,
           new AttemptProgressed(request.arrival.requestId(), attempt));
     }
   }
@@ -249,13 +253,13 @@
             1 << random.nextInt(3),
             random.nextInt(settings.classes().size()),
             -1,
-            run.now + patience,
+            run.nowMicros + patience,
             random.nextBoolean(),
             Double.NaN);
     requests.put(id, new RequestRecord(arrival));
     deliver(arrival);
     if (random.nextInt(20) == 0) {
-      schedule(run.now + random.nextInt(3_000_000), new RequestCancelled(id));
+      schedule(run.nowMicros + random.nextInt(3_000_000), new RequestCancelled(id));
     }
   }
 
@@ -266,7 +270,7 @@
 
   /** Delivers the events that are due, and checks that no answer is overdue. */
   void step() {
-    while (!scheduled.isEmpty() && scheduled.peek().time() <= run.now) {
+    while (!scheduled.isEmpty() && scheduled.peek().time() <= run.nowMicros) {
       Event event = scheduled.poll().event();
       if (event instanceof AttemptEnded end) {
         deliverEnd(end);
@@ -279,7 +283,8 @@
     }
     for (RequestRecord request : requests.values()) {
       assertTrue(
-          request.answered || run.now <= request.arrival.deadline(), "rule 1: no answer in time");
+          request.answered || run.nowMicros <= request.arrival.deadline(),
+          "rule 1: no answer in time");
     }
     requests.values().removeIf(this::isObsolete);
   }
@@ -292,7 +297,7 @@
 
   private boolean isObsolete(RequestRecord request) {
     return request.answered
-        && run.now > request.arrival.deadline() + 2 * SECOND
+        && run.nowMicros > request.arrival.deadline() + 2 * SECOND
         && request.attempts.stream().allMatch(AttemptRecord::hasEnded);
   }
 }
--- a/src/test/java/loomreel/decision/SimulatedWorker.java
+++ b/src/test/java/loomreel/decision/SimulatedWorker.java
@@ -6,86 +6,106 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * A worker of a {@link FleetSimulation}, with its true state, which no dispatcher sees. It runs as
- * many jobs as it has slots, each at its speed and warm-up; the others wait.
+ * A worker of a {@link FleetSimulation}. Dispatchers see its load reports but not its state. It
+ * runs as many jobs at once as it has slots, and queues the others. Work is stated as the run time
+ * of a job at a warm worker of speed 1, in microseconds.
  */
 final class SimulatedWorker {
   /** How the worker responds to attempts and health checks. */
   enum Mode {
-    /** It runs jobs. */
+    /** The worker runs jobs and answers health checks. */
     SERVING,
-    /** It rejects jobs, and health checks fail. */
+    /** The worker rejects jobs, and health checks fail. */
     REJECTING,
-    /** No connection can be opened. */
+    /** No connection to the worker can be opened. */
     UNREACHABLE
   }
 
   final Endpoint endpoint;
-  final List<Long> healthChecks = new ArrayList<>();
+
+  /** The times, in microseconds, at which health checks were sent to the worker. */
+  final List<Long> healthCheckTimesMicros = new ArrayList<>();
+
   Mode mode = Mode.SERVING;
 
+  /** The work that one slot does per microsecond when the worker is warm. */
   private final double speed;
-  private final long[] slotFreeAt;
-  private final TreeMap<Long, Double> workByTime = new TreeMap<>();
+
+  /** For each slot, the time, in microseconds, at which all jobs assigned to it will have ended. */
+  private final long[] slotFreeAtMicros;
+
+  /** The work of the attempts sent to the worker, by the time at which they were sent. */
+  private final TreeMap<Long, Double> workMicrosByTime = new TreeMap<>();
+
+  /** The number of jobs that run or are queued. */
   private int activeJobs;
 
   SimulatedWorker(Endpoint endpoint, int slots, double speed) {
     this.endpoint = endpoint;
     this.speed = speed;
-    slotFreeAt = new long[slots];
+    slotFreeAtMicros = new long[slots];
   }
 
-  /** The fraction of its full capacity that the worker has. */
-  private double warmUp(long now, Rules rules) {
-    double age = now - endpoint.startedAt();
-    return endpoint.startedAt() == 0 || age > rules.slowStartDuration()
+  /** Returns the fraction of its full capacity that the worker has at a time, from 0 to 1. */
+  private double capacityFraction(long nowMicros, Rules rules) {
+    double ageMicros = nowMicros - endpoint.startedAt();
+    return endpoint.startedAt() == 0 || ageMicros > rules.slowStartDuration()
         ? 1
         : rules.initialCapacityFraction()
-            + (1 - rules.initialCapacityFraction()) * age / rules.slowStartDuration();
+            + (1 - rules.initialCapacityFraction()) * ageMicros / rules.slowStartDuration();
   }
 
-  /** Counts an attempt, whether or not the worker runs it. */
-  void recordAttempt(double work, long now) {
-    workByTime.merge(now, work, Double::sum);
+  /** Records an attempt that was sent to the worker, whether or not the worker runs it. */
+  void recordAttempt(double workMicros, long nowMicros) {
+    workMicrosByTime.merge(nowMicros, workMicros, Double::sum);
   }
 
-  /** The work that was sent here between two times. */
-  double workSent(long from, long to) {
-    return workByTime.subMap(from, to).values().stream().mapToDouble(work -> work).sum();
+  /** Returns the work that was sent to the worker from one time until before another. */
+  double workSentMicros(long fromMicros, long toMicros) {
+    return workMicrosByTime.subMap(fromMicros, toMicros).values().stream()
+        .mapToDouble(workMicros -> workMicros)
+        .sum();
   }
 
-  /** At how many points in time attempts were sent here. */
-  int sendTimes() {
-    return workByTime.size();
+  /** Returns the number of different times at which attempts were sent to the worker. */
+  int sendTimeCount() {
+    return workMicrosByTime.size();
   }
 
-  /** The work that it can do between two times. */
-  double capacity(long from, long to, Rules rules) {
-    return slotFreeAt.length * speed * (to - from) * (warmUp(from, rules) + warmUp(to, rules)) / 2;
+  /** Returns the work that the worker can do in all its slots between two times. */
+  double capacityMicros(long fromMicros, long toMicros, Rules rules) {
+    return slotFreeAtMicros.length
+        * speed
+        * (toMicros - fromMicros)
+        * (capacityFraction(fromMicros, rules) + capacityFraction(toMicros, rules))
+        / 2;
   }
 
   /**
-   * Starts a job in the slot that is free first.
+   * Starts a job in the slot that becomes free first.
    *
-   * @return when it ends
+   * @return the time at which the job ends, in microseconds
    */
-  long startJob(double work, long now, Rules rules) {
+  long startJob(double workMicros, long nowMicros, Rules rules) {
     int slot = 0;
-    for (int i = 1; i < slotFreeAt.length; i++) {
-      slot = slotFreeAt[i] < slotFreeAt[slot] ? i : slot;
+    for (int i = 1; i < slotFreeAtMicros.length; i++) {
+      slot = slotFreeAtMicros[i] < slotFreeAtMicros[slot] ? i : slot;
     }
-    long startsAt = Math.max(now, slotFreeAt[slot]);
-    slotFreeAt[slot] = startsAt + (long) (work / speed / warmUp(startsAt, rules));
+    long startsAtMicros = Math.max(nowMicros, slotFreeAtMicros[slot]);
+    slotFreeAtMicros[slot] =
+        startsAtMicros + (long) (workMicros / speed / capacityFraction(startsAtMicros, rules));
     activeJobs++;
-    return slotFreeAt[slot];
+    return slotFreeAtMicros[slot];
   }
 
+  /** Records the end of a job that was started. */
   void endJob() {
     activeJobs--;
   }
 
+  /** Returns a load report with the current number of jobs. */
   WorkerLoad loadReport() {
-    int slots = slotFreeAt.length;
+    int slots = slotFreeAtMicros.length;
     return DispatcherHarness.loadReport(
         Math.max(0, activeJobs - slots), activeJobs, Math.max(0, slots - activeJobs));
   }
--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -87,9 +87,9 @@
       limiter.restart(random.nextDouble() * meanLightWork, from);
       double jobs = 0;
       double work = drawWork(random);
-      for (long now = from; now < window(); now += STEP) {
-        double refill = rate * capacityAt(now);
-        if (limiter.allows(refill, meanLightWork, window(), work, MAX_WORK, now)) {
+      for (long nowMicros = from; nowMicros < window(); nowMicros += STEP) {
+        double refill = rate * capacityAt(nowMicros);
+        if (limiter.allows(refill, meanLightWork, window(), work, MAX_WORK, nowMicros)) {
           limiter.consume(work);
           jobs += work / MEAN_WORK;
           work = drawWork(random);
--- a/src/test/java/loomreel/decision/SlowStartTest.java
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -29,17 +29,17 @@
       dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
       for (int i = 0; i < 400; i++) {
         if (i == 200) {
-          dispatcher.updateEndpoint(7, State.READY, dispatcher.now);
+          dispatcher.updateEndpoint(7, State.READY, dispatcher.nowMicros);
         }
         for (StartAttempt attempt :
-            attempts(dispatcher.arrive("r" + i, "key" + i, DispatcherHarness.READ))) {
-          if (dispatcher.now < start + 22 * SECOND) {
+            attempts(dispatcher.arrive("r" + i, "key" + i, DispatcherHarness.IDEMPOTENT_CLASS))) {
+          if (dispatcher.nowMicros < start + 22 * SECOND) {
             allAttempts++;
             attemptsAtCold += i >= 200 && attempt.workerId().equals("w07") ? 1 : 0;
           }
           dispatcher.endAttempt("r" + i, 0, attempt.workerId(), AttemptOutcome.OK);
         }
-        dispatcher.now += SECOND / 10;
+        dispatcher.nowMicros += SECOND / 10;
       }
     }
 
@@ -57,13 +57,13 @@
     dispatcher.handle(
         new EndpointSnapshot(
             List.of(
-                DispatcherHarness.endpoint(0, State.READY, dispatcher.now),
-                DispatcherHarness.endpoint(1, State.READY, dispatcher.now))));
+                DispatcherHarness.endpoint(0, State.READY, dispatcher.nowMicros),
+                DispatcherHarness.endpoint(1, State.READY, dispatcher.nowMicros))));
     double workPerRequest = 20_000;
     double work = 0;
     double capacity = 0;
     for (int i = 0; i < 200; i++) {
-      dispatcher.now += SECOND / 100;
+      dispatcher.nowMicros += SECOND / 100;
       for (String worker : List.of("w00", "w01")) {
         dispatcher.reportHealth(worker, loadReport(0, 0, 4));
       }
@@ -74,7 +74,8 @@
       List<StartAttempt> sent =
           attempts(
               dispatcher.handle(
-                  dispatcher.request(id, null, DispatcherHarness.READ, workPerRequest)));
+                  dispatcher.request(
+                      id, null, DispatcherHarness.IDEMPOTENT_CLASS, workPerRequest)));
       work += sent.size() * workPerRequest;
       for (StartAttempt attempt : sent) {
         dispatcher.endAttempt(id, 0, attempt.workerId(), AttemptOutcome.OK);
--- a/src/test/java/loomreel/decision/TokenBucketTest.java
+++ b/src/test/java/loomreel/decision/TokenBucketTest.java
@@ -11,8 +11,8 @@
 
   private final TokenBucket bucket = new TokenBucket();
 
-  private boolean tryAcquire(long now) {
-    return bucket.tryAcquire(TOKENS_PER_MICRO, CAPACITY, now);
+  private boolean tryAcquire(long nowMicros) {
+    return bucket.tryAcquire(TOKENS_PER_MICRO, CAPACITY, nowMicros);
   }
 
   @Test
--- a/src/test/java/loomreel/decision/WorkerSelectionTest.java
+++ b/src/test/java/loomreel/decision/WorkerSelectionTest.java
@@ -34,11 +34,11 @@
         String key = "key" + i;
         String id = seed + "-" + i;
 
-        String worker = dispatcher.workerFor(id, key, DispatcherHarness.READ);
+        String worker = dispatcher.dispatch(id, key, DispatcherHarness.IDEMPOTENT_CLASS);
 
         assertEquals(workerByKey.computeIfAbsent(key, absent -> worker), worker);
         dispatcher.endAttempt(id, 0, worker, AttemptOutcome.OK);
-        dispatcher.now += SECOND / 5;
+        dispatcher.nowMicros += SECOND / 5;
       }
     }
     assertTrue(new HashSet<>(workerByKey.values()).size() > 10, "keys spread over the fleet");
@@ -49,10 +49,10 @@
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 3; i++) {
-      String worker = dispatcher.workerFor("r" + i, "key", DispatcherHarness.READ);
+      String worker = dispatcher.dispatch("r" + i, "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
       assertTrue(used.add(worker), "a worker that reported no free slot is not selected");
-      dispatcher.succeed("r" + i, worker, loadReport(4, 8, 0));
+      dispatcher.succeedFirstAttempt("r" + i, worker, loadReport(4, 8, 0));
     }
   }
 
@@ -62,7 +62,7 @@
 
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 30; i++) {
-      used.add(dispatcher.workerFor("r" + i, null, DispatcherHarness.READ));
+      used.add(dispatcher.dispatch("r" + i, null, DispatcherHarness.IDEMPOTENT_CLASS));
     }
 
     assertTrue(used.size() > 8);
@@ -74,9 +74,9 @@
     for (int i = 0; i < 30; i++) {
       String key = i % 2 == 0 ? "key" + i : null;
 
-      String worker = dispatcher.workerFor("r" + i, key, DispatcherHarness.BIG_ONLY);
+      String worker = dispatcher.dispatch("r" + i, key, DispatcherHarness.BIG_WORKER_CLASS);
 
-      assertEquals(0, DispatcherHarness.number(worker) % 3);
+      assertEquals(0, DispatcherHarness.workerNumber(worker) % 3);
       dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
     }
   }
@@ -85,18 +85,18 @@
   void aSingleWorkerGetsEveryRequest() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(1);
 
-    assertEquals("w00", dispatcher.workerFor("a", "key", DispatcherHarness.READ));
+    assertEquals("w00", dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS));
   }
 
   @Test
   void withoutWorkersARequestIsQueuedUntilOneJoins() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    List<Action> arrival = dispatcher.arrive("b", "key", DispatcherHarness.READ);
+    List<Action> arrival = dispatcher.arrive("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     assertTrue(attempts(arrival).isEmpty());
 
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(1)));
 
-    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.now + SECOND);
+    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.nowMicros + SECOND);
     assertEquals("w00", attempts(later).get(0).workerId());
   }
 
@@ -107,11 +107,12 @@
     for (int workers = 20; workers <= 22; workers += 2) {
       DispatcherHarness dispatcher = DispatcherHarness.withWorkers(workers);
       for (int key = 0; key < 200; key++) {
-        String worker = dispatcher.workerFor("r" + key, "key" + key, DispatcherHarness.READ);
+        String worker =
+            dispatcher.dispatch("r" + key, "key" + key, DispatcherHarness.IDEMPOTENT_CLASS);
         String previous = workerByKey.putIfAbsent("key" + key, worker);
         moved += previous == null || previous.equals(worker) ? 0 : 1;
         dispatcher.endAttempt("r" + key, 0, worker, AttemptOutcome.OK);
-        dispatcher.now += SECOND / 2;
+        dispatcher.nowMicros += SECOND / 2;
       }
     }
 
@@ -127,11 +128,11 @@
 
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      String worker = dispatcher.workerFor("r" + i, "hot", DispatcherHarness.READ);
+      String worker = dispatcher.dispatch("r" + i, "hot", DispatcherHarness.IDEMPOTENT_CLASS);
       used.add(worker);
       dispatcher.handle(new AttemptProgressed("r" + i, 0));
       dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
-      dispatcher.now += SECOND / 20;
+      dispatcher.nowMicros += SECOND / 20;
     }
 
     assertTrue(used.size() > 10, "used " + used.size());
@@ -144,15 +145,15 @@
         new DispatcherHarness(
             DispatcherHarness.settings(3, true, false, LoadReporting.NONE, false), 3);
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
-    String loaded = dispatcher.workerFor("a", "key", DispatcherHarness.READ);
-    dispatcher.now += SECOND / 5;
+    String loaded = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    dispatcher.nowMicros += SECOND / 5;
     dispatcher.handle(new AttemptProgressed("a", 0));
     dispatcher.endAttempt("a", 0, loaded, AttemptOutcome.OK);
 
-    String other = dispatcher.workerFor("b", "key", DispatcherHarness.READ);
+    String other = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.endAttempt("b", 0, other, AttemptOutcome.OK);
-    dispatcher.now += 5 * SECOND;
-    String later = dispatcher.workerFor("c", "key", DispatcherHarness.READ);
+    dispatcher.nowMicros += 5 * SECOND;
+    String later = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
     assertNotEquals(loaded, other);
     assertEquals(loaded, later);
@@ -162,23 +163,24 @@
   @Test
   void aQueuedRequestMovesDownTheRanking() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    dispatcher.now += 30 * SECOND;
+    dispatcher.nowMicros += 30 * SECOND;
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(40)));
     Set<String> full = new HashSet<>();
     List<Action> queued = null;
     for (int i = 0; queued == null && i < 30; i++) {
-      List<Action> arrival = dispatcher.arrive("r" + i, "key", DispatcherHarness.READ);
+      List<Action> arrival = dispatcher.arrive("r" + i, "key", DispatcherHarness.IDEMPOTENT_CLASS);
       if (attempts(arrival).isEmpty()) {
         queued = arrival;
       } else {
         String worker = onlyAttempt(arrival).workerId();
         full.add(worker);
-        dispatcher.succeed("r" + i, worker, loadReport(4, 8, 0));
+        dispatcher.succeedFirstAttempt("r" + i, worker, loadReport(4, 8, 0));
       }
     }
     assertFalse(queued == null, "the first workers of the key's ranking were never all full");
 
-    List<StartAttempt> later = attempts(dispatcher.fireTimers(queued, dispatcher.now + SECOND / 3));
+    List<StartAttempt> later =
+        attempts(dispatcher.fireTimers(queued, dispatcher.nowMicros + SECOND / 3));
 
     assertEquals(1, later.size());
     assertFalse(full.contains(later.get(0).workerId()));
