--- a/src/test/java/loomreel/decision/DispatchPolicyTest.java
+++ b/src/test/java/loomreel/decision/DispatchPolicyTest.java
@@ -71,8 +71,9 @@
     assertTrue(dispatcherWithWorkers.handle(new RequestCancelled("never")).isEmpty());
     assertTrue(dispatcherWithWorkers.handle(new TimerFired(12345)).isEmpty());
     assertTrue(
-        dispatcherWithWorkers.handle(
-            new HealthChecked("w01", AttemptOutcome.OK, 10, null)).isEmpty());
+        dispatcherWithWorkers
+            .handle(new HealthChecked("w01", AttemptOutcome.OK, 10, null))
+            .isEmpty());
   }
 
   @Test
--- a/src/test/java/loomreel/decision/EndpointUpdateTest.java
+++ b/src/test/java/loomreel/decision/EndpointUpdateTest.java
@@ -133,8 +133,8 @@
     int attempts = 0;
     for (int i = 0; i < 20; i++) {
       dispatcher.reportHealth("w00", loadReport(0, 0, 4));
-      attempts += attempts(
-          dispatcher.arrive("s" + i, null, DispatcherHarness.IDEMPOTENT_CLASS)).size();
+      attempts +=
+          attempts(dispatcher.arrive("s" + i, null, DispatcherHarness.IDEMPOTENT_CLASS)).size();
     }
     assertTrue(
         attempts >= 1 && attempts < 20,
--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -236,11 +236,11 @@
   private static HealthChecked healthCheckResult(SimulatedWorker worker) {
     String id = worker.endpoint.id();
     return switch (worker.mode) {
-      case SERVING -> new HealthChecked(
-          id, AttemptOutcome.OK, ROUND_TRIP_MICROS, worker.loadReport());
+      case SERVING ->
+          new HealthChecked(id, AttemptOutcome.OK, ROUND_TRIP_MICROS, worker.loadReport());
       case REJECTING -> new HealthChecked(id, AttemptOutcome.ERROR, ROUND_TRIP_MICROS, null);
-      case UNREACHABLE -> new HealthChecked(
-          id, AttemptOutcome.CONNECT_FAILED, ROUND_TRIP_MICROS, null);
+      case UNREACHABLE ->
+          new HealthChecked(id, AttemptOutcome.CONNECT_FAILED, ROUND_TRIP_MICROS, null);
     };
   }
 
--- a/src/test/java/loomreel/decision/OutlierEjectionTest.java
+++ b/src/test/java/loomreel/decision/OutlierEjectionTest.java
@@ -11,16 +11,23 @@
 import loomreel.decision.Event.RequestCancelled;
 import org.junit.jupiter.api.Test;
 
-/** Workers that are silent, lose connections or are slow, and when they are selected again. */
+/**
+ * Tests that workers that are silent, lose a connection or are slow are ejected, and when they are
+ * selected again.
+ */
 class OutlierEjectionTest {
+  /** The id to pass for the slow worker if no worker is slow. */
   private static final String NO_WORKER = "none";
 
   private DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
   /**
-   * Has a job of 0.1 s of work run for that long, or for 5 s at the slow worker.
+   * Advances the clock by 0.02 s and delivers the arrival of a request with 0.1 s of expected work,
+   * followed by the success of its attempt. The reported duration is 0.1 s, or 5 s at the slow
+   * worker.
    *
-   * @return the worker that it was sent to
+   * @param slowWorker the id of the slow worker, or {@link #NO_WORKER}
+   * @return the id of the worker that got the attempt
    */
   private String serve(String id, String key, String slowWorker) {
     dispatcher.nowMicros += SECOND / 50;
@@ -28,8 +35,9 @@
         dispatcher.handle(
             dispatcher.request(id, key, DispatcherHarness.IDEMPOTENT_CLASS, SECOND / 10));
     String worker = attempts(arrival).get(0).workerId();
-    long duration = worker.equals(slowWorker) ? 5 * SECOND : SECOND / 10;
-    dispatcher.handle(new AttemptEnded(id, 0, worker, AttemptOutcome.OK, true, duration, null));
+    long durationMicros = worker.equals(slowWorker) ? 5 * SECOND : SECOND / 10;
+    dispatcher.handle(
+        new AttemptEnded(id, 0, worker, AttemptOutcome.OK, true, durationMicros, null));
     return worker;
   }
 
@@ -43,19 +51,24 @@
       dispatcher.endAttempt(id, 0, worker, AttemptOutcome.OK);
     }
     dispatcher.nowMicros += 5 * SECOND;
-    String silent = dispatcher.dispatch("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
+    String silentWorker = dispatcher.dispatch("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
 
     dispatcher.nowMicros += SECOND / 2;
-    String whileSilent = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    String workerWhileSilent = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.handle(new AttemptProgressed("a", 0));
     dispatcher.nowMicros += SECOND;
-    String afterResponse = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    String workerAfterResponse =
+        dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    assertNotEquals(silent, whileSilent);
-    assertEquals(silent, afterResponse);
+    assertNotEquals(silentWorker, workerWhileSilent);
+    assertEquals(silentWorker, workerAfterResponse);
   }
 
-  /** Clients disconnect and connections break while a worker is up: it must not stay idle. */
+  /**
+   * Verifies that a worker that responded recently is selected again soon after a client cancelled
+   * its request there and a connection to it failed. Both can happen while the worker is up, and it
+   * must not stay unused.
+   */
   @Test
   void aWorkerThatRespondedRecentlyIsSelectedAgainSoon() {
     String worker = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
@@ -65,34 +78,41 @@
     assertEquals(worker, dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS));
     dispatcher.handle(new AttemptProgressed("b", 0));
 
-    List<Action> lostConnection =
+    List<Action> actionsAfterConnectFailure =
         dispatcher.endAttempt("b", 0, worker, AttemptOutcome.CONNECT_FAILED);
     dispatcher.nowMicros += SECOND;
-    String later = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    String laterWorker = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    assertNotEquals(worker, attempts(lostConnection).get(0).workerId());
-    assertEquals(worker, later);
+    assertNotEquals(worker, attempts(actionsAfterConnectFailure).get(0).workerId());
+    assertEquals(worker, laterWorker);
   }
 
-  /** A machine that has become slow reports no load while it is idle. */
+  /**
+   * Verifies that a worker is not selected for some time if its jobs take much longer than
+   * elsewhere. The load reports do not show this, because a slow machine reports no load while it
+   * is idle.
+   */
   @Test
-  void aWorkerWhoseJobsTakeMuchLongerThanElsewhereIsNotSelectedForAWhile() {
-    String slow = serve("a", "key", NO_WORKER);
+  void aWorkerWhoseJobsTakeMuchLongerThanElsewhereIsNotSelectedForSomeTime() {
+    String slowWorker = serve("a", "key", NO_WORKER);
     for (int i = 0; i < 400; i++) {
-      serve("r" + i, "key" + i, slow);
+      serve("r" + i, "key" + i, slowWorker);
     }
 
-    String atOnce = serve("b", "key", slow);
+    String nextWorker = serve("b", "key", slowWorker);
     dispatcher.nowMicros += 60 * SECOND;
-    String later = serve("c", "key", slow);
+    String laterWorker = serve("c", "key", slowWorker);
 
-    assertNotEquals(slow, atOnce);
-    assertEquals(slow, later);
+    assertNotEquals(slowWorker, nextWorker);
+    assertEquals(slowWorker, laterWorker);
   }
 
-  /** The answer may have been lost. */
+  /**
+   * Verifies that a worker is still selected if one of its jobs does not end. The answer of that
+   * job may have been lost.
+   */
   @Test
-  void aWorkerIsSelectedThoughOneOfItsJobsDoesNotEnd() {
+  void aWorkerIsStillSelectedIfOneOfItsJobsDoesNotEnd() {
     dispatcher = DispatcherHarness.withWorkers(1);
     for (int i = 0; i < 200; i++) {
       serve("r" + i, "key", NO_WORKER);
--- a/src/test/java/loomreel/decision/PolicyFilesTest.java
+++ b/src/test/java/loomreel/decision/PolicyFilesTest.java
@@ -24,14 +24,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The deploy files name, under {@code policy}, the source files that hold decision logic. */
+/**
+ * Verifies that the deploy files list, under {@code policy}, the source files that contain decision
+ * logic.
+ */
 class PolicyFilesTest {
   private static final Path SOURCES = Path.of("src/main/java/loomreel/decision");
-  private static final int MIN_LINES = 100;
+
+  /** The number of non-blank lines that the policy files together must exceed. */
+  private static final int MIN_NON_BLANK_LINES = 100;
+
+  /** The maximum number of characters in a line of the decision module. */
   private static final int MAX_LINE_LENGTH = 110;
 
-  /** What chooses a worker, a retry, a rejection or an admission, whether or not it emits. */
-  private static final Set<String> CHOOSING_TYPES =
+  /**
+   * The types that choose a worker, a retry, a rejection or an admission, whether or not they emit
+   * an action.
+   */
+  private static final Set<String> DECIDING_TYPES =
       Set.of(
           "DispatchPolicy",
           "RequestScheduler",
@@ -40,6 +50,7 @@
           "AdmissionController",
           "HealthCheckPolicy");
 
+  /** Returns the files that a deploy file lists under {@code policy}. */
   private static Set<Path> policyFiles(String deployFile) throws IOException {
     JsonNode deployment = new TomlMapper().readTree(new File(deployFile));
     return StreamSupport.stream(deployment.get("policy").spliterator(), false)
@@ -51,14 +62,16 @@
     return SOURCES.resolve(typeName + ".java");
   }
 
-  /** The source files whose classes construct an action or call {@link PolicyContext#emit}. */
+  /**
+   * Returns the source files whose classes construct an action or call {@link PolicyContext#emit}.
+   */
   private static Set<Path> emittingFiles() {
     return new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("loomreel.decision")
             .stream()
             .filter(type -> type.getAccessesFromSelf().stream().anyMatch(PolicyFilesTest::emits))
-            .map(type -> sourceFile(outermost(type).getSimpleName()))
+            .map(type -> sourceFile(outermostClass(type).getSimpleName()))
             .collect(Collectors.toCollection(TreeSet::new));
   }
 
@@ -71,34 +84,36 @@
     return constructsAction || callsEmit;
   }
 
-  private static JavaClass outermost(JavaClass type) {
-    return type.getEnclosingClass().map(PolicyFilesTest::outermost).orElse(type);
+  private static JavaClass outermostClass(JavaClass type) {
+    return type.getEnclosingClass().map(PolicyFilesTest::outermostClass).orElse(type);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"deploy/balancer.toml", "deploy/traced.toml"})
-  void theDeployFileNamesEveryFileThatChooses(String deployFile) throws IOException {
+  void theDeployFileListsEveryDecidingType(String deployFile) throws IOException {
     Set<Path> files = policyFiles(deployFile);
 
-    for (String type : CHOOSING_TYPES) {
+    for (String type : DECIDING_TYPES) {
       assertTrue(files.contains(sourceFile(type)), type + " is not among the policy files");
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"deploy/balancer.toml", "deploy/traced.toml"})
-  void theDeployFileNamesEveryFileThatEmitsActions(String deployFile) throws IOException {
-    Set<Path> missing = emittingFiles();
-    assertTrue(missing.contains(sourceFile("RequestScheduler")), "found: " + missing);
+  void theDeployFileListsEveryFileThatEmitsActions(String deployFile) throws IOException {
+    Set<Path> missingFiles = emittingFiles();
+    assertTrue(missingFiles.contains(sourceFile("RequestScheduler")), "found: " + missingFiles);
 
-    missing.removeAll(policyFiles(deployFile));
+    missingFiles.removeAll(policyFiles(deployFile));
 
-    assertEquals(Set.of(), missing, "emit actions, and are not among the policy files");
+    assertEquals(
+        Set.of(), missingFiles, "these files emit actions but are not among the policy files");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"deploy/balancer.toml", "deploy/traced.toml"})
-  void theDeployFileNamesOnlyFilesOfTheDecisionModule(String deployFile) throws IOException {
+  void theDeployFileListsOnlyExistingFilesOfTheDecisionModule(String deployFile)
+      throws IOException {
     for (Path file : policyFiles(deployFile)) {
       assertEquals(SOURCES, file.getParent());
       assertTrue(Files.exists(file), file + " does not exist");
@@ -106,17 +121,17 @@
   }
 
   @Test
-  void thePolicyFilesHoldTheDecisionLogic() throws IOException {
-    long filledLines = 0;
+  void thePolicyFilesExceedTheMinimumNumberOfLines() throws IOException {
+    long nonBlankLines = 0;
     for (Path file : policyFiles("deploy/balancer.toml")) {
-      filledLines += Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
+      nonBlankLines += Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
     }
 
-    assertTrue(filledLines > MIN_LINES, filledLines + " lines");
+    assertTrue(nonBlankLines > MIN_NON_BLANK_LINES, nonBlankLines + " lines");
   }
 
   @Test
-  void noLineOfTheDecisionModuleIsTooLong() throws IOException {
+  void noLineOfTheDecisionModuleExceedsTheMaximumLength() throws IOException {
     List<Path> files;
     try (Stream<Path> paths = Files.list(SOURCES)) {
       files = paths.toList();
--- a/src/test/java/loomreel/decision/RandomEvents.java
+++ b/src/test/java/loomreel/decision/RandomEvents.java
@@ -6,36 +6,51 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The clock, the source of random numbers and the counters of one run of random events. */
+/**
+ * The clock, the random number generator and the attempt counts that all dispatchers in one run of
+ * random events share.
+ */
 final class RandomEvents {
-  /** The least time between two events of a dispatcher, in microseconds. */
-  static final long TICK = 2000;
+  /** The minimum time between two events of a dispatcher, in microseconds. */
+  static final long TICK_MICROS = 2000;
 
   final Random random;
+
+  /** The current time, in microseconds. */
   long nowMicros = 50 * DispatcherHarness.SECOND;
+
+  /** The number of attempts at all workers. */
   long attemptCount;
 
-  private final Map<String, List<Long>> attemptTimes = new HashMap<>();
+  /** The times, in microseconds, of the attempts at each worker since its last reset. */
+  private final Map<String, List<Long>> attemptTimesMicrosByWorker = new HashMap<>();
 
   RandomEvents(long seed) {
     random = new Random(seed);
   }
 
+  /** Records an attempt at a worker at the current time. */
   void recordAttempt(String worker) {
     attemptCount++;
-    attemptTimes.computeIfAbsent(worker, absent -> new ArrayList<>()).add(nowMicros);
+    attemptTimesMicrosByWorker.computeIfAbsent(worker, absent -> new ArrayList<>()).add(nowMicros);
   }
 
-  /** Forgets the attempts at a worker, whose process is new. */
+  /** Discards the recorded times of the attempts at a worker, because its process restarted. */
   void resetAttempts(String worker) {
-    attemptTimes.put(worker, new ArrayList<>());
+    attemptTimesMicrosByWorker.put(worker, new ArrayList<>());
   }
 
-  /** How many attempts were sent to a worker before a time, since its last reset. */
-  long attemptsBefore(String worker, long time) {
-    return attemptTimes.get(worker).stream().filter(sentAt -> sentAt < time).count();
+  /** Returns the number of attempts at a worker before a time and since its last reset. */
+  long attemptsBefore(String worker, long timeMicros) {
+    return attemptTimesMicrosByWorker.get(worker).stream()
+        .filter(sentAtMicros -> sentAtMicros < timeMicros)
+        .count();
   }
 
+  /**
+   * Returns a random load report. One in five contains only the utilization and the free slots; the
+   * others contain everything but the utilization.
+   */
   WorkerLoad loadReport() {
     return random.nextInt(5) == 0
         ? new WorkerLoad(Double.NaN, Double.NaN, 0.5, random.nextInt(5))
--- a/src/test/java/loomreel/decision/RandomEventsTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -17,22 +17,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Several dispatchers get possible sequences of events, drawn from a fixed seed, and each action is
- * checked against the four rules of the platform by {@link RuleCheckingDispatcher}. No workers are
- * simulated.
+ * Tests several dispatchers with random sequences of possible events from a fixed seed. {@link
+ * RuleCheckingDispatcher} checks each action against the rules of the platform that concern one
+ * dispatcher, and this test checks rule 4, which concerns all of them. Workers are not simulated.
  */
 class RandomEventsTest {
-  private static final int DISPATCHERS = 4;
-  private static final int WORKERS = 12;
+  private static final int DISPATCHER_COUNT = 4;
+  private static final int WORKER_COUNT = 12;
   private static final int RUN_SECONDS = 60;
 
   private final List<RuleCheckingDispatcher> dispatchers = new ArrayList<>();
 
-  /** When the workers that have restarted did so last. */
-  private final Map<String, Long> restartedAt = new HashMap<>();
+  /** The time, in microseconds, of the last restart of each worker that has restarted. */
+  private final Map<String, Long> restartTimeMicrosByWorker = new HashMap<>();
 
-  private RandomEvents run;
-  private long arrivals;
+  private RandomEvents randomEvents;
+  private long arrivalCount;
 
   @ParameterizedTest
   @CsvSource({
@@ -43,36 +43,46 @@
     "5,false,true,WITH_ANSWERS,true",
     "6,true,true,WITH_ANSWERS,false"
   })
-  void everyActionFollowsTheRules(
-      int seed, boolean hedging, boolean healthChecks, LoadReporting reporting, boolean polls) {
-    run = new RandomEvents(seed);
+  void everyActionFollowsTheRulesOfThePlatform(
+      int seed,
+      boolean hedging,
+      boolean healthChecks,
+      LoadReporting reporting,
+      boolean pollsEndpoints) {
+    randomEvents = new RandomEvents(seed);
     Settings settings =
-        DispatcherHarness.settings(DISPATCHERS, hedging, healthChecks, reporting, polls);
-    for (int number = 0; number < DISPATCHERS; number++) {
-      RuleCheckingDispatcher dispatcher = new RuleCheckingDispatcher(run, number, settings);
+        DispatcherHarness.settings(
+            DISPATCHER_COUNT, hedging, healthChecks, reporting, pollsEndpoints);
+    for (int number = 0; number < DISPATCHER_COUNT; number++) {
+      RuleCheckingDispatcher dispatcher =
+          new RuleCheckingDispatcher(randomEvents, number, settings);
       dispatchers.add(dispatcher);
-      dispatcher.update(DispatcherHarness.endpoints(WORKERS));
+      dispatcher.update(DispatcherHarness.endpoints(WORKER_COUNT));
     }
 
-    for (long end = run.nowMicros + RUN_SECONDS * SECOND;
-        run.nowMicros < end;
-        run.nowMicros += RandomEvents.TICK) {
+    for (long endMicros = randomEvents.nowMicros + RUN_SECONDS * SECOND;
+        randomEvents.nowMicros < endMicros;
+        randomEvents.nowMicros += RandomEvents.TICK_MICROS) {
       step();
     }
 
     assertTrue(
-        run.attemptCount > arrivals / 6,
-        run.attemptCount + " attempts for " + arrivals + " arrivals");
-    restartedAt.forEach(this::assertNotOverloaded);
+        randomEvents.attemptCount > arrivalCount / 6,
+        randomEvents.attemptCount + " attempts for " + arrivalCount + " arrivals");
+    restartTimeMicrosByWorker.forEach(this::assertNotOverloaded);
   }
 
+  /**
+   * Lets each dispatcher handle the events that are due, and adds random arrivals, endpoint changes
+   * and restarts.
+   */
   private void step() {
-    Random random = run.random;
+    Random random = randomEvents.random;
     for (RuleCheckingDispatcher dispatcher : dispatchers) {
       dispatcher.step();
       if (random.nextInt(40) == 0) {
         dispatcher.arrive();
-        arrivals++;
+        arrivalCount++;
       }
     }
     if (random.nextInt(1500) == 0) {
@@ -83,42 +93,50 @@
     }
   }
 
-  /** Has a random worker restart, drain, or be removed, or adds one. */
+  /**
+   * Reports to all dispatchers that a random worker has joined or restarted, drains, or was
+   * removed.
+   */
   private void changeEndpoint() {
-    int number = run.random.nextInt(16);
+    int number = randomEvents.random.nextInt(16);
     State state =
-        run.random.nextInt(3) == 0
-            ? List.of(State.READY, State.DRAINING, State.REMOVED).get(run.random.nextInt(3))
+        randomEvents.random.nextInt(3) == 0
+            ? List.of(State.READY, State.DRAINING, State.REMOVED)
+                .get(randomEvents.random.nextInt(3))
             : State.READY;
-    boolean restarts = state == State.READY;
-    Endpoint endpoint = DispatcherHarness.endpoint(number, state, restarts ? run.nowMicros : 0);
-    if (restarts) {
-      restartedAt.put(endpoint.id(), run.nowMicros);
-      run.resetAttempts(endpoint.id());
+    boolean isRestart = state == State.READY;
+    Endpoint endpoint =
+        DispatcherHarness.endpoint(number, state, isRestart ? randomEvents.nowMicros : 0);
+    if (isRestart) {
+      restartTimeMicrosByWorker.put(endpoint.id(), randomEvents.nowMicros);
+      randomEvents.resetAttempts(endpoint.id());
     }
     dispatchers.forEach(dispatcher -> dispatcher.update(List.of(endpoint)));
   }
 
-  /** Replaces a dispatcher by one that knows nothing but the endpoint list. */
+  /** Replaces a dispatcher with a new one that gets the same endpoint list but no other state. */
   private void restartDispatcher(int number) {
     RuleCheckingDispatcher previous = dispatchers.get(number);
     Set<String> ids = new HashSet<>(previous.endpoints.keySet());
     List<Endpoint> endpoints = new ArrayList<>(previous.endpoints.values());
-    RuleCheckingDispatcher next = new RuleCheckingDispatcher(run, number, previous.settings);
-    dispatchers.set(number, next);
-    next.update(endpoints);
-    assertEquals(ids, next.endpoints.keySet());
+    RuleCheckingDispatcher replacement =
+        new RuleCheckingDispatcher(randomEvents, number, previous.settings);
+    dispatchers.set(number, replacement);
+    replacement.update(endpoints);
+    assertEquals(ids, replacement.endpoints.keySet());
   }
 
   /**
-   * Rule 4: in its first overload window a cold worker gets less than the overload multiple of its
-   * equal part of all attempts, and a margin for chance.
+   * Asserts rule 4: in the first overload window after its restart, a worker gets no more attempts
+   * than a fraction of the overload multiple of its equal part of all attempts, plus a margin for
+   * chance.
    */
-  private void assertNotOverloaded(String worker, long startedAt) {
-    long window = DispatcherHarness.RULES.overloadWindow();
-    double equalPart = (double) run.attemptCount / RUN_SECONDS / WORKERS * window / SECOND;
-    double limit = DispatcherHarness.RULES.overloadMultiple() * equalPart * 0.35 + 3;
-    long attempts = run.attemptsBefore(worker, startedAt + window);
+  private void assertNotOverloaded(String worker, long startedAtMicros) {
+    long windowMicros = DispatcherHarness.RULES.overloadWindow();
+    double equalPartOfAttempts =
+        (double) randomEvents.attemptCount / RUN_SECONDS / WORKER_COUNT * windowMicros / SECOND;
+    double limit = DispatcherHarness.RULES.overloadMultiple() * equalPartOfAttempts * 0.35 + 3;
+    long attempts = randomEvents.attemptsBefore(worker, startedAtMicros + windowMicros);
     assertTrue(
         attempts <= limit, "rule 4: " + attempts + " attempts at " + worker + ", at most " + limit);
   }
--- a/src/test/java/loomreel/decision/ReadmeExampleTest.java
+++ b/src/test/java/loomreel/decision/ReadmeExampleTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The code example of README.md. */
+/** Tests the code example of README.md. */
 class ReadmeExampleTest {
   private static final Path SOURCE =
       Path.of("src/test/java/loomreel/decision/ReadmeExampleTest.java");
@@ -58,15 +58,15 @@
   }
 
   @Test
-  void theReadmeShowsTheExample() throws IOException {
-    String example = between(Files.readString(SOURCE), "// example", "    // end");
-    String readmeBlock = between(Files.readString(README), "```java", "```");
+  void theReadmeContainsTheExample() throws IOException {
+    String example = textBetween(Files.readString(SOURCE), "// example", "    // end");
+    String readmeBlock = textBetween(Files.readString(README), "```java", "```");
 
     assertEquals(example.stripTrailing().stripIndent().strip(), readmeBlock.strip());
   }
 
-  private static String between(String text, String start, String end) {
-    int from = text.indexOf(start) + start.length();
-    return text.substring(from, text.indexOf(end, from));
+  private static String textBetween(String text, String start, String end) {
+    int startIndex = text.indexOf(start) + start.length();
+    return text.substring(startIndex, text.indexOf(end, startIndex));
   }
 }
--- a/src/test/java/loomreel/decision/RendezvousRankingTest.java
+++ b/src/test/java/loomreel/decision/RendezvousRankingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class RendezvousRankingTest {
-  private static final int KEYS = 2000;
+  private static final int KEY_COUNT = 2000;
 
   private static WorkerState worker(String id, double weight) {
     WorkerState worker = new WorkerState(id, 1e6);
@@ -30,7 +30,7 @@
   private final RendezvousRanking ranking = new RendezvousRanking(false);
 
   @Test
-  void theOrderOfTheListDoesNotMatter() {
+  void theRankingDoesNotDependOnTheOrderOfTheWorkers() {
     WorkerState[] workers = workers(9);
     WorkerState[] reversed = workers.clone();
     Collections.reverse(Arrays.asList(reversed));
@@ -44,7 +44,7 @@
     WorkerState[] before = workers(10);
     WorkerState[] after = Arrays.copyOf(before, 9);
 
-    for (int key = 0; key < KEYS; key++) {
+    for (int key = 0; key < KEY_COUNT; key++) {
       WorkerState first = ranking.first(1, Hashing.mix(key), before)[0];
       if (first != before[9]) {
         assertEquals(first, ranking.first(1, Hashing.mix(key), after)[0]);
@@ -57,16 +57,18 @@
     WorkerState[] workers = {worker("light", 1), worker("heavy", 3)};
     RendezvousRanking weighted = new RendezvousRanking(true);
 
-    long heavy = 0;
-    for (int key = 0; key < KEYS; key++) {
-      heavy += weighted.first(1, Hashing.mix(key), workers)[0] == workers[1] ? 1 : 0;
+    long keysOfHeavyWorker = 0;
+    for (int key = 0; key < KEY_COUNT; key++) {
+      keysOfHeavyWorker += weighted.first(1, Hashing.mix(key), workers)[0] == workers[1] ? 1 : 0;
     }
 
-    assertTrue(heavy > 0.7 * KEYS && heavy < 0.8 * KEYS, heavy + " of " + KEYS);
+    assertTrue(
+        keysOfHeavyWorker > 0.7 * KEY_COUNT && keysOfHeavyWorker < 0.8 * KEY_COUNT,
+        keysOfHeavyWorker + " of " + KEY_COUNT);
   }
 
   @Test
-  void withoutWorkersThereIsNoSecondChoice() {
+  void withoutWorkersTheRankingIsEmptyAndTheSecondChoiceIsNull() {
     assertNull(ranking.second(42, new WorkerState[0]));
     assertEquals(List.of(), List.of(ranking.first(3, 42, new WorkerState[0])));
   }
--- a/src/test/java/loomreel/decision/RequestAnswerTest.java
+++ b/src/test/java/loomreel/decision/RequestAnswerTest.java
@@ -17,29 +17,31 @@
 import loomreel.decision.Settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** When a request is answered, rejected or failed, and that its answer is the last of it. */
+/** Tests when requests are answered, rejected or failed, and that no action follows the answer. */
 class RequestAnswerTest {
   @Test
-  void everyRequestIsAnsweredOnceByItsDeadline() {
+  void aRequestWhoseAttemptDoesNotEndFailsOnceByItsDeadline() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
+    List<Action> arrivalActions =
+        dispatcher.arrive("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
     long deadline = dispatcher.nowMicros + 10 * SECOND;
 
-    List<Action> later = dispatcher.fireTimers(arrival, deadline + SECOND);
-    List<Action> afterAnswer =
-        dispatcher.endAttempt("a", 0, onlyAttempt(arrival).workerId(), AttemptOutcome.CANCELLED);
+    List<Action> laterActions = dispatcher.fireTimers(arrivalActions, deadline + SECOND);
+    List<Action> actionsAfterAnswer =
+        dispatcher.endAttempt(
+            "a", 0, onlyAttempt(arrivalActions).workerId(), AttemptOutcome.CANCELLED);
 
-    assertEquals(1, actionsOf(Fail.class, later).size());
-    assertTrue(attempts(later).isEmpty(), "work that may have run is not repeated");
-    assertTrue(afterAnswer.isEmpty());
+    assertEquals(1, actionsOf(Fail.class, laterActions).size());
+    assertTrue(attempts(laterActions).isEmpty(), "work that may have run is not repeated");
+    assertTrue(actionsAfterAnswer.isEmpty());
   }
 
   @Test
   void aRequestThatArrivesTooLateIsRejectedAtOnce() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    long classDeadline =
+    long classDeadlineMicros =
         DispatcherHarness.CLASSES.get(DispatcherHarness.IDEMPOTENT_CLASS).deadline();
-    long deadline = dispatcher.nowMicros + classDeadline - 5 * SECOND;
+    long deadline = dispatcher.nowMicros + classDeadlineMicros - 5 * SECOND;
 
     List<Action> actions =
         dispatcher.handle(
@@ -49,19 +51,20 @@
     assertEquals(
         List.of(new Reject("late", SECOND, RejectionReason.ARRIVED_TOO_LATE)),
         actions,
-        "an answer has no value any more");
+        "an answer no longer has a value");
   }
 
   @Test
   void aRequestWithoutAWorkerIsRejectedLongBeforeItsDeadline() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.nowMicros + 3 * SECOND);
+    List<Action> laterActions =
+        dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + 3 * SECOND);
 
     assertEquals(
         List.of(new Reject("a", SECOND, RejectionReason.NO_ELIGIBLE_WORKER)),
-        actionsOf(Reject.class, later));
+        actionsOf(Reject.class, laterActions));
     assertTrue(dispatcher.nowMicros < 105 * SECOND, "long before the client's deadline");
   }
 
@@ -98,20 +101,22 @@
                 SECOND));
 
     assertTrue(
-        actionsOf(Reject.class, actions).isEmpty(), "within its quota it may wait for a worker");
+        actionsOf(Reject.class, actions).isEmpty(),
+        "the request is within the quota, so it may wait for a worker");
   }
 
   @Test
   void aCancelledRequestIsNotRetried() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    List<Action> cancellation = dispatcher.handle(new RequestCancelled("a"));
-    List<Action> attemptEnd =
-        dispatcher.endAttempt("a", 0, onlyAttempt(arrival).workerId(), AttemptOutcome.REJECTED);
+    List<Action> cancellationActions = dispatcher.handle(new RequestCancelled("a"));
+    List<Action> actionsAfterAttemptEnd =
+        dispatcher.endAttempt(
+            "a", 0, onlyAttempt(arrivalActions).workerId(), AttemptOutcome.REJECTED);
 
-    assertEquals(1, actionsOf(CancelAttempt.class, cancellation).size());
-    assertTrue(attemptEnd.isEmpty());
-    assertTrue(dispatcher.fireTimers(arrival, dispatcher.nowMicros + 20 * SECOND).isEmpty());
+    assertEquals(1, actionsOf(CancelAttempt.class, cancellationActions).size());
+    assertTrue(actionsAfterAttemptEnd.isEmpty());
+    assertTrue(dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + 20 * SECOND).isEmpty());
   }
 }
--- a/src/test/java/loomreel/decision/RetryPolicyTest.java
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -20,16 +20,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class RetryPolicyTest {
-  private static final int KEYS = 60;
+  private static final int KEY_COUNT = 60;
 
   private final DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
-  /** Starts a first attempt, which runs for a tenth of a second; then it ends. */
+  /**
+   * Delivers the arrival of a request, and 0.1 s later the start of its job and the end of its
+   * first attempt. Returns the actions after the end.
+   */
   private List<Action> endFirstAttempt(int requestClass, AttemptOutcome outcome) {
-    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", requestClass));
+    StartAttempt firstAttempt = onlyAttempt(dispatcher.arrive("a", "key", requestClass));
     dispatcher.nowMicros += SECOND / 10;
     dispatcher.handle(new AttemptProgressed("a", 0));
-    return dispatcher.endAttempt("a", 0, first.workerId(), outcome);
+    return dispatcher.endAttempt("a", 0, firstAttempt.workerId(), outcome);
   }
 
   @ParameterizedTest
@@ -37,7 +40,7 @@
       value = AttemptOutcome.class,
       names = {"OK", "TIMEOUT", "INVALID"},
       mode = EnumSource.Mode.EXCLUDE)
-  void idempotentWorkIsRetriedAfterAnyOutcome(AttemptOutcome outcome) {
+  void idempotentWorkIsRetriedAfterAFailedAttempt(AttemptOutcome outcome) {
     List<Action> actions = endFirstAttempt(DispatcherHarness.IDEMPOTENT_CLASS, outcome);
 
     assertEquals(1, attempts(actions).size(), "after " + outcome);
@@ -82,12 +85,13 @@
       value = AttemptOutcome.class,
       names = {"OK", "TIMEOUT"},
       mode = EnumSource.Mode.EXCLUDE)
-  void keyedWorkThatMayHaveRunIsRetriedInItsFailureDomain(AttemptOutcome outcome) {
-    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.KEYED_CLASS));
+  void keyedWorkThatMayHaveRunIsRetriedOnlyInItsFailureDomain(AttemptOutcome outcome) {
+    StartAttempt firstAttempt =
+        onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.KEYED_CLASS));
     dispatcher.nowMicros += SECOND / 10;
     dispatcher.handle(new AttemptProgressed("a", 0));
 
-    List<Action> actions = dispatcher.endAttempt("a", 0, first.workerId(), outcome);
+    List<Action> actions = dispatcher.endAttempt("a", 0, firstAttempt.workerId(), outcome);
 
     if (outcome.neverRan()) {
       assertEquals(1, attempts(actions).size(), "after " + outcome);
@@ -97,43 +101,50 @@
               ? attempts(dispatcher.fireTimers(actions, dispatcher.nowMicros + SECOND / 2))
               : attempts(actions);
       for (StartAttempt retry : retries) {
-        assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
+        assertEquals(failureDomain(firstAttempt.workerId()), failureDomain(retry.workerId()));
       }
     }
   }
 
   @Test
-  void keyedWorkIsRetriedInItsFailureDomainAndDeduplicationWindow() {
-    long window =
+  void keyedWorkIsRetriedOnlyInItsFailureDomainAndDeduplicationWindow() {
+    long windowMicros =
         DispatcherHarness.CLASSES.get(DispatcherHarness.KEYED_CLASS).deduplicationWindow();
     int retries = 0;
-    for (int key = 0; key < KEYS; key++) {
-      DispatcherHarness keyed = DispatcherHarness.withWorkers(20);
-      StartAttempt first =
-          onlyAttempt(keyed.arrive("a", "key" + key, DispatcherHarness.KEYED_CLASS));
-      long sentAt = keyed.nowMicros;
+    for (int key = 0; key < KEY_COUNT; key++) {
+      DispatcherHarness keyDispatcher = DispatcherHarness.withWorkers(20);
+      StartAttempt firstAttempt =
+          onlyAttempt(keyDispatcher.arrive("a", "key" + key, DispatcherHarness.KEYED_CLASS));
+      long sentAtMicros = keyDispatcher.nowMicros;
       boolean isInWindow = key % 2 == 0;
-      keyed.nowMicros += isInWindow ? SECOND / 100 : window;
+      keyDispatcher.nowMicros += isInWindow ? SECOND / 100 : windowMicros;
 
-      List<Action> atOnce = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
-      List<StartAttempt> later = attempts(keyed.fireTimers(atOnce, keyed.nowMicros + 6 * SECOND));
+      List<Action> immediateActions =
+          keyDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
+      List<StartAttempt> laterRetries =
+          attempts(
+              keyDispatcher.fireTimers(immediateActions, keyDispatcher.nowMicros + 6 * SECOND));
 
-      for (StartAttempt retry : later) {
-        assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
+      for (StartAttempt retry : laterRetries) {
+        assertEquals(failureDomain(firstAttempt.workerId()), failureDomain(retry.workerId()));
       }
       assertTrue(
-          isInWindow || (attempts(atOnce).isEmpty() && later.isEmpty()),
-          "after the window of " + sentAt);
-      retries += attempts(atOnce).size() + later.size();
+          isInWindow || (attempts(immediateActions).isEmpty() && laterRetries.isEmpty()),
+          "retried after the deduplication window that started at " + sentAtMicros);
+      retries += attempts(immediateActions).size() + laterRetries.size();
     }
-    assertTrue(retries > 0, "some key has a second worker of its failure domain as a candidate");
+    assertTrue(
+        retries > 0, "at least one key has a second candidate in the failure domain of the first");
   }
 
-  /** Workers cannot deduplicate it, so it is treated as work that is not idempotent. */
+  /**
+   * Verifies that a keyed request without an idempotency key counts as non-idempotent, because
+   * workers cannot deduplicate it.
+   */
   @Test
   void aKeyedRequestWithoutAnIdempotencyKeyIsNotRetried() {
-    for (int key = 0; key < KEYS; key++) {
-      DispatcherHarness keyed = DispatcherHarness.withWorkers(20);
+    for (int key = 0; key < KEY_COUNT; key++) {
+      DispatcherHarness keyDispatcher = DispatcherHarness.withWorkers(20);
       RequestArrived request =
           new RequestArrived(
               "a",
@@ -141,18 +152,21 @@
               1,
               DispatcherHarness.KEYED_CLASS,
               -1,
-              keyed.nowMicros + 10 * SECOND,
+              keyDispatcher.nowMicros + 10 * SECOND,
               false,
               Double.NaN,
               null,
               false);
-      StartAttempt first = onlyAttempt(keyed.handle(request));
-      keyed.nowMicros += SECOND / 100;
+      StartAttempt firstAttempt = onlyAttempt(keyDispatcher.handle(request));
+      keyDispatcher.nowMicros += SECOND / 100;
 
-      List<Action> actions = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
+      List<Action> actions =
+          keyDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
 
       assertEquals(1, actionsOf(Fail.class, actions).size());
-      assertTrue(attempts(keyed.fireTimers(actions, keyed.nowMicros + 6 * SECOND)).isEmpty());
+      assertTrue(
+          attempts(keyDispatcher.fireTimers(actions, keyDispatcher.nowMicros + 6 * SECOND))
+              .isEmpty());
     }
   }
 }
--- a/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
+++ b/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
@@ -32,31 +32,48 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * A policy that gets random but possible responses to its actions. It checks each action against
- * the four rules of the platform with records of its own.
+ * A dispatcher whose policy gets random but possible responses to its actions. It keeps its own
+ * records of requests and attempts, and asserts that each action follows the rules of the platform:
+ *
+ * <p>Rule 1: each request gets one answer, by its deadline, and no attempt after that.
+ *
+ * <p>Rule 2: work that may have run is repeated only if its class permits it, and keyed work only
+ * within the deduplication scope and window. Such work is rejected only if it is idempotent. An
+ * attempt starts while another one is open only if the settings permit hedging.
+ *
+ * <p>Rule 3: attempts start only at workers that are ready.
+ *
+ * <p>Rule 4, the limit on the attempts at cold workers, concerns all dispatchers together; {@link
+ * RandomEventsTest} checks it.
  */
 final class RuleCheckingDispatcher {
+  /** An attempt that the policy has started. */
   private static final class AttemptRecord {
     final String worker;
-    final long sentAt;
+    final long sentAtMicros;
 
-    /** Null until the attempt has ended. */
+    /** The outcome of the attempt, or null until it ends. */
     AttemptOutcome outcome;
 
-    AttemptRecord(String worker, long sentAt) {
+    AttemptRecord(String worker, long sentAtMicros) {
       this.worker = worker;
-      this.sentAt = sentAt;
+      this.sentAtMicros = sentAtMicros;
     }
 
     boolean hasEnded() {
       return outcome != null;
     }
 
+    /**
+     * Returns whether the work may have run: the attempt is open, or its outcome does not exclude
+     * it.
+     */
     boolean mayHaveRun() {
       return !hasEnded() || !outcome.neverRan();
     }
   }
 
+  /** A request that has arrived, with its attempts in the order of their numbers. */
   private static final class RequestRecord {
     final RequestArrived arrival;
     final List<AttemptRecord> attempts = new ArrayList<>();
@@ -66,49 +83,64 @@
       this.arrival = arrival;
     }
 
+    /** Records an answer of the policy and asserts that it is the first one. */
     void recordAnswer() {
-      assertTrue(!answered, "rule 1: a second answer");
+      assertTrue(!answered, "rule 1: a request gets a second answer");
       answered = true;
     }
   }
 
-  private record ScheduledEvent(long time, long order, Event event) {}
+  /**
+   * An event that is due at a time. Events with the same time are delivered in the order of their
+   * sequence numbers.
+   */
+  private record ScheduledEvent(long time, long sequenceNumber, Event event) {}
 
   final Settings settings;
+
+  /** The last delivered endpoint of each worker, by worker id. */
   final Map<String, Endpoint> endpoints = new HashMap<>();
 
-  private final RandomEvents run;
+  private final RandomEvents randomEvents;
   private final Random random;
   private final int number;
   private final DispatchPolicy policy = new DispatchPolicy();
   private final Map<String, RequestRecord> requests = new HashMap<>();
-  private final PriorityQueue<ScheduledEvent> scheduled =
+  private final PriorityQueue<ScheduledEvent> scheduledEvents =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledEvent::time).thenComparingLong(ScheduledEvent::order));
+          Comparator.comparingLong(ScheduledEvent::time)
+              .thenComparingLong(ScheduledEvent::sequenceNumber));
 
-  /** Numbers scheduled events and requests. */
-  private long order;
+  /** The next sequence number for a scheduled event or request id. */
+  private long sequenceNumber;
 
-  RuleCheckingDispatcher(RandomEvents run, int number, Settings settings) {
-    this.run = run;
-    this.random = run.random;
+  RuleCheckingDispatcher(RandomEvents randomEvents, int number, Settings settings) {
+    this.randomEvents = randomEvents;
+    this.random = randomEvents.random;
     this.number = number;
     this.settings = settings;
     deliver(new Start(number + 1, settings));
   }
 
+  /** Schedules an event for a time, but not before the next tick. */
   private void schedule(long time, Event event) {
-    scheduled.add(
-        new ScheduledEvent(Math.max(time, run.nowMicros + RandomEvents.TICK), order++, event));
+    scheduledEvents.add(
+        new ScheduledEvent(
+            Math.max(time, randomEvents.nowMicros + RandomEvents.TICK_MICROS),
+            sequenceNumber++,
+            event));
   }
 
   private void deliver(Event event) {
     List<Action> actions = new ArrayList<>();
-    policy.on(event, run.nowMicros, actions);
+    policy.on(event, randomEvents.nowMicros, actions);
     actions.forEach(this::execute);
   }
 
-  /** Delivers the end of an attempt that is open; else does nothing. */
+  /**
+   * Delivers the end of an attempt. Does nothing if the attempt has ended already or the record of
+   * its request was discarded.
+   */
   private void deliverEnd(AttemptEnded event) {
     RequestRecord request = requests.get(event.requestId());
     if (request == null) {
@@ -145,38 +177,47 @@
     } else if (action instanceof SetTimer timer) {
       schedule(timer.time(), new TimerFired(timer.token()));
     } else if (action instanceof PollEndpoints) {
-      schedule(run.nowMicros + SECOND, new WatchFailed());
+      schedule(randomEvents.nowMicros + SECOND, new WatchFailed());
     }
   }
 
   private void startAttempt(StartAttempt start) {
     RequestRecord request = requests.get(start.requestId());
-    assertTrue(!request.answered, "rule 1: sent after the answer");
+    assertTrue(!request.answered, "rule 1: an attempt starts after the answer");
     assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
     Endpoint worker = endpoints.get(start.workerId());
     assertTrue(
-        worker != null && worker.state() == State.READY, "rule 3: sent to a draining worker");
-    request.attempts.forEach(previous -> checkRepetition(request, previous, start));
-    request.attempts.add(new AttemptRecord(start.workerId(), run.nowMicros));
-    run.recordAttempt(start.workerId());
+        worker != null && worker.state() == State.READY,
+        "rule 3: an attempt starts at a worker that is not ready");
+    request.attempts.forEach(
+        previousAttempt -> assertRepetitionAllowed(request, previousAttempt, start));
+    request.attempts.add(new AttemptRecord(start.workerId(), randomEvents.nowMicros));
+    randomEvents.recordAttempt(start.workerId());
     scheduleOutcome(request, request.attempts.size() - 1);
   }
 
-  /** Rule 2: whether an attempt may be started after or beside a previous one. */
-  private void checkRepetition(RequestRecord request, AttemptRecord previous, StartAttempt start) {
+  /**
+   * Asserts rule 2 for an attempt that starts after a previous attempt of the same request or while
+   * that attempt is open.
+   */
+  private void assertRepetitionAllowed(
+      RequestRecord request, AttemptRecord previousAttempt, StartAttempt start) {
     RequestClass requestClass = settings.classes().get(request.arrival.classIndex());
-    assertTrue(previous.hasEnded() || settings.limits().hedging(), "rule 2: two at once");
     assertTrue(
-        requestClass.idempotency() != Idempotency.NON_IDEMPOTENT || !previous.mayHaveRun(),
-        "rule 2: not idempotent");
-    if (requestClass.idempotency() == Idempotency.KEYED && previous.mayHaveRun()) {
+        previousAttempt.hasEnded() || settings.limits().hedging(),
+        "rule 2: an attempt starts while another one is open");
+    assertTrue(
+        requestClass.idempotency() != Idempotency.NON_IDEMPOTENT || !previousAttempt.mayHaveRun(),
+        "rule 2: non-idempotent work is repeated");
+    if (requestClass.idempotency() == Idempotency.KEYED && previousAttempt.mayHaveRun()) {
       assertEquals(
-          failureDomain(previous.worker),
+          failureDomain(previousAttempt.worker),
           failureDomain(start.workerId()),
-          "rule 2: outside the deduplication scope");
+          "rule 2: keyed work is repeated outside the deduplication scope");
       assertTrue(
-          run.nowMicros < previous.sentAt + requestClass.deduplicationWindow(),
-          "rule 2: after the deduplication window");
+          randomEvents.nowMicros
+              < previousAttempt.sentAtMicros + requestClass.deduplicationWindow(),
+          "rule 2: keyed work is repeated after the deduplication window");
     }
   }
 
@@ -185,67 +226,75 @@
     Idempotency idempotency = settings.classes().get(request.arrival.classIndex()).idempotency();
     boolean neverRan = request.attempts.stream().noneMatch(AttemptRecord::mayHaveRun);
     assertTrue(
-        idempotency == Idempotency.IDEMPOTENT || neverRan, "rule 2: rejected what may have run");
+        idempotency == Idempotency.IDEMPOTENT || neverRan,
+        "rule 2: work that may have run is rejected");
     request.recordAnswer();
   }
 
   private void cancelAttempt(CancelAttempt cancel) {
     RequestRecord request = requests.get(cancel.requestId());
     assertTrue(
-        cancel.attemptNumber() < request.attempts.size(), "cancels an attempt that was not sent");
+        cancel.attemptNumber() < request.attempts.size(),
+        "an attempt that was not started is cancelled");
     if (random.nextInt(4) > 0) {
       scheduleEnd(
           request,
           cancel.attemptNumber(),
           AttemptOutcome.CANCELLED,
-          run.nowMicros + RandomEvents.TICK);
+          randomEvents.nowMicros + RandomEvents.TICK_MICROS);
     }
   }
 
   private void checkHealth(CheckHealth check) {
     assertTrue(
         settings.limits().healthChecks() && endpoints.containsKey(check.workerId()),
-        "health check not allowed");
-    long time = run.nowMicros + random.nextInt(400_000);
+        "a health check is not allowed");
+    long time = randomEvents.nowMicros + random.nextInt(400_000);
     AttemptOutcome outcome = random.nextInt(8) == 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
-    schedule(time, new HealthChecked(check.workerId(), outcome, 1000, run.loadReport()));
+    schedule(time, new HealthChecked(check.workerId(), outcome, 1000, randomEvents.loadReport()));
   }
 
+  /**
+   * Schedules a random end of an attempt, and in half of the cases its progress before that. An
+   * attempt that is still open at the deadline of the request times out.
+   */
   private void scheduleOutcome(RequestRecord request, int attempt) {
     long deadline = request.arrival.deadline();
-    long remaining = Math.max(1, deadline - run.nowMicros);
+    long remainingMicros = Math.max(1, deadline - randomEvents.nowMicros);
     double fraction = Math.min(1, random.nextDouble() * random.nextDouble() * 1.3);
-    long endsAt = run.nowMicros + (long) (remaining * fraction);
-    AttemptOutcome[] all = AttemptOutcome.values();
-    AttemptOutcome drawn =
-        random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length)];
-    AttemptOutcome outcome = endsAt >= deadline ? AttemptOutcome.TIMEOUT : drawn;
-    scheduleEnd(request, attempt, outcome, endsAt);
+    long endsAtMicros = randomEvents.nowMicros + (long) (remainingMicros * fraction);
+    AttemptOutcome[] allOutcomes = AttemptOutcome.values();
+    AttemptOutcome randomOutcome =
+        random.nextInt(3) > 0 ? AttemptOutcome.OK : allOutcomes[random.nextInt(allOutcomes.length)];
+    AttemptOutcome outcome = endsAtMicros >= deadline ? AttemptOutcome.TIMEOUT : randomOutcome;
+    scheduleEnd(request, attempt, outcome, endsAtMicros);
     if (random.nextBoolean()) {
       schedule(
-          run.nowMicros + (endsAt - run.nowMicros) / 3,
+          randomEvents.nowMicros + (endsAtMicros - randomEvents.nowMicros) / 3,
           new AttemptProgressed(request.arrival.requestId(), attempt));
     }
   }
 
-  private void scheduleEnd(RequestRecord request, int number, AttemptOutcome outcome, long endsAt) {
+  private void scheduleEnd(
+      RequestRecord request, int number, AttemptOutcome outcome, long endsAtMicros) {
     AttemptRecord attempt = request.attempts.get(number);
     schedule(
-        endsAt,
+        endsAtMicros,
         new AttemptEnded(
             request.arrival.requestId(),
             number,
             attempt.worker,
             outcome,
             false,
-            endsAt - attempt.sentAt,
-            random.nextInt(3) == 0 ? null : run.loadReport()));
+            endsAtMicros - attempt.sentAtMicros,
+            random.nextInt(3) == 0 ? null : randomEvents.loadReport()));
   }
 
-  /** Has a random request arrive, which its client may cancel later. */
+  /** Delivers the arrival of a random request, and may schedule its cancellation by the client. */
   void arrive() {
-    String id = number + "-" + order++;
-    long patience = random.nextInt(10) == 0 ? 1 + random.nextInt(6000) : random.nextInt(9_000_000);
+    String id = number + "-" + sequenceNumber++;
+    long clientTimeoutMicros =
+        random.nextInt(10) == 0 ? 1 + random.nextInt(6000) : random.nextInt(9_000_000);
     RequestArrived arrival =
         new RequestArrived(
             id,
@@ -253,25 +302,29 @@
             1 << random.nextInt(3),
             random.nextInt(settings.classes().size()),
             -1,
-            run.nowMicros + patience,
+            randomEvents.nowMicros + clientTimeoutMicros,
             random.nextBoolean(),
             Double.NaN);
     requests.put(id, new RequestRecord(arrival));
     deliver(arrival);
     if (random.nextInt(20) == 0) {
-      schedule(run.nowMicros + random.nextInt(3_000_000), new RequestCancelled(id));
+      schedule(randomEvents.nowMicros + random.nextInt(3_000_000), new RequestCancelled(id));
     }
   }
 
+  /** Delivers an endpoint update. */
   void update(List<Endpoint> changes) {
     changes.forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
     deliver(new EndpointUpdate(changes));
   }
 
-  /** Delivers the events that are due, and checks that no answer is overdue. */
+  /**
+   * Delivers the events that are due, asserts that no answer is overdue, and discards the records
+   * of requests that cannot change any more.
+   */
   void step() {
-    while (!scheduled.isEmpty() && scheduled.peek().time() <= run.nowMicros) {
-      Event event = scheduled.poll().event();
+    while (!scheduledEvents.isEmpty() && scheduledEvents.peek().time() <= randomEvents.nowMicros) {
+      Event event = scheduledEvents.poll().event();
       if (event instanceof AttemptEnded end) {
         deliverEnd(end);
       } else {
@@ -283,8 +336,8 @@
     }
     for (RequestRecord request : requests.values()) {
       assertTrue(
-          request.answered || run.nowMicros <= request.arrival.deadline(),
-          "rule 1: no answer in time");
+          request.answered || randomEvents.nowMicros <= request.arrival.deadline(),
+          "rule 1: a request has no answer at its deadline");
     }
     requests.values().removeIf(this::isObsolete);
   }
@@ -297,7 +350,7 @@
 
   private boolean isObsolete(RequestRecord request) {
     return request.answered
-        && run.nowMicros > request.arrival.deadline() + 2 * SECOND
+        && randomEvents.nowMicros > request.arrival.deadline() + 2 * SECOND
         && request.attempts.stream().allMatch(AttemptRecord::hasEnded);
   }
 }
--- a/src/test/java/loomreel/decision/SlowStartTest.java
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -12,14 +12,14 @@
 import loomreel.decision.Settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** How much dispatchers send to workers that warm up. */
+/** Tests how much work dispatchers send to workers that warm up. */
 class SlowStartTest {
   @Test
   void aColdWorkerGetsItsFractionOfTheMeanLoadFromAllDispatchersTogether() {
     int dispatchers = 30;
-    int attemptsAtCold = 0;
+    int attemptsAtColdWorker = 0;
     int allAttempts = 0;
-    long start = 100 * SECOND;
+    long startMicros = 100 * SECOND;
     for (int seed = 0; seed < dispatchers; seed++) {
       DispatcherHarness dispatcher =
           new DispatcherHarness(
@@ -33,9 +33,9 @@
         }
         for (StartAttempt attempt :
             attempts(dispatcher.arrive("r" + i, "key" + i, DispatcherHarness.IDEMPOTENT_CLASS))) {
-          if (dispatcher.nowMicros < start + 22 * SECOND) {
+          if (dispatcher.nowMicros < startMicros + 22 * SECOND) {
             allAttempts++;
-            attemptsAtCold += i >= 200 && attempt.workerId().equals("w07") ? 1 : 0;
+            attemptsAtColdWorker += i >= 200 && attempt.workerId().equals("w07") ? 1 : 0;
           }
           dispatcher.endAttempt("r" + i, 0, attempt.workerId(), AttemptOutcome.OK);
         }
@@ -43,47 +43,52 @@
       }
     }
 
-    double atWarm = 2.0 * dispatchers * 10 / 20;
+    double attemptsAtWarmWorker = 2.0 * dispatchers * 10 / 20;
     assertTrue(
-        attemptsAtCold <= atWarm * 3 * 0.28,
-        attemptsAtCold + " attempts in the first two seconds, a warm worker gets " + atWarm);
+        attemptsAtColdWorker <= attemptsAtWarmWorker * 3 * 0.28,
+        attemptsAtColdWorker
+            + " attempts in the first two seconds, a warm worker gets "
+            + attemptsAtWarmWorker);
     assertTrue(allAttempts > 5000);
   }
 
-  /** A dispatcher that has just started has to use them, and must not overload them. */
+  /**
+   * Verifies that a dispatcher that has just started uses its workers although all of them are
+   * cold, and does not overload them.
+   */
   @Test
-  void aFleetThatIsAllColdGetsTheWorkThatItsSlotsCanDo() {
+  void coldWorkersGetTheWorkThatTheirSlotsCanDoIfNoWorkerIsWarm() {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
     dispatcher.handle(
         new EndpointSnapshot(
             List.of(
                 DispatcherHarness.endpoint(0, State.READY, dispatcher.nowMicros),
                 DispatcherHarness.endpoint(1, State.READY, dispatcher.nowMicros))));
-    double workPerRequest = 20_000;
-    double work = 0;
-    double capacity = 0;
+    double workMicrosPerRequest = 20_000;
+    double workMicros = 0;
+    double capacityMicros = 0;
     for (int i = 0; i < 200; i++) {
       dispatcher.nowMicros += SECOND / 100;
       for (String worker : List.of("w00", "w01")) {
         dispatcher.reportHealth(worker, loadReport(0, 0, 4));
       }
-      // Two workers of four slots that do 0.45 of the work at the least; a cold worker has 0.2 of
-      // its capacity, which grows to 1 over 2000 rounds.
-      capacity += 2 * 4 * 0.45 * (0.2 + 0.8 * i / 2000) * SECOND / 100;
+      // The two workers have four slots each, and a slot does at least 0.45 microseconds of work in
+      // a microsecond. A cold worker has 0.2 of its capacity, which grows to 1 in 2000 rounds.
+      capacityMicros += 2 * 4 * 0.45 * (0.2 + 0.8 * i / 2000) * SECOND / 100;
       String id = "r" + i;
       List<StartAttempt> sent =
           attempts(
               dispatcher.handle(
                   dispatcher.request(
-                      id, null, DispatcherHarness.IDEMPOTENT_CLASS, workPerRequest)));
-      work += sent.size() * workPerRequest;
+                      id, null, DispatcherHarness.IDEMPOTENT_CLASS, workMicrosPerRequest)));
+      workMicros += sent.size() * workMicrosPerRequest;
       for (StartAttempt attempt : sent) {
         dispatcher.endAttempt(id, 0, attempt.workerId(), AttemptOutcome.OK);
       }
     }
 
-    double overload = DispatcherHarness.RULES.overloadMultiple() * capacity;
-    assertTrue(work > capacity, "sent " + work + " of " + capacity);
-    assertTrue(work < overload, "sent " + work + " of " + capacity);
+    double overloadMicros = DispatcherHarness.RULES.overloadMultiple() * capacityMicros;
+    assertTrue(workMicros > capacityMicros, "sent " + workMicros + " of " + capacityMicros);
+    assertTrue(workMicros < overloadMicros, "sent " + workMicros + " of " + capacityMicros);
   }
 }
--- a/src/test/java/loomreel/decision/TokenBucketTest.java
+++ b/src/test/java/loomreel/decision/TokenBucketTest.java
@@ -16,14 +16,14 @@
   }
 
   @Test
-  void itStartsFull() {
+  void aNewBucketIsFull() {
     assertTrue(tryAcquire(0));
     assertTrue(tryAcquire(0));
     assertFalse(tryAcquire(0));
   }
 
   @Test
-  void itRefillsWithTime() {
+  void aBucketRefillsAtItsRate() {
     tryAcquire(0);
     tryAcquire(0);
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void itHoldsNoMoreThanItsCapacity() {
+  void aBucketHoldsNoMoreThanItsCapacity() {
     tryAcquire(0);
 
     assertTrue(tryAcquire(1_000_000));
--- a/src/test/java/loomreel/decision/WorkerLoadHistoryTest.java
+++ b/src/test/java/loomreel/decision/WorkerLoadHistoryTest.java
@@ -8,17 +8,17 @@
 
 class WorkerLoadHistoryTest {
   private static final double TOLERANCE = 1e-9;
-  private static final long NOW = 100_000_000;
+  private static final long NOW_MICROS = 100_000_000;
 
   private final WorkerLoadHistory history = new WorkerLoadHistory();
 
   @Test
   void theFirstSamplesCountEqually() {
     history.reset();
-    history.startFrom(0.4, NOW);
+    history.startFrom(0.4, NOW_MICROS);
 
-    history.addSample(2.0, NOW);
-    history.addSample(0.6, NOW);
+    history.addSample(2.0, NOW_MICROS);
+    history.addSample(0.6, NOW_MICROS);
 
     assertEquals((0.4 + 2.0 + 0.6) / 3, history.meanLoad(), TOLERANCE);
     assertEquals(0.6, history.lastLoad());
@@ -27,9 +27,9 @@
   @Test
   void aSampleLongAfterThePreviousOneReplacesTheMean() {
     history.reset();
-    history.startFrom(0.4, NOW);
+    history.startFrom(0.4, NOW_MICROS);
 
-    history.addSample(2.0, NOW + 1_000_000_000L);
+    history.addSample(2.0, NOW_MICROS + 1_000_000_000L);
 
     assertEquals(2.0, history.meanLoad(), TOLERANCE);
   }
@@ -37,18 +37,18 @@
   @Test
   void onlyAHistoryWithoutSamplesStartsFromTheMeanOfAllWorkers() {
     history.reset();
-    history.startFrom(0.4, NOW);
+    history.startFrom(0.4, NOW_MICROS);
 
-    history.startFrom(0.9, NOW + 1);
+    history.startFrom(0.9, NOW_MICROS + 1);
 
     assertEquals(0.4, history.meanLoad());
-    assertEquals(NOW, history.sampledAt());
+    assertEquals(NOW_MICROS, history.sampledAt());
   }
 
   @Test
-  void aResetForgetsWhenTheLastSampleWasTakenButNotTheSlots() {
+  void aResetDiscardsTheTimeOfTheLastSampleAndKeepsTheSlots() {
     history.learnSlots(4);
-    history.addSample(0.5, NOW);
+    history.addSample(0.5, NOW_MICROS);
 
     history.reset();
 
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void laterReportsMoveTheSlotsByAFifth() {
+  void laterReportsChangeTheSlotsByAFifthOfTheDifference() {
     history.learnSlots(4);
 
     history.learnSlots(9);
--- a/src/test/java/loomreel/decision/WorkerSelectionTest.java
+++ b/src/test/java/loomreel/decision/WorkerSelectionTest.java
@@ -20,10 +20,10 @@
 import loomreel.decision.Settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Which worker gets a request, where no health checks are made. */
+/** Tests which worker gets a request when no health checks are made. */
 class WorkerSelectionTest {
   @Test
-  void aKeyGoesToOneWorkerFromEveryDispatcherWhileItIsUnderTheThreshold() {
+  void everyDispatcherSendsAKeyToTheSameWorkerWhileItIsBelowTheLoadThreshold() {
     Map<String, String> workerByKey = new HashMap<>();
     for (int seed = 0; seed < 3; seed++) {
       DispatcherHarness dispatcher =
@@ -41,31 +41,32 @@
         dispatcher.nowMicros += SECOND / 5;
       }
     }
-    assertTrue(new HashSet<>(workerByKey.values()).size() > 10, "keys spread over the fleet");
+    assertTrue(
+        new HashSet<>(workerByKey.values()).size() > 10, "the keys are spread over many workers");
   }
 
   @Test
   void aFullFirstCandidateIsReplacedByTheSecondAndFullCandidatesByTheFallback() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    Set<String> used = new HashSet<>();
+    Set<String> usedWorkers = new HashSet<>();
     for (int i = 0; i < 3; i++) {
       String worker = dispatcher.dispatch("r" + i, "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-      assertTrue(used.add(worker), "a worker that reported no free slot is not selected");
+      assertTrue(usedWorkers.add(worker), "a worker that reported no free slot is not selected");
       dispatcher.succeedFirstAttempt("r" + i, worker, loadReport(4, 8, 0));
     }
   }
 
   @Test
-  void requestsWithoutAKeySpread() {
+  void requestsWithoutAKeyAreSpreadOverManyWorkers() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
-    Set<String> used = new HashSet<>();
+    Set<String> usedWorkers = new HashSet<>();
     for (int i = 0; i < 30; i++) {
-      used.add(dispatcher.dispatch("r" + i, null, DispatcherHarness.IDEMPOTENT_CLASS));
+      usedWorkers.add(dispatcher.dispatch("r" + i, null, DispatcherHarness.IDEMPOTENT_CLASS));
     }
 
-    assertTrue(used.size() > 8);
+    assertTrue(usedWorkers.size() > 8);
   }
 
   @Test
@@ -89,100 +90,110 @@
   }
 
   @Test
-  void withoutWorkersARequestIsQueuedUntilOneJoins() {
+  void withoutWorkersARequestIsQueuedUntilAWorkerJoins() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    List<Action> arrival = dispatcher.arrive("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
-    assertTrue(attempts(arrival).isEmpty());
+    List<Action> arrivalActions = dispatcher.arrive("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    assertTrue(attempts(arrivalActions).isEmpty());
 
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(1)));
 
-    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.nowMicros + SECOND);
+    List<Action> later = dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
     assertEquals("w00", attempts(later).get(0).workerId());
   }
 
   @Test
-  void growthMovesFewKeys() {
+  void addedWorkersMoveFewKeys() {
     Map<String, String> workerByKey = new HashMap<>();
-    int moved = 0;
+    int movedKeys = 0;
     for (int workers = 20; workers <= 22; workers += 2) {
       DispatcherHarness dispatcher = DispatcherHarness.withWorkers(workers);
       for (int key = 0; key < 200; key++) {
         String worker =
             dispatcher.dispatch("r" + key, "key" + key, DispatcherHarness.IDEMPOTENT_CLASS);
         String previous = workerByKey.putIfAbsent("key" + key, worker);
-        moved += previous == null || previous.equals(worker) ? 0 : 1;
+        movedKeys += previous == null || previous.equals(worker) ? 0 : 1;
         dispatcher.endAttempt("r" + key, 0, worker, AttemptOutcome.OK);
         dispatcher.nowMicros += SECOND / 2;
       }
     }
 
-    assertTrue(moved > 0 && moved < 50, "moved " + moved);
+    assertTrue(movedKeys > 0 && movedKeys < 50, "moved " + movedKeys);
   }
 
   @Test
-  void aHotKeySpreadsOverManyWorkersThoughOneDispatcherSeesLittleOfIt() {
+  void aHotKeyIsSpreadOverManyWorkersAlthoughEachDispatcherSeesFewOfItsRequests() {
     DispatcherHarness dispatcher =
         new DispatcherHarness(
             DispatcherHarness.settings(50, true, false, LoadReporting.WITH_ANSWERS, false), 3);
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(40)));
 
-    Set<String> used = new HashSet<>();
+    Set<String> usedWorkers = new HashSet<>();
     for (int i = 0; i < 200; i++) {
       String worker = dispatcher.dispatch("r" + i, "hot", DispatcherHarness.IDEMPOTENT_CLASS);
-      used.add(worker);
+      usedWorkers.add(worker);
       dispatcher.handle(new AttemptProgressed("r" + i, 0));
       dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
       dispatcher.nowMicros += SECOND / 20;
     }
 
-    assertTrue(used.size() > 10, "used " + used.size());
+    assertTrue(usedWorkers.size() > 10, "used " + usedWorkers.size());
   }
 
-  /** Without load reports, slow starts are the only evidence of other dispatchers' load. */
+  /**
+   * Verifies that a worker where the start of a job was delayed counts as loaded for some time.
+   * Without load reports, such delays are the only evidence of the load that other dispatchers
+   * cause.
+   */
   @Test
-  void withoutLoadReportsASlowStartCountsAsLoadForAWhile() {
+  void withoutLoadReportsADelayedJobStartCountsAsLoadForSomeTime() {
     DispatcherHarness dispatcher =
         new DispatcherHarness(
             DispatcherHarness.settings(3, true, false, LoadReporting.NONE, false), 3);
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
-    String loaded = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    String loadedWorker = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.nowMicros += SECOND / 5;
     dispatcher.handle(new AttemptProgressed("a", 0));
-    dispatcher.endAttempt("a", 0, loaded, AttemptOutcome.OK);
+    dispatcher.endAttempt("a", 0, loadedWorker, AttemptOutcome.OK);
 
-    String other = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
-    dispatcher.endAttempt("b", 0, other, AttemptOutcome.OK);
+    String otherWorker = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    dispatcher.endAttempt("b", 0, otherWorker, AttemptOutcome.OK);
     dispatcher.nowMicros += 5 * SECOND;
     String later = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    assertNotEquals(loaded, other);
-    assertEquals(loaded, later);
+    assertNotEquals(loadedWorker, otherWorker);
+    assertEquals(loadedWorker, later);
   }
 
-  /** Incident ie4bf55: retries met the same few full workers while others had capacity. */
+  /**
+   * Verifies that the retries of a queued request consider workers further down the ranking of its
+   * key. In incident ie4bf55, retries considered the same few full workers while others had
+   * capacity.
+   */
   @Test
-  void aQueuedRequestMovesDownTheRanking() {
+  void aQueuedRequestIsRetriedAtWorkersFurtherDownTheRanking() {
     DispatcherHarness dispatcher = new DispatcherHarness();
     dispatcher.nowMicros += 30 * SECOND;
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(40)));
-    Set<String> full = new HashSet<>();
-    List<Action> queued = null;
-    for (int i = 0; queued == null && i < 30; i++) {
-      List<Action> arrival = dispatcher.arrive("r" + i, "key", DispatcherHarness.IDEMPOTENT_CLASS);
-      if (attempts(arrival).isEmpty()) {
-        queued = arrival;
+    Set<String> fullWorkers = new HashSet<>();
+    List<Action> queuedArrivalActions = null;
+    for (int i = 0; queuedArrivalActions == null && i < 30; i++) {
+      List<Action> arrivalActions =
+          dispatcher.arrive("r" + i, "key", DispatcherHarness.IDEMPOTENT_CLASS);
+      if (attempts(arrivalActions).isEmpty()) {
+        queuedArrivalActions = arrivalActions;
       } else {
-        String worker = onlyAttempt(arrival).workerId();
-        full.add(worker);
+        String worker = onlyAttempt(arrivalActions).workerId();
+        fullWorkers.add(worker);
         dispatcher.succeedFirstAttempt("r" + i, worker, loadReport(4, 8, 0));
       }
     }
-    assertFalse(queued == null, "the first workers of the key's ranking were never all full");
+    assertFalse(
+        queuedArrivalActions == null, "the first workers of the key's ranking were never all full");
 
     List<StartAttempt> later =
-        attempts(dispatcher.fireTimers(queued, dispatcher.nowMicros + SECOND / 3));
+        attempts(dispatcher.fireTimers(queuedArrivalActions, dispatcher.nowMicros + SECOND / 3));
 
     assertEquals(1, later.size());
-    assertFalse(full.contains(later.get(0).workerId()));
+    assertFalse(fullWorkers.contains(later.get(0).workerId()));
   }
 }
