--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -33,7 +33,7 @@
   /** The number of microseconds in a second. */
   static final long SECOND = DispatcherHarness.SECOND;
 
-  /** The time, in microseconds, from the start of a health check to its result. */
+  /** The time, in microseconds, after which a reachable worker answers a health check. */
   private static final long ROUND_TRIP_MICROS = 20_000;
 
   /**
