--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -8,7 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests how much work many dispatchers together send to one worker that warms up. */
+/**
+ * Tests how much work {@link SlowStartLimiter} allows many dispatchers together to send to one
+ * worker that warms up. Work is in slots times microseconds. Relative work is work divided by
+ * {@link #MEAN_WORK_MICROS}.
+ */
 class SlowStartLimiterTest {
   private static final long SECOND = 1_000_000;
 
@@ -22,37 +26,45 @@
       SlowStartLimiter.MAX_RELATIVE_WORK * MEAN_WORK_MICROS;
 
   private static final double UNLIMITED_WORK = Double.POSITIVE_INFINITY;
+
+  /** The time, in seconds, in which the capacity of a worker grows to its full value. */
   private static final double WARM_UP_SECONDS = 24;
 
-  /**
-   * The time, in microseconds, between two attempts of a simulated dispatcher to send a request.
-   */
+  /** The time, in microseconds, after which a simulated process tries again to send a request. */
   private static final long STEP_MICROS = SECOND / 20;
 
   /** The number of simulated slow starts in each scenario. */
   private static final int RUN_COUNT = 1000;
 
-  /** The fraction of the overload limit that the allowances of all dispatchers add up to. */
-  private static final double CONFIGURED_FRACTION = 0.8;
+  /**
+   * The refill rate of the allowances of all dispatchers together, as a fraction of the rate at
+   * which the worker would get as much work as the overload limit.
+   */
+  private static final double REFILL_FRACTION = 0.8;
 
-  /** One dispatcher in this many is restarted in the middle of the overload window. */
+  /**
+   * Selects the dispatchers that are restarted in the middle of the overload window: those whose
+   * number, counted from 1, is a multiple of this value.
+   */
   private static final int RESTART_DIVISOR = 5;
 
   /**
-   * One cold worker and many dispatchers that always have a request to send.
+   * A cold worker and the dispatchers that send requests to it. Each dispatcher has a request to
+   * send at any time. The worker fails if the work that it gets within the overload window exceeds
+   * a multiple of the work that it can do in that time.
    *
-   * @param dispatchers the number of dispatchers
-   * @param capacity the mean jobs per second that the worker completes when it is warm
-   * @param initialCapacity the fraction of its capacity that the worker has when it starts
+   * @param dispatcherCount the number of dispatchers
+   * @param relativeCapacity the relative work per second that the worker can do when it is warm
+   * @param initialCapacityFraction the fraction of its capacity that the worker has when it starts
    * @param windowSeconds the length of the overload window, in seconds
-   * @param overloadMultiple the multiple of its capacity at which the worker fails
-   * @param relativeDeviation the standard deviation of the work relative to its mean; the work is
-   *     distributed lognormally
+   * @param overloadMultiple the multiple of its capacity above which the worker fails
+   * @param relativeDeviation the standard deviation of the work of a request, divided by the mean;
+   *     the work is distributed lognormally
    */
   private record Scenario(
-      int dispatchers,
-      double capacity,
-      double initialCapacity,
+      int dispatcherCount,
+      double relativeCapacity,
+      double initialCapacityFraction,
       int windowSeconds,
       double overloadMultiple,
       double relativeDeviation) {
@@ -60,26 +72,33 @@
       return windowSeconds * SECOND;
     }
 
-    /** Returns the mean jobs per second that the worker completes at an age; they grow linearly. */
-    double capacityAt(long ageMicros) {
-      return capacity
-          * (initialCapacity + (1 - initialCapacity) * ageMicros / (WARM_UP_SECONDS * SECOND));
+    /**
+     * Returns the relative work per second that the worker can do at an age, in microseconds. The
+     * capacity grows linearly with the age.
+     */
+    double relativeCapacityAt(long ageMicros) {
+      return relativeCapacity
+          * (initialCapacityFraction
+              + (1 - initialCapacityFraction) * ageMicros / (WARM_UP_SECONDS * SECOND));
     }
 
     /**
-     * Returns the rate at which the allowance of one dispatcher refills, in work per microsecond,
-     * for each mean job per second of the worker's capacity.
+     * Returns the factor that gives the refill rate of one dispatcher's allowance. The refill rate,
+     * in work per microsecond, is this factor times {@link #relativeCapacityAt}.
      */
-    double ratePerDispatcher() {
-      return CONFIGURED_FRACTION * overloadMultiple * MEAN_WORK_MICROS / SECOND / dispatchers;
+    double refillFactor() {
+      return REFILL_FRACTION * overloadMultiple * MEAN_WORK_MICROS / SECOND / dispatcherCount;
     }
 
-    /** Returns the number of mean jobs within the overload window at which the worker fails. */
-    double overloadJobs() {
-      return overloadMultiple * windowSeconds * capacityAt(windowMicros() / 2);
+    /**
+     * Returns the overload limit: the relative work that the worker can get within the overload
+     * window, which begins when the worker starts, without being overloaded.
+     */
+    double relativeLimit() {
+      return overloadMultiple * windowSeconds * relativeCapacityAt(windowMicros() / 2);
     }
 
-    /** Returns the work of a random request. */
+    /** Returns the work of a random request, in slots times microseconds. */
     double drawWork(SplittableRandom random) {
       double logVariance = Math.log(1 + relativeDeviation * relativeDeviation);
       double standardNormal =
@@ -88,13 +107,13 @@
       return Math.exp(standardNormal * Math.sqrt(logVariance) - logVariance / 2) * MEAN_WORK_MICROS;
     }
 
-    /** Returns the work of a random request that is light enough for a warming worker. */
+    /** Returns the work of a random request whose work is at most {@link #MAX_WORK_MICROS}. */
     double drawLightWork(SplittableRandom random) {
       double workMicros = drawWork(random);
       return workMicros <= MAX_WORK_MICROS ? workMicros : drawLightWork(random);
     }
 
-    /** Returns the mean of {@link #drawLightWork} over 20,000 requests. */
+    /** Returns the mean result of 20,000 calls of {@link #drawLightWork}. */
     double meanLightWork(int seed) {
       return new SplittableRandom(seed)
           .doubles(20_000)
@@ -104,54 +123,75 @@
     }
 
     /**
-     * Simulates one process of a dispatcher until the end of the overload window and returns the
-     * work that it sends, in mean jobs.
+     * Simulates one process of a dispatcher from its start until the end of the overload window. A
+     * dispatcher has a single process, unless it is restarted; see {@link #simulateAllDispatchers}.
      *
-     * @param rate the rate at which its allowance refills, in work per microsecond, for each mean
-     *     job per second of the worker's capacity
-     * @param fromMicros the age of the worker at which the process starts, in microseconds
+     * @param refillFactor the factor that gives the refill rate of the allowance of the process, as
+     *     for {@link #refillFactor()}
+     * @param startedAtMicros the age of the worker when the process starts, in microseconds
+     * @param meanLightWork the mean work of the requests that may go to the worker
+     * @return the relative work that the process sends to the worker
      */
-    double jobsSent(SplittableRandom random, double rate, long fromMicros, double meanLightWork) {
+    double simulateProcess(
+        SplittableRandom random, double refillFactor, long startedAtMicros, double meanLightWork) {
       SlowStartLimiter limiter = new SlowStartLimiter();
-      limiter.restart(random.nextDouble() * meanLightWork, fromMicros);
-      double jobs = 0;
+      limiter.restart(random.nextDouble() * meanLightWork, startedAtMicros);
+      double relativeWork = 0;
       double workMicros = drawWork(random);
-      for (long nowMicros = fromMicros; nowMicros < windowMicros(); nowMicros += STEP_MICROS) {
-        double refillRate = rate * capacityAt(nowMicros);
+      for (long nowMicros = startedAtMicros;
+          nowMicros < windowMicros();
+          nowMicros += STEP_MICROS) {
+        double refillRate = refillFactor * relativeCapacityAt(nowMicros);
         if (limiter.allows(
             refillRate, meanLightWork, windowMicros(), workMicros, MAX_WORK_MICROS, nowMicros)) {
           limiter.consume(workMicros);
-          jobs += workMicros / MEAN_WORK_MICROS;
+          relativeWork += workMicros / MEAN_WORK_MICROS;
           workMicros = drawWork(random);
         } else if (workMicros > MAX_WORK_MICROS) {
-          // A heavy request is sent to a warm worker instead. The next request may be light.
+          // The request is too heavy for the cold worker, so the dispatcher sends it to a warm
+          // worker and continues with the next request.
           workMicros = drawWork(random);
         }
       }
-      return jobs;
+      return relativeWork;
     }
 
     /**
-     * Simulates all dispatchers over the overload window and returns the work that they send, in
-     * mean jobs. One dispatcher in five is restarted in the middle of the window: a new process
-     * with an allowance of its own starts, and each of its two processes uses half of the rate.
+     * Simulates all dispatchers over the overload window and returns the relative work that they
+     * send to the worker.
+     *
+     * <p>A dispatcher that is restarted is simulated as two processes. The first runs for the whole
+     * window. The second starts in the middle of the window with an allowance of its own. Each
+     * process uses half of the refill rate for its whole run. {@link #RESTART_DIVISOR} selects the
+     * dispatchers that are restarted.
      */
-    double jobsSentByAll(SplittableRandom random, double meanLightWork) {
-      double jobs = 0;
-      for (int dispatcher = 0; dispatcher < dispatchers; dispatcher++) {
-        double rate = ratePerDispatcher();
+    double simulateAllDispatchers(SplittableRandom random, double meanLightWork) {
+      double relativeWork = 0;
+      for (int dispatcher = 0; dispatcher < dispatcherCount; dispatcher++) {
+        double refillFactor = refillFactor();
         boolean isRestarted = dispatcher % RESTART_DIVISOR == RESTART_DIVISOR - 1;
-        jobs += jobsSent(random, isRestarted ? rate / 2 : rate, 0, meanLightWork);
+        relativeWork +=
+            simulateProcess(
+                random, isRestarted ? refillFactor / 2 : refillFactor, 0, meanLightWork);
         if (isRestarted) {
-          jobs += jobsSent(random, rate / 2, windowMicros() / 2, meanLightWork);
+          relativeWork +=
+              simulateProcess(random, refillFactor / 2, windowMicros() / 2, meanLightWork);
         }
       }
-      return jobs;
+      return relativeWork;
     }
   }
 
+  /**
+   * Verifies that the dispatchers together send at least 0.7 of the overload limit on average, and
+   * overload the worker in at most one of 1000 runs. A worker with the limit {@code N}, in relative
+   * work, is overloaded only if it gets more than {@code N + 2 sqrt(N) + 2}. A smaller excess over
+   * the limit counts as chance; see {@link SlowStartLimiter}.
+   */
   @ParameterizedTest
   @CsvSource({
+    // dispatcherCount, relativeCapacity, initialCapacityFraction, windowSeconds, overloadMultiple,
+    // relativeDeviation, seed
     "3, 16, 0.14, 3, 2.5, 0.7, 1",
     "20, 16, 0.14, 3, 2.5, 0.7, 2",
     "30, 16, 0.14, 3, 2.5, 0.7, 3",
@@ -165,41 +205,46 @@
     "30, 4, 0.45, 2, 4, 2, 11",
     "100, 4, 0.45, 2, 4, 2, 12"
   })
-  void allDispatchersTogetherUseMostOfTheLimitAndOverloadAtMostOneWorkerInAThousand(
-      int dispatchers,
-      double capacity,
-      double initialCapacity,
+  void allDispatchersTogetherUseMostOfTheLimitAndOverloadTheWorkerInAtMostOneRunInAThousand(
+      int dispatcherCount,
+      double relativeCapacity,
+      double initialCapacityFraction,
       int windowSeconds,
       double overloadMultiple,
       double relativeDeviation,
       int seed) {
     Scenario scenario =
         new Scenario(
-            dispatchers,
-            capacity,
-            initialCapacity,
+            dispatcherCount,
+            relativeCapacity,
+            initialCapacityFraction,
             windowSeconds,
             overloadMultiple,
             relativeDeviation);
     double meanLightWork = scenario.meanLightWork(seed);
-    double overloadJobs = scenario.overloadJobs();
-    double overloadJobsWithChance = overloadJobs + 2 * Math.sqrt(overloadJobs) + 2;
+    double relativeLimit = scenario.relativeLimit();
+    double relativeLimitWithChance = relativeLimit + 2 * Math.sqrt(relativeLimit) + 2;
 
     int overloadedRuns = 0;
     double usedFraction = 0;
     for (int run = 0; run < RUN_COUNT; run++) {
       SplittableRandom random = new SplittableRandom(1000L * seed + run);
-      double jobs = scenario.jobsSentByAll(random, meanLightWork);
-      overloadedRuns += jobs > overloadJobsWithChance ? 1 : 0;
-      usedFraction += jobs / overloadJobs / RUN_COUNT;
+      double relativeWork = scenario.simulateAllDispatchers(random, meanLightWork);
+      overloadedRuns += relativeWork > relativeLimitWithChance ? 1 : 0;
+      usedFraction += relativeWork / relativeLimit / RUN_COUNT;
     }
 
     assertTrue(
         overloadedRuns <= RUN_COUNT / 1000,
-        overloadedRuns + " of " + RUN_COUNT + " were overloaded");
+        overloadedRuns + " of " + RUN_COUNT + " runs overloaded the worker");
     assertTrue(usedFraction >= 0.7, "used " + usedFraction + " of the limit");
   }
 
+  /**
+   * Verifies that a request with more work than the allowance can hold is allowed only when the
+   * allowance is full, and that the allowance is negative afterwards. In this test, the full
+   * allowance is the mean work, and the allowance refills by the mean work per second.
+   */
   @Test
   void aHeavyRequestNeedsAFullAllowanceAndOverdrawsIt() {
     SlowStartLimiter limiter = new SlowStartLimiter();
@@ -228,7 +273,7 @@
             MEAN_WORK_MICROS / 10,
             UNLIMITED_WORK,
             5 * SECOND),
-        "the allowance is overdrawn by four mean jobs, and a request needs one mean job");
+        "the overdrawn allowance has refilled to 0, and a light request needs the mean work");
     assertTrue(
         limiter.allows(
             rate,
@@ -243,8 +288,8 @@
   }
 
   /**
-   * Verifies that a request above the maximum work is not allowed, however large the allowance is.
-   * A few such requests could overload the worker.
+   * Verifies that a request whose work exceeds the maximum is not allowed even if the allowance is
+   * full. A few requests of more than the maximum work could overload the worker.
    */
   @Test
   void aRequestAboveTheMaximumWorkIsNeverAllowed() {
