--- a/src/test/java/loomreel/decision/DispatcherHarness.java
+++ b/src/test/java/loomreel/decision/DispatcherHarness.java
@@ -20,38 +20,43 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * Test harness that holds one started {@link DispatchPolicy} and the clock that its events use. It
- * also provides the settings, endpoints and load reports that tests share. Times are in
- * microseconds.
+ * Test harness that holds one started {@link DispatchPolicy} and the clock for the events that
+ * tests deliver to the policy. The harness also provides the settings, endpoints and load reports
+ * that tests share. Times are in microseconds.
  */
 final class DispatcherHarness {
   /** The number of microseconds in a second. */
   static final long SECOND = 1_000_000;
 
   /**
-   * The platform rules of the shared settings: a drain grace of 0.5 s, a poll interval of 10 s, a
-   * slow start of 20 s from 0.2 of the full capacity, and an overload limit of 3 times the capacity
-   * over 2 s.
+   * The platform rules of the shared settings. The drain grace is 0.5 s and the poll interval 10 s.
+   * A worker starts with at least 0.2 of its capacity and has its full capacity after 20 s. The
+   * overload limit is 3 times the capacity of the worker, over 2 s. {@link Rules} defines these
+   * terms.
    */
   static final Rules RULES = new Rules(SECOND / 2, 10 * SECOND, 0.2, 20 * SECOND, 3, 2 * SECOND);
 
-  /** The index in {@link #CLASSES} of the class of idempotent requests for any worker. */
+  /** The index in {@link #CLASSES} of the class whose requests are idempotent. */
   static final int IDEMPOTENT_CLASS = 0;
 
   /**
-   * The index in {@link #CLASSES} of the class of keyed requests. Workers of the same failure
-   * domain deduplicate them for 3 s.
+   * The index in {@link #CLASSES} of the class whose requests need an idempotency key to be
+   * repeated after an attempt that may have run ({@link Idempotency#KEYED}). Workers of the same
+   * failure domain deduplicate requests with the same idempotency key for 3 s. The idempotency key
+   * is not the {@code key} of {@link #request}, which is a routing key.
    */
   static final int KEYED_CLASS = 1;
 
   /**
-   * The index in {@link #CLASSES} of the class of non-idempotent requests. It is the only class in
-   * which an answer after the latency objective has a value, which is half of the full value.
+   * The index in {@link #CLASSES} of the class whose requests are not idempotent. In this class, an
+   * answer after the latency objective has half of its value. In the other classes, such an answer
+   * has no value.
    */
   static final int NON_IDEMPOTENT_CLASS = 2;
 
   /**
-   * The index in {@link #CLASSES} of the class of requests that only workers of kind big may run.
+   * The index in {@link #CLASSES} of the class whose requests only workers of kind big may run. The
+   * requests of the other classes may run on workers of any kind.
    */
   static final int BIG_WORKER_CLASS = 3;
 
@@ -80,15 +85,20 @@
   /** The current time, in microseconds. Tests set it directly. */
   long nowMicros = 100 * SECOND;
 
-  /** Creates a policy and delivers a start event with the given settings and random seed. */
+  /**
+   * Creates a policy and starts it.
+   *
+   * @param seed the seed for the random numbers of the policy
+   */
   DispatcherHarness(Settings settings, long seed) {
     this.settings = settings;
     handle(new Start(seed, settings));
   }
 
   /**
-   * Starts the default dispatcher. It is the only dispatcher of its workers, hedges requests, makes
-   * no health checks, and gets load reports with answers.
+   * Starts the default dispatcher, which has no endpoint list yet. No other dispatcher serves the
+   * same workers. The default dispatcher hedges requests, makes no health checks, and gets load
+   * reports with answers.
    */
   DispatcherHarness() {
     this(settings(1, true, false, LoadReporting.WITH_ANSWERS, false), 7);
@@ -98,11 +108,13 @@
    * Starts a dispatcher that hedges requests, makes health checks, and gets load reports with the
    * results of health checks.
    *
-   * @param dispatchers the number of dispatchers that serve the same workers, including this one
+   * @param dispatcherCount the number of dispatchers that serve the same workers, including this
+   *     one
+   * @param seed the seed for the random numbers of the policy
    */
-  static DispatcherHarness withHealthChecks(int dispatchers, long seed) {
+  static DispatcherHarness withHealthChecks(int dispatcherCount, long seed) {
     return new DispatcherHarness(
-        settings(dispatchers, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), seed);
+        settings(dispatcherCount, true, true, LoadReporting.WITH_HEALTH_CHECKS, false), seed);
   }
 
   /** Starts the default dispatcher and delivers an endpoint list of {@code count} ready workers. */
@@ -135,12 +147,19 @@
   }
 
   /**
-   * Returns settings with {@link #RULES} and {@link #CLASSES}, for a dispatcher in zone north that
-   * may make 4 attempts for each request, cancel attempts, and reject requests with a retry delay
-   * of up to 1 s.
+   * Returns settings with {@link #RULES} and {@link #CLASSES}. The dispatcher is in zone north. It
+   * may make up to 4 attempts for each request, cancel attempts, and reject a request with a retry
+   * delay of up to 1 s for the client. Workers report when a job starts.
+   *
+   * @param dispatcherCount the number of dispatchers that serve the same workers, including this
+   *     one
+   * @param hedging whether an attempt may start while another attempt of the request is open
+   * @param healthChecks whether the dispatcher may query the load of workers
+   * @param loadReporting the responses of workers that contain load reports
+   * @param pollsEndpoints whether the dispatcher has to poll the endpoint list
    */
   static Settings settings(
-      int dispatchers,
+      int dispatcherCount,
       boolean hedging,
       boolean healthChecks,
       LoadReporting loadReporting,
@@ -148,7 +167,7 @@
     return Settings.builder()
         .rules(RULES)
         .limits(new Limits(4, hedging, true, healthChecks, true, SECOND))
-        .dispatchers(dispatchers)
+        .dispatchers(dispatcherCount)
         .zone("north")
         .classes(CLASSES)
         .pollsEndpoints(pollsEndpoints)
@@ -158,7 +177,7 @@
         .build();
   }
 
-  /** Returns the ready workers from number 0 on, which {@link #endpoint} describes. */
+  /** Returns the {@link #endpoint}s of {@code count} workers, from worker 0 on, ready and warm. */
   static List<Endpoint> endpoints(int count) {
     List<Endpoint> endpoints = new ArrayList<>();
     for (int workerNumber = 0; workerNumber < count; workerNumber++) {
@@ -187,34 +206,38 @@
         1);
   }
 
-  /** Returns the number of a worker whose id {@link #endpoint} assigned. */
+  /** Returns the number of the worker to which {@link #endpoint} assigned this id. */
   static int workerNumber(String workerId) {
     return Integer.parseInt(workerId.substring(1));
   }
 
-  /** Returns the failure domain of a worker whose id {@link #endpoint} assigned. */
+  /** Returns the failure domain that {@link #endpoint} assigned to the worker with this id. */
   static int failureDomain(String workerId) {
     return workerNumber(workerId) / 2;
   }
 
-  /** Returns a load report without the utilization. */
+  /**
+   * Returns a load report that contains the given numbers of jobs and slots, but no utilization.
+   */
   static WorkerLoad loadReport(double queuedJobs, double activeJobs, double freeSlots) {
     return new WorkerLoad(queuedJobs, activeJobs, Double.NaN, freeSlots);
   }
 
   /**
-   * Returns the arrival of a request that takes one slot and whose client waits for 10 s.
+   * Returns an event that states the arrival of a request at the current time. The request takes
+   * one slot and has an idempotency key, and its client waits for 10 s.
    *
-   * @param key the key of the job, or null for none
-   * @param requestClass the index of the request class in {@link #CLASSES}
+   * @param key the routing key, which names the program or data set that the job needs; null for
+   *     none
+   * @param classIndex the index of the request class in {@link #CLASSES}
    * @param expectedWorkMicros the expected run time in microseconds, or NaN if unknown
    */
-  RequestArrived request(String id, String key, int requestClass, double expectedWorkMicros) {
+  RequestArrived request(String id, String key, int classIndex, double expectedWorkMicros) {
     return new RequestArrived(
         id,
         key,
         1,
-        requestClass,
+        classIndex,
         -1,
         nowMicros + CLIENT_TIMEOUT_MICROS,
         false,
@@ -228,23 +251,26 @@
     return actions;
   }
 
-  /** Delivers the arrival of a {@link #request} whose expected work is unknown. */
-  List<Action> arrive(String id, String key, int requestClass) {
-    return handle(request(id, key, requestClass, Double.NaN));
+  /**
+   * Delivers the arrival of a {@link #request} with unknown expected work and returns the actions
+   * of the policy.
+   */
+  List<Action> arrive(String id, String key, int classIndex) {
+    return handle(request(id, key, classIndex, Double.NaN));
   }
 
   /**
-   * Delivers the arrival of a request that the policy sends at once, and returns the id of the
-   * worker that gets it.
+   * Delivers the arrival of a request, which the policy is expected to send to a worker at once.
    *
+   * @return the id of the worker that gets the request
    * @throws AssertionError if the policy does not start exactly one attempt
    */
-  String dispatch(String id, String key, int requestClass) {
-    return onlyAttempt(arrive(id, key, requestClass)).workerId();
+  String dispatch(String id, String key, int classIndex) {
+    return onlyAttempt(arrive(id, key, classIndex)).workerId();
   }
 
   /**
-   * Delivers an endpoint update that contains one worker.
+   * Delivers an endpoint update that contains one worker, and returns the actions of the policy.
    *
    * @param startedAtMicros the time at which the process of the worker started, in microseconds; 0
    *     for a worker that is warm
@@ -254,8 +280,9 @@
   }
 
   /**
-   * Delivers the end of an attempt after 0.1 s, without a load report. The request counts as
-   * answered if the outcome is OK.
+   * Delivers the end of an attempt and returns the actions of the policy. The event states that the
+   * attempt took 0.1 s and contains no load report. The request counts as answered if the outcome
+   * is OK.
    */
   List<Action> endAttempt(String id, int attemptNumber, String workerId, AttemptOutcome outcome) {
     return handle(
@@ -263,12 +290,22 @@
             id, attemptNumber, workerId, outcome, outcome == AttemptOutcome.OK, SECOND / 10, null));
   }
 
-  /** Delivers the success of the first attempt of a request after 1 ms, with a load report. */
+  /**
+   * Delivers the success of the first attempt of a request and returns the actions of the policy.
+   * The event states that the attempt took 1 ms.
+   *
+   * @param load the load report of the worker
+   */
   List<Action> succeedFirstAttempt(String id, String workerId, WorkerLoad load) {
     return handle(new AttemptEnded(id, 0, workerId, AttemptOutcome.OK, true, 1000, load));
   }
 
-  /** Delivers the success of a health check after 1 ms, with a load report. */
+  /**
+   * Delivers the success of a health check and returns the actions of the policy. The event states
+   * that the health check took 1 ms.
+   *
+   * @param load the load report of the worker
+   */
   List<Action> reportHealth(String workerId, WorkerLoad load) {
     return handle(new HealthChecked(workerId, AttemptOutcome.OK, 1000, load));
   }
@@ -302,12 +339,14 @@
   }
 
   /**
-   * Fires the timers that the actions set, and the timers that the policy sets in response, in the
-   * order of their times. Advances the clock by at least one tick for each timer, and at the end to
-   * {@code untilMicros} unless it is later already.
+   * Fires the timers that the actions set, in the order of their times. If the policy sets more
+   * timers in response, these timers fire too. Timers with a time after {@code untilMicros} do not
+   * fire. For each timer that fires, the clock advances to the time of the timer, but by at least
+   * one tick. At the end, the clock advances to {@code untilMicros}, unless the clock is already
+   * past that time.
    *
-   * @param untilMicros the time of the last timer that fires, in microseconds
-   * @return the actions of the policy in response to all timers
+   * @param untilMicros the latest time of a timer that may fire, in microseconds
+   * @return all actions of the policy in response to the timers
    */
   List<Action> fireTimers(List<Action> actions, long untilMicros) {
     List<Action> allActions = new ArrayList<>();
