--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -25,40 +25,42 @@
 import loomreel.decision.Event.TimerFired;
 
 /**
- * Deterministic simulation of many dispatchers and workers on one virtual clock. Tests use it to
- * check quantities that are summed over all dispatchers. The seed and the tick of the settings are
- * fixed for a run, so equal runs give equal results. Times are in microseconds.
+ * Deterministic simulation of many dispatchers and workers on one virtual clock. Tests use the
+ * simulation to check quantities that are summed over all dispatchers. The seed and the tick of the
+ * settings are fixed for a run, so two runs with the same settings, seed and load give the same
+ * results. Times are in microseconds.
  */
 final class FleetSimulation {
   /** The number of microseconds in a second. */
   static final long SECOND = DispatcherHarness.SECOND;
 
-  /** The time, in microseconds, after which a reachable worker answers a health check. */
+  /** The time, in microseconds, from a health check of a reachable worker to the result. */
   private static final long ROUND_TRIP_MICROS = 20_000;
 
   /**
-   * The time, in microseconds, after which an attempt or health check at an unreachable worker
-   * fails.
+   * The time, in microseconds, after which the connection to an unreachable worker fails, for an
+   * attempt or a health check.
    */
   private static final long CONNECT_TIMEOUT_MICROS = 250_000;
 
-  /** The time, in microseconds, after which a worker rejects an attempt. */
+  /** The time, in microseconds, from the start of an attempt to its rejection by the worker. */
   private static final long REJECTION_DELAY_MICROS = 1000;
 
   /** The time, in microseconds, that a client waits for an answer. */
   private static final long CLIENT_TIMEOUT_MICROS = 5 * SECOND;
 
   /**
-   * The exponent of the uniform random number from 0 to 1 that selects a key. A larger exponent
-   * selects keys with low numbers more often.
+   * The exponent that makes some keys more frequent than others. The number of a key is the number
+   * of keys times a uniform random number between 0 and 1 that is raised to this exponent. The
+   * larger the exponent, the more frequent are the keys with low numbers.
    */
   private static final double KEY_SKEW = 2;
 
   /**
-   * A task that runs at a time. Tasks with the same time run in the order of their sequence
-   * numbers.
+   * A task and the time at which it runs. Tasks with the same time run in the order of their
+   * sequence numbers.
    */
-  private record ScheduledTask(long time, long sequenceNumber, Runnable task) {}
+  private record ScheduledTask(long timeMicros, long sequenceNumber, Runnable task) {}
 
   final Settings settings;
   final Map<String, SimulatedWorker> workers = new TreeMap<>();
@@ -69,7 +71,7 @@
   /** The current time, in microseconds. */
   long nowMicros = 100 * SECOND;
 
-  /** The number of requests that a successful attempt answered. */
+  /** The number of requests that were answered by a successful attempt. */
   int servedCount;
 
   /** The number of requests that dispatchers rejected. */
@@ -81,20 +83,29 @@
   private final List<DispatchPolicy> dispatchers = new ArrayList<>();
   private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledTask::time)
+          Comparator.comparingLong(ScheduledTask::timeMicros)
               .thenComparingLong(ScheduledTask::sequenceNumber));
   private final SplittableRandom random;
-  private final Set<String> unanswered = new HashSet<>();
+
+  /** The ids of the requests that have arrived and have no answer yet. */
+  private final Set<String> unansweredIds = new HashSet<>();
+
+  /** The number of attempts that have started, by request id. */
   private final Map<String, Integer> attemptCountById = new HashMap<>();
+
+  /** The work of the job, by request id. */
   private final Map<String, Double> workMicrosById = new HashMap<>();
+
+  /** The number of tasks that have been scheduled. */
   private long taskCount;
 
+  /** Creates a simulation that has no dispatchers and no workers yet. */
   FleetSimulation(Settings settings, long seed) {
     this.settings = settings;
     random = new SplittableRandom(seed);
   }
 
-  /** Starts {@code count} dispatchers and delivers an endpoint list to each. */
+  /** Starts {@code count} dispatchers and delivers the endpoint list to each of them. */
   void start(int count, List<Endpoint> endpoints) {
     for (int i = 0; i < count; i++) {
       DispatchPolicy dispatcher = new DispatchPolicy();
@@ -108,13 +119,15 @@
     dispatchers.forEach(action);
   }
 
-  private void schedule(long time, Runnable task) {
-    tasks.add(new ScheduledTask(time, taskCount++, task));
+  private void schedule(long timeMicros, Runnable task) {
+    tasks.add(new ScheduledTask(timeMicros, taskCount++, task));
   }
 
   /**
-   * Schedules requests at every dispatcher, with exponentially distributed pauses and work. Keys
-   * with low numbers are more frequent.
+   * Schedules the arrival of random requests at every dispatcher. The pauses between arrivals and
+   * the work of the jobs are distributed exponentially. Keys with low numbers are more frequent.
+   * The requests belong to the last tenant of the settings, or to none if the settings have no
+   * tenants.
    *
    * @param requestsPerSecond the mean arrival rate at each dispatcher
    * @param keyCount the number of different keys
@@ -122,37 +135,45 @@
    * @param untilMicros the time at which the arrivals end
    */
   void addLoad(double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
-    for (int number = 0; number < dispatchers.size(); number++) {
-      addLoad(number, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+    for (int dispatcherIndex = 0; dispatcherIndex < dispatchers.size(); dispatcherIndex++) {
+      addLoad(dispatcherIndex, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
     }
   }
 
   /**
-   * Schedules requests at one dispatcher as {@link #addLoad(double, int, double, long)} does at
-   * all. They belong to the last tenant of the settings, or to none if the settings have no
-   * tenants.
+   * Schedules the arrival of random requests at one dispatcher. The requests are like those of
+   * {@link #addLoad(double, int, double, long)}, and the other parameters have the same meaning.
    *
-   * @param number the index of the dispatcher in the order of starts
+   * @param dispatcherIndex the index of the dispatcher in the order of starts
    */
   void addLoad(
-      int number, double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
-    scheduleArrival(
-        dispatchers.get(number), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+      int dispatcherIndex,
+      double requestsPerSecond,
+      int keyCount,
+      double meanWorkMicros,
+      long untilMicros) {
+    scheduleNextArrival(
+        dispatchers.get(dispatcherIndex), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
   }
 
-  private void scheduleArrival(
+  /**
+   * Schedules the next arrival at a dispatcher. When that request arrives, the arrival after it is
+   * scheduled. No arrival is scheduled at or after {@code untilMicros}.
+   */
+  private void scheduleNextArrival(
       DispatchPolicy dispatcher,
-      double arrivalsPerSecond,
+      double requestsPerSecond,
       int keyCount,
       double meanWorkMicros,
       long untilMicros) {
-    long next = nowMicros + (long) (drawExponential() / arrivalsPerSecond * SECOND);
-    if (next < untilMicros) {
+    long arrivesAtMicros = nowMicros + (long) (drawExponential() / requestsPerSecond * SECOND);
+    if (arrivesAtMicros < untilMicros) {
       schedule(
-          next,
+          arrivesAtMicros,
           () -> {
-            arrive(dispatcher, keyCount, meanWorkMicros);
-            scheduleArrival(dispatcher, arrivalsPerSecond, keyCount, meanWorkMicros, untilMicros);
+            deliverRandomRequest(dispatcher, keyCount, meanWorkMicros);
+            scheduleNextArrival(
+                dispatcher, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
           });
     }
   }
@@ -162,22 +183,27 @@
     return -Math.log(1 - random.nextDouble());
   }
 
-  private void arrive(DispatchPolicy dispatcher, int keyCount, double meanWorkMicros) {
+  /**
+   * Delivers the arrival of a random request. The request is idempotent or non-idempotent, each
+   * with the same probability.
+   */
+  private void deliverRandomRequest(
+      DispatchPolicy dispatcher, int keyCount, double meanWorkMicros) {
     String id = Long.toHexString(random.nextLong());
     double workMicros = drawExponential() * meanWorkMicros;
-    unanswered.add(id);
+    unansweredIds.add(id);
     workMicrosById.put(id, workMicros);
     String key = "k" + (int) (keyCount * Math.pow(random.nextDouble(), KEY_SKEW));
-    int requestClass = random.nextInt(2) * DispatcherHarness.NON_IDEMPOTENT_CLASS;
-    int tenant = settings.tenants().size() - 1;
+    int classIndex = random.nextInt(2) * DispatcherHarness.NON_IDEMPOTENT_CLASS;
+    int tenantIndex = settings.tenants().size() - 1;
     deliver(
         dispatcher,
         new RequestArrived(
             id,
             key,
             1,
-            requestClass,
-            tenant,
+            classIndex,
+            tenantIndex,
             nowMicros + CLIENT_TIMEOUT_MICROS,
             false,
             workMicros));
@@ -185,14 +211,17 @@
 
   /** Returns the number of requests that have arrived and have no answer yet. */
   int unansweredCount() {
-    return unanswered.size();
+    return unansweredIds.size();
   }
 
-  /** Runs the tasks up to a time in the order of their times, and advances the clock to it. */
+  /**
+   * Runs the tasks that are due by {@code untilMicros}, in the order of their times, and then sets
+   * the clock to {@code untilMicros}.
+   */
   void run(long untilMicros) {
-    while (!tasks.isEmpty() && tasks.peek().time() <= untilMicros) {
+    while (!tasks.isEmpty() && tasks.peek().timeMicros() <= untilMicros) {
       ScheduledTask next = tasks.poll();
-      nowMicros = Math.max(nowMicros, next.time());
+      nowMicros = Math.max(nowMicros, next.timeMicros());
       next.task().run();
     }
     nowMicros = untilMicros;
@@ -205,7 +234,7 @@
     actions.forEach(action -> execute(dispatcher, action));
   }
 
-  /** Executes an action. Cancellations and log lines have no effect. */
+  /** Executes an action of a dispatcher. Actions that cancel an attempt or log have no effect. */
   private void execute(DispatchPolicy dispatcher, Action action) {
     if (action instanceof SetTimer timer) {
       schedule(
@@ -218,9 +247,9 @@
     } else if (action instanceof PollEndpoints) {
       pollTimesMicros.add(nowMicros);
     } else if (action instanceof Reject reject) {
-      rejectedCount += unanswered.remove(reject.requestId()) ? 1 : 0;
+      rejectedCount += unansweredIds.remove(reject.requestId()) ? 1 : 0;
     } else if (action instanceof Fail fail) {
-      failedCount += unanswered.remove(fail.requestId()) ? 1 : 0;
+      failedCount += unansweredIds.remove(fail.requestId()) ? 1 : 0;
     }
   }
 
@@ -246,27 +275,27 @@
 
   private void startAttempt(DispatchPolicy dispatcher, StartAttempt start) {
     SimulatedWorker worker = workers.get(start.workerId());
-    int number = attemptCountById.merge(start.requestId(), 1, Integer::sum) - 1;
+    int attemptNumber = attemptCountById.merge(start.requestId(), 1, Integer::sum) - 1;
     double workMicros = workMicrosById.get(start.requestId());
     worker.recordAttempt(workMicros, nowMicros);
     switch (worker.mode) {
       case SERVING -> {
         long endsAtMicros = worker.startJob(workMicros, nowMicros, settings.rules());
         schedule(endsAtMicros, worker::endJob);
-        scheduleEnd(dispatcher, start, number, AttemptOutcome.OK, endsAtMicros);
+        scheduleEnd(dispatcher, start, attemptNumber, AttemptOutcome.OK, endsAtMicros);
       }
       case REJECTING ->
           scheduleEnd(
               dispatcher,
               start,
-              number,
+              attemptNumber,
               AttemptOutcome.REJECTED,
               nowMicros + REJECTION_DELAY_MICROS);
       case UNREACHABLE ->
           scheduleEnd(
               dispatcher,
               start,
-              number,
+              attemptNumber,
               AttemptOutcome.CONNECT_FAILED,
               nowMicros + CONNECT_TIMEOUT_MICROS);
       default -> throw new AssertionError(worker.mode);
@@ -276,7 +305,7 @@
   private void scheduleEnd(
       DispatchPolicy dispatcher,
       StartAttempt start,
-      int number,
+      int attemptNumber,
       AttemptOutcome outcome,
       long endsAtMicros) {
     long sentAtMicros = nowMicros;
@@ -284,14 +313,14 @@
         endsAtMicros,
         () -> {
           boolean isFirstAnswer =
-              outcome == AttemptOutcome.OK && unanswered.remove(start.requestId());
+              outcome == AttemptOutcome.OK && unansweredIds.remove(start.requestId());
           servedCount += isFirstAnswer ? 1 : 0;
-          boolean isAnswered = !unanswered.contains(start.requestId());
+          boolean isAnswered = !unansweredIds.contains(start.requestId());
           deliver(
               dispatcher,
               new AttemptEnded(
                   start.requestId(),
-                  number,
+                  attemptNumber,
                   start.workerId(),
                   outcome,
                   isAnswered,
--- a/src/test/java/loomreel/decision/SimulatedWorker.java
+++ b/src/test/java/loomreel/decision/SimulatedWorker.java
@@ -6,14 +6,14 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * A worker of a {@link FleetSimulation}. Dispatchers see its load reports but not its state. It
- * runs as many jobs at once as it has slots, and queues the others. Work is stated as the run time
- * of a job at a warm worker of speed 1, in microseconds.
+ * A worker in a {@link FleetSimulation}. The worker runs as many jobs at the same time as it has
+ * slots, and queues the other jobs. Dispatchers see the load reports of the worker but not its
+ * state. The work of a job is its run time at a warm worker of speed 1, in microseconds.
  */
 final class SimulatedWorker {
-  /** How the worker responds to attempts and health checks. */
+  /** The way in which a worker responds to attempts and health checks. */
   enum Mode {
-    /** The worker runs jobs and answers health checks. */
+    /** The worker runs jobs, and health checks succeed. */
     SERVING,
     /** The worker rejects jobs, and health checks fail. */
     REJECTING,
@@ -28,13 +28,13 @@
 
   Mode mode = Mode.SERVING;
 
-  /** The work that one slot does per microsecond when the worker is warm. */
+  /** The work that one slot does per microsecond while the worker is warm. */
   private final double speed;
 
-  /** For each slot, the time, in microseconds, at which all jobs assigned to it will have ended. */
+  /** For each slot, the time, in microseconds, at which the last job of the slot ends. */
   private final long[] slotFreeAtMicros;
 
-  /** The work of the attempts sent to the worker, by the time at which they were sent. */
+  /** The total work of the attempts that were sent at a time, by that time in microseconds. */
   private final TreeMap<Long, Double> workMicrosByTime = new TreeMap<>();
 
   /** The number of jobs that run or are queued. */
@@ -46,7 +46,10 @@
     slotFreeAtMicros = new long[slots];
   }
 
-  /** Returns the fraction of its full capacity that the worker has at a time, from 0 to 1. */
+  /**
+   * Returns the fraction of its full capacity that the worker has at {@code nowMicros}, from 0 to
+   * 1. During the slow start, the fraction grows linearly to 1.
+   */
   private double capacityFraction(long nowMicros, Rules rules) {
     double ageMicros = nowMicros - endpoint.startedAt();
     return endpoint.startedAt() == 0 || ageMicros > rules.slowStartDuration()
@@ -55,12 +58,15 @@
             + (1 - rules.initialCapacityFraction()) * ageMicros / rules.slowStartDuration();
   }
 
-  /** Records an attempt that was sent to the worker, whether or not the worker runs it. */
+  /** Records an attempt that was sent to the worker, even if the worker does not run the job. */
   void recordAttempt(double workMicros, long nowMicros) {
     workMicrosByTime.merge(nowMicros, workMicros, Double::sum);
   }
 
-  /** Returns the work that was sent to the worker from one time until before another. */
+  /**
+   * Returns the work of the attempts that were sent to the worker from {@code fromMicros},
+   * inclusive, to {@code toMicros}, exclusive.
+   */
   double workSentMicros(long fromMicros, long toMicros) {
     return workMicrosByTime.subMap(fromMicros, toMicros).values().stream()
         .mapToDouble(workMicros -> workMicros)
@@ -72,7 +78,10 @@
     return workMicrosByTime.size();
   }
 
-  /** Returns the work that the worker can do in all its slots between two times. */
+  /**
+   * Returns the work that all slots of the worker together can do between two times. The result is
+   * exact only if the capacity changes linearly between these times.
+   */
   double capacityMicros(long fromMicros, long toMicros, Rules rules) {
     return slotFreeAtMicros.length
         * speed
@@ -82,7 +91,7 @@
   }
 
   /**
-   * Starts a job in the slot that becomes free first.
+   * Assigns a job to the slot that becomes free first. The job starts as soon as that slot is free.
    *
    * @return the time at which the job ends, in microseconds
    */
@@ -98,12 +107,12 @@
     return slotFreeAtMicros[slot];
   }
 
-  /** Records the end of a job that was started. */
+  /** Records the end of a job that {@link #startJob} assigned to a slot. */
   void endJob() {
     activeJobs--;
   }
 
-  /** Returns a load report with the current number of jobs. */
+  /** Returns a load report with the current numbers of queued jobs, active jobs and free slots. */
   WorkerLoad loadReport() {
     int slots = slotFreeAtMicros.length;
     return DispatcherHarness.loadReport(
