--- a/src/test/java/loomreel/decision/FleetSimulationTest.java
+++ b/src/test/java/loomreel/decision/FleetSimulationTest.java
@@ -25,16 +25,24 @@
   private static final int SLOTS_PER_WORKER = 4;
   private static final int KEY_COUNT = 150;
 
-  /** The mean run time of a job at a warm worker, in microseconds. */
+  /** The mean run time of a job at a warm worker of speed 1, in microseconds. */
   private static final double MEAN_WORK_MICROS = SECOND / 4.0;
 
-  /** The number of jobs of mean work that one slot completes per second. */
+  /** The number of jobs of mean work that one slot of a warm worker completes per second. */
   private static final double JOBS_PER_SLOT_SECOND = 1 / 0.25;
 
   private static final List<RequestClass> CLASSES =
       DispatcherHarness.CLASSES.stream()
           .map(FleetSimulationTest::withShortLatencyObjective)
           .toList();
+
+  /**
+   * The settings of each dispatcher. The drain grace is 3 s and the poll interval 10 s. A worker
+   * starts with at least 0.2 of its capacity and has its full capacity after 20 s. The overload
+   * limit is 2.5 times the capacity of the worker, over 3 s. A request may have 4 attempts.
+   * Hedging, cancellation and health checks are allowed, and a rejection may give a retry delay of
+   * up to 1 s.
+   */
   private static final Settings SETTINGS =
       Settings.builder()
           .rules(new Rules(3 * SECOND, 10 * SECOND, 0.2, 20 * SECOND, 2.5, 3 * SECOND))
@@ -48,8 +56,9 @@
           .build();
 
   /**
-   * Returns a copy of a class with a latency objective of 0.2 s plus 2.5 times the work of the job,
-   * a deadline of 5 s, and no value of late answers.
+   * Returns a copy of a request class with a latency objective of 0.2 s plus 2.5 times the work of
+   * the job, and with a deadline of 5 s. In the copy, an answer after the latency objective has no
+   * value.
    */
   private static RequestClass withShortLatencyObjective(RequestClass original) {
     return new RequestClass(
@@ -66,7 +75,14 @@
         original.deduplicationWindow());
   }
 
-  /** Adds workers with consecutive numbers that all started at the same time. */
+  /**
+   * Adds {@code count} workers to the simulation, but not to the endpoint lists of the dispatchers.
+   * A worker that has the same number as an added worker is replaced.
+   *
+   * @param firstNumber the number of the first worker; the numbers are consecutive
+   * @param startedAtMicros the time at which all these workers started, in microseconds; 0 for warm
+   *     workers
+   */
   private static List<SimulatedWorker> addWorkers(
       FleetSimulation fleet, int firstNumber, int count, long startedAtMicros) {
     return IntStream.range(firstNumber, firstNumber + count)
@@ -87,11 +103,14 @@
   }
 
   /**
-   * Returns the requests per second at each dispatcher that together use a fraction of the slots of
-   * the workers.
+   * Returns the request rate at each dispatcher, per second, that makes the jobs of all dispatchers
+   * together occupy a fraction of all slots.
+   *
+   * @param slotFraction the fraction of the slots that are occupied on average, from 0 to 1
+   * @param workerCount the number of workers, which are warm and have speed 1
    */
-  private static double requestsPerSecond(double fraction, int workers) {
-    return fraction * workers * SLOTS_PER_WORKER * JOBS_PER_SLOT_SECOND / DISPATCHER_COUNT;
+  private static double requestsPerSecondAndDispatcher(double slotFraction, int workerCount) {
+    return slotFraction * workerCount * SLOTS_PER_WORKER * JOBS_PER_SLOT_SECOND / DISPATCHER_COUNT;
   }
 
   /** Delivers an endpoint update to every dispatcher. */
@@ -100,8 +119,9 @@
   }
 
   /**
-   * Asserts for each worker that, in the 10 s after {@code fromMicros}, the work sent to it within
-   * 3 s stays below the overload limit. The windows of 3 s start every 0.5 s.
+   * Asserts that each worker gets less work than the overload limit in each time window of 3 s. The
+   * limit is the overload multiple times the work that the worker can do in the window. The first
+   * window starts at {@code fromMicros}, and the others follow every 0.5 s until 6.5 s later.
    */
   private static void assertNotOverloaded(
       List<SimulatedWorker> workers, long fromMicros, long seed) {
@@ -130,8 +150,9 @@
   }
 
   /**
-   * Verifies that dispatchers that start together poll soon, because a restarted dispatcher has an
-   * old endpoint list, and that their polls are spread over time.
+   * Verifies that dispatchers that start at the same time each poll the endpoint list once within 2
+   * s, and that at most half of them poll within the same 0.2 s. A dispatcher polls soon after its
+   * start because a restarted dispatcher has an old endpoint list.
    */
   @Test
   void dispatchersThatStartTogetherPollWithinTwoSecondsAtDifferentTimes() {
@@ -151,40 +172,46 @@
   }
 
   /**
-   * Verifies that cold workers get requests at once and are not overloaded when they replace 12 of
-   * 20 workers. The cold workers have reported no load yet.
+   * Verifies that cold workers that replace 12 of 20 workers get requests at once and are not
+   * overloaded. When the cold workers join, no dispatcher has a load report of them yet.
    */
   @Test
-  void coldWorkersOfAReplacedFleetAreUsedAtOnceAndNotOverloaded() {
+  void coldWorkersThatReplaceOthersAreUsedAtOnceAndNotOverloaded() {
     for (long seed = 1; seed <= 4; seed++) {
       FleetSimulation fleet = new FleetSimulation(SETTINGS, seed);
       List<SimulatedWorker> oldWorkers = addWorkers(fleet, 0, 20, 0);
       fleet.start(DISPATCHER_COUNT, endpoints(oldWorkers));
       fleet.addLoad(
-          requestsPerSecond(0.6, 20), KEY_COUNT, MEAN_WORK_MICROS, fleet.nowMicros + 18 * SECOND);
+          requestsPerSecondAndDispatcher(0.6, 20),
+          KEY_COUNT,
+          MEAN_WORK_MICROS,
+          fleet.nowMicros + 18 * SECOND);
       fleet.run(fleet.nowMicros + 8 * SECOND);
 
       long replacedAtMicros = fleet.nowMicros;
       List<SimulatedWorker> coldWorkers = replace(fleet, oldWorkers.subList(0, 12));
       fleet.run(replacedAtMicros + 3 * SECOND);
-      double meanUtilization =
+      double meanOfferedLoad =
           coldWorkers.stream()
               .mapToDouble(
-                  worker -> utilization(worker, replacedAtMicros, replacedAtMicros + 3 * SECOND))
+                  worker -> offeredLoad(worker, replacedAtMicros, replacedAtMicros + 3 * SECOND))
               .average()
               .orElse(0);
       fleet.run(replacedAtMicros + 10 * SECOND);
 
       assertTrue(
-          meanUtilization > 0.7,
-          "seed " + seed + ": cold workers got " + meanUtilization + " of their capacity");
+          meanOfferedLoad > 0.7,
+          "seed " + seed + ": cold workers got " + meanOfferedLoad + " of their capacity");
       assertNotOverloaded(coldWorkers, replacedAtMicros, seed);
     }
   }
 
   /**
-   * Drains workers, which reject jobs from now on, and adds as many cold workers with numbers from
-   * 20 on. Delivers both changes to every dispatcher.
+   * Drains the old workers, so that they reject jobs from now on, and adds the same number of cold
+   * workers, whose numbers start at 20. Delivers one endpoint update with the old and the cold
+   * workers to every dispatcher.
+   *
+   * @return the cold workers
    */
   private static List<SimulatedWorker> replace(
       FleetSimulation fleet, List<SimulatedWorker> oldWorkers) {
@@ -199,35 +226,44 @@
     return coldWorkers;
   }
 
-  /** Returns the work sent to a worker between two times as a fraction of its capacity. */
-  private static double utilization(SimulatedWorker worker, long fromMicros, long toMicros) {
+  /**
+   * Returns the work that was sent to a worker between two times, divided by the work that the
+   * worker can do in that time. The result may exceed 1.
+   */
+  private static double offeredLoad(SimulatedWorker worker, long fromMicros, long toMicros) {
     return worker.workSentMicros(fromMicros, toMicros)
         / worker.capacityMicros(fromMicros, toMicros, SETTINGS.rules());
   }
 
   /**
-   * Verifies that every request is answered and that restarted workers are used but not overloaded.
-   * A third of the workers becomes unreachable, the endpoint list removes them 1.5 s later, and 4 s
-   * after that it contains them again as cold workers.
+   * Verifies that no request stays without an answer and more than four in five are served when a
+   * third of the workers fail and restart, and that the restarted workers are used but not
+   * overloaded. In this test, workers 0 to 6 of 21 become unreachable. The endpoint list drops
+   * these workers 1.5 s later. After another 4 s, the list contains them again, as cold workers.
    */
   @Test
-  void aZoneThatFailsAndRestartsLeavesNoRequestUnansweredAndIsNotOverloaded() {
+  void workersThatFailAndRestartLeaveNoRequestUnansweredAndAreNotOverloaded() {
     for (long seed = 1; seed <= 3; seed++) {
       FleetSimulation fleet = new FleetSimulation(SETTINGS, seed);
       List<SimulatedWorker> allWorkers = addWorkers(fleet, 0, 21, 0);
-      List<SimulatedWorker> zone = allWorkers.subList(0, 7);
+      List<SimulatedWorker> failingWorkers = allWorkers.subList(0, 7);
       fleet.start(DISPATCHER_COUNT, endpoints(allWorkers));
       long endMicros = fleet.nowMicros + 21 * SECOND;
-      fleet.addLoad(requestsPerSecond(0.5, 21), KEY_COUNT, MEAN_WORK_MICROS, endMicros);
+      fleet.addLoad(
+          requestsPerSecondAndDispatcher(0.5, 21), KEY_COUNT, MEAN_WORK_MICROS, endMicros);
       fleet.run(fleet.nowMicros + 5 * SECOND);
 
-      zone.forEach(worker -> worker.mode = SimulatedWorker.Mode.UNREACHABLE);
+      failingWorkers.forEach(worker -> worker.mode = SimulatedWorker.Mode.UNREACHABLE);
       fleet.run(fleet.nowMicros + 3 * SECOND / 2);
       updateEndpoints(
-          fleet, zone.stream().map(worker -> worker.endpoint.withState(State.REMOVED)).toList());
+          fleet,
+          failingWorkers.stream()
+              .map(worker -> worker.endpoint.withState(State.REMOVED))
+              .toList());
       fleet.run(fleet.nowMicros + 4 * SECOND);
       long restartedAtMicros = fleet.nowMicros;
-      List<SimulatedWorker> coldWorkers = addWorkers(fleet, 0, zone.size(), restartedAtMicros);
+      List<SimulatedWorker> coldWorkers =
+          addWorkers(fleet, 0, failingWorkers.size(), restartedAtMicros);
       updateEndpoints(fleet, endpoints(coldWorkers));
       fleet.run(endMicros + 6 * SECOND);
 
@@ -253,8 +289,11 @@
   }
 
   /**
-   * Verifies that hardly any request of a tenant within its quota is rejected although two
-   * dispatchers get four times the traffic of the others. The workers have enough capacity.
+   * Verifies that a tenant within its quota is served although the dispatchers get uneven parts of
+   * its traffic: fewer than 3 requests are rejected for every 100 that are served, and no request
+   * fails. The tenant sends 240 requests per second and has a quota of 300. Two dispatchers each
+   * get four times the traffic of an ordinary dispatcher. The workers have enough capacity for all
+   * requests.
    */
   @Test
   void aTenantWithinItsQuotaIsServedWhenItsTrafficIsUneven() {
@@ -263,12 +302,14 @@
       FleetSimulation fleet = new FleetSimulation(settings, seed);
       List<SimulatedWorker> allWorkers = addWorkers(fleet, 0, 20, 0);
       fleet.start(DISPATCHER_COUNT, endpoints(allWorkers));
-      double requestsPerSecond = 240.0 / (DISPATCHER_COUNT - 2 + 2 * 4);
+      // All dispatchers together get 240 requests per second. A dispatcher with ordinary traffic
+      // counts once, and each of the two dispatchers with more traffic counts four times.
+      double ordinaryRequestsPerSecond = 240.0 / (DISPATCHER_COUNT - 2 + 2 * 4);
       long endMicros = fleet.nowMicros + 15 * SECOND;
       for (int dispatcher = 0; dispatcher < DISPATCHER_COUNT; dispatcher++) {
         fleet.addLoad(
             dispatcher,
-            dispatcher < 2 ? 4 * requestsPerSecond : requestsPerSecond,
+            dispatcher < 2 ? 4 * ordinaryRequestsPerSecond : ordinaryRequestsPerSecond,
             KEY_COUNT,
             MEAN_WORK_MICROS,
             endMicros);
@@ -284,11 +325,13 @@
   }
 
   /**
-   * Verifies that dispatchers rarely check a cold worker whose slow-start allowance is used up. It
-   * would get no request at any load.
+   * Verifies that cold workers get fewer health checks than warm workers, and at most a tenth more
+   * health checks than there are times at which jobs are sent to them. If the slow-start allowance
+   * for a cold worker is used up, the worker gets no request, whatever load it reports. A health
+   * check would then be of no use.
    */
   @Test
-  void aColdWorkerIsCheckedOnlyWhileItsAllowancePermitsARequest() {
+  void coldWorkersGetHardlyMoreHealthChecksThanJobs() {
     FleetSimulation fleet = new FleetSimulation(SETTINGS, 5);
     List<SimulatedWorker> warmWorkers = addWorkers(fleet, 0, 5, 0);
     List<SimulatedWorker> coldWorkers = addWorkers(fleet, 5, 5, fleet.nowMicros);
@@ -303,10 +346,10 @@
         warmWorkers.stream().mapToLong(worker -> worker.healthCheckTimesMicros.size()).sum();
     long coldCheckCount =
         coldWorkers.stream().mapToLong(worker -> worker.healthCheckTimesMicros.size()).sum();
-    long coldSendCount = coldWorkers.stream().mapToLong(SimulatedWorker::sendTimeCount).sum();
+    long coldSendTimeCount = coldWorkers.stream().mapToLong(SimulatedWorker::sendTimeCount).sum();
     assertTrue(
-        coldCheckCount * 10 < coldSendCount * 11,
-        coldCheckCount + " checks, " + coldSendCount + " jobs sent");
+        coldCheckCount * 10 < coldSendTimeCount * 11,
+        coldCheckCount + " checks, jobs sent at " + coldSendTimeCount + " times");
     assertTrue(
         coldCheckCount < warmCheckCount, coldCheckCount + " cold, " + warmCheckCount + " warm");
     assertTrue(coldCheckCount > 0, "the cold workers are used");
