--- a/src/test/java/loomreel/decision/RandomEvents.java
+++ b/src/test/java/loomreel/decision/RandomEvents.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 
 /**
- * The clock, the random number generator and the attempt counts that all dispatchers in one run of
- * random events share.
+ * The state that all dispatchers in one run of {@link RandomEventsTest} share: the clock, the
+ * random number generator and the records of attempts.
  */
 final class RandomEvents {
   /** The minimum time between two events of a dispatcher, in microseconds. */
@@ -19,10 +19,13 @@
   /** The current time, in microseconds. */
   long nowMicros = 50 * DispatcherHarness.SECOND;
 
-  /** The number of attempts at all workers. */
+  /** The number of attempts at all workers since the run began. */
   long attemptCount;
 
-  /** The times, in microseconds, of the attempts at each worker since its last reset. */
+  /**
+   * The times, in microseconds, of the attempts at each worker since the last call of {@link
+   * #resetAttempts} for the worker.
+   */
   private final Map<String, List<Long>> attemptTimesMicrosByWorker = new HashMap<>();
 
   RandomEvents(long seed) {
@@ -35,12 +38,18 @@
     attemptTimesMicrosByWorker.computeIfAbsent(worker, absent -> new ArrayList<>()).add(nowMicros);
   }
 
-  /** Discards the recorded times of the attempts at a worker, because its process restarted. */
+  /**
+   * Discards the recorded times of the attempts at a worker. A test calls this method when the
+   * process of the worker restarts.
+   */
   void resetAttempts(String worker) {
     attemptTimesMicrosByWorker.put(worker, new ArrayList<>());
   }
 
-  /** Returns the number of attempts at a worker before a time and since its last reset. */
+  /**
+   * Returns the number of attempts at a worker that were recorded with a time before {@code
+   * timeMicros} and after the last call of {@link #resetAttempts} for the worker.
+   */
   long attemptsBefore(String worker, long timeMicros) {
     return attemptTimesMicrosByWorker.get(worker).stream()
         .filter(sentAtMicros -> sentAtMicros < timeMicros)
@@ -48,10 +57,10 @@
   }
 
   /**
-   * Returns a random load report. One in five contains only the utilization and the free slots; the
-   * others contain everything but the utilization.
+   * Returns a random load report. On average, one report in five contains only the utilization and
+   * the number of free slots. The other reports contain all values except the utilization.
    */
-  WorkerLoad loadReport() {
+  WorkerLoad drawLoadReport() {
     return random.nextInt(5) == 0
         ? new WorkerLoad(Double.NaN, Double.NaN, 0.5, random.nextInt(5))
         : new WorkerLoad(random.nextInt(3), random.nextInt(6), Double.NaN, random.nextInt(4));
--- a/src/test/java/loomreel/decision/RandomEventsTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -17,9 +17,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests several dispatchers with random sequences of possible events from a fixed seed. {@link
- * RuleCheckingDispatcher} checks each action against the rules of the platform that concern one
- * dispatcher, and this test checks rule 4, which concerns all of them. Workers are not simulated.
+ * Delivers random but possible events to several dispatchers, from a fixed seed, and checks that
+ * their actions follow the rules of the platform. {@link RuleCheckingDispatcher} states the rules
+ * and checks those that concern a single dispatcher. This test checks rule 4, which limits the
+ * attempts of all dispatchers together. Workers are not simulated: the load reports and the
+ * outcomes of attempts are random.
  */
 class RandomEventsTest {
   private static final int DISPATCHER_COUNT = 4;
@@ -32,10 +34,13 @@
   private final Map<String, Long> restartTimeMicrosByWorker = new HashMap<>();
 
   private RandomEvents randomEvents;
+
+  /** The number of requests that have arrived at all dispatchers. */
   private long arrivalCount;
 
   @ParameterizedTest
   @CsvSource({
+    // seed, hedging, healthChecks, loadReporting, pollsEndpoints
     "1,true,true,WITH_ANSWERS,false",
     "2,false,false,WITH_ANSWERS,false",
     "3,true,true,WITH_HEALTH_CHECKS,true",
@@ -47,15 +52,15 @@
       int seed,
       boolean hedging,
       boolean healthChecks,
-      LoadReporting reporting,
+      LoadReporting loadReporting,
       boolean pollsEndpoints) {
     randomEvents = new RandomEvents(seed);
     Settings settings =
         DispatcherHarness.settings(
-            DISPATCHER_COUNT, hedging, healthChecks, reporting, pollsEndpoints);
-    for (int number = 0; number < DISPATCHER_COUNT; number++) {
+            DISPATCHER_COUNT, hedging, healthChecks, loadReporting, pollsEndpoints);
+    for (int dispatcherNumber = 0; dispatcherNumber < DISPATCHER_COUNT; dispatcherNumber++) {
       RuleCheckingDispatcher dispatcher =
-          new RuleCheckingDispatcher(randomEvents, number, settings);
+          new RuleCheckingDispatcher(randomEvents, dispatcherNumber, settings);
       dispatchers.add(dispatcher);
       dispatcher.update(DispatcherHarness.endpoints(WORKER_COUNT));
     }
@@ -73,8 +78,8 @@
   }
 
   /**
-   * Lets each dispatcher handle the events that are due, and adds random arrivals, endpoint changes
-   * and restarts.
+   * Delivers to each dispatcher the events that are due. At random, also delivers new requests and
+   * changed endpoints, and restarts dispatchers.
    */
   private void step() {
     Random random = randomEvents.random;
@@ -94,11 +99,12 @@
   }
 
   /**
-   * Reports to all dispatchers that a random worker has joined or restarted, drains, or was
+   * Changes the state of a random worker and delivers the change to all dispatchers. A worker that
+   * becomes ready has started or restarted at the current time. Otherwise, the worker drains or is
    * removed.
    */
   private void changeEndpoint() {
-    int number = randomEvents.random.nextInt(16);
+    int workerNumber = randomEvents.random.nextInt(16);
     State state =
         randomEvents.random.nextInt(3) == 0
             ? List.of(State.READY, State.DRAINING, State.REMOVED)
@@ -106,7 +112,7 @@
             : State.READY;
     boolean isRestart = state == State.READY;
     Endpoint endpoint =
-        DispatcherHarness.endpoint(number, state, isRestart ? randomEvents.nowMicros : 0);
+        DispatcherHarness.endpoint(workerNumber, state, isRestart ? randomEvents.nowMicros : 0);
     if (isRestart) {
       restartTimeMicrosByWorker.put(endpoint.id(), randomEvents.nowMicros);
       randomEvents.resetAttempts(endpoint.id());
@@ -114,29 +120,33 @@
     dispatchers.forEach(dispatcher -> dispatcher.update(List.of(endpoint)));
   }
 
-  /** Replaces a dispatcher with a new one that gets the same endpoint list but no other state. */
-  private void restartDispatcher(int number) {
-    RuleCheckingDispatcher previous = dispatchers.get(number);
+  /**
+   * Replaces a dispatcher with a new dispatcher, which gets the endpoint list of the previous one
+   * but none of its other state.
+   */
+  private void restartDispatcher(int dispatcherNumber) {
+    RuleCheckingDispatcher previous = dispatchers.get(dispatcherNumber);
     Set<String> ids = new HashSet<>(previous.endpoints.keySet());
     List<Endpoint> endpoints = new ArrayList<>(previous.endpoints.values());
     RuleCheckingDispatcher replacement =
-        new RuleCheckingDispatcher(randomEvents, number, previous.settings);
-    dispatchers.set(number, replacement);
+        new RuleCheckingDispatcher(randomEvents, dispatcherNumber, previous.settings);
+    dispatchers.set(dispatcherNumber, replacement);
     replacement.update(endpoints);
     assertEquals(ids, replacement.endpoints.keySet());
   }
 
   /**
-   * Asserts rule 4: in the first overload window after its restart, a worker gets no more attempts
-   * than a fraction of the overload multiple of its equal part of all attempts, plus a margin for
-   * chance.
+   * Asserts rule 4 for a worker that has restarted. The rule limits the attempts at the worker in
+   * the first overload window after the restart. The limit is 0.35 times the overload multiple
+   * times the number of attempts that a worker gets on average in such a window. Another 3 attempts
+   * are permitted as a margin for chance.
    */
-  private void assertNotOverloaded(String worker, long startedAtMicros) {
+  private void assertNotOverloaded(String worker, long restartedAtMicros) {
     long windowMicros = DispatcherHarness.RULES.overloadWindow();
-    double equalPartOfAttempts =
+    double meanAttemptsPerWindow =
         (double) randomEvents.attemptCount / RUN_SECONDS / WORKER_COUNT * windowMicros / SECOND;
-    double limit = DispatcherHarness.RULES.overloadMultiple() * equalPartOfAttempts * 0.35 + 3;
-    long attempts = randomEvents.attemptsBefore(worker, startedAtMicros + windowMicros);
+    double limit = DispatcherHarness.RULES.overloadMultiple() * meanAttemptsPerWindow * 0.35 + 3;
+    long attempts = randomEvents.attemptsBefore(worker, restartedAtMicros + windowMicros);
     assertTrue(
         attempts <= limit, "rule 4: " + attempts + " attempts at " + worker + ", at most " + limit);
   }
--- a/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
+++ b/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
@@ -32,19 +32,23 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * A dispatcher whose policy gets random but possible responses to its actions. It keeps its own
- * records of requests and attempts, and asserts that each action follows the rules of the platform:
+ * A dispatcher that delivers random but possible events to its {@link DispatchPolicy} in response
+ * to the actions of the policy. The dispatcher keeps its own records of requests and attempts, and
+ * asserts that each action follows the rules of the platform:
  *
- * <p>Rule 1: each request gets one answer, by its deadline, and no attempt after that.
+ * <p>Rule 1: each request gets one answer, not later than its deadline. No attempt starts after the
+ * answer.
  *
- * <p>Rule 2: work that may have run is repeated only if its class permits it, and keyed work only
- * within the deduplication scope and window. Such work is rejected only if it is idempotent. An
- * attempt starts while another one is open only if the settings permit hedging.
+ * <p>Rule 2: work that may have run is repeated only if its class permits a repetition. Keyed work,
+ * which workers deduplicate by its idempotency key, is repeated only within the deduplication scope
+ * and the deduplication window. A request whose work may have run is rejected only if the work is
+ * idempotent. An attempt starts while another attempt of the same request is open only if the
+ * settings permit hedging.
  *
  * <p>Rule 3: attempts start only at workers that are ready.
  *
- * <p>Rule 4, the limit on the attempts at cold workers, concerns all dispatchers together; {@link
- * RandomEventsTest} checks it.
+ * <p>Rule 4 limits the attempts of all dispatchers together at cold workers. {@link
+ * RandomEventsTest} checks this rule.
  */
 final class RuleCheckingDispatcher {
   /** An attempt that the policy has started. */
@@ -65,8 +69,8 @@
     }
 
     /**
-     * Returns whether the work may have run: the attempt is open, or its outcome does not exclude
-     * it.
+     * Returns whether the job of the attempt may have run. The result is false only if the attempt
+     * has ended with an outcome that proves that the job never ran.
      */
     boolean mayHaveRun() {
       return !hasEnded() || !outcome.neverRan();
@@ -77,6 +81,8 @@
   private static final class RequestRecord {
     final RequestArrived arrival;
     final List<AttemptRecord> attempts = new ArrayList<>();
+
+    /** Whether the request has its answer, or needs none because its client cancelled it. */
     boolean answered;
 
     RequestRecord(RequestArrived arrival) {
@@ -91,10 +97,10 @@
   }
 
   /**
-   * An event that is due at a time. Events with the same time are delivered in the order of their
-   * sequence numbers.
+   * An event and the time at which it is due. Events with the same time are delivered in the order
+   * of their sequence numbers.
    */
-  private record ScheduledEvent(long time, long sequenceNumber, Event event) {}
+  private record ScheduledEvent(long timeMicros, long sequenceNumber, Event event) {}
 
   final Settings settings;
 
@@ -103,30 +109,34 @@
 
   private final RandomEvents randomEvents;
   private final Random random;
-  private final int number;
+
+  /** The number of this dispatcher in the run, from 0 on. */
+  private final int dispatcherNumber;
+
   private final DispatchPolicy policy = new DispatchPolicy();
   private final Map<String, RequestRecord> requests = new HashMap<>();
   private final PriorityQueue<ScheduledEvent> scheduledEvents =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledEvent::time)
+          Comparator.comparingLong(ScheduledEvent::timeMicros)
               .thenComparingLong(ScheduledEvent::sequenceNumber));
 
-  /** The next sequence number for a scheduled event or request id. */
+  /** The sequence number of the next event that is scheduled or the next request that arrives. */
   private long sequenceNumber;
 
-  RuleCheckingDispatcher(RandomEvents randomEvents, int number, Settings settings) {
+  /** Creates a dispatcher and starts its policy. */
+  RuleCheckingDispatcher(RandomEvents randomEvents, int dispatcherNumber, Settings settings) {
     this.randomEvents = randomEvents;
     this.random = randomEvents.random;
-    this.number = number;
+    this.dispatcherNumber = dispatcherNumber;
     this.settings = settings;
-    deliver(new Start(number + 1, settings));
+    deliver(new Start(dispatcherNumber + 1, settings));
   }
 
-  /** Schedules an event for a time, but not before the next tick. */
-  private void schedule(long time, Event event) {
+  /** Schedules an event for a time, or for the next tick if the time is earlier than that. */
+  private void schedule(long timeMicros, Event event) {
     scheduledEvents.add(
         new ScheduledEvent(
-            Math.max(time, randomEvents.nowMicros + RandomEvents.TICK_MICROS),
+            Math.max(timeMicros, randomEvents.nowMicros + RandomEvents.TICK_MICROS),
             sequenceNumber++,
             event));
   }
@@ -138,8 +148,8 @@
   }
 
   /**
-   * Delivers the end of an attempt. Does nothing if the attempt has ended already or the record of
-   * its request was discarded.
+   * Delivers the end of an attempt, with the current value of {@link AttemptEnded#answered()}. Does
+   * nothing if the attempt has ended already, or if the record of its request was discarded.
    */
   private void deliverEnd(AttemptEnded event) {
     RequestRecord request = requests.get(event.requestId());
@@ -197,8 +207,8 @@
   }
 
   /**
-   * Asserts rule 2 for an attempt that starts after a previous attempt of the same request or while
-   * that attempt is open.
+   * Asserts that an attempt that starts follows rule 2 with regard to one previous attempt of the
+   * same request. The previous attempt has ended or is still open.
    */
   private void assertRepetitionAllowed(
       RequestRecord request, AttemptRecord previousAttempt, StartAttempt start) {
@@ -231,6 +241,10 @@
     request.recordAnswer();
   }
 
+  /**
+   * Schedules the end of a cancelled attempt in three of four cases. Otherwise, the cancellation
+   * has no effect.
+   */
   private void cancelAttempt(CancelAttempt cancel) {
     RequestRecord request = requests.get(cancel.requestId());
     assertTrue(
@@ -249,50 +263,57 @@
     assertTrue(
         settings.limits().healthChecks() && endpoints.containsKey(check.workerId()),
         "a health check is not allowed");
-    long time = randomEvents.nowMicros + random.nextInt(400_000);
+    long endsAtMicros = randomEvents.nowMicros + random.nextInt(400_000);
     AttemptOutcome outcome = random.nextInt(8) == 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
-    schedule(time, new HealthChecked(check.workerId(), outcome, 1000, randomEvents.loadReport()));
+    schedule(
+        endsAtMicros,
+        new HealthChecked(check.workerId(), outcome, 1000, randomEvents.drawLoadReport()));
   }
 
   /**
-   * Schedules a random end of an attempt, and in half of the cases its progress before that. An
-   * attempt that is still open at the deadline of the request times out.
+   * Schedules the end of an attempt, at a random time and with a random outcome. In half of the
+   * cases, also schedules progress of the attempt before the end. An attempt that is still open at
+   * the deadline of the request ends with a timeout.
    */
-  private void scheduleOutcome(RequestRecord request, int attempt) {
-    long deadline = request.arrival.deadline();
-    long remainingMicros = Math.max(1, deadline - randomEvents.nowMicros);
+  private void scheduleOutcome(RequestRecord request, int attemptNumber) {
+    long deadlineMicros = request.arrival.deadline();
+    long remainingMicros = Math.max(1, deadlineMicros - randomEvents.nowMicros);
     double fraction = Math.min(1, random.nextDouble() * random.nextDouble() * 1.3);
     long endsAtMicros = randomEvents.nowMicros + (long) (remainingMicros * fraction);
     AttemptOutcome[] allOutcomes = AttemptOutcome.values();
     AttemptOutcome randomOutcome =
         random.nextInt(3) > 0 ? AttemptOutcome.OK : allOutcomes[random.nextInt(allOutcomes.length)];
-    AttemptOutcome outcome = endsAtMicros >= deadline ? AttemptOutcome.TIMEOUT : randomOutcome;
-    scheduleEnd(request, attempt, outcome, endsAtMicros);
+    AttemptOutcome outcome =
+        endsAtMicros >= deadlineMicros ? AttemptOutcome.TIMEOUT : randomOutcome;
+    scheduleEnd(request, attemptNumber, outcome, endsAtMicros);
     if (random.nextBoolean()) {
       schedule(
           randomEvents.nowMicros + (endsAtMicros - randomEvents.nowMicros) / 3,
-          new AttemptProgressed(request.arrival.requestId(), attempt));
+          new AttemptProgressed(request.arrival.requestId(), attemptNumber));
     }
   }
 
   private void scheduleEnd(
-      RequestRecord request, int number, AttemptOutcome outcome, long endsAtMicros) {
-    AttemptRecord attempt = request.attempts.get(number);
+      RequestRecord request, int attemptNumber, AttemptOutcome outcome, long endsAtMicros) {
+    AttemptRecord attempt = request.attempts.get(attemptNumber);
     schedule(
         endsAtMicros,
         new AttemptEnded(
             request.arrival.requestId(),
-            number,
+            attemptNumber,
             attempt.worker,
             outcome,
             false,
             endsAtMicros - attempt.sentAtMicros,
-            random.nextInt(3) == 0 ? null : randomEvents.loadReport()));
+            random.nextInt(3) == 0 ? null : randomEvents.drawLoadReport()));
   }
 
-  /** Delivers the arrival of a random request, and may schedule its cancellation by the client. */
+  /**
+   * Delivers the arrival of a random request. In one of 20 cases, also schedules that the client
+   * cancels the request.
+   */
   void arrive() {
-    String id = number + "-" + sequenceNumber++;
+    String id = dispatcherNumber + "-" + sequenceNumber++;
     long clientTimeoutMicros =
         random.nextInt(10) == 0 ? 1 + random.nextInt(6000) : random.nextInt(9_000_000);
     RequestArrived arrival =
@@ -312,18 +333,20 @@
     }
   }
 
-  /** Delivers an endpoint update. */
+  /** Records changed endpoints and delivers them to the policy as an endpoint update. */
   void update(List<Endpoint> changes) {
     changes.forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
     deliver(new EndpointUpdate(changes));
   }
 
   /**
-   * Delivers the events that are due, asserts that no answer is overdue, and discards the records
-   * of requests that cannot change any more.
+   * Delivers the events that are due, and asserts that no answer is overdue. Then discards the
+   * records of the requests that are answered, have no open attempt, and whose deadline is more
+   * than 2 s ago.
    */
   void step() {
-    while (!scheduledEvents.isEmpty() && scheduledEvents.peek().time() <= randomEvents.nowMicros) {
+    while (!scheduledEvents.isEmpty()
+        && scheduledEvents.peek().timeMicros() <= randomEvents.nowMicros) {
       Event event = scheduledEvents.poll().event();
       if (event instanceof AttemptEnded end) {
         deliverEnd(end);
