--- a/src/test/java/loomreel/decision/EndpointUpdateTest.java
+++ b/src/test/java/loomreel/decision/EndpointUpdateTest.java
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Verifies that a disabled worker gets no first attempt, no retry and no health check while the
-   * endpoint list states that it is ready.
+   * Verifies that a disabled worker gets no first attempt, no retry and no health check although
+   * the endpoint list states that the worker is ready.
    */
   @Test
   void aDisabledWorkerGetsNoAttemptAndNoHealthCheck() {
@@ -118,6 +118,11 @@
     assertTrue(attemptsAtEnabledWorker > 0, "the enabled worker gets requests");
   }
 
+  /**
+   * Verifies that a worker that an operator enables again warms up, because the worker may have
+   * restarted while it was disabled. Of 20 requests that arrive at the same time, at least one but
+   * not all are sent to the worker, although no other worker is available.
+   */
   @Test
   void anEnabledWorkerGetsOnlyItsSlowStartAllowance() {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
--- a/src/test/java/loomreel/decision/FirstAttemptEstimatorTest.java
+++ b/src/test/java/loomreel/decision/FirstAttemptEstimatorTest.java
@@ -9,17 +9,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests how {@link FirstAttemptEstimator} distinguishes the retries of clients from the first
- * attempts of clients that give up early. Both arrive with less time than the deadline of their
- * class.
+ * Tests how {@link FirstAttemptEstimator} distinguishes the retry of a client from the first
+ * attempt of a client that gives up early. On arrival, requests of both kinds have less time left
+ * than the deadline of their class.
  */
 class FirstAttemptEstimatorTest {
   private static final long NOW_MICROS = 100 * SECOND;
   private static final double TIME_CONSTANT_MICROS = 10e6;
-  private static final RequestClass IDEMPOTENT_CLASS =
+  private static final RequestClass REQUEST_CLASS =
       DispatcherHarness.CLASSES.get(DispatcherHarness.IDEMPOTENT_CLASS);
 
-  /** Creates a request that arrives at {@link #NOW_MICROS} with this time until its deadline. */
+  /**
+   * Returns the arrival of a request at {@link #NOW_MICROS}.
+   *
+   * @param remainingMicros the time from the arrival to the deadline of the request
+   * @param isRetry whether the client marked the request as a retry
+   */
   private static RequestArrived arrival(long remainingMicros, boolean isRetry) {
     return new RequestArrived(
         "r",
@@ -34,17 +39,16 @@
 
   private static long firstAttemptAt(
       FirstAttemptEstimator estimator, long remainingMicros, boolean isRetry) {
-    return estimator.firstAttemptAt(
-        arrival(remainingMicros, isRetry), IDEMPOTENT_CLASS, NOW_MICROS);
+    return estimator.firstAttemptAt(arrival(remainingMicros, isRetry), REQUEST_CLASS, NOW_MICROS);
   }
 
   @Test
   void whenClientsMarkRetriesOnlyMarkedRequestsCountAsRetries() {
     FirstAttemptEstimator estimator = new FirstAttemptEstimator(true, TIME_CONSTANT_MICROS);
-    for (long remainingMicros : new long[] {SECOND / 4, 6 * SECOND, IDEMPOTENT_CLASS.deadline()}) {
+    for (long remainingMicros : new long[] {SECOND / 4, 6 * SECOND, REQUEST_CLASS.deadline()}) {
       assertEquals(NOW_MICROS, firstAttemptAt(estimator, remainingMicros, false));
       assertEquals(
-          NOW_MICROS + remainingMicros - IDEMPOTENT_CLASS.deadline(),
+          NOW_MICROS + remainingMicros - REQUEST_CLASS.deadline(),
           firstAttemptAt(estimator, remainingMicros, true));
     }
   }
@@ -53,10 +57,10 @@
   void withoutMarksALongRemainingTimeIndicatesARetryAndAShortOneAFirstAttempt() {
     FirstAttemptEstimator estimator = new FirstAttemptEstimator(false, TIME_CONSTANT_MICROS);
 
-    assertEquals(NOW_MICROS, firstAttemptAt(estimator, IDEMPOTENT_CLASS.deadline(), false));
+    assertEquals(NOW_MICROS, firstAttemptAt(estimator, REQUEST_CLASS.deadline(), false));
     assertEquals(
         NOW_MICROS - 2 * SECOND,
-        firstAttemptAt(estimator, IDEMPOTENT_CLASS.deadline() - 2 * SECOND, false));
+        firstAttemptAt(estimator, REQUEST_CLASS.deadline() - 2 * SECOND, false));
     assertEquals(NOW_MICROS, firstAttemptAt(estimator, SECOND / 4, false));
   }
 
@@ -73,13 +77,13 @@
     }
 
     assertEquals(
-        NOW_MICROS + SECOND - IDEMPOTENT_CLASS.deadline(),
-        firstAttemptAt(estimator, SECOND, false));
+        NOW_MICROS + SECOND - REQUEST_CLASS.deadline(), firstAttemptAt(estimator, SECOND, false));
   }
 
   /**
-   * Verifies through the whole policy that a request with 0.25 s until its deadline, of the 10 s of
-   * its class, is not rejected as too late.
+   * Verifies, with a complete {@link DispatchPolicy}, that a request whose deadline is 0.25 s after
+   * its arrival is not rejected as too late. The deadline of its class is 10 s, so its client gives
+   * up early.
    */
   @Test
   void aClientThatGivesUpEarlyIsServed() {
--- a/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
+++ b/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
@@ -19,13 +19,24 @@
 import loomreel.decision.Event.HealthChecked;
 import org.junit.jupiter.api.Test;
 
-/** Tests which workers are checked before a request is sent, and how the results are used. */
+/**
+ * Tests which workers get a health check before a request is sent, and how the results of health
+ * checks are used. A checked worker is a worker that got a health check.
+ */
 class HealthCheckPolicyTest {
   private static final WorkerLoad IDLE_LOAD = loadReport(0, 0, 4);
   private static final WorkerLoad FULL_LOAD = loadReport(8, 12, 0);
 
-  private static DispatcherHarness dispatcher(int dispatchers, long seed) {
-    DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(dispatchers, seed);
+  /**
+   * Starts a dispatcher that makes health checks, and delivers an endpoint list of 20 ready
+   * workers.
+   *
+   * @param dispatcherCount the number of dispatchers that serve the same workers, including this
+   *     one
+   * @param seed the seed for the random numbers of the policy
+   */
+  private static DispatcherHarness startDispatcher(int dispatcherCount, long seed) {
+    DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(dispatcherCount, seed);
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
     return dispatcher;
   }
@@ -66,7 +77,7 @@
 
   @Test
   void aRequestIsSentToACheckedCandidate() {
-    DispatcherHarness dispatcher = dispatcher(1, 3);
+    DispatcherHarness dispatcher = startDispatcher(1, 3);
     List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     List<CheckHealth> checks = healthChecks(arrivalActions);
 
@@ -83,7 +94,7 @@
 
   @Test
   void unansweredHealthChecksDoNotBlockTheRequest() {
-    DispatcherHarness dispatcher = dispatcher(1, 3);
+    DispatcherHarness dispatcher = startDispatcher(1, 3);
 
     List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     List<Action> laterActions =
@@ -95,7 +106,7 @@
 
   @Test
   void aResetHealthCheckDoesNotEjectItsWorker() {
-    DispatcherHarness dispatcher = dispatcher(1, 3);
+    DispatcherHarness dispatcher = startDispatcher(1, 3);
     List<CheckHealth> checks =
         healthChecks(dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS));
 
@@ -109,14 +120,14 @@
   }
 
   /**
-   * Verifies that a request without a key is sent to the checked worker with the least load. Such a
-   * request has no key affinity that the choice could break, and the least loaded worker is the
-   * most likely to have a free slot when the request reaches it.
+   * Verifies that a request without a key is sent to the checked worker with the least load. No
+   * worker is preferred because of a key, and the worker with the least load is the most likely to
+   * have a free slot when the request arrives there.
    */
   @Test
   void aRequestWithoutAKeyIsSentToTheLeastLoadedOfTheCheckedWorkers() {
     for (int seed = 0; seed < 20; seed++) {
-      DispatcherHarness dispatcher = dispatcher(1, seed);
+      DispatcherHarness dispatcher = startDispatcher(1, seed);
       List<CheckHealth> checks =
           healthChecks(dispatcher.arrive("a", null, DispatcherHarness.IDEMPOTENT_CLASS));
 
@@ -128,6 +139,7 @@
                 checks.get(i).workerId(), loadReport(0, 4 - freeSlots, freeSlots));
       }
 
+      // The index of the worker that reported the most free slots.
       int leastLoaded = (2 * checks.size() - 1 - seed % checks.size()) % checks.size();
       assertEquals(
           checks.get(leastLoaded).workerId(),
@@ -138,7 +150,8 @@
 
   /**
    * Verifies that a high load in the first report of a worker does not dominate the later reports.
-   * A dispatcher that starts under load gets such a report, and it does not show the usual load.
+   * A dispatcher that starts under load gets a first report with a high load, which is not the
+   * usual load of the worker.
    */
   @Test
   void aLoadPeakInTheFirstReportIsOutweighedByFiveLaterReports() {
@@ -156,13 +169,15 @@
   }
 
   /**
-   * Verifies that a fallback candidate is checked before it gets a request. One of many dispatchers
-   * cannot derive the load of a worker from the jobs that it has sent there.
+   * Verifies that a fallback candidate gets a health check before it gets a request. Fallback
+   * candidates are the workers that are considered if the hashed candidates, to which the key of
+   * the request hashes, are full. A dispatcher that is one of many cannot derive the load of a
+   * worker from the jobs that it has sent to the worker itself.
    */
   @Test
   void aFallbackCandidateIsCheckedBeforeItGetsARequest() {
     for (int seed = 0; seed < 30; seed++) {
-      DispatcherHarness dispatcher = dispatcher(60, seed);
+      DispatcherHarness dispatcher = startDispatcher(60, seed);
       List<Action> results = new ArrayList<>();
       Set<String> hashedWorkers = new HashSet<>();
       for (CheckHealth check :
@@ -185,12 +200,13 @@
   }
 
   /**
-   * Verifies that the requests of a hot key are spread over many workers, and that each request is
-   * sent to a worker that was checked for it.
+   * Verifies that the requests of a hot key are spread over many workers, that each request is sent
+   * to a worker that was checked for this request, and that at most three workers are checked for a
+   * request.
    */
   @Test
   void requestsWithAHotKeyAreSentToManyCheckedWorkers() {
-    DispatcherHarness dispatcher = dispatcher(60, 3);
+    DispatcherHarness dispatcher = startDispatcher(60, 3);
     Set<String> usedWorkers = new HashSet<>();
     for (int i = 0; i < 40; i++) {
       dispatcher.nowMicros += SECOND / 2;
--- a/src/test/java/loomreel/decision/OutlierEjectionTest.java
+++ b/src/test/java/loomreel/decision/OutlierEjectionTest.java
@@ -12,19 +12,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that workers that are silent, lose a connection or are slow are ejected, and when they are
- * selected again.
+ * Tests that a worker that is silent, loses a connection or is slow is not selected for some time,
+ * and when the worker is selected again.
  */
 class OutlierEjectionTest {
-  /** The id to pass for the slow worker if no worker is slow. */
+  /** The value of the parameter {@code slowWorker} of {@link #serve} if no worker is slow. */
   private static final String NO_WORKER = "none";
 
   private DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
   /**
-   * Advances the clock by 0.02 s and delivers the arrival of a request with 0.1 s of expected work,
-   * followed by the success of its attempt. The reported duration is 0.1 s, or 5 s at the slow
-   * worker.
+   * Advances the clock by 0.02 s, delivers the arrival of a request with 0.1 s of expected work,
+   * and then delivers the success of its attempt at once. The event of the success states that the
+   * attempt took 0.1 s, or 5 s if the attempt was sent to the slow worker.
    *
    * @param slowWorker the id of the slow worker, or {@link #NO_WORKER}
    * @return the id of the worker that got the attempt
@@ -41,6 +41,11 @@
     return worker;
   }
 
+  /**
+   * Verifies that a worker is not selected while the report that one of its jobs has started is
+   * overdue, and that the worker is selected again after this report. Other workers report a start
+   * after 2 ms, and the silent worker after 0.5 s.
+   */
   @Test
   void aSilentWorkerIsNotSelectedUntilItRespondsAgain() {
     for (int i = 0; i < 40; i++) {
@@ -65,12 +70,13 @@
   }
 
   /**
-   * Verifies that a worker that responded recently is selected again soon after a client cancelled
-   * its request there and a connection to it failed. Both can happen while the worker is up, and it
-   * must not stay unused.
+   * Verifies that a worker is still selected at once after a client cancelled a request there
+   * within 1 ms, and that a worker that responded recently is selected again 1 s after a connection
+   * to it failed. A cancellation and a failed connection can both happen while the worker is up, so
+   * the worker must not stay unused.
    */
   @Test
-  void aWorkerThatRespondedRecentlyIsSelectedAgainSoon() {
+  void aQuickCancellationOrAFailedConnectionKeepsAWorkerUnusedForAtMostASecond() {
     String worker = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.nowMicros += 1000;
     dispatcher.handle(new RequestCancelled("a"));
@@ -88,9 +94,9 @@
   }
 
   /**
-   * Verifies that a worker is not selected for some time if its jobs take much longer than
-   * elsewhere. The load reports do not show this, because a slow machine reports no load while it
-   * is idle.
+   * Verifies that a worker is not selected for some time if its jobs take much longer than jobs at
+   * other workers. Load reports do not show that a machine is slow, because a slow machine reports
+   * no load while it is idle.
    */
   @Test
   void aWorkerWhoseJobsTakeMuchLongerThanElsewhereIsNotSelectedForSomeTime() {
@@ -109,7 +115,7 @@
 
   /**
    * Verifies that a worker is still selected if one of its jobs does not end. The answer of that
-   * job may have been lost.
+   * job may have been lost, so the job does not prove that the worker is slow.
    */
   @Test
   void aWorkerIsStillSelectedIfOneOfItsJobsDoesNotEnd() {
--- a/src/test/java/loomreel/decision/PolicyFilesTest.java
+++ b/src/test/java/loomreel/decision/PolicyFilesTest.java
@@ -26,7 +26,8 @@
 
 /**
  * Verifies that the deploy files list, under {@code policy}, the source files that contain decision
- * logic.
+ * logic. Also verifies a minimum size of these files and a maximum length of the lines of the
+ * decision module.
  */
 class PolicyFilesTest {
   private static final Path SOURCES = Path.of("src/main/java/loomreel/decision");
@@ -38,8 +39,8 @@
   private static final int MAX_LINE_LENGTH = 110;
 
   /**
-   * The types that choose a worker, a retry, a rejection or an admission, whether or not they emit
-   * an action.
+   * The types that contain decision logic: they choose workers, or they decide about retries,
+   * rejections, admissions or health checks. Some of these types emit no {@link Action}.
    */
   private static final Set<String> DECIDING_TYPES =
       Set.of(
--- a/src/test/java/loomreel/decision/PollBackoffTest.java
+++ b/src/test/java/loomreel/decision/PollBackoffTest.java
@@ -27,6 +27,7 @@
 
   @Test
   void theFirstPollIsImmediateIfThePollIntervalIsZero() {
+    // The second value is the poll interval.
     Rules rulesWithoutPolls = new Rules(500_000, 0, 0.2, 20_000_000, 3, 2_000_000);
 
     assertEquals(100, new PollBackoff(rulesWithoutPolls).firstPollAt(100, random));
--- a/src/test/java/loomreel/decision/RequestAnswerTest.java
+++ b/src/test/java/loomreel/decision/RequestAnswerTest.java
@@ -17,7 +17,7 @@
 import loomreel.decision.Settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Tests when requests are answered, rejected or failed, and that no action follows the answer. */
+/** Tests when requests are rejected or failed, and that no action follows this answer. */
 class RequestAnswerTest {
   @Test
   void aRequestWhoseAttemptDoesNotEndFailsOnceByItsDeadline() {
@@ -36,6 +36,12 @@
     assertTrue(actionsAfterAnswer.isEmpty());
   }
 
+  /**
+   * Verifies that a request is rejected at once if its answer no longer has a value. The client
+   * marked the request as a retry, and 5 s of the deadline of the class, which is 10 s, have
+   * passed. So the client made its first attempt 5 s ago, and the latency objective cannot be met
+   * any more.
+   */
   @Test
   void aRequestThatArrivesTooLateIsRejectedAtOnce() {
     DispatcherHarness dispatcher = new DispatcherHarness();
--- a/src/test/java/loomreel/decision/RetryPolicyTest.java
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -19,17 +19,25 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Tests when a request gets another attempt after a failed attempt. Keyed work is the work of
+ * requests of the class {@link DispatcherHarness#KEYED_CLASS}, which workers deduplicate by an
+ * idempotency key. The keys in this test are routing keys.
+ */
 class RetryPolicyTest {
+  /** The number of routing keys with which a test is repeated. */
   private static final int KEY_COUNT = 60;
 
   private final DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
   /**
-   * Delivers the arrival of a request, and 0.1 s later the start of its job and the end of its
-   * first attempt. Returns the actions after the end.
+   * Delivers the arrival of a request. Then, 0.1 s later, delivers the start of its job and the end
+   * of its first attempt.
+   *
+   * @return the actions of the policy in response to the end of the attempt
    */
-  private List<Action> endFirstAttempt(int requestClass, AttemptOutcome outcome) {
-    StartAttempt firstAttempt = onlyAttempt(dispatcher.arrive("a", "key", requestClass));
+  private List<Action> endFirstAttempt(int classIndex, AttemptOutcome outcome) {
+    StartAttempt firstAttempt = onlyAttempt(dispatcher.arrive("a", "key", classIndex));
     dispatcher.nowMicros += SECOND / 10;
     dispatcher.handle(new AttemptProgressed("a", 0));
     return dispatcher.endAttempt("a", 0, firstAttempt.workerId(), outcome);
@@ -53,8 +61,8 @@
         DispatcherHarness.NON_IDEMPOTENT_CLASS,
         DispatcherHarness.KEYED_CLASS
       })
-  void invalidWorkIsNotRetried(int requestClass) {
-    List<Action> actions = endFirstAttempt(requestClass, AttemptOutcome.INVALID);
+  void invalidWorkIsNotRetried(int classIndex) {
+    List<Action> actions = endFirstAttempt(classIndex, AttemptOutcome.INVALID);
 
     assertTrue(attempts(actions).isEmpty(), "no other worker would accept it");
     assertEquals(
@@ -85,7 +93,8 @@
       value = AttemptOutcome.class,
       names = {"OK", "TIMEOUT"},
       mode = EnumSource.Mode.EXCLUDE)
-  void keyedWorkThatMayHaveRunIsRetriedOnlyInItsFailureDomain(AttemptOutcome outcome) {
+  void keyedWorkThatMayHaveRunIsRetriedOnlyInTheFailureDomainOfTheFirstAttempt(
+      AttemptOutcome outcome) {
     StartAttempt firstAttempt =
         onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.KEYED_CLASS));
     dispatcher.nowMicros += SECOND / 10;
@@ -106,24 +115,30 @@
     }
   }
 
+  /**
+   * Verifies that keyed work that may have run is retried only at workers in the failure domain of
+   * the first attempt, and only before the deduplication window ends. The window begins when the
+   * first attempt is sent. The failure domain is checked only for retries that do not start at
+   * once.
+   */
   @Test
-  void keyedWorkIsRetriedOnlyInItsFailureDomainAndDeduplicationWindow() {
+  void keyedWorkIsRetriedOnlyInTheSameFailureDomainAndTheDeduplicationWindow() {
     long windowMicros =
         DispatcherHarness.CLASSES.get(DispatcherHarness.KEYED_CLASS).deduplicationWindow();
     int retries = 0;
     for (int key = 0; key < KEY_COUNT; key++) {
-      DispatcherHarness keyDispatcher = DispatcherHarness.withWorkers(20);
+      DispatcherHarness newDispatcher = DispatcherHarness.withWorkers(20);
       StartAttempt firstAttempt =
-          onlyAttempt(keyDispatcher.arrive("a", "key" + key, DispatcherHarness.KEYED_CLASS));
-      long sentAtMicros = keyDispatcher.nowMicros;
+          onlyAttempt(newDispatcher.arrive("a", "key" + key, DispatcherHarness.KEYED_CLASS));
+      long sentAtMicros = newDispatcher.nowMicros;
       boolean isInWindow = key % 2 == 0;
-      keyDispatcher.nowMicros += isInWindow ? SECOND / 100 : windowMicros;
+      newDispatcher.nowMicros += isInWindow ? SECOND / 100 : windowMicros;
 
       List<Action> immediateActions =
-          keyDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
+          newDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
       List<StartAttempt> laterRetries =
           attempts(
-              keyDispatcher.fireTimers(immediateActions, keyDispatcher.nowMicros + 6 * SECOND));
+              newDispatcher.fireTimers(immediateActions, newDispatcher.nowMicros + 6 * SECOND));
 
       for (StartAttempt retry : laterRetries) {
         assertEquals(failureDomain(firstAttempt.workerId()), failureDomain(retry.workerId()));
@@ -133,18 +148,19 @@
           "retried after the deduplication window that started at " + sentAtMicros);
       retries += attempts(immediateActions).size() + laterRetries.size();
     }
-    assertTrue(
-        retries > 0, "at least one key has a second candidate in the failure domain of the first");
+    assertTrue(retries > 0, "no request was retried within the deduplication window");
   }
 
   /**
-   * Verifies that a keyed request without an idempotency key counts as non-idempotent, because
-   * workers cannot deduplicate it.
+   * Verifies that a request of {@link DispatcherHarness#KEYED_CLASS} counts as non-idempotent if it
+   * has no idempotency key, because workers cannot deduplicate such a request. The requests of this
+   * test have a routing key.
    */
   @Test
-  void aKeyedRequestWithoutAnIdempotencyKeyIsNotRetried() {
+  void aRequestOfTheKeyedClassIsNotRetriedIfItHasNoIdempotencyKey() {
     for (int key = 0; key < KEY_COUNT; key++) {
-      DispatcherHarness keyDispatcher = DispatcherHarness.withWorkers(20);
+      DispatcherHarness newDispatcher = DispatcherHarness.withWorkers(20);
+      // The last argument states that the request has no idempotency key.
       RequestArrived request =
           new RequestArrived(
               "a",
@@ -152,20 +168,20 @@
               1,
               DispatcherHarness.KEYED_CLASS,
               -1,
-              keyDispatcher.nowMicros + 10 * SECOND,
+              newDispatcher.nowMicros + 10 * SECOND,
               false,
               Double.NaN,
               null,
               false);
-      StartAttempt firstAttempt = onlyAttempt(keyDispatcher.handle(request));
-      keyDispatcher.nowMicros += SECOND / 100;
+      StartAttempt firstAttempt = onlyAttempt(newDispatcher.handle(request));
+      newDispatcher.nowMicros += SECOND / 100;
 
       List<Action> actions =
-          keyDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
+          newDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
 
       assertEquals(1, actionsOf(Fail.class, actions).size());
       assertTrue(
-          attempts(keyDispatcher.fireTimers(actions, keyDispatcher.nowMicros + 6 * SECOND))
+          attempts(newDispatcher.fireTimers(actions, newDispatcher.nowMicros + 6 * SECOND))
               .isEmpty());
     }
   }
--- a/src/test/java/loomreel/decision/SlowStartTest.java
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -14,17 +14,23 @@
 
 /** Tests how much work dispatchers send to workers that warm up. */
 class SlowStartTest {
+  /**
+   * Verifies that 30 dispatchers together do not overload a worker in the 2 s after the worker
+   * restarts. In that time, the worker may get at most 3 times 0.28 of the attempts that a warm
+   * worker gets. The overload multiple is 3. The fraction of its capacity that the worker has is
+   * 0.28 after 2 s, because the fraction grows from 0.2 to 1 within 20 s.
+   */
   @Test
-  void aColdWorkerGetsItsFractionOfTheMeanLoadFromAllDispatchersTogether() {
-    int dispatchers = 30;
+  void allDispatchersTogetherDoNotOverloadAColdWorker() {
+    int dispatcherCount = 30;
     int attemptsAtColdWorker = 0;
     int allAttempts = 0;
     long startMicros = 100 * SECOND;
-    for (int seed = 0; seed < dispatchers; seed++) {
+    for (int seed = 0; seed < dispatcherCount; seed++) {
       DispatcherHarness dispatcher =
           new DispatcherHarness(
               DispatcherHarness.settings(
-                  dispatchers, true, false, LoadReporting.WITH_ANSWERS, false),
+                  dispatcherCount, true, false, LoadReporting.WITH_ANSWERS, false),
               seed);
       dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
       for (int i = 0; i < 400; i++) {
@@ -43,7 +49,8 @@
       }
     }
 
-    double attemptsAtWarmWorker = 2.0 * dispatchers * 10 / 20;
+    // Within 2 s, each dispatcher sends 10 requests per second to 20 workers.
+    double attemptsAtWarmWorker = 2.0 * dispatcherCount * 10 / 20;
     assertTrue(
         attemptsAtColdWorker <= attemptsAtWarmWorker * 3 * 0.28,
         attemptsAtColdWorker
@@ -53,8 +60,8 @@
   }
 
   /**
-   * Verifies that a dispatcher that has just started uses its workers although all of them are
-   * cold, and does not overload them.
+   * Verifies that a dispatcher that has just started uses its workers although all workers are
+   * cold, and does not overload the workers.
    */
   @Test
   void coldWorkersGetTheWorkThatTheirSlotsCanDoIfNoWorkerIsWarm() {
@@ -72,8 +79,9 @@
       for (String worker : List.of("w00", "w01")) {
         dispatcher.reportHealth(worker, loadReport(0, 0, 4));
       }
-      // The two workers have four slots each, and a slot does at least 0.45 microseconds of work in
-      // a microsecond. A cold worker has 0.2 of its capacity, which grows to 1 in 2000 rounds.
+      // Each of the two workers has four slots, and a slot of a warm worker does at least 0.45
+      // microseconds of work in a microsecond. A worker starts with 0.2 of its capacity, and would
+      // have its full capacity after 2000 rounds of 0.01 s.
       capacityMicros += 2 * 4 * 0.45 * (0.2 + 0.8 * i / 2000) * SECOND / 100;
       String id = "r" + i;
       List<StartAttempt> sent =
--- a/src/test/java/loomreel/decision/WorkerSelectionTest.java
+++ b/src/test/java/loomreel/decision/WorkerSelectionTest.java
@@ -23,7 +23,7 @@
 /** Tests which worker gets a request when no health checks are made. */
 class WorkerSelectionTest {
   @Test
-  void everyDispatcherSendsAKeyToTheSameWorkerWhileItIsBelowTheLoadThreshold() {
+  void everyDispatcherSendsAKeyToTheSameWorkerWhileThatWorkerIsBelowTheLoadThreshold() {
     Map<String, String> workerByKey = new HashMap<>();
     for (int seed = 0; seed < 3; seed++) {
       DispatcherHarness dispatcher =
@@ -45,6 +45,10 @@
         new HashSet<>(workerByKey.values()).size() > 10, "the keys are spread over many workers");
   }
 
+  /**
+   * Verifies that a request goes to the second of the two workers to which its key hashes if the
+   * first worker is full, and to a fallback worker if both workers are full.
+   */
   @Test
   void aFullFirstCandidateIsReplacedByTheSecondAndFullCandidatesByTheFallback() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
@@ -97,21 +101,22 @@
 
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(1)));
 
-    List<Action> later = dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
-    assertEquals("w00", attempts(later).get(0).workerId());
+    List<Action> laterActions =
+        dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
+    assertEquals("w00", attempts(laterActions).get(0).workerId());
   }
 
   @Test
   void addedWorkersMoveFewKeys() {
     Map<String, String> workerByKey = new HashMap<>();
     int movedKeys = 0;
-    for (int workers = 20; workers <= 22; workers += 2) {
-      DispatcherHarness dispatcher = DispatcherHarness.withWorkers(workers);
+    for (int workerCount = 20; workerCount <= 22; workerCount += 2) {
+      DispatcherHarness dispatcher = DispatcherHarness.withWorkers(workerCount);
       for (int key = 0; key < 200; key++) {
         String worker =
             dispatcher.dispatch("r" + key, "key" + key, DispatcherHarness.IDEMPOTENT_CLASS);
-        String previous = workerByKey.putIfAbsent("key" + key, worker);
-        movedKeys += previous == null || previous.equals(worker) ? 0 : 1;
+        String previousWorker = workerByKey.putIfAbsent("key" + key, worker);
+        movedKeys += previousWorker == null || previousWorker.equals(worker) ? 0 : 1;
         dispatcher.endAttempt("r" + key, 0, worker, AttemptOutcome.OK);
         dispatcher.nowMicros += SECOND / 2;
       }
@@ -120,8 +125,14 @@
     assertTrue(movedKeys > 0 && movedKeys < 50, "moved " + movedKeys);
   }
 
+  /**
+   * Verifies that a dispatcher spreads the requests of a hot key over many workers even if it gets
+   * only a small part of these requests. The test has a single dispatcher. According to its
+   * settings, 50 dispatchers serve the same workers, so the dispatcher expects 50 times the
+   * requests that it gets.
+   */
   @Test
-  void aHotKeyIsSpreadOverManyWorkersAlthoughEachDispatcherSeesFewOfItsRequests() {
+  void aDispatcherThatIsOneOfManySpreadsAHotKeyOverManyWorkers() {
     DispatcherHarness dispatcher =
         new DispatcherHarness(
             DispatcherHarness.settings(50, true, false, LoadReporting.WITH_ANSWERS, false), 3);
@@ -140,9 +151,9 @@
   }
 
   /**
-   * Verifies that a worker where the start of a job was delayed counts as loaded for some time.
-   * Without load reports, such delays are the only evidence of the load that other dispatchers
-   * cause.
+   * Verifies that a worker counts as loaded for some time if the start of a job there was delayed.
+   * If workers send no load reports, such a delay is how a dispatcher notices the load that other
+   * dispatchers cause.
    */
   @Test
   void withoutLoadReportsADelayedJobStartCountsAsLoadForSomeTime() {
@@ -158,16 +169,16 @@
     String otherWorker = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.endAttempt("b", 0, otherWorker, AttemptOutcome.OK);
     dispatcher.nowMicros += 5 * SECOND;
-    String later = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    String laterWorker = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
     assertNotEquals(loadedWorker, otherWorker);
-    assertEquals(loadedWorker, later);
+    assertEquals(loadedWorker, laterWorker);
   }
 
   /**
-   * Verifies that the retries of a queued request consider workers further down the ranking of its
-   * key. In incident ie4bf55, retries considered the same few full workers while others had
-   * capacity.
+   * Verifies that a queued request is sent to a worker further down in the ranking of workers for
+   * its key if the first workers of the ranking are full. In incident ie4bf55, each retry
+   * considered the same few full workers while other workers had capacity.
    */
   @Test
   void aQueuedRequestIsRetriedAtWorkersFurtherDownTheRanking() {
@@ -190,10 +201,10 @@
     assertFalse(
         queuedArrivalActions == null, "the first workers of the key's ranking were never all full");
 
-    List<StartAttempt> later =
+    List<StartAttempt> retries =
         attempts(dispatcher.fireTimers(queuedArrivalActions, dispatcher.nowMicros + SECOND / 3));
 
-    assertEquals(1, later.size());
-    assertFalse(fullWorkers.contains(later.get(0).workerId()));
+    assertEquals(1, retries.size());
+    assertFalse(fullWorkers.contains(retries.get(0).workerId()));
   }
 }
