--- a/src/main/java/loomreel/simulator/ActionWriter.java
+++ b/src/main/java/loomreel/simulator/ActionWriter.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import loomreel.decision.Action;
 
-/** Writes the policy's actions as JSON objects of the simulator's protocol. */
+/** Writes the actions of a policy as JSON objects of the simulator's protocol. */
 final class ActionWriter {
   private final JsonGenerator json;
 
@@ -18,8 +18,9 @@
   }
 
   /**
-   * Writes one action as one JSON object. A timeout or retry delay of 0 is omitted. The protocol
-   * has no fields for the write deadline of an attempt and the reason of a rejection or failure.
+   * Writes one action as one JSON object. A timeout or retry delay of 0 is not written. The write
+   * deadline of an attempt and the reason for a rejection or failure are not written either,
+   * because the protocol has no fields for them.
    *
    * @throws IOException if the generator's stream fails
    * @throws IllegalStateException if the type of the action is unknown
@@ -47,7 +48,8 @@
   }
 
   /**
-   * Writes the object that replaces the actions of an event on which the policy threw an exception.
+   * Writes the object that reports an exception of the policy. The reply contains this object
+   * instead of the actions for the event on which the policy threw the exception.
    *
    * @param failure the exception, whose {@code toString()} is written
    * @throws IOException if the generator's stream fails
--- a/src/main/java/loomreel/simulator/BatchReader.java
+++ b/src/main/java/loomreel/simulator/BatchReader.java
@@ -9,9 +9,9 @@
 import loomreel.config.JsonTree;
 
 /**
- * Reads batches of events from JSON. Unknown fields of a batch or of an element of {@code parts}
- * are skipped. The fields of events are stored unchecked; {@link WireEventReader} checks them when
- * the event is handled.
+ * Reads batches of events from JSON. Unknown fields of a batch, and of an element of its array
+ * {@code parts}, are skipped. The fields of an event are stored without a check. {@link
+ * WireEventReader} checks these fields when the event is handled.
  */
 final class BatchReader {
   private BatchReader() {}
--- a/src/main/java/loomreel/simulator/EventTranslator.java
+++ b/src/main/java/loomreel/simulator/EventTranslator.java
@@ -15,7 +15,10 @@
  * of the dispatcher.
  */
 final class EventTranslator {
-  /** The index for requests without a tenant, or with a tenant that the settings do not name. */
+  /**
+   * The tenant index of a request that names no tenant, or a tenant that the settings do not
+   * contain.
+   */
   private static final int UNKNOWN_TENANT = -1;
 
   private final Map<Long, List<Endpoint>> endpointListsById;
@@ -25,16 +28,17 @@
   /**
    * Creates a translator for a dispatcher that is about to start.
    *
-   * @param endpointListsById the endpoint lists defined so far, by id; the adapter owns the map and
-   *     adds lists to it
+   * @param endpointListsById the endpoint lists that are defined, by id; the caller owns the map
+   *     and may add lists to the map later
    */
   EventTranslator(Map<Long, List<Endpoint>> endpointListsById) {
     this.endpointListsById = endpointListsById;
   }
 
   /**
-   * Translates one event. The start of the dispatcher also registers the request classes and
-   * tenants of its settings, so it must come before events that name them.
+   * Translates one event. When the start of the dispatcher is translated, the translator registers
+   * the request classes and tenants of the settings. So the start must be translated before any
+   * event that names a request class or a tenant.
    *
    * @return the event for the policy, or empty if the wire event has no meaning for the policy
    * @throws MalformedBatchException if the event names an unknown request class or an endpoint list
--- a/src/main/java/loomreel/simulator/SimulatorAdapter.java
+++ b/src/main/java/loomreel/simulator/SimulatorAdapter.java
@@ -19,9 +19,11 @@
 import loomreel.decision.Event;
 
 /**
- * Connects {@link DispatchPolicy} to the simulator: reads batches of events, passes each event to
- * the policy of its dispatcher, and writes one reply for each batch. The adapter only translates;
- * the policies make every decision.
+ * Connects {@link DispatchPolicy} to the simulator. Each simulated dispatcher has its own policy.
+ * The adapter reads batches of events, translates the events, and gives them to the policies of the
+ * dispatchers. Events that have no meaning for a policy are not passed on. For each batch, the
+ * adapter writes one reply, which contains the actions of the policies. The adapter only
+ * translates; the policies make every decision.
  *
  * <p>The adapter reads and writes on the calling thread. {@link #run()} closes the input stream and
  * leaves the output stream open; the caller owns both.
@@ -30,16 +32,25 @@
   /** The initial capacity of the reply buffer, in bytes. */
   private static final int INITIAL_REPLY_BYTES = 1 << 16;
 
-  /** A running dispatcher: its policy and the translator that holds the indexes of its settings. */
+  /**
+   * A simulated dispatcher that has started and has not stopped. The translator knows the request
+   * classes and tenants in the settings of the dispatcher.
+   */
   private record Dispatcher(DispatchPolicy policy, EventTranslator translator) {}
 
   private final JsonFactory jsonFactory = new JsonFactory();
   private final InputStream input;
   private final OutputStream output;
+
+  /** The dispatchers that run, by their number in the protocol. */
   private final Map<Integer, Dispatcher> dispatchers = new HashMap<>();
+
   private final Map<Long, List<Endpoint>> endpointListsById = new HashMap<>();
 
-  /** The actions of the current event. The list is reused to avoid an allocation for each event. */
+  /**
+   * The actions of a policy in response to the current event. The list is reused to avoid an
+   * allocation for each event.
+   */
   private final List<Action> actions = new ArrayList<>();
 
   /**
@@ -54,10 +65,12 @@
   }
 
   /**
-   * Reads batches until the input ends, and writes and flushes one line with the reply to each.
+   * Reads batches until the input ends. After each batch, writes the reply to the batch as one line
+   * and flushes the output.
    *
-   * @throws MalformedBatchException if the input is not JSON or a batch violates the protocol;
-   *     every reply that was written before is complete
+   * @throws MalformedBatchException if the input is not JSON or a batch violates the protocol; the
+   *     replies to all previous batches are complete, and nothing is written for the batch with the
+   *     violation
    * @throws IOException if a stream fails
    */
   public void run() throws MalformedBatchException, IOException {
@@ -113,7 +126,8 @@
           dispatcherNumber,
           new Dispatcher(new DispatchPolicy(), new EventTranslator(endpointListsById)));
     }
-    // All dispatchers share the endpoint lists, so a definition may precede the start of any.
+    // All dispatchers share the endpoint lists. So an endpoint list may be defined in the events of
+    // a dispatcher that has not started.
     if (!kind.equals(WireNames.ENDPOINT_LIST_DEFINED)
         && !dispatchers.containsKey(dispatcherNumber)) {
       throw new MalformedBatchException(
--- a/src/main/java/loomreel/simulator/WireEvent.java
+++ b/src/main/java/loomreel/simulator/WireEvent.java
@@ -8,32 +8,52 @@
 
 /**
  * An event of the simulator's protocol, as a typed record with checked fields. The comment of each
- * record states the kind that the event has on the wire. Times and durations are in microseconds.
+ * record begins with the kind of the event in the protocol. Times and durations are in
+ * microseconds.
  */
 sealed interface WireEvent {
   /** {@code DefineList}: defines an endpoint list, which later events refer to by its id. */
   record EndpointListDefined(long listId, List<Endpoint> endpoints) implements WireEvent {}
 
-  /** {@code Up}: a dispatcher starts without state, with a seed for random numbers and settings. */
+  /**
+   * {@code Up}: a dispatcher starts without state.
+   *
+   * @param seed the seed for the random numbers of the policy
+   * @param settings the settings of the dispatcher as JSON fields by name
+   */
   record DispatcherStarted(long seed, Map<?, ?> settings) implements WireEvent {}
 
   /** {@code Stop}: a dispatcher stops and loses all its state. */
   record DispatcherStopped() implements WireEvent {}
 
-  /** {@code Members} of scope {@code total} or {@code warm_copy}: a complete endpoint list. */
+  /**
+   * {@code Members} with {@code Scope} {@code total} or {@code warm_copy}: a dispatcher received a
+   * complete endpoint list.
+   *
+   * @param listId the id with which {@link EndpointListDefined} defined the list
+   */
   record EndpointSnapshotReceived(long listId) implements WireEvent {}
 
-  /** {@code Members} of scope {@code incr}: a list of the endpoints that changed. */
+  /**
+   * {@code Members} with {@code Scope} {@code incr}: a dispatcher received a list of the endpoints
+   * that changed.
+   *
+   * @param listId the id with which {@link EndpointListDefined} defined the list
+   */
   record EndpointUpdateReceived(long listId) implements WireEvent {}
 
-  /** {@code Members} of scope {@code lost}: the watch on discovery failed. */
+  /**
+   * {@code Members} with {@code Scope} {@code lost}: a poll or watch of the endpoint list failed.
+   */
   record EndpointWatchLost() implements WireEvent {}
 
   /**
    * {@code Inbound}: a request of a client arrived.
    *
-   * @param key the resource that the job needs, or null if it needs none
+   * @param key the routing key, which names the resource that the job needs; null if the job needs
+   *     none
    * @param slots the number of worker slots that the job takes, at least 1
+   * @param className the name of the request class
    * @param tenantName the name of the tenant, or null if the request names none
    * @param deadlineMicros the time at which the client stops waiting for an answer
    * @param clientRetry whether the client marked the request as a retry
@@ -55,7 +75,7 @@
   record RequestCancelledByClient(String requestId) implements WireEvent {}
 
   /**
-   * {@code Started}, or {@code UpdateOf} of {@code Sort} 1 or 2: the job of an attempt started or
+   * {@code Started}, or {@code UpdateOf} with {@code Sort} 1 or 2: the job of an attempt started or
    * made progress.
    */
   record AttemptProgressReported(String requestId, int attemptNumber) implements WireEvent {}
@@ -64,7 +84,8 @@
    * {@code ReportBack}: an attempt ended.
    *
    * @param answered whether the request has its final answer
-   * @param durationMicros the time from the start of the attempt to its end
+   * @param durationMicros the time from the start of the attempt to its end, or 0 if the event does
+   *     not state it
    * @param load the load report of the worker, or null if the event carries none
    */
   record AttemptCompleted(
@@ -80,16 +101,20 @@
   /**
    * {@code StatusBack}: a health check ended.
    *
-   * @param durationMicros the time from the start of the health check to its end
+   * @param durationMicros the time from the start of the health check to its end, or 0 if the event
+   *     does not state it
    * @param load the load report of the worker, or null if the event carries none
    */
   record HealthCheckCompleted(
       String workerId, AttemptOutcome outcome, long durationMicros, WorkerLoad load)
       implements WireEvent {}
 
-  /** {@code TickDue}: a timer fired, which the policy had set with this token. */
+  /** {@code TickDue}: the timer that the policy set with this token fired. */
   record TimerElapsed(long token) implements WireEvent {}
 
-  /** {@code Memo}, or {@code UpdateOf} of another {@code Sort}: has no meaning for the policy. */
+  /**
+   * {@code Memo}, or {@code UpdateOf} with a {@code Sort} other than 1 and 2: an event that has no
+   * meaning for the policy.
+   */
   record Ignored() implements WireEvent {}
 }
--- a/src/main/java/loomreel/simulator/WireEventReader.java
+++ b/src/main/java/loomreel/simulator/WireEventReader.java
@@ -20,21 +20,30 @@
 import loomreel.simulator.WireEvent.RequestReceived;
 import loomreel.simulator.WireEvent.TimerElapsed;
 
-/** Checks the fields of events from the wire and converts them to typed {@link WireEvent}s. */
+/**
+ * Checks the fields of events that were read from JSON and converts the events to {@link
+ * WireEvent}s.
+ */
 final class WireEventReader {
-  /** Bit of {@code Marks} that is set if {@code WeightHintS} states the expected work. */
+  /**
+   * The bit in the field {@code Marks} of a request that is set if the field {@code WeightHintS}
+   * states the expected work.
+   */
   private static final long FLAG_EXPECTED_WORK = 1;
 
-  /** Bit of {@code Marks} that is set if the client marked the request as a retry. */
+  /**
+   * The bit in the field {@code Marks} of a request that is set if the client marked the request as
+   * a retry.
+   */
   private static final long FLAG_CLIENT_RETRY = 2;
 
-  /** Value of {@code Sort} in {@code UpdateOf} that reports the start of the job. */
+  /** The {@code Sort} of an {@code UpdateOf} event that reports the start of the job. */
   private static final long UPDATE_TYPE_STARTED = 1;
 
-  /** Value of {@code Sort} in {@code UpdateOf} that reports progress of the job. */
+  /** The {@code Sort} of an {@code UpdateOf} event that reports progress of the job. */
   private static final long UPDATE_TYPE_PROGRESSED = 2;
 
-  /** The failure domain of an endpoint that states none. */
+  /** The failure domain of an endpoint for which the event states none. */
   private static final int NO_FAILURE_DOMAIN = -1;
 
   private WireEventReader() {}
@@ -124,7 +133,10 @@
         load(event));
   }
 
-  /** Returns the outcome that the field {@code How} states as 0 or as an errno value of Linux. */
+  /**
+   * Returns the outcome of an attempt or health check. The field {@code How} states the outcome as
+   * 0 for success, or as an errno value of Linux.
+   */
   private static AttemptOutcome outcome(WireObject event) throws MalformedBatchException {
     int outcomeCode = (int) event.integer(WireNames.OUTCOME);
     return switch (outcomeCode) {
@@ -141,7 +153,7 @@
     };
   }
 
-  /** Returns the load report in the field {@code Usage}, or null if there is none. */
+  /** Returns the load report in the field {@code Usage}, or null if that field is not an object. */
   private static WorkerLoad load(WireObject event) {
     if (!(event.valueOrNull(WireNames.LOAD_REPORT) instanceof Map<?, ?> reportFields)) {
       return null;
--- a/src/main/java/loomreel/simulator/WireNames.java
+++ b/src/main/java/loomreel/simulator/WireNames.java
@@ -1,10 +1,11 @@
 package loomreel.simulator;
 
 /**
- * The names of the simulator's protocol, as constants named after their meaning in this program.
+ * The names that the simulator's protocol uses for fields, kinds and values. Each constant is named
+ * after what the name in the protocol means in this program.
  */
 final class WireNames {
-  // Fields of a batch and of its reply.
+  // Fields of a batch, of its reply, and of the events and actions in them.
   static final String BATCH_NUMBER = "batch";
   static final String TIME_SECONDS = "SimTimeS";
   static final String DISPATCHERS = "parts";
@@ -53,7 +54,7 @@
   static final String SEED = "Nonce64";
   static final String SETTINGS = "Setup";
 
-  // The field of ENDPOINTS_CHANGED that holds its scope, and the values of that field.
+  // A field of ENDPOINTS_CHANGED, and its possible values.
   static final String SCOPE = "Scope";
   static final String SCOPE_WATCH_LOST = "lost";
   static final String SCOPE_UPDATE = "incr";
@@ -69,7 +70,7 @@
   static final String REQUEST_FLAGS = "Marks";
   static final String EXPECTED_WORK_SECONDS = "WeightHintS";
 
-  // A field of ATTEMPT_UPDATED and a field of ATTEMPT_COMPLETED.
+  // UPDATE_TYPE is a field of ATTEMPT_UPDATED. ANSWERED is a field of ATTEMPT_COMPLETED.
   static final String UPDATE_TYPE = "Sort";
   static final String ANSWERED = "Finished";
 
@@ -79,7 +80,7 @@
   static final String UTILIZATION = "load_share";
   static final String FREE_SLOTS = "x0";
 
-  // Fields of an endpoint list and of its endpoints, and the values of STATE.
+  // A field of an endpoint list, the fields of an endpoint, and the possible values of STATE.
   static final String ENDPOINTS = "Items";
   static final String ZONE = "Az";
   static final String WORKER_KIND = "Kind";
--- a/src/main/java/loomreel/simulator/WireObject.java
+++ b/src/main/java/loomreel/simulator/WireObject.java
@@ -5,10 +5,12 @@
 import java.util.Map;
 
 /**
- * An event as it was read from JSON, with unchecked fields: its kind, and the values of its other
- * fields by name, as {@link loomreel.config.JsonTree} represents them. A field whose value is
- * {@code null} counts as absent. The accessors of a type throw {@link MalformedBatchException} if
- * the field is absent and has no default, or if its value is of another type.
+ * An event as it was read from JSON, before its fields are checked. The event has a kind and other
+ * fields. {@link loomreel.config.JsonTree} states how the values of the fields are represented. A
+ * field with the value {@code null} counts as absent.
+ *
+ * <p>Methods that return a value of a given type throw {@link MalformedBatchException} if the value
+ * has another type, or if the field is absent and the method has no default.
  */
 final class WireObject {
   /** The factor that converts seconds, the unit of time in the protocol, to microseconds. */
@@ -22,7 +24,7 @@
     this.fields = fields;
   }
 
-  /** Returns an empty map for the fields of one event, sized for the kind with the most fields. */
+  /** Returns an empty map with room for the fields of an event of any kind. */
   static Map<String, Object> newFieldMap() {
     return new HashMap<>(16);
   }
@@ -41,7 +43,7 @@
     return fields.get(fieldName) != null;
   }
 
-  /** Returns the value of a field of any type, or null if it is absent. */
+  /** Returns the value of a field, which may have any type, or null if the field is absent. */
   Object valueOrNull(String fieldName) {
     return fields.get(fieldName);
   }
@@ -59,27 +61,27 @@
     return requiredNumber(fieldName).doubleValue();
   }
 
-  /** Returns the value of a number field, or the default if it is absent. */
+  /** Returns the value of a number field, or the default if the field is absent. */
   double number(String fieldName, double defaultValue) throws MalformedBatchException {
     return has(fieldName) ? number(fieldName) : defaultValue;
   }
 
   /**
-   * Returns the value of a required number field as an integer. A fraction is discarded, and an
-   * integer of more than 64 bits is reduced to its low 64 bits.
+   * Returns the value of a required number field as an integer. The fractional part is discarded.
+   * Of an integer with more than 64 bits, the low 64 bits are returned.
    */
   long integer(String fieldName) throws MalformedBatchException {
     return requiredNumber(fieldName).longValue();
   }
 
-  /** Returns the value of a required time or duration field, converted to microseconds. */
+  /** Returns the value of a required time or duration field in microseconds. */
   long micros(String fieldName) throws MalformedBatchException {
     return toMicros(number(fieldName));
   }
 
   /**
-   * Returns the value of a time or duration field, or the default if it is absent, converted to
-   * microseconds.
+   * Returns the value of a time or duration field in microseconds. If the field is absent, returns
+   * the default in microseconds.
    */
   long micros(String fieldName, double defaultSeconds) throws MalformedBatchException {
     return toMicros(number(fieldName, defaultSeconds));
--- a/src/main/java/loomreel/simulator/package-info.java
+++ b/src/main/java/loomreel/simulator/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Connects the decision module to the simulator: reads batches of events from an input stream,
- * passes them to one {@link loomreel.decision.DispatchPolicy} per simulated dispatcher, and writes
- * the resulting actions to an output stream. The {@code simulate} command uses standard input and
- * standard output. This package only translates; the policy makes every decision.
+ * Connects the decision module to the simulator. Batches of events are read from an input stream.
+ * Each simulated dispatcher has its own {@link loomreel.decision.DispatchPolicy}, which gets the
+ * events of the dispatcher. The actions of the policies are written to an output stream. The {@code
+ * simulate} command uses standard input and standard output. This package only translates; the
+ * policies make every decision.
  */
 package loomreel.simulator;
--- a/src/test/java/loomreel/decision/DispatchPolicyTest.java
+++ b/src/test/java/loomreel/decision/DispatchPolicyTest.java
@@ -19,7 +19,10 @@
 import loomreel.decision.Event.WatchFailed;
 import org.junit.jupiter.api.Test;
 
-/** Tests the calls that {@link DispatchPolicy#on} rejects, the events it ignores, and a restart. */
+/**
+ * Tests the calls on which {@link DispatchPolicy#on} throws an exception, the events that the
+ * policy ignores, and a restart of the policy.
+ */
 class DispatchPolicyTest {
   private final DispatcherHarness dispatcher = new DispatcherHarness();
   private final DispatchPolicy policy = dispatcher.policy;
--- a/src/test/java/loomreel/decision/TokenBucketTest.java
+++ b/src/test/java/loomreel/decision/TokenBucketTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test;
 
 class TokenBucketTest {
-  private static final double TOKENS_PER_MICRO = 0.001;
+  private static final double TOKENS_PER_MICROSECOND = 0.001;
   private static final double CAPACITY = 2;
 
   private final TokenBucket bucket = new TokenBucket();
 
   private boolean tryAcquire(long nowMicros) {
-    return bucket.tryAcquire(TOKENS_PER_MICRO, CAPACITY, nowMicros);
+    return bucket.tryAcquire(TOKENS_PER_MICROSECOND, CAPACITY, nowMicros);
   }
 
   @Test
--- a/src/test/java/loomreel/simulator/ActionWriterTest.java
+++ b/src/test/java/loomreel/simulator/ActionWriterTest.java
@@ -15,6 +15,7 @@
 
 /** Tests the JSON that {@link ActionWriter} writes for each type of action. */
 class ActionWriterTest {
+  /** One action of each type, with the JSON object that is written for the action. */
   private static final Map<Action, String> JSON_BY_ACTION =
       Map.of(
           new Action.StartAttempt("r", "w", 1_500_000, Long.MAX_VALUE),
@@ -34,10 +35,12 @@
           new Action.Log("text"),
           "{\"kind\":\"Remark\",\"Words\":\"text\"}");
 
+  /** A call of a method of an {@link ActionWriter}. */
   private interface Writing {
     void writeTo(ActionWriter writer) throws IOException;
   }
 
+  /** Returns the JSON that a call writes. */
   private static String write(Writing writeCall) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
--- a/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
@@ -20,7 +20,7 @@
           + "\"RequestClasses\":[{\"Name\":\"c\",\"TargetS\":1,\"DeadlineS\":5,\"Repeat\":\"free\",\"Value\":1}],"
           + "\"PolicyLimits\":{\"MaxAttempts\":3,\"Cancelling\":true},\"Telemetry\":{\"How\":\"none\"},"
           + "\"Invariants\":{\"ColdFrom\":0.2,\"ColdS\":20,\"TipMultiple\":3,\"FallS\":2}}";
-  /** Events that define an endpoint list of one worker and deliver it to a dispatcher. */
+  /** Events that define an endpoint list of one worker and deliver the list to a dispatcher. */
   private static final String ENDPOINT_LIST_EVENTS =
       "{\"kind\":\"DefineList\",\"RosterId\":2,\"Items\":[{\"Pod\":0,"
           + "\"Executor\":\"e.a\",\"CameUpS\":null,\"Health\":\"live\",\"Az\":\"n\",\"Kind\":\"k\",\"Scale\":1}]},"
@@ -32,6 +32,7 @@
           + "},"
           + ENDPOINT_LIST_EVENTS;
 
+  /** Returns the JSON of a batch that contains the events of a single dispatcher, number 3. */
   private static String batch(int batchNumber, double timeSeconds, String events) {
     return "{\"SimTimeS\":"
         + timeSeconds
@@ -49,6 +50,7 @@
         + "\"Owner\":0,\"DueS\":15.5,\"Marks\":0,\"WeightHintS\":null,\"RamUnits\":null,\"New\":{}}";
   }
 
+  /** Returns the output of a {@link SimulatorAdapter} that reads the input until it ends. */
   private static String run(String input) throws Exception {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), output)
@@ -88,7 +90,7 @@
   }
 
   @Test
-  void anEndpointListIdRefersToTheLastListDefinedWithIt() throws Exception {
+  void anEndpointListIdRefersToTheLastDefinitionOfTheList() throws Exception {
     String secondListEvents =
         ENDPOINT_LIST_EVENTS.replace("e.a", "e.b").replace("warm_copy", "total");
 
--- a/src/test/java/loomreel/simulator/WireEventReaderTest.java
+++ b/src/test/java/loomreel/simulator/WireEventReaderTest.java
@@ -14,14 +14,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests the conversion of events from the wire to typed records. */
+/** Tests how {@link WireEventReader} converts events that were read from JSON to typed records. */
 class WireEventReaderTest {
   private static WireEvent read(String kind, Map<String, Object> fields)
       throws MalformedBatchException {
     return WireEventReader.read(new WireObject(kind, fields));
   }
 
-  private static WireEvent.RequestReceived request(int flags) throws MalformedBatchException {
+  /**
+   * Reads the arrival of a request with these flags. The request names no tenant, because its field
+   * {@code Owner} is not a string. The field for the expected work is present with any flags.
+   */
+  private static WireEvent.RequestReceived readRequest(int flags) throws MalformedBatchException {
     Map<String, Object> fields =
         Map.of(
             "MsgId",
@@ -69,17 +73,17 @@
 
   @Test
   void flagBitsSelectExpectedWorkAndClientRetry() throws Exception {
-    assertTrue(Double.isNaN(request(0).expectedWorkMicros()));
-    assertEquals(250_000, request(1).expectedWorkMicros());
-    assertEquals(false, request(1).clientRetry());
-    assertEquals(true, request(2).clientRetry());
-    assertTrue(Double.isNaN(request(2).expectedWorkMicros()));
-    assertEquals(true, request(3).clientRetry());
+    assertTrue(Double.isNaN(readRequest(0).expectedWorkMicros()));
+    assertEquals(250_000, readRequest(1).expectedWorkMicros());
+    assertEquals(false, readRequest(1).clientRetry());
+    assertEquals(true, readRequest(2).clientRetry());
+    assertTrue(Double.isNaN(readRequest(2).expectedWorkMicros()));
+    assertEquals(true, readRequest(3).clientRetry());
   }
 
   @Test
   void aRequestWithoutOptionalFieldsHasDefaults() throws Exception {
-    WireEvent.RequestReceived request = request(0);
+    WireEvent.RequestReceived request = readRequest(0);
 
     assertEquals(null, request.key());
     assertEquals(1, request.slots());
@@ -200,9 +204,9 @@
   }
 
   @Test
-  void everyOtherKindIsReadAsItsRecord() throws Exception {
+  void everyKindWithoutATestOfItsOwnIsReadAsItsRecord() throws Exception {
     Map<String, Object> settings = Map.of("TickS", 0.004);
-    Map<WireEvent, WireEvent> eventByExpected =
+    Map<WireEvent, WireEvent> readEventByExpectedEvent =
         Map.of(
             new WireEvent.DispatcherStarted(9, settings),
             read("Up", Map.of("Nonce64", 9, "Setup", settings)),
@@ -225,6 +229,6 @@
             new WireEvent.Ignored(),
             read("Memo", Map.of()));
 
-    eventByExpected.forEach((expected, event) -> assertEquals(expected, event));
+    readEventByExpectedEvent.forEach((expected, event) -> assertEquals(expected, event));
   }
 }
