--- a/src/test/java/loomreel/decision/EndpointUpdateTest.java
+++ b/src/test/java/loomreel/decision/EndpointUpdateTest.java
@@ -110,8 +110,8 @@
           new ArrayList<>(dispatcher.arrive("r" + i, null, DispatcherHarness.IDEMPOTENT_CLASS));
       attemptsAtEnabledWorker += attempts(actions).size();
       actions.addAll(dispatcher.endAttempt("r" + i, 0, "w01", AttemptOutcome.REJECTED));
-      assertTrue(attempts(actions).stream().noneMatch(attempt -> attempt.workerId().equals("w00")));
-      assertTrue(healthChecks(actions).stream().noneMatch(check -> check.workerId().equals("w00")));
+      assertTrue(attempts(actions).stream().noneMatch(a -> a.workerId().equals("w00")));
+      assertTrue(healthChecks(actions).stream().noneMatch(c -> c.workerId().equals("w00")));
       dispatcher.nowMicros += SECOND;
       dispatcher.handle(new RequestCancelled("r" + i));
     }
--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -135,8 +135,8 @@
    * @param untilMicros the time at which the arrivals end
    */
   void addLoad(double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
-    for (int dispatcherIndex = 0; dispatcherIndex < dispatchers.size(); dispatcherIndex++) {
-      addLoad(dispatcherIndex, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+    for (int number = 0; number < dispatchers.size(); number++) {
+      addLoad(number, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
     }
   }
 
@@ -144,16 +144,12 @@
    * Schedules the arrival of random requests at one dispatcher. The requests are like those of
    * {@link #addLoad(double, int, double, long)}, and the other parameters have the same meaning.
    *
-   * @param dispatcherIndex the index of the dispatcher in the order of starts
+   * @param number the index of the dispatcher in the order of starts
    */
   void addLoad(
-      int dispatcherIndex,
-      double requestsPerSecond,
-      int keyCount,
-      double meanWorkMicros,
-      long untilMicros) {
+      int number, double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
     scheduleNextArrival(
-        dispatchers.get(dispatcherIndex), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+        dispatchers.get(number), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
   }
 
   /**
@@ -162,18 +158,18 @@
    */
   private void scheduleNextArrival(
       DispatchPolicy dispatcher,
-      double requestsPerSecond,
+      double arrivalsPerSecond,
       int keyCount,
       double meanWorkMicros,
       long untilMicros) {
-    long arrivesAtMicros = nowMicros + (long) (drawExponential() / requestsPerSecond * SECOND);
+    long arrivesAtMicros = nowMicros + (long) (drawExponential() / arrivalsPerSecond * SECOND);
     if (arrivesAtMicros < untilMicros) {
       schedule(
           arrivesAtMicros,
           () -> {
             deliverRandomRequest(dispatcher, keyCount, meanWorkMicros);
             scheduleNextArrival(
-                dispatcher, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+                dispatcher, arrivalsPerSecond, keyCount, meanWorkMicros, untilMicros);
           });
     }
   }
--- a/src/test/java/loomreel/decision/FleetSimulationTest.java
+++ b/src/test/java/loomreel/decision/FleetSimulationTest.java
@@ -109,7 +109,7 @@
    * @param slotFraction the fraction of the slots that are occupied on average, from 0 to 1
    * @param workerCount the number of workers, which are warm and have speed 1
    */
-  private static double requestsPerSecondAndDispatcher(double slotFraction, int workerCount) {
+  private static double requestsPerSecond(double slotFraction, int workerCount) {
     return slotFraction * workerCount * SLOTS_PER_WORKER * JOBS_PER_SLOT_SECOND / DISPATCHER_COUNT;
   }
 
@@ -182,10 +182,7 @@
       List<SimulatedWorker> oldWorkers = addWorkers(fleet, 0, 20, 0);
       fleet.start(DISPATCHER_COUNT, endpoints(oldWorkers));
       fleet.addLoad(
-          requestsPerSecondAndDispatcher(0.6, 20),
-          KEY_COUNT,
-          MEAN_WORK_MICROS,
-          fleet.nowMicros + 18 * SECOND);
+          requestsPerSecond(0.6, 20), KEY_COUNT, MEAN_WORK_MICROS, fleet.nowMicros + 18 * SECOND);
       fleet.run(fleet.nowMicros + 8 * SECOND);
 
       long replacedAtMicros = fleet.nowMicros;
@@ -249,8 +246,7 @@
       List<SimulatedWorker> failingWorkers = allWorkers.subList(0, 7);
       fleet.start(DISPATCHER_COUNT, endpoints(allWorkers));
       long endMicros = fleet.nowMicros + 21 * SECOND;
-      fleet.addLoad(
-          requestsPerSecondAndDispatcher(0.5, 21), KEY_COUNT, MEAN_WORK_MICROS, endMicros);
+      fleet.addLoad(requestsPerSecond(0.5, 21), KEY_COUNT, MEAN_WORK_MICROS, endMicros);
       fleet.run(fleet.nowMicros + 5 * SECOND);
 
       failingWorkers.forEach(worker -> worker.mode = SimulatedWorker.Mode.UNREACHABLE);
--- a/src/test/java/loomreel/decision/RandomEventsTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -104,7 +104,7 @@
    * removed.
    */
   private void changeEndpoint() {
-    int workerNumber = randomEvents.random.nextInt(16);
+    int number = randomEvents.random.nextInt(16);
     State state =
         randomEvents.random.nextInt(3) == 0
             ? List.of(State.READY, State.DRAINING, State.REMOVED)
@@ -112,7 +112,7 @@
             : State.READY;
     boolean isRestart = state == State.READY;
     Endpoint endpoint =
-        DispatcherHarness.endpoint(workerNumber, state, isRestart ? randomEvents.nowMicros : 0);
+        DispatcherHarness.endpoint(number, state, isRestart ? randomEvents.nowMicros : 0);
     if (isRestart) {
       restartTimeMicrosByWorker.put(endpoint.id(), randomEvents.nowMicros);
       randomEvents.resetAttempts(endpoint.id());
--- a/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
+++ b/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
@@ -263,10 +263,10 @@
     assertTrue(
         settings.limits().healthChecks() && endpoints.containsKey(check.workerId()),
         "a health check is not allowed");
-    long endsAtMicros = randomEvents.nowMicros + random.nextInt(400_000);
+    long timeMicros = randomEvents.nowMicros + random.nextInt(400_000);
     AttemptOutcome outcome = random.nextInt(8) == 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
     schedule(
-        endsAtMicros,
+        timeMicros,
         new HealthChecked(check.workerId(), outcome, 1000, randomEvents.drawLoadReport()));
   }
 
@@ -294,13 +294,13 @@
   }
 
   private void scheduleEnd(
-      RequestRecord request, int attemptNumber, AttemptOutcome outcome, long endsAtMicros) {
-    AttemptRecord attempt = request.attempts.get(attemptNumber);
+      RequestRecord request, int number, AttemptOutcome outcome, long endsAtMicros) {
+    AttemptRecord attempt = request.attempts.get(number);
     schedule(
         endsAtMicros,
         new AttemptEnded(
             request.arrival.requestId(),
-            attemptNumber,
+            number,
             attempt.worker,
             outcome,
             false,
--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -86,7 +86,7 @@
      * Returns the factor that gives the refill rate of one dispatcher's allowance. The refill rate,
      * in work per microsecond, is this factor times {@link #relativeCapacityAt}.
      */
-    double refillFactor() {
+    double refillFactorPerDispatcher() {
       return REFILL_FRACTION * overloadMultiple * MEAN_WORK_MICROS / SECOND / dispatcherCount;
     }
 
@@ -127,7 +127,7 @@
      * dispatcher has a single process, unless it is restarted; see {@link #simulateAllDispatchers}.
      *
      * @param refillFactor the factor that gives the refill rate of the allowance of the process, as
-     *     for {@link #refillFactor()}
+     *     for {@link #refillFactorPerDispatcher}
      * @param startedAtMicros the age of the worker when the process starts, in microseconds
      * @param meanLightWork the mean work of the requests that may go to the worker
      * @return the relative work that the process sends to the worker
@@ -168,7 +168,7 @@
     double simulateAllDispatchers(SplittableRandom random, double meanLightWork) {
       double relativeWork = 0;
       for (int dispatcher = 0; dispatcher < dispatcherCount; dispatcher++) {
-        double refillFactor = refillFactor();
+        double refillFactor = refillFactorPerDispatcher();
         boolean isRestarted = dispatcher % RESTART_DIVISOR == RESTART_DIVISOR - 1;
         relativeWork +=
             simulateProcess(
--- a/src/test/java/loomreel/decision/WorkerSelectionTest.java
+++ b/src/test/java/loomreel/decision/WorkerSelectionTest.java
@@ -101,9 +101,8 @@
 
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(1)));
 
-    List<Action> laterActions =
-        dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
-    assertEquals("w00", attempts(laterActions).get(0).workerId());
+    List<Action> later = dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
+    assertEquals("w00", attempts(later).get(0).workerId());
   }
 
   @Test
@@ -169,10 +168,10 @@
     String otherWorker = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.endAttempt("b", 0, otherWorker, AttemptOutcome.OK);
     dispatcher.nowMicros += 5 * SECOND;
-    String laterWorker = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    String later = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
     assertNotEquals(loadedWorker, otherWorker);
-    assertEquals(loadedWorker, laterWorker);
+    assertEquals(loadedWorker, later);
   }
 
   /**
@@ -201,10 +200,10 @@
     assertFalse(
         queuedArrivalActions == null, "the first workers of the key's ranking were never all full");
 
-    List<StartAttempt> retries =
+    List<StartAttempt> later =
         attempts(dispatcher.fireTimers(queuedArrivalActions, dispatcher.nowMicros + SECOND / 3));
 
-    assertEquals(1, retries.size());
-    assertFalse(fullWorkers.contains(retries.get(0).workerId()));
+    assertEquals(1, later.size());
+    assertFalse(fullWorkers.contains(later.get(0).workerId()));
   }
 }
