--- a/src/test/java/loomreel/decision/RetryPolicyTest.java
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -120,6 +120,9 @@
    * the first attempt, and only before the deduplication window ends. The window begins when the
    * first attempt is sent. The failure domain is checked only for retries that do not start at
    * once.
+   *
+   * <p>At least one of the keys has a second candidate in the failure domain of its first
+   * candidate, so at least one request is retried.
    */
   @Test
   void keyedWorkIsRetriedOnlyInTheSameFailureDomainAndTheDeduplicationWindow() {
