--- a/src/test/java/loomreel/decision/OutlierEjectionTest.java
+++ b/src/test/java/loomreel/decision/OutlierEjectionTest.java
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Verifies that a worker is not selected while the report that one of its jobs has started is
-   * overdue, and that the worker is selected again after this report. Other workers report a start
-   * after 2 ms, and the silent worker after 0.5 s.
+   * Verifies that a worker is not selected while its report of the start of a job is overdue, and
+   * is selected again after this report. Other workers report the start of a job after 2 ms, and
+   * the silent worker after 0.5 s.
    */
   @Test
   void aSilentWorkerIsNotSelectedUntilItRespondsAgain() {
@@ -70,10 +70,10 @@
   }
 
   /**
-   * Verifies that a worker is still selected at once after a client cancelled a request there
-   * within 1 ms, and that a worker that responded recently is selected again 1 s after a connection
-   * to it failed. A cancellation and a failed connection can both happen while the worker is up, so
-   * the worker must not stay unused.
+   * Verifies two cases in which a worker must not stay unused, because both can happen while the
+   * worker is up. If a client cancels a request 1 ms after it was sent to a worker, the worker is
+   * selected for the next request. If a connection to a worker that responded recently fails, the
+   * worker is not selected for the retry, but is selected again 1 s later.
    */
   @Test
   void aQuickCancellationOrAFailedConnectionKeepsAWorkerUnusedForAtMostASecond() {
--- a/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
+++ b/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
@@ -148,8 +148,9 @@
   }
 
   /**
-   * Delivers the end of an attempt, with the current value of {@link AttemptEnded#answered()}. Does
-   * nothing if the attempt has ended already, or if the record of its request was discarded.
+   * Delivers the end of an attempt. The delivered event states whether the request is answered now,
+   * which was not known when the event was scheduled. Does nothing if the attempt has ended
+   * already, or if the record of its request was discarded.
    */
   private void deliverEnd(AttemptEnded event) {
     RequestRecord request = requests.get(event.requestId());
@@ -341,8 +342,8 @@
 
   /**
    * Delivers the events that are due, and asserts that no answer is overdue. Then discards the
-   * records of the requests that are answered, have no open attempt, and whose deadline is more
-   * than 2 s ago.
+   * records of requests if the request is answered, none of its attempts is open, and its deadline
+   * passed more than 2 s ago.
    */
   void step() {
     while (!scheduledEvents.isEmpty()
