--- a/src/main/java/loomreel/simulator/MalformedBatchException.java
+++ b/src/main/java/loomreel/simulator/MalformedBatchException.java
@@ -1,8 +1,10 @@
 package loomreel.simulator;
 
 /**
- * Input that does not follow the simulator's protocol; the message names the fault and the batch it
- * was found in.
+ * Thrown when the input violates the simulator's protocol. If {@link SimulatorAdapter#run()} throws
+ * this exception, the message describes the violation and its place. If the batch with the
+ * violation was read, the message names this batch. Otherwise, the message names the last batch
+ * before the violation, or states that there is none.
  */
 public final class MalformedBatchException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/loomreel/simulator/WireBatch.java
+++ b/src/main/java/loomreel/simulator/WireBatch.java
@@ -3,18 +3,21 @@
 import java.util.List;
 
 /**
- * One batch of the protocol: what happens to the simulated dispatchers at one moment.
+ * One batch of the simulator's protocol. A batch contains events of simulated dispatchers that all
+ * happen at the same simulated time.
  *
- * @param number the batch's number, repeated in the reply
- * @param timeMicros the simulated time in microseconds
- * @param dispatchers the events by dispatcher, in the order of the wire
+ * @param number the number of the batch, which the reply repeats
+ * @param timeMicros the simulated time, in microseconds
+ * @param dispatchers the elements of the array {@code parts}, each with the events of one
+ *     dispatcher
  */
 record WireBatch(long number, long timeMicros, List<DispatcherEvents> dispatchers) {
   /**
    * The events of one dispatcher.
    *
-   * @param instance the dispatcher's number
-   * @param events its events in order, not yet checked
+   * @param dispatcherNumber the number that identifies the dispatcher in the protocol
+   * @param events the events in the order in which they occurred; the fields of the events are not
+   *     checked yet
    */
-  record DispatcherEvents(int instance, List<WireObject> events) {}
+  record DispatcherEvents(int dispatcherNumber, List<WireObject> events) {}
 }
--- a/src/main/java/loomreel/simulator/WireObject.java
+++ b/src/main/java/loomreel/simulator/WireObject.java
@@ -5,12 +5,15 @@
 import java.util.Map;
 
 /**
- * One event as a JSON object of the wire: its kind and its fields by name. A field that is {@code
- * null} on the wire counts as absent. The accessors throw {@link MalformedBatchException} where a
- * required field is absent or of the wrong type.
+ * An event as it was read from JSON, before its fields are checked. The event has a kind and other
+ * fields. {@link loomreel.config.JsonTree} states how the values of the fields are represented. A
+ * field with the value {@code null} counts as absent.
+ *
+ * <p>Methods that return a value of a given type throw {@link MalformedBatchException} if the value
+ * has another type, or if the field is absent and the method has no default.
  */
 final class WireObject {
-  /** Factor from the wire's seconds to microseconds. */
+  /** The factor that converts seconds, the unit of time in the protocol, to microseconds. */
   static final double MICROS_PER_SECOND = 1e6;
 
   private final String kind;
@@ -21,12 +24,12 @@
     this.fields = fields;
   }
 
-  /** A builder's map for the fields of one event, sized for the largest kind. */
+  /** Returns an empty map with room for the fields of an event of any kind. */
   static Map<String, Object> newFieldMap() {
     return new HashMap<>(16);
   }
 
-  /** Converts the wire's seconds to microseconds. */
+  /** Converts seconds to microseconds and rounds to the nearest integer. */
   static long toMicros(double seconds) {
     return Math.round(seconds * MICROS_PER_SECOND);
   }
@@ -35,74 +38,87 @@
     return kind;
   }
 
-  boolean has(String name) {
-    return fields.get(name) != null;
+  /** Returns whether a field is present and not null. */
+  boolean has(String fieldName) {
+    return fields.get(fieldName) != null;
   }
 
-  /** The value of an optional field, or null where it is absent. */
-  Object optional(String name) {
-    return fields.get(name);
+  /** Returns the value of a field, which may have any type, or null if the field is absent. */
+  Object valueOrNull(String fieldName) {
+    return fields.get(fieldName);
   }
 
-  String text(String name) throws MalformedBatchException {
-    if (required(name) instanceof String text) {
+  /** Returns the value of a required string field. */
+  String text(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof String text) {
       return text;
     }
-    throw wrongType(name, "a string");
+    throw wrongType(fieldName, "a string");
   }
 
-  double number(String name) throws MalformedBatchException {
-    return numeric(name).doubleValue();
+  /** Returns the value of a required number field. */
+  double number(String fieldName) throws MalformedBatchException {
+    return requiredNumber(fieldName).doubleValue();
   }
 
-  double number(String name, double defaultValue) throws MalformedBatchException {
-    return has(name) ? number(name) : defaultValue;
+  /** Returns the value of a number field, or the default if the field is absent. */
+  double number(String fieldName, double defaultValue) throws MalformedBatchException {
+    return has(fieldName) ? number(fieldName) : defaultValue;
   }
 
-  /** An integer; only the low 64 bits of a larger one. */
-  long integer(String name) throws MalformedBatchException {
-    return numeric(name).longValue();
+  /**
+   * Returns the value of a required number field as an integer. The fractional part is discarded.
+   * Of an integer with more than 64 bits, the low 64 bits are returned.
+   */
+  long integer(String fieldName) throws MalformedBatchException {
+    return requiredNumber(fieldName).longValue();
   }
 
-  /** A time or duration, given in seconds on the wire, in microseconds. */
-  long micros(String name) throws MalformedBatchException {
-    return toMicros(number(name));
+  /** Returns the value of a required time or duration field in microseconds. */
+  long micros(String fieldName) throws MalformedBatchException {
+    return toMicros(number(fieldName));
   }
 
-  long micros(String name, double defaultSeconds) throws MalformedBatchException {
-    return toMicros(number(name, defaultSeconds));
+  /**
+   * Returns the value of a time or duration field in microseconds. If the field is absent, returns
+   * the default in microseconds.
+   */
+  long micros(String fieldName, double defaultSeconds) throws MalformedBatchException {
+    return toMicros(number(fieldName, defaultSeconds));
   }
 
-  Map<?, ?> object(String name) throws MalformedBatchException {
-    if (required(name) instanceof Map<?, ?> object) {
+  /** Returns the fields of a required object field. */
+  Map<?, ?> object(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof Map<?, ?> object) {
       return object;
     }
-    throw wrongType(name, "an object");
+    throw wrongType(fieldName, "an object");
   }
 
-  List<?> array(String name) throws MalformedBatchException {
-    if (required(name) instanceof List<?> array) {
+  /** Returns the elements of a required array field. */
+  List<?> array(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof List<?> array) {
       return array;
     }
-    throw wrongType(name, "an array");
+    throw wrongType(fieldName, "an array");
   }
 
-  private Number numeric(String name) throws MalformedBatchException {
-    if (required(name) instanceof Number number) {
+  private Number requiredNumber(String fieldName) throws MalformedBatchException {
+    if (requiredValue(fieldName) instanceof Number number) {
       return number;
     }
-    throw wrongType(name, "a number");
+    throw wrongType(fieldName, "a number");
   }
 
-  private Object required(String name) throws MalformedBatchException {
-    Object value = fields.get(name);
+  private Object requiredValue(String fieldName) throws MalformedBatchException {
+    Object value = fields.get(fieldName);
     if (value == null) {
-      throw new MalformedBatchException(kind + " without " + name);
+      throw new MalformedBatchException(kind + " lacks the field " + fieldName);
     }
     return value;
   }
 
-  private MalformedBatchException wrongType(String name, String expected) {
-    return new MalformedBatchException(kind + ": " + name + " is not " + expected);
+  private MalformedBatchException wrongType(String fieldName, String expected) {
+    return new MalformedBatchException(kind + ": " + fieldName + " is not " + expected);
   }
 }
--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -25,47 +25,87 @@
 import loomreel.decision.Event.TimerFired;
 
 /**
- * Many dispatchers and workers on one virtual clock, for sums over all dispatchers. Seeds and ticks
- * are fixed, so every run gives the same results. Times are microseconds.
+ * Deterministic simulation of many dispatchers and workers on one virtual clock. Tests use the
+ * simulation to check quantities that are summed over all dispatchers. The seed and the tick of the
+ * settings are fixed for a run, so two runs with the same settings, seed and load give the same
+ * results. Times are in microseconds.
  */
 final class FleetSimulation {
+  /** The number of microseconds in a second. */
   static final long SECOND = DispatcherHarness.SECOND;
-  private static final long ROUND_TRIP = 20_000;
-  private static final long CONNECT_TIMEOUT = 250_000;
-  private static final long REJECTION_DELAY = 1000;
-  private static final long CLIENT_DEADLINE = 5 * SECOND;
 
-  /** Larger values draw the first keys more often. */
+  /** The time, in microseconds, from a health check of a reachable worker to the result. */
+  private static final long ROUND_TRIP_MICROS = 20_000;
+
+  /**
+   * The time, in microseconds, after which the connection to an unreachable worker fails, for an
+   * attempt or a health check.
+   */
+  private static final long CONNECT_TIMEOUT_MICROS = 250_000;
+
+  /** The time, in microseconds, from the start of an attempt to its rejection by the worker. */
+  private static final long REJECTION_DELAY_MICROS = 1000;
+
+  /** The time, in microseconds, that a client waits for an answer. */
+  private static final long CLIENT_TIMEOUT_MICROS = 5 * SECOND;
+
+  /**
+   * The exponent that makes some keys more frequent than others. The number of a key is the number
+   * of keys times a uniform random number between 0 and 1 that is raised to this exponent. The
+   * larger the exponent, the more frequent are the keys with low numbers.
+   */
   private static final double KEY_SKEW = 2;
 
-  private record ScheduledTask(long time, long order, Runnable task) {}
+  /**
+   * A task and the time at which it runs. Tasks with the same time run in the order of their
+   * sequence numbers.
+   */
+  private record ScheduledTask(long timeMicros, long sequenceNumber, Runnable task) {}
 
   final Settings settings;
   final Map<String, SimulatedWorker> workers = new TreeMap<>();
 
-  /** When dispatchers polled the endpoint list. */
-  final List<Long> polls = new ArrayList<>();
+  /** The times, in microseconds, at which dispatchers polled the endpoint list. */
+  final List<Long> pollTimesMicros = new ArrayList<>();
+
+  /** The current time, in microseconds. */
+  long nowMicros = 100 * SECOND;
+
+  /** The number of requests that were answered by a successful attempt. */
+  int servedCount;
+
+  /** The number of requests that dispatchers rejected. */
+  int rejectedCount;
+
+  /** The number of requests that dispatchers failed. */
+  int failedCount;
 
-  long now = 100 * SECOND;
-  int served;
-  int rejected;
-  int failed;
   private final List<DispatchPolicy> dispatchers = new ArrayList<>();
   private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledTask::time).thenComparingLong(ScheduledTask::order));
+          Comparator.comparingLong(ScheduledTask::timeMicros)
+              .thenComparingLong(ScheduledTask::sequenceNumber));
   private final SplittableRandom random;
-  private final Set<String> unanswered = new HashSet<>();
-  private final Map<String, Integer> attempts = new HashMap<>();
-  private final Map<String, Double> workById = new HashMap<>();
+
+  /** The ids of the requests that have arrived and have no answer yet. */
+  private final Set<String> unansweredIds = new HashSet<>();
+
+  /** The number of attempts that have started, by request id. */
+  private final Map<String, Integer> attemptCountById = new HashMap<>();
+
+  /** The work of the job, by request id. */
+  private final Map<String, Double> workMicrosById = new HashMap<>();
+
+  /** The number of tasks that have been scheduled. */
   private long taskCount;
 
+  /** Creates a simulation that has no dispatchers and no workers yet. */
   FleetSimulation(Settings settings, long seed) {
     this.settings = settings;
     random = new SplittableRandom(seed);
   }
 
-  /** Starts dispatchers now, each with this endpoint list. */
+  /** Starts {@code count} dispatchers and delivers the endpoint list to each of them. */
   void start(int count, List<Endpoint> endpoints) {
     for (int i = 0; i < count; i++) {
       DispatchPolicy dispatcher = new DispatchPolicy();
@@ -79,126 +119,181 @@
     dispatchers.forEach(action);
   }
 
-  private void schedule(long time, Runnable task) {
-    tasks.add(new ScheduledTask(time, taskCount++, task));
+  private void schedule(long timeMicros, Runnable task) {
+    tasks.add(new ScheduledTask(timeMicros, taskCount++, task));
   }
 
-  /** Has requests arrive at every dispatcher until a time; some keys are more frequent. */
-  void addLoad(double requestsPerSecond, int keys, double meanWork, long until) {
+  /**
+   * Schedules the arrival of random requests at every dispatcher. The pauses between arrivals and
+   * the work of the jobs are distributed exponentially. Keys with low numbers are more frequent.
+   * The requests belong to the last tenant of the settings, or to none if the settings have no
+   * tenants.
+   *
+   * @param requestsPerSecond the mean arrival rate at each dispatcher
+   * @param keyCount the number of different keys
+   * @param meanWorkMicros the mean run time of a job at a warm worker of speed 1
+   * @param untilMicros the time at which the arrivals end
+   */
+  void addLoad(double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
     for (int number = 0; number < dispatchers.size(); number++) {
-      addLoad(number, requestsPerSecond, keys, meanWork, until);
+      addLoad(number, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
     }
   }
 
-  /** The same at one dispatcher; requests are of the first tenant if there is one. */
-  void addLoad(int number, double requestsPerSecond, int keys, double meanWork, long until) {
-    scheduleArrival(dispatchers.get(number), requestsPerSecond, keys, meanWork, until);
+  /**
+   * Schedules the arrival of random requests at one dispatcher. The requests are like those of
+   * {@link #addLoad(double, int, double, long)}, and the other parameters have the same meaning.
+   *
+   * @param number the index of the dispatcher in the order of starts
+   */
+  void addLoad(
+      int number, double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
+    scheduleNextArrival(
+        dispatchers.get(number), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
   }
 
-  private void scheduleArrival(
-      DispatchPolicy dispatcher, double rate, int keys, double meanWork, long until) {
-    long next = now + (long) (drawExponential() / rate * SECOND);
-    if (next < until) {
+  /**
+   * Schedules the next arrival at a dispatcher. When that request arrives, the arrival after it is
+   * scheduled. No arrival is scheduled at or after {@code untilMicros}.
+   */
+  private void scheduleNextArrival(
+      DispatchPolicy dispatcher,
+      double arrivalsPerSecond,
+      int keyCount,
+      double meanWorkMicros,
+      long untilMicros) {
+    long arrivesAtMicros = nowMicros + (long) (drawExponential() / arrivalsPerSecond * SECOND);
+    if (arrivesAtMicros < untilMicros) {
       schedule(
-          next,
+          arrivesAtMicros,
           () -> {
-            arrive(dispatcher, keys, meanWork);
-            scheduleArrival(dispatcher, rate, keys, meanWork, until);
+            deliverRandomRequest(dispatcher, keyCount, meanWorkMicros);
+            scheduleNextArrival(
+                dispatcher, arrivalsPerSecond, keyCount, meanWorkMicros, untilMicros);
           });
     }
   }
 
-  /** Draws from the exponential distribution with mean 1. */
+  /** Returns a random number from the exponential distribution with mean 1. */
   private double drawExponential() {
     return -Math.log(1 - random.nextDouble());
   }
 
-  private void arrive(DispatchPolicy dispatcher, int keys, double meanWork) {
+  /**
+   * Delivers the arrival of a random request. The request is idempotent or non-idempotent, each
+   * with the same probability.
+   */
+  private void deliverRandomRequest(
+      DispatchPolicy dispatcher, int keyCount, double meanWorkMicros) {
     String id = Long.toHexString(random.nextLong());
-    double work = drawExponential() * meanWork;
-    unanswered.add(id);
-    workById.put(id, work);
-    String key = "k" + (int) (keys * Math.pow(random.nextDouble(), KEY_SKEW));
-    int requestClass = random.nextInt(2) * DispatcherHarness.ISSUE;
-    int tenant = settings.tenants().size() - 1;
+    double workMicros = drawExponential() * meanWorkMicros;
+    unansweredIds.add(id);
+    workMicrosById.put(id, workMicros);
+    String key = "k" + (int) (keyCount * Math.pow(random.nextDouble(), KEY_SKEW));
+    int classIndex = random.nextInt(2) * DispatcherHarness.NON_IDEMPOTENT_CLASS;
+    int tenantIndex = settings.tenants().size() - 1;
     deliver(
         dispatcher,
-        new RequestArrived(id, key, 1, requestClass, tenant, now + CLIENT_DEADLINE, false, work));
+        new RequestArrived(
+            id,
+            key,
+            1,
+            classIndex,
+            tenantIndex,
+            nowMicros + CLIENT_TIMEOUT_MICROS,
+            false,
+            workMicros));
   }
 
-  /** How many requests have arrived and have no answer yet. */
+  /** Returns the number of requests that have arrived and have no answer yet. */
   int unansweredCount() {
-    return unanswered.size();
+    return unansweredIds.size();
   }
 
-  /** Advances the clock. */
-  void run(long until) {
-    while (!tasks.isEmpty() && tasks.peek().time() <= until) {
+  /**
+   * Runs the tasks that are due by {@code untilMicros}, in the order of their times, and then sets
+   * the clock to {@code untilMicros}.
+   */
+  void run(long untilMicros) {
+    while (!tasks.isEmpty() && tasks.peek().timeMicros() <= untilMicros) {
       ScheduledTask next = tasks.poll();
-      now = Math.max(now, next.time());
+      nowMicros = Math.max(nowMicros, next.timeMicros());
       next.task().run();
     }
-    now = until;
+    nowMicros = untilMicros;
   }
 
+  /** Delivers an event to a dispatcher at the current time and executes the resulting actions. */
   void deliver(DispatchPolicy dispatcher, Event event) {
     List<Action> actions = new ArrayList<>();
-    dispatcher.on(event, now, actions);
+    dispatcher.on(event, nowMicros, actions);
     actions.forEach(action -> execute(dispatcher, action));
   }
 
+  /** Executes an action of a dispatcher. Actions that cancel an attempt or log have no effect. */
   private void execute(DispatchPolicy dispatcher, Action action) {
     if (action instanceof SetTimer timer) {
       schedule(
-          Math.max(timer.time(), now + settings.tick()),
+          Math.max(timer.time(), nowMicros + settings.tick()),
           () -> deliver(dispatcher, new TimerFired(timer.token())));
     } else if (action instanceof StartAttempt start) {
       startAttempt(dispatcher, start);
     } else if (action instanceof CheckHealth check) {
       checkHealth(dispatcher, check.workerId());
     } else if (action instanceof PollEndpoints) {
-      polls.add(now);
+      pollTimesMicros.add(nowMicros);
     } else if (action instanceof Reject reject) {
-      rejected += unanswered.remove(reject.requestId()) ? 1 : 0;
+      rejectedCount += unansweredIds.remove(reject.requestId()) ? 1 : 0;
     } else if (action instanceof Fail fail) {
-      failed += unanswered.remove(fail.requestId()) ? 1 : 0;
+      failedCount += unansweredIds.remove(fail.requestId()) ? 1 : 0;
     }
   }
 
   private void checkHealth(DispatchPolicy dispatcher, String workerId) {
     SimulatedWorker worker = workers.get(workerId);
-    worker.healthChecks.add(now);
+    worker.healthCheckTimesMicros.add(nowMicros);
     boolean isUnreachable = worker.mode == SimulatedWorker.Mode.UNREACHABLE;
     schedule(
-        now + (isUnreachable ? CONNECT_TIMEOUT : ROUND_TRIP),
+        nowMicros + (isUnreachable ? CONNECT_TIMEOUT_MICROS : ROUND_TRIP_MICROS),
         () -> deliver(dispatcher, healthCheckResult(worker)));
   }
 
   private static HealthChecked healthCheckResult(SimulatedWorker worker) {
     String id = worker.endpoint.id();
     return switch (worker.mode) {
-      case SERVING -> new HealthChecked(id, AttemptOutcome.OK, ROUND_TRIP, worker.loadReport());
-      case REJECTING -> new HealthChecked(id, AttemptOutcome.ERROR, ROUND_TRIP, null);
-      case UNREACHABLE -> new HealthChecked(id, AttemptOutcome.CONNECT_FAILED, ROUND_TRIP, null);
+      case SERVING ->
+          new HealthChecked(id, AttemptOutcome.OK, ROUND_TRIP_MICROS, worker.loadReport());
+      case REJECTING -> new HealthChecked(id, AttemptOutcome.ERROR, ROUND_TRIP_MICROS, null);
+      case UNREACHABLE ->
+          new HealthChecked(id, AttemptOutcome.CONNECT_FAILED, ROUND_TRIP_MICROS, null);
     };
   }
 
   private void startAttempt(DispatchPolicy dispatcher, StartAttempt start) {
     SimulatedWorker worker = workers.get(start.workerId());
-    int number = attempts.merge(start.requestId(), 1, Integer::sum) - 1;
-    double work = workById.get(start.requestId());
-    worker.recordAttempt(work, now);
+    int attemptNumber = attemptCountById.merge(start.requestId(), 1, Integer::sum) - 1;
+    double workMicros = workMicrosById.get(start.requestId());
+    worker.recordAttempt(workMicros, nowMicros);
     switch (worker.mode) {
       case SERVING -> {
-        long endsAt = worker.startJob(work, now, settings.rules());
-        schedule(endsAt, worker::endJob);
-        scheduleEnd(dispatcher, start, number, AttemptOutcome.OK, endsAt);
+        long endsAtMicros = worker.startJob(workMicros, nowMicros, settings.rules());
+        schedule(endsAtMicros, worker::endJob);
+        scheduleEnd(dispatcher, start, attemptNumber, AttemptOutcome.OK, endsAtMicros);
       }
       case REJECTING ->
-          scheduleEnd(dispatcher, start, number, AttemptOutcome.REJECTED, now + REJECTION_DELAY);
+          scheduleEnd(
+              dispatcher,
+              start,
+              attemptNumber,
+              AttemptOutcome.REJECTED,
+              nowMicros + REJECTION_DELAY_MICROS);
       case UNREACHABLE ->
           scheduleEnd(
-              dispatcher, start, number, AttemptOutcome.CONNECT_FAILED, now + CONNECT_TIMEOUT);
+              dispatcher,
+              start,
+              attemptNumber,
+              AttemptOutcome.CONNECT_FAILED,
+              nowMicros + CONNECT_TIMEOUT_MICROS);
       default -> throw new AssertionError(worker.mode);
     }
   }
@@ -206,25 +301,26 @@
   private void scheduleEnd(
       DispatchPolicy dispatcher,
       StartAttempt start,
-      int number,
+      int attemptNumber,
       AttemptOutcome outcome,
-      long endsAt) {
-    long sentAt = now;
+      long endsAtMicros) {
+    long sentAtMicros = nowMicros;
     schedule(
-        endsAt,
+        endsAtMicros,
         () -> {
-          boolean isFirst = outcome == AttemptOutcome.OK && unanswered.remove(start.requestId());
-          served += isFirst ? 1 : 0;
-          boolean isAnswered = !unanswered.contains(start.requestId());
+          boolean isFirstAnswer =
+              outcome == AttemptOutcome.OK && unansweredIds.remove(start.requestId());
+          servedCount += isFirstAnswer ? 1 : 0;
+          boolean isAnswered = !unansweredIds.contains(start.requestId());
           deliver(
               dispatcher,
               new AttemptEnded(
                   start.requestId(),
-                  number,
+                  attemptNumber,
                   start.workerId(),
                   outcome,
                   isAnswered,
-                  now - sentAt,
+                  nowMicros - sentAtMicros,
                   null));
         });
   }
--- a/src/test/java/loomreel/decision/OutlierEjectionTest.java
+++ b/src/test/java/loomreel/decision/OutlierEjectionTest.java
@@ -11,95 +11,123 @@
 import loomreel.decision.Event.RequestCancelled;
 import org.junit.jupiter.api.Test;
 
-/** Workers that are silent, lose connections or are slow, and when they are selected again. */
+/**
+ * Tests that a worker that is silent, loses a connection or is slow is not selected for some time,
+ * and when the worker is selected again.
+ */
 class OutlierEjectionTest {
+  /** The value of the parameter {@code slowWorker} of {@link #serve} if no worker is slow. */
   private static final String NO_WORKER = "none";
 
   private DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
   /**
-   * Has a job of 0.1 s of work run for that long, or for 5 s at the slow worker.
+   * Advances the clock by 0.02 s, delivers the arrival of a request with 0.1 s of expected work,
+   * and then delivers the success of its attempt at once. The event of the success states that the
+   * attempt took 0.1 s, or 5 s if the attempt was sent to the slow worker.
    *
-   * @return the worker that it was sent to
+   * @param slowWorker the id of the slow worker, or {@link #NO_WORKER}
+   * @return the id of the worker that got the attempt
    */
   private String serve(String id, String key, String slowWorker) {
-    dispatcher.now += SECOND / 50;
+    dispatcher.nowMicros += SECOND / 50;
     List<Action> arrival =
-        dispatcher.handle(dispatcher.request(id, key, DispatcherHarness.READ, SECOND / 10));
+        dispatcher.handle(
+            dispatcher.request(id, key, DispatcherHarness.IDEMPOTENT_CLASS, SECOND / 10));
     String worker = attempts(arrival).get(0).workerId();
-    long duration = worker.equals(slowWorker) ? 5 * SECOND : SECOND / 10;
-    dispatcher.handle(new AttemptEnded(id, 0, worker, AttemptOutcome.OK, true, duration, null));
+    long durationMicros = worker.equals(slowWorker) ? 5 * SECOND : SECOND / 10;
+    dispatcher.handle(
+        new AttemptEnded(id, 0, worker, AttemptOutcome.OK, true, durationMicros, null));
     return worker;
   }
 
+  /**
+   * Verifies that a worker is not selected while its report of the start of a job is overdue, and
+   * is selected again after this report. Other workers report the start of a job after 2 ms, and
+   * the silent worker after 0.5 s.
+   */
   @Test
   void aSilentWorkerIsNotSelectedUntilItRespondsAgain() {
     for (int i = 0; i < 40; i++) {
       String id = "warm" + i;
-      String worker = dispatcher.workerFor(id, "other" + i, DispatcherHarness.READ);
-      dispatcher.now += 2000;
+      String worker = dispatcher.dispatch(id, "other" + i, DispatcherHarness.IDEMPOTENT_CLASS);
+      dispatcher.nowMicros += 2000;
       dispatcher.handle(new AttemptProgressed(id, 0));
       dispatcher.endAttempt(id, 0, worker, AttemptOutcome.OK);
     }
-    dispatcher.now += 5 * SECOND;
-    String silent = dispatcher.workerFor("a", "key", DispatcherHarness.ISSUE);
+    dispatcher.nowMicros += 5 * SECOND;
+    String silentWorker = dispatcher.dispatch("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
 
-    dispatcher.now += SECOND / 2;
-    String whileSilent = dispatcher.workerFor("b", "key", DispatcherHarness.READ);
+    dispatcher.nowMicros += SECOND / 2;
+    String workerWhileSilent = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.handle(new AttemptProgressed("a", 0));
-    dispatcher.now += SECOND;
-    String afterResponse = dispatcher.workerFor("c", "key", DispatcherHarness.READ);
+    dispatcher.nowMicros += SECOND;
+    String workerAfterResponse =
+        dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    assertNotEquals(silent, whileSilent);
-    assertEquals(silent, afterResponse);
+    assertNotEquals(silentWorker, workerWhileSilent);
+    assertEquals(silentWorker, workerAfterResponse);
   }
 
-  /** Clients disconnect and connections break while a worker is up: it must not stay idle. */
+  /**
+   * Verifies two cases in which a worker must not stay unused, because both can happen while the
+   * worker is up. If a client cancels a request 1 ms after it was sent to a worker, the worker is
+   * selected for the next request. If a connection to a worker that responded recently fails, the
+   * worker is not selected for the retry, but is selected again 1 s later.
+   */
   @Test
-  void aWorkerThatRespondedRecentlyIsSelectedAgainSoon() {
-    String worker = dispatcher.workerFor("a", "key", DispatcherHarness.READ);
-    dispatcher.now += 1000;
+  void aQuickCancellationOrAFailedConnectionKeepsAWorkerUnusedForAtMostASecond() {
+    String worker = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    dispatcher.nowMicros += 1000;
     dispatcher.handle(new RequestCancelled("a"));
     dispatcher.handle(new AttemptEnded("a", 0, worker, AttemptOutcome.CANCELLED, true, 1000, null));
-    assertEquals(worker, dispatcher.workerFor("b", "key", DispatcherHarness.READ));
+    assertEquals(worker, dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS));
     dispatcher.handle(new AttemptProgressed("b", 0));
 
-    List<Action> lostConnection =
+    List<Action> actionsAfterConnectFailure =
         dispatcher.endAttempt("b", 0, worker, AttemptOutcome.CONNECT_FAILED);
-    dispatcher.now += SECOND;
-    String later = dispatcher.workerFor("c", "key", DispatcherHarness.READ);
+    dispatcher.nowMicros += SECOND;
+    String laterWorker = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    assertNotEquals(worker, attempts(lostConnection).get(0).workerId());
-    assertEquals(worker, later);
+    assertNotEquals(worker, attempts(actionsAfterConnectFailure).get(0).workerId());
+    assertEquals(worker, laterWorker);
   }
 
-  /** A machine that has become slow reports no load while it is idle. */
+  /**
+   * Verifies that a worker is not selected for some time if its jobs take much longer than jobs at
+   * other workers. Load reports do not show that a machine is slow, because a slow machine reports
+   * no load while it is idle.
+   */
   @Test
-  void aWorkerWhoseJobsTakeMuchLongerThanElsewhereIsNotSelectedForAWhile() {
-    String slow = serve("a", "key", NO_WORKER);
+  void aWorkerWhoseJobsTakeMuchLongerThanElsewhereIsNotSelectedForSomeTime() {
+    String slowWorker = serve("a", "key", NO_WORKER);
     for (int i = 0; i < 400; i++) {
-      serve("r" + i, "key" + i, slow);
+      serve("r" + i, "key" + i, slowWorker);
     }
 
-    String atOnce = serve("b", "key", slow);
-    dispatcher.now += 60 * SECOND;
-    String later = serve("c", "key", slow);
+    String nextWorker = serve("b", "key", slowWorker);
+    dispatcher.nowMicros += 60 * SECOND;
+    String laterWorker = serve("c", "key", slowWorker);
 
-    assertNotEquals(slow, atOnce);
-    assertEquals(slow, later);
+    assertNotEquals(slowWorker, nextWorker);
+    assertEquals(slowWorker, laterWorker);
   }
 
-  /** The answer may have been lost. */
+  /**
+   * Verifies that a worker is still selected if one of its jobs does not end. The answer of that
+   * job may have been lost, so the job does not prove that the worker is slow.
+   */
   @Test
-  void aWorkerIsSelectedThoughOneOfItsJobsDoesNotEnd() {
+  void aWorkerIsStillSelectedIfOneOfItsJobsDoesNotEnd() {
     dispatcher = DispatcherHarness.withWorkers(1);
     for (int i = 0; i < 200; i++) {
       serve("r" + i, "key", NO_WORKER);
     }
-    dispatcher.now += 20 * SECOND;
-    dispatcher.handle(dispatcher.request("lost", "key", DispatcherHarness.READ, SECOND / 10));
+    dispatcher.nowMicros += 20 * SECOND;
+    dispatcher.handle(
+        dispatcher.request("lost", "key", DispatcherHarness.IDEMPOTENT_CLASS, SECOND / 10));
     dispatcher.handle(new AttemptProgressed("lost", 0));
-    dispatcher.now += 3 * SECOND;
+    dispatcher.nowMicros += 3 * SECOND;
 
     assertEquals("w00", serve("next", "key", NO_WORKER));
   }
--- a/src/test/java/loomreel/decision/RandomEvents.java
+++ b/src/test/java/loomreel/decision/RandomEvents.java
@@ -6,37 +6,61 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The clock, the source of random numbers and the counters of one run of random events. */
+/**
+ * The state that all dispatchers in one run of {@link RandomEventsTest} share: the clock, the
+ * random number generator and the records of attempts.
+ */
 final class RandomEvents {
-  /** The least time between two events of a dispatcher, in microseconds. */
-  static final long TICK = 2000;
+  /** The minimum time between two events of a dispatcher, in microseconds. */
+  static final long TICK_MICROS = 2000;
 
   final Random random;
-  long now = 50 * DispatcherHarness.SECOND;
+
+  /** The current time, in microseconds. */
+  long nowMicros = 50 * DispatcherHarness.SECOND;
+
+  /** The number of attempts at all workers since the run began. */
   long attemptCount;
 
-  private final Map<String, List<Long>> attemptTimes = new HashMap<>();
+  /**
+   * The times, in microseconds, of the attempts at each worker since the last call of {@link
+   * #resetAttempts} for the worker.
+   */
+  private final Map<String, List<Long>> attemptTimesMicrosByWorker = new HashMap<>();
 
   RandomEvents(long seed) {
     random = new Random(seed);
   }
 
+  /** Records an attempt at a worker at the current time. */
   void recordAttempt(String worker) {
     attemptCount++;
-    attemptTimes.computeIfAbsent(worker, absent -> new ArrayList<>()).add(now);
+    attemptTimesMicrosByWorker.computeIfAbsent(worker, absent -> new ArrayList<>()).add(nowMicros);
   }
 
-  /** Forgets the attempts at a worker, whose process is new. */
+  /**
+   * Discards the recorded times of the attempts at a worker. A test calls this method when the
+   * process of the worker restarts.
+   */
   void resetAttempts(String worker) {
-    attemptTimes.put(worker, new ArrayList<>());
+    attemptTimesMicrosByWorker.put(worker, new ArrayList<>());
   }
 
-  /** How many attempts were sent to a worker before a time, since its last reset. */
-  long attemptsBefore(String worker, long time) {
-    return attemptTimes.get(worker).stream().filter(sentAt -> sentAt < time).count();
+  /**
+   * Returns the number of attempts at a worker that were recorded with a time before {@code
+   * timeMicros} and after the last call of {@link #resetAttempts} for the worker.
+   */
+  long attemptsBefore(String worker, long timeMicros) {
+    return attemptTimesMicrosByWorker.get(worker).stream()
+        .filter(sentAtMicros -> sentAtMicros < timeMicros)
+        .count();
   }
 
-  WorkerLoad loadReport() {
+  /**
+   * Returns a random load report. On average, one report in five contains only the utilization and
+   * the number of free slots. The other reports contain all values except the utilization.
+   */
+  WorkerLoad drawLoadReport() {
     return random.nextInt(5) == 0
         ? new WorkerLoad(Double.NaN, Double.NaN, 0.5, random.nextInt(5))
         : new WorkerLoad(random.nextInt(3), random.nextInt(6), Double.NaN, random.nextInt(4));
--- a/src/test/java/loomreel/decision/RandomEventsTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -17,25 +17,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Several dispatchers get possible sequences of events, drawn from a fixed seed, and each action is
- * checked against the four rules of the platform by {@link RuleCheckingDispatcher}. No workers are
- * simulated.
+ * Delivers random but possible events to several dispatchers, from a fixed seed, and checks that
+ * their actions follow the rules of the platform. {@link RuleCheckingDispatcher} states the rules
+ * and checks those that concern a single dispatcher. This test checks rule 4, which limits the
+ * attempts of all dispatchers together. Workers are not simulated: the load reports and the
+ * outcomes of attempts are random.
  */
 class RandomEventsTest {
-  private static final int DISPATCHERS = 4;
-  private static final int WORKERS = 12;
+  private static final int DISPATCHER_COUNT = 4;
+  private static final int WORKER_COUNT = 12;
   private static final int RUN_SECONDS = 60;
 
   private final List<RuleCheckingDispatcher> dispatchers = new ArrayList<>();
 
-  /** When the workers that have restarted did so last. */
-  private final Map<String, Long> restartedAt = new HashMap<>();
+  /** The time, in microseconds, of the last restart of each worker that has restarted. */
+  private final Map<String, Long> restartTimeMicrosByWorker = new HashMap<>();
 
-  private RandomEvents run;
-  private long arrivals;
+  private RandomEvents randomEvents;
+
+  /** The number of requests that have arrived at all dispatchers. */
+  private long arrivalCount;
 
   @ParameterizedTest
   @CsvSource({
+    // seed, hedging, healthChecks, loadReporting, pollsEndpoints
     "1,true,true,WITH_ANSWERS,false",
     "2,false,false,WITH_ANSWERS,false",
     "3,true,true,WITH_HEALTH_CHECKS,true",
@@ -43,34 +48,46 @@
     "5,false,true,WITH_ANSWERS,true",
     "6,true,true,WITH_ANSWERS,false"
   })
-  void everyActionFollowsTheRules(
-      int seed, boolean hedging, boolean healthChecks, LoadReporting reporting, boolean polls) {
-    run = new RandomEvents(seed);
+  void everyActionFollowsTheRulesOfThePlatform(
+      int seed,
+      boolean hedging,
+      boolean healthChecks,
+      LoadReporting loadReporting,
+      boolean pollsEndpoints) {
+    randomEvents = new RandomEvents(seed);
     Settings settings =
-        DispatcherHarness.settings(DISPATCHERS, hedging, healthChecks, reporting, polls);
-    for (int number = 0; number < DISPATCHERS; number++) {
-      RuleCheckingDispatcher dispatcher = new RuleCheckingDispatcher(run, number, settings);
+        DispatcherHarness.settings(
+            DISPATCHER_COUNT, hedging, healthChecks, loadReporting, pollsEndpoints);
+    for (int dispatcherNumber = 0; dispatcherNumber < DISPATCHER_COUNT; dispatcherNumber++) {
+      RuleCheckingDispatcher dispatcher =
+          new RuleCheckingDispatcher(randomEvents, dispatcherNumber, settings);
       dispatchers.add(dispatcher);
-      dispatcher.update(DispatcherHarness.endpoints(WORKERS));
+      dispatcher.update(DispatcherHarness.endpoints(WORKER_COUNT));
     }
 
-    for (long end = run.now + RUN_SECONDS * SECOND; run.now < end; run.now += RandomEvents.TICK) {
+    for (long endMicros = randomEvents.nowMicros + RUN_SECONDS * SECOND;
+        randomEvents.nowMicros < endMicros;
+        randomEvents.nowMicros += RandomEvents.TICK_MICROS) {
       step();
     }
 
     assertTrue(
-        run.attemptCount > arrivals / 6,
-        run.attemptCount + " attempts for " + arrivals + " arrivals");
-    restartedAt.forEach(this::assertNotOverloaded);
+        randomEvents.attemptCount > arrivalCount / 6,
+        randomEvents.attemptCount + " attempts for " + arrivalCount + " arrivals");
+    restartTimeMicrosByWorker.forEach(this::assertNotOverloaded);
   }
 
+  /**
+   * Delivers to each dispatcher the events that are due. At random, also delivers new requests and
+   * changed endpoints, and restarts dispatchers.
+   */
   private void step() {
-    Random random = run.random;
+    Random random = randomEvents.random;
     for (RuleCheckingDispatcher dispatcher : dispatchers) {
       dispatcher.step();
       if (random.nextInt(40) == 0) {
         dispatcher.arrive();
-        arrivals++;
+        arrivalCount++;
       }
     }
     if (random.nextInt(1500) == 0) {
@@ -81,42 +98,55 @@
     }
   }
 
-  /** Has a random worker restart, drain, or be removed, or adds one. */
+  /**
+   * Changes the state of a random worker and delivers the change to all dispatchers. A worker that
+   * becomes ready has started or restarted at the current time. Otherwise, the worker drains or is
+   * removed.
+   */
   private void changeEndpoint() {
-    int number = run.random.nextInt(16);
+    int number = randomEvents.random.nextInt(16);
     State state =
-        run.random.nextInt(3) == 0
-            ? List.of(State.READY, State.DRAINING, State.REMOVED).get(run.random.nextInt(3))
+        randomEvents.random.nextInt(3) == 0
+            ? List.of(State.READY, State.DRAINING, State.REMOVED)
+                .get(randomEvents.random.nextInt(3))
             : State.READY;
-    boolean restarts = state == State.READY;
-    Endpoint endpoint = DispatcherHarness.endpoint(number, state, restarts ? run.now : 0);
-    if (restarts) {
-      restartedAt.put(endpoint.id(), run.now);
-      run.resetAttempts(endpoint.id());
+    boolean isRestart = state == State.READY;
+    Endpoint endpoint =
+        DispatcherHarness.endpoint(number, state, isRestart ? randomEvents.nowMicros : 0);
+    if (isRestart) {
+      restartTimeMicrosByWorker.put(endpoint.id(), randomEvents.nowMicros);
+      randomEvents.resetAttempts(endpoint.id());
     }
     dispatchers.forEach(dispatcher -> dispatcher.update(List.of(endpoint)));
   }
 
-  /** Replaces a dispatcher by one that knows nothing but the endpoint list. */
-  private void restartDispatcher(int number) {
-    RuleCheckingDispatcher previous = dispatchers.get(number);
+  /**
+   * Replaces a dispatcher with a new dispatcher, which gets the endpoint list of the previous one
+   * but none of its other state.
+   */
+  private void restartDispatcher(int dispatcherNumber) {
+    RuleCheckingDispatcher previous = dispatchers.get(dispatcherNumber);
     Set<String> ids = new HashSet<>(previous.endpoints.keySet());
     List<Endpoint> endpoints = new ArrayList<>(previous.endpoints.values());
-    RuleCheckingDispatcher next = new RuleCheckingDispatcher(run, number, previous.settings);
-    dispatchers.set(number, next);
-    next.update(endpoints);
-    assertEquals(ids, next.endpoints.keySet());
+    RuleCheckingDispatcher replacement =
+        new RuleCheckingDispatcher(randomEvents, dispatcherNumber, previous.settings);
+    dispatchers.set(dispatcherNumber, replacement);
+    replacement.update(endpoints);
+    assertEquals(ids, replacement.endpoints.keySet());
   }
 
   /**
-   * Rule 4: in its first overload window a cold worker gets less than the overload multiple of its
-   * equal part of all attempts, and a margin for chance.
+   * Asserts rule 4 for a worker that has restarted. The rule limits the attempts at the worker in
+   * the first overload window after the restart. The limit is 0.35 times the overload multiple
+   * times the number of attempts that a worker gets on average in such a window. Another 3 attempts
+   * are permitted as a margin for chance.
    */
-  private void assertNotOverloaded(String worker, long startedAt) {
-    long window = DispatcherHarness.RULES.overloadWindow();
-    double equalPart = (double) run.attemptCount / RUN_SECONDS / WORKERS * window / SECOND;
-    double limit = DispatcherHarness.RULES.overloadMultiple() * equalPart * 0.35 + 3;
-    long attempts = run.attemptsBefore(worker, startedAt + window);
+  private void assertNotOverloaded(String worker, long restartedAtMicros) {
+    long windowMicros = DispatcherHarness.RULES.overloadWindow();
+    double meanAttemptsPerWindow =
+        (double) randomEvents.attemptCount / RUN_SECONDS / WORKER_COUNT * windowMicros / SECOND;
+    double limit = DispatcherHarness.RULES.overloadMultiple() * meanAttemptsPerWindow * 0.35 + 3;
+    long attempts = randomEvents.attemptsBefore(worker, restartedAtMicros + windowMicros);
     assertTrue(
         attempts <= limit, "rule 4: " + attempts + " attempts at " + worker + ", at most " + limit);
   }
--- a/src/test/java/loomreel/decision/RequestAnswerTest.java
+++ b/src/test/java/loomreel/decision/RequestAnswerTest.java
@@ -17,51 +17,61 @@
 import loomreel.decision.Settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** When a request is answered, rejected or failed, and that its answer is the last of it. */
+/** Tests when requests are rejected or failed, and that no action follows this answer. */
 class RequestAnswerTest {
   @Test
-  void everyRequestIsAnsweredOnceByItsDeadline() {
+  void aRequestWhoseAttemptDoesNotEndFailsOnceByItsDeadline() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.ISSUE);
-    long deadline = dispatcher.now + 10 * SECOND;
-
-    List<Action> later = dispatcher.fireTimers(arrival, deadline + SECOND);
-    List<Action> afterAnswer =
-        dispatcher.endAttempt("a", 0, onlyAttempt(arrival).workerId(), AttemptOutcome.CANCELLED);
-
-    assertEquals(1, actionsOf(Fail.class, later).size());
-    assertTrue(attempts(later).isEmpty(), "work that may have run is not repeated");
-    assertTrue(afterAnswer.isEmpty());
+    List<Action> arrivalActions =
+        dispatcher.arrive("a", "key", DispatcherHarness.NON_IDEMPOTENT_CLASS);
+    long deadline = dispatcher.nowMicros + 10 * SECOND;
+
+    List<Action> laterActions = dispatcher.fireTimers(arrivalActions, deadline + SECOND);
+    List<Action> actionsAfterAnswer =
+        dispatcher.endAttempt(
+            "a", 0, onlyAttempt(arrivalActions).workerId(), AttemptOutcome.CANCELLED);
+
+    assertEquals(1, actionsOf(Fail.class, laterActions).size());
+    assertTrue(attempts(laterActions).isEmpty(), "work that may have run is not repeated");
+    assertTrue(actionsAfterAnswer.isEmpty());
   }
 
+  /**
+   * Verifies that a request is rejected at once if its answer no longer has a value. The client
+   * marked the request as a retry, and 5 s of the deadline of the class, which is 10 s, have
+   * passed. So the client made its first attempt 5 s ago, and the latency objective cannot be met
+   * any more.
+   */
   @Test
   void aRequestThatArrivesTooLateIsRejectedAtOnce() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    long classDeadline = DispatcherHarness.CLASSES.get(DispatcherHarness.READ).deadline();
-    long deadline = dispatcher.now + classDeadline - 5 * SECOND;
+    long classDeadlineMicros =
+        DispatcherHarness.CLASSES.get(DispatcherHarness.IDEMPOTENT_CLASS).deadline();
+    long deadline = dispatcher.nowMicros + classDeadlineMicros - 5 * SECOND;
 
     List<Action> actions =
         dispatcher.handle(
             new RequestArrived(
-                "late", "key", 1, DispatcherHarness.READ, -1, deadline, true, SECOND));
+                "late", "key", 1, DispatcherHarness.IDEMPOTENT_CLASS, -1, deadline, true, SECOND));
 
     assertEquals(
         List.of(new Reject("late", SECOND, RejectionReason.ARRIVED_TOO_LATE)),
         actions,
-        "an answer has no value any more");
+        "an answer no longer has a value");
   }
 
   @Test
   void aRequestWithoutAWorkerIsRejectedLongBeforeItsDeadline() {
     DispatcherHarness dispatcher = new DispatcherHarness();
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
+    List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    List<Action> later = dispatcher.fireTimers(arrival, dispatcher.now + 3 * SECOND);
+    List<Action> laterActions =
+        dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + 3 * SECOND);
 
     assertEquals(
         List.of(new Reject("a", SECOND, RejectionReason.NO_ELIGIBLE_WORKER)),
-        actionsOf(Reject.class, later));
-    assertTrue(dispatcher.now < 105 * SECOND, "long before the client's deadline");
+        actionsOf(Reject.class, laterActions));
+    assertTrue(dispatcher.nowMicros < 105 * SECOND, "long before the client's deadline");
   }
 
   @Test
@@ -77,9 +87,9 @@
               "late" + i,
               "key",
               1,
-              DispatcherHarness.READ,
+              DispatcherHarness.IDEMPOTENT_CLASS,
               0,
-              dispatcher.now + SECOND,
+              dispatcher.nowMicros + SECOND,
               true,
               SECOND));
     }
@@ -90,27 +100,29 @@
                 "a",
                 "key",
                 1,
-                DispatcherHarness.READ,
+                DispatcherHarness.IDEMPOTENT_CLASS,
                 0,
-                dispatcher.now + 10 * SECOND,
+                dispatcher.nowMicros + 10 * SECOND,
                 false,
                 SECOND));
 
     assertTrue(
-        actionsOf(Reject.class, actions).isEmpty(), "within its quota it may wait for a worker");
+        actionsOf(Reject.class, actions).isEmpty(),
+        "the request is within the quota, so it may wait for a worker");
   }
 
   @Test
   void aCancelledRequestIsNotRetried() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
-    List<Action> arrival = dispatcher.arrive("a", "key", DispatcherHarness.READ);
+    List<Action> arrivalActions = dispatcher.arrive("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
-    List<Action> cancellation = dispatcher.handle(new RequestCancelled("a"));
-    List<Action> attemptEnd =
-        dispatcher.endAttempt("a", 0, onlyAttempt(arrival).workerId(), AttemptOutcome.REJECTED);
+    List<Action> cancellationActions = dispatcher.handle(new RequestCancelled("a"));
+    List<Action> actionsAfterAttemptEnd =
+        dispatcher.endAttempt(
+            "a", 0, onlyAttempt(arrivalActions).workerId(), AttemptOutcome.REJECTED);
 
-    assertEquals(1, actionsOf(CancelAttempt.class, cancellation).size());
-    assertTrue(attemptEnd.isEmpty());
-    assertTrue(dispatcher.fireTimers(arrival, dispatcher.now + 20 * SECOND).isEmpty());
+    assertEquals(1, actionsOf(CancelAttempt.class, cancellationActions).size());
+    assertTrue(actionsAfterAttemptEnd.isEmpty());
+    assertTrue(dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + 20 * SECOND).isEmpty());
   }
 }
--- a/src/test/java/loomreel/decision/RetryPolicyTest.java
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -19,17 +19,28 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Tests when a request gets another attempt after a failed attempt. Keyed work is the work of
+ * requests of the class {@link DispatcherHarness#KEYED_CLASS}, which workers deduplicate by an
+ * idempotency key. The keys in this test are routing keys.
+ */
 class RetryPolicyTest {
-  private static final int KEYS = 60;
+  /** The number of routing keys with which a test is repeated. */
+  private static final int KEY_COUNT = 60;
 
   private final DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
 
-  /** Starts a first attempt, which runs for a tenth of a second; then it ends. */
-  private List<Action> endFirstAttempt(int requestClass, AttemptOutcome outcome) {
-    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", requestClass));
-    dispatcher.now += SECOND / 10;
+  /**
+   * Delivers the arrival of a request. Then, 0.1 s later, delivers the start of its job and the end
+   * of its first attempt.
+   *
+   * @return the actions of the policy in response to the end of the attempt
+   */
+  private List<Action> endFirstAttempt(int classIndex, AttemptOutcome outcome) {
+    StartAttempt firstAttempt = onlyAttempt(dispatcher.arrive("a", "key", classIndex));
+    dispatcher.nowMicros += SECOND / 10;
     dispatcher.handle(new AttemptProgressed("a", 0));
-    return dispatcher.endAttempt("a", 0, first.workerId(), outcome);
+    return dispatcher.endAttempt("a", 0, firstAttempt.workerId(), outcome);
   }
 
   @ParameterizedTest
@@ -37,16 +48,21 @@
       value = AttemptOutcome.class,
       names = {"OK", "TIMEOUT", "INVALID"},
       mode = EnumSource.Mode.EXCLUDE)
-  void idempotentWorkIsRetriedAfterAnyOutcome(AttemptOutcome outcome) {
-    List<Action> actions = endFirstAttempt(DispatcherHarness.READ, outcome);
+  void idempotentWorkIsRetriedAfterAFailedAttempt(AttemptOutcome outcome) {
+    List<Action> actions = endFirstAttempt(DispatcherHarness.IDEMPOTENT_CLASS, outcome);
 
     assertEquals(1, attempts(actions).size(), "after " + outcome);
   }
 
   @ParameterizedTest
-  @ValueSource(ints = {DispatcherHarness.READ, DispatcherHarness.ISSUE, DispatcherHarness.PAY})
-  void invalidWorkIsNotRetried(int requestClass) {
-    List<Action> actions = endFirstAttempt(requestClass, AttemptOutcome.INVALID);
+  @ValueSource(
+      ints = {
+        DispatcherHarness.IDEMPOTENT_CLASS,
+        DispatcherHarness.NON_IDEMPOTENT_CLASS,
+        DispatcherHarness.KEYED_CLASS
+      })
+  void invalidWorkIsNotRetried(int classIndex) {
+    List<Action> actions = endFirstAttempt(classIndex, AttemptOutcome.INVALID);
 
     assertTrue(attempts(actions).isEmpty(), "no other worker would accept it");
     assertEquals(
@@ -59,7 +75,7 @@
       names = {"OK", "TIMEOUT"},
       mode = EnumSource.Mode.EXCLUDE)
   void nonIdempotentWorkIsRetriedOnlyIfItNeverRan(AttemptOutcome outcome) {
-    List<Action> actions = endFirstAttempt(DispatcherHarness.ISSUE, outcome);
+    List<Action> actions = endFirstAttempt(DispatcherHarness.NON_IDEMPOTENT_CLASS, outcome);
 
     if (outcome.neverRan()) {
       assertEquals(1, attempts(actions).size(), "after " + outcome);
@@ -77,75 +93,99 @@
       value = AttemptOutcome.class,
       names = {"OK", "TIMEOUT"},
       mode = EnumSource.Mode.EXCLUDE)
-  void keyedWorkThatMayHaveRunIsRetriedInItsFailureDomain(AttemptOutcome outcome) {
-    StartAttempt first = onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.PAY));
-    dispatcher.now += SECOND / 10;
+  void keyedWorkThatMayHaveRunIsRetriedOnlyInTheFailureDomainOfTheFirstAttempt(
+      AttemptOutcome outcome) {
+    StartAttempt firstAttempt =
+        onlyAttempt(dispatcher.arrive("a", "key", DispatcherHarness.KEYED_CLASS));
+    dispatcher.nowMicros += SECOND / 10;
     dispatcher.handle(new AttemptProgressed("a", 0));
 
-    List<Action> actions = dispatcher.endAttempt("a", 0, first.workerId(), outcome);
+    List<Action> actions = dispatcher.endAttempt("a", 0, firstAttempt.workerId(), outcome);
 
     if (outcome.neverRan()) {
       assertEquals(1, attempts(actions).size(), "after " + outcome);
     } else {
       List<StartAttempt> retries =
           attempts(actions).isEmpty()
-              ? attempts(dispatcher.fireTimers(actions, dispatcher.now + SECOND / 2))
+              ? attempts(dispatcher.fireTimers(actions, dispatcher.nowMicros + SECOND / 2))
               : attempts(actions);
       for (StartAttempt retry : retries) {
-        assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
+        assertEquals(failureDomain(firstAttempt.workerId()), failureDomain(retry.workerId()));
       }
     }
   }
 
+  /**
+   * Verifies that keyed work that may have run is retried only at workers in the failure domain of
+   * the first attempt, and only before the deduplication window ends. The window begins when the
+   * first attempt is sent. The failure domain is checked only for retries that do not start at
+   * once.
+   *
+   * <p>At least one of the keys has a second candidate in the failure domain of its first
+   * candidate, so at least one request is retried.
+   */
   @Test
-  void keyedWorkIsRetriedInItsFailureDomainAndDeduplicationWindow() {
-    long window = DispatcherHarness.CLASSES.get(DispatcherHarness.PAY).deduplicationWindow();
+  void keyedWorkIsRetriedOnlyInTheSameFailureDomainAndTheDeduplicationWindow() {
+    long windowMicros =
+        DispatcherHarness.CLASSES.get(DispatcherHarness.KEYED_CLASS).deduplicationWindow();
     int retries = 0;
-    for (int key = 0; key < KEYS; key++) {
-      DispatcherHarness keyed = DispatcherHarness.withWorkers(20);
-      StartAttempt first = onlyAttempt(keyed.arrive("a", "key" + key, DispatcherHarness.PAY));
-      long sentAt = keyed.now;
+    for (int key = 0; key < KEY_COUNT; key++) {
+      DispatcherHarness newDispatcher = DispatcherHarness.withWorkers(20);
+      StartAttempt firstAttempt =
+          onlyAttempt(newDispatcher.arrive("a", "key" + key, DispatcherHarness.KEYED_CLASS));
+      long sentAtMicros = newDispatcher.nowMicros;
       boolean isInWindow = key % 2 == 0;
-      keyed.now += isInWindow ? SECOND / 100 : window;
+      newDispatcher.nowMicros += isInWindow ? SECOND / 100 : windowMicros;
 
-      List<Action> atOnce = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
-      List<StartAttempt> later = attempts(keyed.fireTimers(atOnce, keyed.now + 6 * SECOND));
+      List<Action> immediateActions =
+          newDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
+      List<StartAttempt> laterRetries =
+          attempts(
+              newDispatcher.fireTimers(immediateActions, newDispatcher.nowMicros + 6 * SECOND));
 
-      for (StartAttempt retry : later) {
-        assertEquals(failureDomain(first.workerId()), failureDomain(retry.workerId()));
+      for (StartAttempt retry : laterRetries) {
+        assertEquals(failureDomain(firstAttempt.workerId()), failureDomain(retry.workerId()));
       }
       assertTrue(
-          isInWindow || (attempts(atOnce).isEmpty() && later.isEmpty()),
-          "after the window of " + sentAt);
-      retries += attempts(atOnce).size() + later.size();
+          isInWindow || (attempts(immediateActions).isEmpty() && laterRetries.isEmpty()),
+          "retried after the deduplication window that started at " + sentAtMicros);
+      retries += attempts(immediateActions).size() + laterRetries.size();
     }
-    assertTrue(retries > 0, "some key has a second worker of its failure domain as a candidate");
+    assertTrue(retries > 0, "no request was retried within the deduplication window");
   }
 
-  /** Workers cannot deduplicate it, so it is treated as work that is not idempotent. */
+  /**
+   * Verifies that a request of {@link DispatcherHarness#KEYED_CLASS} counts as non-idempotent if it
+   * has no idempotency key, because workers cannot deduplicate such a request. The requests of this
+   * test have a routing key.
+   */
   @Test
-  void aKeyedRequestWithoutAnIdempotencyKeyIsNotRetried() {
-    for (int key = 0; key < KEYS; key++) {
-      DispatcherHarness keyed = DispatcherHarness.withWorkers(20);
+  void aRequestOfTheKeyedClassIsNotRetriedIfItHasNoIdempotencyKey() {
+    for (int key = 0; key < KEY_COUNT; key++) {
+      DispatcherHarness newDispatcher = DispatcherHarness.withWorkers(20);
+      // The last argument states that the request has no idempotency key.
       RequestArrived request =
           new RequestArrived(
               "a",
               "key" + key,
               1,
-              DispatcherHarness.PAY,
+              DispatcherHarness.KEYED_CLASS,
               -1,
-              keyed.now + 10 * SECOND,
+              newDispatcher.nowMicros + 10 * SECOND,
               false,
               Double.NaN,
               null,
               false);
-      StartAttempt first = onlyAttempt(keyed.handle(request));
-      keyed.now += SECOND / 100;
+      StartAttempt firstAttempt = onlyAttempt(newDispatcher.handle(request));
+      newDispatcher.nowMicros += SECOND / 100;
 
-      List<Action> actions = keyed.endAttempt("a", 0, first.workerId(), AttemptOutcome.ERROR);
+      List<Action> actions =
+          newDispatcher.endAttempt("a", 0, firstAttempt.workerId(), AttemptOutcome.ERROR);
 
       assertEquals(1, actionsOf(Fail.class, actions).size());
-      assertTrue(attempts(keyed.fireTimers(actions, keyed.now + 6 * SECOND)).isEmpty());
+      assertTrue(
+          attempts(newDispatcher.fireTimers(actions, newDispatcher.nowMicros + 6 * SECOND))
+              .isEmpty());
     }
   }
 }
--- a/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
+++ b/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
@@ -32,82 +32,126 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * A policy that gets random but possible responses to its actions. It checks each action against
- * the four rules of the platform with records of its own.
+ * A dispatcher that delivers random but possible events to its {@link DispatchPolicy} in response
+ * to the actions of the policy. The dispatcher keeps its own records of requests and attempts, and
+ * asserts that each action follows the rules of the platform:
+ *
+ * <p>Rule 1: each request gets one answer, not later than its deadline. No attempt starts after the
+ * answer.
+ *
+ * <p>Rule 2: work that may have run is repeated only if its class permits a repetition. Keyed work,
+ * which workers deduplicate by its idempotency key, is repeated only within the deduplication scope
+ * and the deduplication window. A request whose work may have run is rejected only if the work is
+ * idempotent. An attempt starts while another attempt of the same request is open only if the
+ * settings permit hedging.
+ *
+ * <p>Rule 3: attempts start only at workers that are ready.
+ *
+ * <p>Rule 4 limits the attempts of all dispatchers together at cold workers. {@link
+ * RandomEventsTest} checks this rule.
  */
 final class RuleCheckingDispatcher {
+  /** An attempt that the policy has started. */
   private static final class AttemptRecord {
     final String worker;
-    final long sentAt;
+    final long sentAtMicros;
 
-    /** Null until the attempt has ended. */
+    /** The outcome of the attempt, or null until it ends. */
     AttemptOutcome outcome;
 
-    AttemptRecord(String worker, long sentAt) {
+    AttemptRecord(String worker, long sentAtMicros) {
       this.worker = worker;
-      this.sentAt = sentAt;
+      this.sentAtMicros = sentAtMicros;
     }
 
     boolean hasEnded() {
       return outcome != null;
     }
 
+    /**
+     * Returns whether the job of the attempt may have run. The result is false only if the attempt
+     * has ended with an outcome that proves that the job never ran.
+     */
     boolean mayHaveRun() {
       return !hasEnded() || !outcome.neverRan();
     }
   }
 
+  /** A request that has arrived, with its attempts in the order of their numbers. */
   private static final class RequestRecord {
     final RequestArrived arrival;
     final List<AttemptRecord> attempts = new ArrayList<>();
+
+    /** Whether the request has its answer, or needs none because its client cancelled it. */
     boolean answered;
 
     RequestRecord(RequestArrived arrival) {
       this.arrival = arrival;
     }
 
+    /** Records an answer of the policy and asserts that it is the first one. */
     void recordAnswer() {
-      assertTrue(!answered, "rule 1: a second answer");
+      assertTrue(!answered, "rule 1: a request gets a second answer");
       answered = true;
     }
   }
 
-  private record ScheduledEvent(long time, long order, Event event) {}
+  /**
+   * An event and the time at which it is due. Events with the same time are delivered in the order
+   * of their sequence numbers.
+   */
+  private record ScheduledEvent(long timeMicros, long sequenceNumber, Event event) {}
 
   final Settings settings;
+
+  /** The last delivered endpoint of each worker, by worker id. */
   final Map<String, Endpoint> endpoints = new HashMap<>();
 
-  private final RandomEvents run;
+  private final RandomEvents randomEvents;
   private final Random random;
-  private final int number;
+
+  /** The number of this dispatcher in the run, from 0 on. */
+  private final int dispatcherNumber;
+
   private final DispatchPolicy policy = new DispatchPolicy();
   private final Map<String, RequestRecord> requests = new HashMap<>();
-  private final PriorityQueue<ScheduledEvent> scheduled =
+  private final PriorityQueue<ScheduledEvent> scheduledEvents =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledEvent::time).thenComparingLong(ScheduledEvent::order));
+          Comparator.comparingLong(ScheduledEvent::timeMicros)
+              .thenComparingLong(ScheduledEvent::sequenceNumber));
 
-  /** Numbers scheduled events and requests. */
-  private long order;
+  /** The sequence number of the next event that is scheduled or the next request that arrives. */
+  private long sequenceNumber;
 
-  RuleCheckingDispatcher(RandomEvents run, int number, Settings settings) {
-    this.run = run;
-    this.random = run.random;
-    this.number = number;
+  /** Creates a dispatcher and starts its policy. */
+  RuleCheckingDispatcher(RandomEvents randomEvents, int dispatcherNumber, Settings settings) {
+    this.randomEvents = randomEvents;
+    this.random = randomEvents.random;
+    this.dispatcherNumber = dispatcherNumber;
     this.settings = settings;
-    deliver(new Start(number + 1, settings));
+    deliver(new Start(dispatcherNumber + 1, settings));
   }
 
-  private void schedule(long time, Event event) {
-    scheduled.add(new ScheduledEvent(Math.max(time, run.now + RandomEvents.TICK), order++, event));
+  /** Schedules an event for a time, or for the next tick if the time is earlier than that. */
+  private void schedule(long timeMicros, Event event) {
+    scheduledEvents.add(
+        new ScheduledEvent(
+            Math.max(timeMicros, randomEvents.nowMicros + RandomEvents.TICK_MICROS),
+            sequenceNumber++,
+            event));
   }
 
   private void deliver(Event event) {
     List<Action> actions = new ArrayList<>();
-    policy.on(event, run.now, actions);
+    policy.on(event, randomEvents.nowMicros, actions);
     actions.forEach(this::execute);
   }
 
-  /** Delivers the end of an attempt that is open; else does nothing. */
+  /**
+   * Delivers the end of an attempt. The delivered event states whether the request is answered now,
+   * which was not known when the event was scheduled. Does nothing if the attempt has ended
+   * already, or if the record of its request was discarded.
+   */
   private void deliverEnd(AttemptEnded event) {
     RequestRecord request = requests.get(event.requestId());
     if (request == null) {
@@ -144,38 +188,47 @@
     } else if (action instanceof SetTimer timer) {
       schedule(timer.time(), new TimerFired(timer.token()));
     } else if (action instanceof PollEndpoints) {
-      schedule(run.now + SECOND, new WatchFailed());
+      schedule(randomEvents.nowMicros + SECOND, new WatchFailed());
     }
   }
 
   private void startAttempt(StartAttempt start) {
     RequestRecord request = requests.get(start.requestId());
-    assertTrue(!request.answered, "rule 1: sent after the answer");
+    assertTrue(!request.answered, "rule 1: an attempt starts after the answer");
     assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
     Endpoint worker = endpoints.get(start.workerId());
     assertTrue(
-        worker != null && worker.state() == State.READY, "rule 3: sent to a draining worker");
-    request.attempts.forEach(previous -> checkRepetition(request, previous, start));
-    request.attempts.add(new AttemptRecord(start.workerId(), run.now));
-    run.recordAttempt(start.workerId());
+        worker != null && worker.state() == State.READY,
+        "rule 3: an attempt starts at a worker that is not ready");
+    request.attempts.forEach(
+        previousAttempt -> assertRepetitionAllowed(request, previousAttempt, start));
+    request.attempts.add(new AttemptRecord(start.workerId(), randomEvents.nowMicros));
+    randomEvents.recordAttempt(start.workerId());
     scheduleOutcome(request, request.attempts.size() - 1);
   }
 
-  /** Rule 2: whether an attempt may be started after or beside a previous one. */
-  private void checkRepetition(RequestRecord request, AttemptRecord previous, StartAttempt start) {
+  /**
+   * Asserts that an attempt that starts follows rule 2 with regard to one previous attempt of the
+   * same request. The previous attempt has ended or is still open.
+   */
+  private void assertRepetitionAllowed(
+      RequestRecord request, AttemptRecord previousAttempt, StartAttempt start) {
     RequestClass requestClass = settings.classes().get(request.arrival.classIndex());
-    assertTrue(previous.hasEnded() || settings.limits().hedging(), "rule 2: two at once");
     assertTrue(
-        requestClass.idempotency() != Idempotency.NON_IDEMPOTENT || !previous.mayHaveRun(),
-        "rule 2: not idempotent");
-    if (requestClass.idempotency() == Idempotency.KEYED && previous.mayHaveRun()) {
+        previousAttempt.hasEnded() || settings.limits().hedging(),
+        "rule 2: an attempt starts while another one is open");
+    assertTrue(
+        requestClass.idempotency() != Idempotency.NON_IDEMPOTENT || !previousAttempt.mayHaveRun(),
+        "rule 2: non-idempotent work is repeated");
+    if (requestClass.idempotency() == Idempotency.KEYED && previousAttempt.mayHaveRun()) {
       assertEquals(
-          failureDomain(previous.worker),
+          failureDomain(previousAttempt.worker),
           failureDomain(start.workerId()),
-          "rule 2: outside the deduplication scope");
+          "rule 2: keyed work is repeated outside the deduplication scope");
       assertTrue(
-          run.now < previous.sentAt + requestClass.deduplicationWindow(),
-          "rule 2: after the deduplication window");
+          randomEvents.nowMicros
+              < previousAttempt.sentAtMicros + requestClass.deduplicationWindow(),
+          "rule 2: keyed work is repeated after the deduplication window");
     }
   }
 
@@ -184,64 +237,86 @@
     Idempotency idempotency = settings.classes().get(request.arrival.classIndex()).idempotency();
     boolean neverRan = request.attempts.stream().noneMatch(AttemptRecord::mayHaveRun);
     assertTrue(
-        idempotency == Idempotency.IDEMPOTENT || neverRan, "rule 2: rejected what may have run");
+        idempotency == Idempotency.IDEMPOTENT || neverRan,
+        "rule 2: work that may have run is rejected");
     request.recordAnswer();
   }
 
+  /**
+   * Schedules the end of a cancelled attempt in three of four cases. Otherwise, the cancellation
+   * has no effect.
+   */
   private void cancelAttempt(CancelAttempt cancel) {
     RequestRecord request = requests.get(cancel.requestId());
     assertTrue(
-        cancel.attemptNumber() < request.attempts.size(), "cancels an attempt that was not sent");
+        cancel.attemptNumber() < request.attempts.size(),
+        "an attempt that was not started is cancelled");
     if (random.nextInt(4) > 0) {
       scheduleEnd(
-          request, cancel.attemptNumber(), AttemptOutcome.CANCELLED, run.now + RandomEvents.TICK);
+          request,
+          cancel.attemptNumber(),
+          AttemptOutcome.CANCELLED,
+          randomEvents.nowMicros + RandomEvents.TICK_MICROS);
     }
   }
 
   private void checkHealth(CheckHealth check) {
     assertTrue(
         settings.limits().healthChecks() && endpoints.containsKey(check.workerId()),
-        "health check not allowed");
-    long time = run.now + random.nextInt(400_000);
+        "a health check is not allowed");
+    long timeMicros = randomEvents.nowMicros + random.nextInt(400_000);
     AttemptOutcome outcome = random.nextInt(8) == 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
-    schedule(time, new HealthChecked(check.workerId(), outcome, 1000, run.loadReport()));
+    schedule(
+        timeMicros,
+        new HealthChecked(check.workerId(), outcome, 1000, randomEvents.drawLoadReport()));
   }
 
-  private void scheduleOutcome(RequestRecord request, int attempt) {
-    long deadline = request.arrival.deadline();
-    long remaining = Math.max(1, deadline - run.now);
+  /**
+   * Schedules the end of an attempt, at a random time and with a random outcome. In half of the
+   * cases, also schedules progress of the attempt before the end. An attempt that is still open at
+   * the deadline of the request ends with a timeout.
+   */
+  private void scheduleOutcome(RequestRecord request, int attemptNumber) {
+    long deadlineMicros = request.arrival.deadline();
+    long remainingMicros = Math.max(1, deadlineMicros - randomEvents.nowMicros);
     double fraction = Math.min(1, random.nextDouble() * random.nextDouble() * 1.3);
-    long endsAt = run.now + (long) (remaining * fraction);
-    AttemptOutcome[] all = AttemptOutcome.values();
-    AttemptOutcome drawn =
-        random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length)];
-    AttemptOutcome outcome = endsAt >= deadline ? AttemptOutcome.TIMEOUT : drawn;
-    scheduleEnd(request, attempt, outcome, endsAt);
+    long endsAtMicros = randomEvents.nowMicros + (long) (remainingMicros * fraction);
+    AttemptOutcome[] allOutcomes = AttemptOutcome.values();
+    AttemptOutcome randomOutcome =
+        random.nextInt(3) > 0 ? AttemptOutcome.OK : allOutcomes[random.nextInt(allOutcomes.length)];
+    AttemptOutcome outcome =
+        endsAtMicros >= deadlineMicros ? AttemptOutcome.TIMEOUT : randomOutcome;
+    scheduleEnd(request, attemptNumber, outcome, endsAtMicros);
     if (random.nextBoolean()) {
       schedule(
-          run.now + (endsAt - run.now) / 3,
-          new AttemptProgressed(request.arrival.requestId(), attempt));
+          randomEvents.nowMicros + (endsAtMicros - randomEvents.nowMicros) / 3,
+          new AttemptProgressed(request.arrival.requestId(), attemptNumber));
     }
   }
 
-  private void scheduleEnd(RequestRecord request, int number, AttemptOutcome outcome, long endsAt) {
+  private void scheduleEnd(
+      RequestRecord request, int number, AttemptOutcome outcome, long endsAtMicros) {
     AttemptRecord attempt = request.attempts.get(number);
     schedule(
-        endsAt,
+        endsAtMicros,
         new AttemptEnded(
             request.arrival.requestId(),
             number,
             attempt.worker,
             outcome,
             false,
-            endsAt - attempt.sentAt,
-            random.nextInt(3) == 0 ? null : run.loadReport()));
+            endsAtMicros - attempt.sentAtMicros,
+            random.nextInt(3) == 0 ? null : randomEvents.drawLoadReport()));
   }
 
-  /** Has a random request arrive, which its client may cancel later. */
+  /**
+   * Delivers the arrival of a random request. In one of 20 cases, also schedules that the client
+   * cancels the request.
+   */
   void arrive() {
-    String id = number + "-" + order++;
-    long patience = random.nextInt(10) == 0 ? 1 + random.nextInt(6000) : random.nextInt(9_000_000);
+    String id = dispatcherNumber + "-" + sequenceNumber++;
+    long clientTimeoutMicros =
+        random.nextInt(10) == 0 ? 1 + random.nextInt(6000) : random.nextInt(9_000_000);
     RequestArrived arrival =
         new RequestArrived(
             id,
@@ -249,25 +324,31 @@
             1 << random.nextInt(3),
             random.nextInt(settings.classes().size()),
             -1,
-            run.now + patience,
+            randomEvents.nowMicros + clientTimeoutMicros,
             random.nextBoolean(),
             Double.NaN);
     requests.put(id, new RequestRecord(arrival));
     deliver(arrival);
     if (random.nextInt(20) == 0) {
-      schedule(run.now + random.nextInt(3_000_000), new RequestCancelled(id));
+      schedule(randomEvents.nowMicros + random.nextInt(3_000_000), new RequestCancelled(id));
     }
   }
 
+  /** Records changed endpoints and delivers them to the policy as an endpoint update. */
   void update(List<Endpoint> changes) {
     changes.forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
     deliver(new EndpointUpdate(changes));
   }
 
-  /** Delivers the events that are due, and checks that no answer is overdue. */
+  /**
+   * Delivers the events that are due, and asserts that no answer is overdue. Then discards the
+   * records of requests if the request is answered, none of its attempts is open, and its deadline
+   * passed more than 2 s ago.
+   */
   void step() {
-    while (!scheduled.isEmpty() && scheduled.peek().time() <= run.now) {
-      Event event = scheduled.poll().event();
+    while (!scheduledEvents.isEmpty()
+        && scheduledEvents.peek().timeMicros() <= randomEvents.nowMicros) {
+      Event event = scheduledEvents.poll().event();
       if (event instanceof AttemptEnded end) {
         deliverEnd(end);
       } else {
@@ -279,7 +360,8 @@
     }
     for (RequestRecord request : requests.values()) {
       assertTrue(
-          request.answered || run.now <= request.arrival.deadline(), "rule 1: no answer in time");
+          request.answered || randomEvents.nowMicros <= request.arrival.deadline(),
+          "rule 1: a request has no answer at its deadline");
     }
     requests.values().removeIf(this::isObsolete);
   }
@@ -292,7 +374,7 @@
 
   private boolean isObsolete(RequestRecord request) {
     return request.answered
-        && run.now > request.arrival.deadline() + 2 * SECOND
+        && randomEvents.nowMicros > request.arrival.deadline() + 2 * SECOND
         && request.attempts.stream().allMatch(AttemptRecord::hasEnded);
   }
 }
--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -8,71 +8,112 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The sum of what many dispatchers send to one worker that warms up. */
+/**
+ * Tests how much work {@link SlowStartLimiter} allows many dispatchers together to send to one
+ * worker that warms up. Work is in slots times microseconds. Relative work is work divided by
+ * {@link #MEAN_WORK_MICROS}.
+ */
 class SlowStartLimiterTest {
   private static final long SECOND = 1_000_000;
-  private static final double MEAN_WORK = 0.25 * SECOND;
-  private static final double MAX_WORK = SlowStartLimiter.MAX_RELATIVE_WORK * MEAN_WORK;
-  private static final double UNLIMITED = Double.POSITIVE_INFINITY;
+
+  /** The mean work of a request, in slots times microseconds. */
+  private static final double MEAN_WORK_MICROS = 0.25 * SECOND;
+
+  /**
+   * The work of the heaviest request that may go to a warming worker, in slots times microseconds.
+   */
+  private static final double MAX_WORK_MICROS =
+      SlowStartLimiter.MAX_RELATIVE_WORK * MEAN_WORK_MICROS;
+
+  private static final double UNLIMITED_WORK = Double.POSITIVE_INFINITY;
+
+  /** The time, in seconds, in which the capacity of a worker grows to its full value. */
   private static final double WARM_UP_SECONDS = 24;
-  private static final long STEP = SECOND / 20;
-  private static final int RUNS = 1000;
 
-  /** The fraction of the limit that all dispatchers together are configured to use. */
-  private static final double CONFIGURED_FRACTION = 0.8;
+  /** The time, in microseconds, after which a simulated process tries again to send a request. */
+  private static final long STEP_MICROS = SECOND / 20;
+
+  /** The number of simulated slow starts in each scenario. */
+  private static final int RUN_COUNT = 1000;
 
-  /** One dispatcher in so many is restarted in the middle of the overload window. */
+  /**
+   * The refill rate of the allowances of all dispatchers together, as a fraction of the rate at
+   * which the worker would get as much work as the overload limit.
+   */
+  private static final double REFILL_FRACTION = 0.8;
+
+  /**
+   * Selects the dispatchers that are restarted in the middle of the overload window: those whose
+   * number, counted from 1, is a multiple of this value.
+   */
   private static final int RESTART_DIVISOR = 5;
 
   /**
-   * Many dispatchers that always have a request to send.
+   * A cold worker and the dispatchers that send requests to it. Each dispatcher has a request to
+   * send at any time. The worker fails if the work that it gets within the overload window exceeds
+   * a multiple of the work that it can do in that time.
    *
-   * @param capacity how many mean jobs per second the worker does once it is warm
-   * @param initialCapacity the fraction of its capacity that it starts with
-   * @param windowSeconds the overload window
-   * @param overloadMultiple the multiple of its capacity at which the worker fails
-   * @param deviation the standard deviation of the work, which is lognormal, relative to its mean
+   * @param dispatcherCount the number of dispatchers
+   * @param relativeCapacity the relative work per second that the worker can do when it is warm
+   * @param initialCapacityFraction the fraction of its capacity that the worker has when it starts
+   * @param windowSeconds the length of the overload window, in seconds
+   * @param overloadMultiple the multiple of its capacity above which the worker fails
+   * @param relativeDeviation the standard deviation of the work of a request, divided by the mean;
+   *     the work is distributed lognormally
    */
   private record Scenario(
-      int dispatchers,
-      double capacity,
-      double initialCapacity,
+      int dispatcherCount,
+      double relativeCapacity,
+      double initialCapacityFraction,
       int windowSeconds,
       double overloadMultiple,
-      double deviation) {
-    long window() {
+      double relativeDeviation) {
+    long windowMicros() {
       return windowSeconds * SECOND;
     }
 
-    /** The mean jobs per second that the worker does at an age, which grow linearly. */
-    double capacityAt(long age) {
-      return capacity
-          * (initialCapacity + (1 - initialCapacity) * age / (WARM_UP_SECONDS * SECOND));
+    /**
+     * Returns the relative work per second that the worker can do at an age, in microseconds. The
+     * capacity grows linearly with the age.
+     */
+    double relativeCapacityAt(long ageMicros) {
+      return relativeCapacity
+          * (initialCapacityFraction
+              + (1 - initialCapacityFraction) * ageMicros / (WARM_UP_SECONDS * SECOND));
     }
 
-    /** The work in mean jobs per second that one dispatcher may send, per unit of capacity. */
-    double ratePerDispatcher() {
-      return CONFIGURED_FRACTION * overloadMultiple * MEAN_WORK / SECOND / dispatchers;
+    /**
+     * Returns the factor that gives the refill rate of one dispatcher's allowance. The refill rate,
+     * in work per microsecond, is this factor times {@link #relativeCapacityAt}.
+     */
+    double refillFactorPerDispatcher() {
+      return REFILL_FRACTION * overloadMultiple * MEAN_WORK_MICROS / SECOND / dispatcherCount;
     }
 
-    /** The mean jobs in the overload window at which the worker fails. */
-    double overload() {
-      return overloadMultiple * windowSeconds * capacityAt(window() / 2);
+    /**
+     * Returns the overload limit: the relative work that the worker can get within the overload
+     * window, which begins when the worker starts, without being overloaded.
+     */
+    double relativeLimit() {
+      return overloadMultiple * windowSeconds * relativeCapacityAt(windowMicros() / 2);
     }
 
+    /** Returns the work of a random request, in slots times microseconds. */
     double drawWork(SplittableRandom random) {
-      double variance = Math.log(1 + deviation * deviation);
-      double normal =
+      double logVariance = Math.log(1 + relativeDeviation * relativeDeviation);
+      double standardNormal =
           Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
               * Math.cos(2 * Math.PI * random.nextDouble());
-      return Math.exp(normal * Math.sqrt(variance) - variance / 2) * MEAN_WORK;
+      return Math.exp(standardNormal * Math.sqrt(logVariance) - logVariance / 2) * MEAN_WORK_MICROS;
     }
 
+    /** Returns the work of a random request whose work is at most {@link #MAX_WORK_MICROS}. */
     double drawLightWork(SplittableRandom random) {
-      double work = drawWork(random);
-      return work <= MAX_WORK ? work : drawLightWork(random);
+      double workMicros = drawWork(random);
+      return workMicros <= MAX_WORK_MICROS ? workMicros : drawLightWork(random);
     }
 
+    /** Returns the mean result of 20,000 calls of {@link #drawLightWork}. */
     double meanLightWork(int seed) {
       return new SplittableRandom(seed)
           .doubles(20_000)
@@ -81,47 +122,76 @@
           .orElseThrow();
     }
 
-    /** The mean jobs that one process sends from a time on to the end of the overload window. */
-    double jobsSent(SplittableRandom random, double rate, long from, double meanLightWork) {
+    /**
+     * Simulates one process of a dispatcher from its start until the end of the overload window. A
+     * dispatcher has a single process, unless it is restarted; see {@link #simulateAllDispatchers}.
+     *
+     * @param refillFactor the factor that gives the refill rate of the allowance of the process, as
+     *     for {@link #refillFactorPerDispatcher}
+     * @param startedAtMicros the age of the worker when the process starts, in microseconds
+     * @param meanLightWork the mean work of the requests that may go to the worker
+     * @return the relative work that the process sends to the worker
+     */
+    double simulateProcess(
+        SplittableRandom random, double refillFactor, long startedAtMicros, double meanLightWork) {
       SlowStartLimiter limiter = new SlowStartLimiter();
-      limiter.restart(random.nextDouble() * meanLightWork, from);
-      double jobs = 0;
-      double work = drawWork(random);
-      for (long now = from; now < window(); now += STEP) {
-        double refill = rate * capacityAt(now);
-        if (limiter.allows(refill, meanLightWork, window(), work, MAX_WORK, now)) {
-          limiter.consume(work);
-          jobs += work / MEAN_WORK;
-          work = drawWork(random);
-        } else if (work > MAX_WORK) {
-          // It is sent to a warm worker; the next one may be light.
-          work = drawWork(random);
+      limiter.restart(random.nextDouble() * meanLightWork, startedAtMicros);
+      double relativeWork = 0;
+      double workMicros = drawWork(random);
+      for (long nowMicros = startedAtMicros;
+          nowMicros < windowMicros();
+          nowMicros += STEP_MICROS) {
+        double refillRate = refillFactor * relativeCapacityAt(nowMicros);
+        if (limiter.allows(
+            refillRate, meanLightWork, windowMicros(), workMicros, MAX_WORK_MICROS, nowMicros)) {
+          limiter.consume(workMicros);
+          relativeWork += workMicros / MEAN_WORK_MICROS;
+          workMicros = drawWork(random);
+        } else if (workMicros > MAX_WORK_MICROS) {
+          // The request is too heavy for the cold worker, so the dispatcher sends it to a warm
+          // worker and continues with the next request.
+          workMicros = drawWork(random);
         }
       }
-      return jobs;
+      return relativeWork;
     }
 
     /**
-     * The mean jobs that all dispatchers send in the overload window. One in five is restarted in
-     * the middle, with an allowance of its own, while its old process continues with half of the
-     * rate.
+     * Simulates all dispatchers over the overload window and returns the relative work that they
+     * send to the worker.
+     *
+     * <p>A dispatcher that is restarted is simulated as two processes. The first runs for the whole
+     * window. The second starts in the middle of the window with an allowance of its own. Each
+     * process uses half of the refill rate for its whole run. {@link #RESTART_DIVISOR} selects the
+     * dispatchers that are restarted.
      */
-    double jobsSentByAll(SplittableRandom random, double meanLightWork) {
-      double jobs = 0;
-      for (int dispatcher = 0; dispatcher < dispatchers; dispatcher++) {
-        double rate = ratePerDispatcher();
+    double simulateAllDispatchers(SplittableRandom random, double meanLightWork) {
+      double relativeWork = 0;
+      for (int dispatcher = 0; dispatcher < dispatcherCount; dispatcher++) {
+        double refillFactor = refillFactorPerDispatcher();
         boolean isRestarted = dispatcher % RESTART_DIVISOR == RESTART_DIVISOR - 1;
-        jobs += jobsSent(random, isRestarted ? rate / 2 : rate, 0, meanLightWork);
+        relativeWork +=
+            simulateProcess(
+                random, isRestarted ? refillFactor / 2 : refillFactor, 0, meanLightWork);
         if (isRestarted) {
-          jobs += jobsSent(random, rate / 2, window() / 2, meanLightWork);
+          relativeWork +=
+              simulateProcess(random, refillFactor / 2, windowMicros() / 2, meanLightWork);
         }
       }
-      return jobs;
+      return relativeWork;
     }
   }
 
+  /**
+   * Verifies that the dispatchers together send at least 0.7 of the overload limit on average, and
+   * overload the worker in at most one of 1000 runs. A worker with the limit {@code N}, in relative
+   * work, is overloaded only if it gets more than {@code N + 2 sqrt(N) + 2}. A smaller excess over
+   * the limit counts as chance; see {@link SlowStartLimiter}.
+   */
   @ParameterizedTest
   @CsvSource({
+    // dispatcherCount, relativeCapacity, initialCapacityFraction, windowSeconds, overloadMultiple,
+    // relativeDeviation, seed
     "3, 16, 0.14, 3, 2.5, 0.7, 1",
     "20, 16, 0.14, 3, 2.5, 0.7, 2",
     "30, 16, 0.14, 3, 2.5, 0.7, 3",
@@ -135,62 +205,115 @@
     "30, 4, 0.45, 2, 4, 2, 11",
     "100, 4, 0.45, 2, 4, 2, 12"
   })
-  void allDispatchersTogetherUseMostOfTheLimitAndOverloadOneWorkerInAThousand(
-      int dispatchers,
-      double capacity,
-      double initialCapacity,
+  void allDispatchersTogetherUseMostOfTheLimitAndOverloadTheWorkerInAtMostOneRunInAThousand(
+      int dispatcherCount,
+      double relativeCapacity,
+      double initialCapacityFraction,
       int windowSeconds,
       double overloadMultiple,
-      double deviation,
+      double relativeDeviation,
       int seed) {
     Scenario scenario =
         new Scenario(
-            dispatchers, capacity, initialCapacity, windowSeconds, overloadMultiple, deviation);
+            dispatcherCount,
+            relativeCapacity,
+            initialCapacityFraction,
+            windowSeconds,
+            overloadMultiple,
+            relativeDeviation);
     double meanLightWork = scenario.meanLightWork(seed);
-    double overload = scenario.overload();
-    double overloadWithChance = overload + 2 * Math.sqrt(overload) + 2;
+    double relativeLimit = scenario.relativeLimit();
+    double relativeLimitWithChance = relativeLimit + 2 * Math.sqrt(relativeLimit) + 2;
 
-    int overloaded = 0;
-    double used = 0;
-    for (int run = 0; run < RUNS; run++) {
+    int overloadedRuns = 0;
+    double usedFraction = 0;
+    for (int run = 0; run < RUN_COUNT; run++) {
       SplittableRandom random = new SplittableRandom(1000L * seed + run);
-      double jobs = scenario.jobsSentByAll(random, meanLightWork);
-      overloaded += jobs > overloadWithChance ? 1 : 0;
-      used += jobs / overload / RUNS;
+      double relativeWork = scenario.simulateAllDispatchers(random, meanLightWork);
+      overloadedRuns += relativeWork > relativeLimitWithChance ? 1 : 0;
+      usedFraction += relativeWork / relativeLimit / RUN_COUNT;
     }
 
-    assertTrue(overloaded <= RUNS / 1000, overloaded + " of " + RUNS + " were overloaded");
-    assertTrue(used >= 0.7, "used " + used + " of the limit");
+    assertTrue(
+        overloadedRuns <= RUN_COUNT / 1000,
+        overloadedRuns + " of " + RUN_COUNT + " runs overloaded the worker");
+    assertTrue(usedFraction >= 0.7, "used " + usedFraction + " of the limit");
   }
 
+  /**
+   * Verifies that a request with more work than the allowance can hold is allowed only when the
+   * allowance is full, and that the allowance is negative afterwards. In this test, the full
+   * allowance is the mean work, and the allowance refills by the mean work per second.
+   */
   @Test
   void aHeavyRequestNeedsAFullAllowanceAndOverdrawsIt() {
     SlowStartLimiter limiter = new SlowStartLimiter();
     limiter.restart(0, 0);
-    double rate = MEAN_WORK / SECOND;
-    long window = 3 * SECOND;
+    double rate = MEAN_WORK_MICROS / SECOND;
+    long windowMicros = 3 * SECOND;
 
-    assertFalse(limiter.allows(rate, MEAN_WORK, window, 5 * MEAN_WORK, UNLIMITED, SECOND / 2));
-    assertTrue(limiter.allows(rate, MEAN_WORK, window, 5 * MEAN_WORK, UNLIMITED, SECOND));
-    limiter.consume(5 * MEAN_WORK);
+    assertFalse(
+        limiter.allows(
+            rate,
+            MEAN_WORK_MICROS,
+            windowMicros,
+            5 * MEAN_WORK_MICROS,
+            UNLIMITED_WORK,
+            SECOND / 2));
+    assertTrue(
+        limiter.allows(
+            rate, MEAN_WORK_MICROS, windowMicros, 5 * MEAN_WORK_MICROS, UNLIMITED_WORK, SECOND));
+    limiter.consume(5 * MEAN_WORK_MICROS);
 
     assertFalse(
-        limiter.allows(rate, MEAN_WORK, window, MEAN_WORK / 10, UNLIMITED, 5 * SECOND),
-        "four mean jobs are overdrawn, and one has to be saved up");
-    assertTrue(limiter.allows(rate, MEAN_WORK, window, MEAN_WORK / 10, UNLIMITED, 6 * SECOND));
-    assertTrue(limiter.allows(rate, MEAN_WORK, window, MEAN_WORK, UNLIMITED, 6 * SECOND));
+        limiter.allows(
+            rate,
+            MEAN_WORK_MICROS,
+            windowMicros,
+            MEAN_WORK_MICROS / 10,
+            UNLIMITED_WORK,
+            5 * SECOND),
+        "the overdrawn allowance has refilled to 0, and a light request needs the mean work");
+    assertTrue(
+        limiter.allows(
+            rate,
+            MEAN_WORK_MICROS,
+            windowMicros,
+            MEAN_WORK_MICROS / 10,
+            UNLIMITED_WORK,
+            6 * SECOND));
+    assertTrue(
+        limiter.allows(
+            rate, MEAN_WORK_MICROS, windowMicros, MEAN_WORK_MICROS, UNLIMITED_WORK, 6 * SECOND));
   }
 
-  /** Whatever is saved up: a few of them could overload the worker. */
+  /**
+   * Verifies that a request whose work exceeds the maximum is not allowed even if the allowance is
+   * full. A few requests of more than the maximum work could overload the worker.
+   */
   @Test
-  void aRequestThatIsTooHeavyIsNeverAllowed() {
+  void aRequestAboveTheMaximumWorkIsNeverAllowed() {
     SlowStartLimiter limiter = new SlowStartLimiter();
     limiter.restart(0, 0);
-    double rate = MEAN_WORK / SECOND;
-    long window = 3 * SECOND;
-    long later = 100 * SECOND;
+    double rate = MEAN_WORK_MICROS / SECOND;
+    long windowMicros = 3 * SECOND;
+    long laterMicros = 100 * SECOND;
 
-    assertFalse(limiter.allows(rate, MEAN_WORK, window, 2.1 * MEAN_WORK, 2 * MEAN_WORK, later));
-    assertTrue(limiter.allows(rate, MEAN_WORK, window, 2 * MEAN_WORK, 2 * MEAN_WORK, later));
+    assertFalse(
+        limiter.allows(
+            rate,
+            MEAN_WORK_MICROS,
+            windowMicros,
+            2.1 * MEAN_WORK_MICROS,
+            2 * MEAN_WORK_MICROS,
+            laterMicros));
+    assertTrue(
+        limiter.allows(
+            rate,
+            MEAN_WORK_MICROS,
+            windowMicros,
+            2 * MEAN_WORK_MICROS,
+            2 * MEAN_WORK_MICROS,
+            laterMicros));
   }
 }
--- a/src/test/java/loomreel/decision/SlowStartTest.java
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -12,77 +12,91 @@
 import loomreel.decision.Settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** How much dispatchers send to workers that warm up. */
+/** Tests how much work dispatchers send to workers that warm up. */
 class SlowStartTest {
+  /**
+   * Verifies that 30 dispatchers together do not overload a worker in the 2 s after the worker
+   * restarts. In that time, the worker may get at most 3 times 0.28 of the attempts that a warm
+   * worker gets. The overload multiple is 3. The fraction of its capacity that the worker has is
+   * 0.28 after 2 s, because the fraction grows from 0.2 to 1 within 20 s.
+   */
   @Test
-  void aColdWorkerGetsItsFractionOfTheMeanLoadFromAllDispatchersTogether() {
-    int dispatchers = 30;
-    int attemptsAtCold = 0;
+  void allDispatchersTogetherDoNotOverloadAColdWorker() {
+    int dispatcherCount = 30;
+    int attemptsAtColdWorker = 0;
     int allAttempts = 0;
-    long start = 100 * SECOND;
-    for (int seed = 0; seed < dispatchers; seed++) {
+    long startMicros = 100 * SECOND;
+    for (int seed = 0; seed < dispatcherCount; seed++) {
       DispatcherHarness dispatcher =
           new DispatcherHarness(
               DispatcherHarness.settings(
-                  dispatchers, true, false, LoadReporting.WITH_ANSWERS, false),
+                  dispatcherCount, true, false, LoadReporting.WITH_ANSWERS, false),
               seed);
       dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(20)));
       for (int i = 0; i < 400; i++) {
         if (i == 200) {
-          dispatcher.updateEndpoint(7, State.READY, dispatcher.now);
+          dispatcher.updateEndpoint(7, State.READY, dispatcher.nowMicros);
         }
         for (StartAttempt attempt :
-            attempts(dispatcher.arrive("r" + i, "key" + i, DispatcherHarness.READ))) {
-          if (dispatcher.now < start + 22 * SECOND) {
+            attempts(dispatcher.arrive("r" + i, "key" + i, DispatcherHarness.IDEMPOTENT_CLASS))) {
+          if (dispatcher.nowMicros < startMicros + 22 * SECOND) {
             allAttempts++;
-            attemptsAtCold += i >= 200 && attempt.workerId().equals("w07") ? 1 : 0;
+            attemptsAtColdWorker += i >= 200 && attempt.workerId().equals("w07") ? 1 : 0;
           }
           dispatcher.endAttempt("r" + i, 0, attempt.workerId(), AttemptOutcome.OK);
         }
-        dispatcher.now += SECOND / 10;
+        dispatcher.nowMicros += SECOND / 10;
       }
     }
 
-    double atWarm = 2.0 * dispatchers * 10 / 20;
+    // Within 2 s, each dispatcher sends 10 requests per second to 20 workers.
+    double attemptsAtWarmWorker = 2.0 * dispatcherCount * 10 / 20;
     assertTrue(
-        attemptsAtCold <= atWarm * 3 * 0.28,
-        attemptsAtCold + " attempts in the first two seconds, a warm worker gets " + atWarm);
+        attemptsAtColdWorker <= attemptsAtWarmWorker * 3 * 0.28,
+        attemptsAtColdWorker
+            + " attempts in the first two seconds, a warm worker gets "
+            + attemptsAtWarmWorker);
     assertTrue(allAttempts > 5000);
   }
 
-  /** A dispatcher that has just started has to use them, and must not overload them. */
+  /**
+   * Verifies that a dispatcher that has just started uses its workers although all workers are
+   * cold, and does not overload the workers.
+   */
   @Test
-  void aFleetThatIsAllColdGetsTheWorkThatItsSlotsCanDo() {
+  void coldWorkersGetTheWorkThatTheirSlotsCanDoIfNoWorkerIsWarm() {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
     dispatcher.handle(
         new EndpointSnapshot(
             List.of(
-                DispatcherHarness.endpoint(0, State.READY, dispatcher.now),
-                DispatcherHarness.endpoint(1, State.READY, dispatcher.now))));
-    double workPerRequest = 20_000;
-    double work = 0;
-    double capacity = 0;
+                DispatcherHarness.endpoint(0, State.READY, dispatcher.nowMicros),
+                DispatcherHarness.endpoint(1, State.READY, dispatcher.nowMicros))));
+    double workMicrosPerRequest = 20_000;
+    double workMicros = 0;
+    double capacityMicros = 0;
     for (int i = 0; i < 200; i++) {
-      dispatcher.now += SECOND / 100;
+      dispatcher.nowMicros += SECOND / 100;
       for (String worker : List.of("w00", "w01")) {
         dispatcher.reportHealth(worker, loadReport(0, 0, 4));
       }
-      // Two workers of four slots that do 0.45 of the work at the least; a cold worker has 0.2 of
-      // its capacity, which grows to 1 over 2000 rounds.
-      capacity += 2 * 4 * 0.45 * (0.2 + 0.8 * i / 2000) * SECOND / 100;
+      // Each of the two workers has four slots, and a slot of a warm worker does at least 0.45
+      // microseconds of work in a microsecond. A worker starts with 0.2 of its capacity, and would
+      // have its full capacity after 2000 rounds of 0.01 s.
+      capacityMicros += 2 * 4 * 0.45 * (0.2 + 0.8 * i / 2000) * SECOND / 100;
       String id = "r" + i;
       List<StartAttempt> sent =
           attempts(
               dispatcher.handle(
-                  dispatcher.request(id, null, DispatcherHarness.READ, workPerRequest)));
-      work += sent.size() * workPerRequest;
+                  dispatcher.request(
+                      id, null, DispatcherHarness.IDEMPOTENT_CLASS, workMicrosPerRequest)));
+      workMicros += sent.size() * workMicrosPerRequest;
       for (StartAttempt attempt : sent) {
         dispatcher.endAttempt(id, 0, attempt.workerId(), AttemptOutcome.OK);
       }
     }
 
-    double overload = DispatcherHarness.RULES.overloadMultiple() * capacity;
-    assertTrue(work > capacity, "sent " + work + " of " + capacity);
-    assertTrue(work < overload, "sent " + work + " of " + capacity);
+    double overloadMicros = DispatcherHarness.RULES.overloadMultiple() * capacityMicros;
+    assertTrue(workMicros > capacityMicros, "sent " + workMicros + " of " + capacityMicros);
+    assertTrue(workMicros < overloadMicros, "sent " + workMicros + " of " + capacityMicros);
   }
 }
--- a/src/test/java/loomreel/decision/TokenBucketTest.java
+++ b/src/test/java/loomreel/decision/TokenBucketTest.java
@@ -6,24 +6,24 @@
 import org.junit.jupiter.api.Test;
 
 class TokenBucketTest {
-  private static final double TOKENS_PER_MICRO = 0.001;
+  private static final double TOKENS_PER_MICROSECOND = 0.001;
   private static final double CAPACITY = 2;
 
   private final TokenBucket bucket = new TokenBucket();
 
-  private boolean tryAcquire(long now) {
-    return bucket.tryAcquire(TOKENS_PER_MICRO, CAPACITY, now);
+  private boolean tryAcquire(long nowMicros) {
+    return bucket.tryAcquire(TOKENS_PER_MICROSECOND, CAPACITY, nowMicros);
   }
 
   @Test
-  void itStartsFull() {
+  void aNewBucketIsFull() {
     assertTrue(tryAcquire(0));
     assertTrue(tryAcquire(0));
     assertFalse(tryAcquire(0));
   }
 
   @Test
-  void itRefillsWithTime() {
+  void aBucketRefillsAtItsRate() {
     tryAcquire(0);
     tryAcquire(0);
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void itHoldsNoMoreThanItsCapacity() {
+  void aBucketHoldsNoMoreThanItsCapacity() {
     tryAcquire(0);
 
     assertTrue(tryAcquire(1_000_000));
