--- a/src/main/java/loomreel/core/ActionExecutor.java
+++ b/src/main/java/loomreel/core/ActionExecutor.java
@@ -7,7 +7,9 @@
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
-/** Executes the actions of the decision module on the calls and workers of a dispatcher. */
+/**
+ * Executes the actions that the decision module returns on the calls and workers of a dispatcher.
+ */
 final class ActionExecutor {
   private final RateLimitedLogger policyLog = new RateLimitedLogger("loomreel.decision");
   private final Dispatcher dispatcher;
@@ -30,9 +32,9 @@
   }
 
   /**
-   * Executes one action.
+   * Executes one action. An action for a call that is no longer active is ignored.
    *
-   * @throws IllegalStateException if the action's type is unknown
+   * @throws IllegalStateException if the type of the action is unknown
    */
   void execute(Action action) {
     if (action instanceof Action.StartAttempt start) {
@@ -57,8 +59,9 @@
   }
 
   /**
-   * Each action adds an attempt to the call, and each attempt ends, also one that cannot be
-   * started: the policy and this dispatcher number the attempts of a call by the same rule.
+   * Adds an attempt to the call and starts it, or ends it at once if it must not or cannot be
+   * started. Such an attempt is added as well, because the policy and the dispatcher both number
+   * the attempts of a call by counting these actions.
    */
   private void startAttempt(Action.StartAttempt start) {
     Rpc rpc = calls.find(start.requestId());
@@ -67,7 +70,7 @@
     }
     long deadline = attemptDeadline(start, rpc);
     Subchannel subchannel = pools.find(start.workerId());
-    boolean isSuperfluous =
+    boolean mustNotStart =
         rpc.isCompleted()
             || rpc.attemptCount() >= maxAttempts
             || loop.now() >= deadline
@@ -82,7 +85,7 @@
             deadline,
             Math.min(deadline, start.writeDeadline()));
     rpc.addAttempt(attempt);
-    if (isSuperfluous) {
+    if (mustNotStart) {
       attempt.end(AttemptOutcome.NOT_ATTEMPTED, null);
     } else if (subchannel == null) {
       attempt.end(AttemptOutcome.CONNECT_FAILED, null);
@@ -91,7 +94,10 @@
     }
   }
 
-  /** A timeout of 0 stands for the call's own deadline. */
+  /**
+   * Returns the deadline of an attempt, in microseconds of the loop's clock. It is never later than
+   * the deadline of the call, which also applies if the action has a timeout of 0.
+   */
   private long attemptDeadline(Action.StartAttempt start, Rpc rpc) {
     return start.timeout() > 0
         ? Math.min(rpc.deadline(), loop.now() + start.timeout())
@@ -109,7 +115,7 @@
     Rpc rpc = calls.find(reject.requestId());
     if (rpc != null && !rpc.isCompleted()) {
       rpc.reject(
-          new UnavailableStatus(reject.retryAfter(), ExternalNames.inWords(reject.reason())));
+          new UnavailableStatus(reject.retryAfter(), ExternalNames.toText(reject.reason())));
       calls.removeIfDone(rpc);
     }
   }
--- a/src/main/java/loomreel/core/CallAttempt.java
+++ b/src/main/java/loomreel/core/CallAttempt.java
@@ -5,8 +5,10 @@
 import loomreel.io.EventLoop;
 
 /**
- * One attempt of a call at one worker, in one of the {@link CallAttemptState}s. It ends once and
- * then reports its outcome to the {@link Dispatcher}. Times are microseconds of the loop's clock.
+ * One attempt to have a call processed by one worker. {@link CallAttemptState} describes its
+ * states. An attempt ends exactly once and then reports its outcome to the {@link Dispatcher}.
+ *
+ * <p>All times are in microseconds of the event loop's clock.
  */
 public final class CallAttempt {
   private final Dispatcher dispatcher;
@@ -20,27 +22,38 @@
 
   private CallAttemptState state = CallAttemptState.OPEN;
 
-  /** Null until the attempt has ended. */
+  /** The final outcome; null until the attempt has ended. */
   private AttemptOutcome outcome;
 
-  /** Carries the attempt; null before the start, and where it ended during the start. */
+  /**
+   * The call on the subchannel; null before the start, and if the attempt ended during the start.
+   */
   private Subchannel.ActiveCall activeCall;
 
-  /** Enforces the deadline in state ACCEPTED; null before. */
+  /** The timer that enforces the deadline in state ACCEPTED; null until that state is entered. */
   private EventLoop.Timer deadlineTimer;
 
-  /** Not part of the state: a worker may accept a request before its last byte is written. */
+  /**
+   * Whether the last byte of the request has been written. This is not part of the state, because a
+   * worker may accept a request before its last byte is written.
+   */
   private boolean requestWritten;
 
-  /** Not part of the state: it matters for status updates after the attempt's end. */
+  /**
+   * Whether the worker has returned the job unstarted. This is not part of the state, because it is
+   * needed after the end of the attempt, to detect a repeated status update.
+   */
   private boolean returnedUnstarted;
 
   /**
-   * Creates an attempt with the next number of its call.
+   * Creates an attempt whose number is the number of attempts that its call has so far.
    *
-   * @param subchannel the subchannel to the worker; null where none of that id is listed
-   * @param deadline when to stop waiting for the outcome
-   * @param writeDeadline when to abort a request that is not completely written
+   * @param worker the id of the worker
+   * @param subchannel the subchannel to the worker, or null if no worker with that id is listed; an
+   *     attempt without a subchannel must not be started
+   * @param sentAt the time at which the attempt is passed to the subchannel
+   * @param deadline the time at which to stop waiting for the outcome
+   * @param writeDeadline the time at which to abort a request that is not completely written
    */
   CallAttempt(
       Dispatcher dispatcher,
@@ -66,32 +79,37 @@
     activeCall = hasEnded() ? null : started;
   }
 
-  /** Whether the outcome is known; it does not change any more. */
+  /** Returns whether the attempt has ended. Its outcome is final then. */
   public boolean hasEnded() {
     return state == CallAttemptState.ENDED;
   }
 
-  /** The outcome, or null before the end. */
+  /** Returns the outcome, or null if the attempt has not ended. */
   AttemptOutcome outcome() {
     return outcome;
   }
 
-  /** Its position among the attempts of its call, from 0. */
+  /** Returns the position of this attempt among the attempts of its call, starting at 0. */
   int number() {
     return number;
   }
 
-  /** The id of the worker. */
+  /** Returns the id of the worker. */
   public String worker() {
     return worker;
   }
 
-  /** Whether the request may be sent; to be called before its first byte is written. */
+  /**
+   * Notifies the caller that the request is about to be sent, and returns whether it may be sent.
+   * The subchannel must call this before it writes the first byte of the request.
+   */
   public boolean mayStart() {
     return rpc.attemptStarting();
   }
 
-  /** Records that the last byte of the request is written: from here on the job may run. */
+  /**
+   * Records that the last byte of the request has been written. From this point on the job may run.
+   */
   public void requestWritten() {
     if (!requestWritten) {
       requestWritten = true;
@@ -99,14 +117,18 @@
     }
   }
 
-  /** Records that the worker has accepted the job; its end is reported later or times out. */
+  /**
+   * Records that the worker has accepted the job. The worker reports the end of the job later; if
+   * it does not do so by the deadline, the attempt ends with {@link AttemptOutcome#TIMEOUT}. Does
+   * nothing unless the attempt is in state {@link CallAttemptState#OPEN}.
+   */
   public void accepted() {
     if (transitionTo(CallAttemptState.ACCEPTED)) {
       deadlineTimer = dispatcher.loop().schedule(deadline, () -> end(AttemptOutcome.TIMEOUT, null));
     }
   }
 
-  /** Records that the job has started to run or has made progress. */
+  /** Reports that the job has started to run or has made progress. Ignored after the end. */
   public void progressed() {
     if (!hasEnded()) {
       dispatcher.attemptProgressed(this);
@@ -114,9 +136,10 @@
   }
 
   /**
-   * Records that the worker has completed the job, and answers the call.
+   * Answers the call with the result of the job and ends the attempt. Does nothing if the attempt
+   * has ended.
    *
-   * @param load the worker's load, or null where it was not reported
+   * @param load the load of the worker, or null if it was not reported
    */
   public void completed(byte[] result, WorkerLoad load) {
     if (!hasEnded()) {
@@ -126,11 +149,13 @@
   }
 
   /**
-   * Records that the worker has returned the job unstarted. Status updates may be repeated: a
-   * second return by the same worker may be a repeat of the first, and proves nothing for this
-   * attempt.
+   * Ends the attempt because the worker has returned the job unstarted. The outcome is {@link
+   * AttemptOutcome#REJECTED}, unless the same worker has already returned the job in an earlier
+   * attempt of the call. Workers may repeat status updates, so a second return may be a duplicate
+   * of the first one and does not prove that this attempt did not run. The outcome is {@link
+   * AttemptOutcome#RESET} then.
    *
-   * @param load the worker's load, or null where it was not reported
+   * @param load the load of the worker, or null if it was not reported
    */
   public void returnedUnstarted(WorkerLoad load) {
     boolean repeated = rpc.wasReturnedBy(worker);
@@ -138,15 +163,16 @@
     end(repeated ? AttemptOutcome.RESET : AttemptOutcome.REJECTED, load);
   }
 
-  /** Whether the worker has returned the job unstarted. */
+  /** Returns whether the worker has returned the job unstarted. */
   boolean wasReturnedUnstarted() {
     return returnedUnstarted;
   }
 
   /**
-   * Ends the attempt; does nothing if it has ended.
+   * Ends the attempt with an outcome and reports it to the dispatcher. Does nothing if the attempt
+   * has ended.
    *
-   * @param load the worker's load, or null where it was not reported
+   * @param load the load of the worker, or null if it was not reported
    */
   public void end(AttemptOutcome finalOutcome, WorkerLoad load) {
     if (!transitionTo(CallAttemptState.ENDED)) {
@@ -159,18 +185,19 @@
     dispatcher.attemptEnded(this, finalOutcome, load);
   }
 
+  /** Enters a state if the transition is allowed, and returns whether it was. */
   private boolean transitionTo(CallAttemptState next) {
-    boolean possible = state.canBecome(next);
-    if (possible) {
+    boolean isAllowed = state.canBecome(next);
+    if (isAllowed) {
       state = next;
     }
-    return possible;
+    return isAllowed;
   }
 
   /**
-   * Aborts the attempt if its request is not completely written, so that the job cannot have run:
-   * the client may have disconnected, or the worker takes no new jobs, and a request written later
-   * would start the job then.
+   * Aborts the attempt if its request is not completely written, which means that the job cannot
+   * have run. The client may have disconnected, or the worker may accept no new jobs; without the
+   * abort, the rest of the request could be written later and would start the job.
    */
   void abortIfUnsent() {
     if (!hasEnded() && activeCall != null && activeCall.abortIfUnsent()) {
@@ -178,7 +205,7 @@
     }
   }
 
-  /** Cancels the attempt; the job may have run. */
+  /** Cancels the attempt if it has not ended. The job may have run, or may still run. */
   void cancel() {
     if (!hasEnded()) {
       if (activeCall != null) {
@@ -188,22 +215,22 @@
     }
   }
 
-  /** The call that this is an attempt of. */
+  /** Returns the call that this attempt belongs to. */
   public Rpc rpc() {
     return rpc;
   }
 
-  /** When it was passed to its subchannel. */
+  /** Returns the time at which the attempt was passed to its subchannel. */
   public long sentAt() {
     return sentAt;
   }
 
-  /** When to stop waiting for the outcome. */
+  /** Returns the time at which to stop waiting for the outcome. */
   public long deadline() {
     return deadline;
   }
 
-  /** When to abort a request that is not completely written. */
+  /** Returns the time at which to abort a request that is not completely written. */
   public long writeDeadline() {
     return writeDeadline;
   }
--- a/src/main/java/loomreel/core/CallAttemptState.java
+++ b/src/main/java/loomreel/core/CallAttemptState.java
@@ -4,7 +4,7 @@
  * The states of a {@link CallAttempt}.
  *
  * <table>
- *   <caption>Transitions; an event that a state does not name changes nothing</caption>
+ *   <caption>Transitions; an event that is not listed for a state is ignored</caption>
  *   <tr><th>state</th><th>event</th><th>next state</th></tr>
  *   <tr><td>{@link #OPEN}</td><td>the worker accepts the job</td><td>{@link #ACCEPTED}</td></tr>
  *   <tr><td>{@link #OPEN}</td><td>any outcome</td><td>{@link #ENDED}</td></tr>
@@ -13,15 +13,19 @@
  */
 enum CallAttemptState {
   /**
-   * The worker has not accepted the job; the call that carries the attempt enforces its deadline.
+   * The worker has not accepted the job. The subchannel's call enforces the deadline of the
+   * attempt.
    */
   OPEN,
-  /** The worker has accepted the job and reports its end later; a timer enforces the deadline. */
+  /**
+   * The worker has accepted the job and reports its end later. A timer of the attempt enforces the
+   * deadline.
+   */
   ACCEPTED,
   /** The outcome is known and final. */
   ENDED;
 
-  /** Whether an attempt in this state may enter another. */
+  /** Returns whether an attempt in this state may enter another state. */
   boolean canBecome(CallAttemptState next) {
     return switch (this) {
       case OPEN -> next == ACCEPTED || next == ENDED;
--- a/src/main/java/loomreel/core/CallIdRegistry.java
+++ b/src/main/java/loomreel/core/CallIdRegistry.java
@@ -1,16 +1,16 @@
 package loomreel.core;
 
 /**
- * Coordinates the ids of active calls with another process that serves as the same dispatcher, so
- * that an id is never active in both.
+ * Shares the ids of active calls with another process that serves as the same dispatcher, as during
+ * a hot restart, so that an id is never active in both processes.
  */
 public interface CallIdRegistry {
-  /** A call with this id has become active here. */
+  /** Records that a call with this id has become active in this process. */
   void acquired(String id);
 
-  /** The call with this id has ended here; the id is free again. */
+  /** Records that the call with this id has ended in this process and the id is free again. */
   void released(String id);
 
-  /** Whether a call with this id is active in the other process. */
+  /** Returns whether a call with this id is active in the other process. */
   boolean inUseElsewhere(String id);
 }
--- a/src/main/java/loomreel/core/CallTable.java
+++ b/src/main/java/loomreel/core/CallTable.java
@@ -6,18 +6,24 @@
 import java.util.Set;
 
 /**
- * The active calls of a dispatcher, by id. A call is active from its acceptance until it has its
- * answer and every attempt of it has ended. Used on the event loop's thread only.
+ * The active calls of a dispatcher, by id. A call is active from its acceptance until it is
+ * completed (answered or cancelled) and all of its attempts have ended.
+ *
+ * <p>Not thread-safe: used on the event loop's thread only.
  */
 final class CallTable {
   private final Map<String, Rpc> calls = new HashMap<>();
 
-  /** Informed of ids that become active or free; null where no other process shares them. */
+  /**
+   * The registry that shares the ids of active calls with another process; null if there is no such
+   * registry.
+   */
   private CallIdRegistry registry;
 
+  /** The maximum number of active calls. */
   private int capacity;
 
-  /** Sets how many calls may be active at a time; 0 before the first call of this method. */
+  /** Sets the maximum number of active calls, which is initially 0. */
   void setCapacity(int maxCalls) {
     capacity = maxCalls;
   }
@@ -26,7 +32,7 @@
     return calls.size() < capacity;
   }
 
-  /** Sets who is informed of active ids; null for nobody. */
+  /** Sets the registry that shares the ids of active calls, or null for none. */
   void setRegistry(CallIdRegistry newRegistry) {
     registry = newRegistry;
   }
@@ -38,14 +44,14 @@
     }
   }
 
-  /** Removes a call that has its answer and no open attempt; else changes nothing. */
+  /** Removes a call if it is completed and all of its attempts have ended. */
   void removeIfDone(Rpc rpc) {
     if (rpc.isDone() && calls.remove(rpc.id(), rpc) && registry != null) {
       registry.released(rpc.id());
     }
   }
 
-  /** The active call with that id, or null if there is none. */
+  /** Returns the active call with this id, or null if there is none. */
   Rpc find(String id) {
     return calls.get(id);
   }
@@ -54,12 +60,12 @@
     return calls.containsKey(id);
   }
 
-  /** Whether the id belongs to an active call, here or in the process that shares the registry. */
+  /** Returns whether a call with this id is active in this process or in the other one. */
   boolean inUse(String id) {
     return isActive(id) || (registry != null && registry.inUseElsewhere(id));
   }
 
-  /** A copy of the ids of all active calls. */
+  /** Returns a copy of the ids of all active calls. */
   Set<String> activeIds() {
     return Set.copyOf(calls.keySet());
   }
@@ -68,14 +74,14 @@
     return calls.size();
   }
 
-  /** How many active calls have no answer yet. */
+  /** Returns the number of active calls that are neither answered nor cancelled. */
   int unansweredCount() {
     return (int) calls.values().stream().filter(rpc -> !rpc.isCompleted()).count();
   }
 
-  /** Aborts those attempts at a worker whose request has not been completely written. */
+  /** Aborts the attempts at a worker whose request has not been completely written. */
   void abortUnsentAttempts(String worker) {
-    // A copy, since the end of an attempt may add another attempt or remove its call.
+    // Iterates over a copy, because the end of an attempt may add an attempt or remove its call.
     for (Rpc rpc : List.copyOf(calls.values())) {
       rpc.abortUnsent(attempt -> attempt.worker().equals(worker));
     }
--- a/src/main/java/loomreel/core/Dispatcher.java
+++ b/src/main/java/loomreel/core/Dispatcher.java
@@ -11,55 +11,59 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Connects protocols and decision module: reports to the module, as events, what ingresses and
- * worker pools observe, and has its actions executed. It takes no decision of its own. Owns the
- * active calls. Used on the event loop's thread only; all times are microseconds of its clock.
+ * Connects the protocols to the decision module. Reports what ingresses and worker pools observe to
+ * the decision module, as events, and executes the actions that it returns. Makes no dispatch
+ * decisions itself, and owns the active calls.
+ *
+ * <p>Not thread-safe: used on the event loop's thread only. All times are in microseconds of the
+ * event loop's clock.
  */
 public final class Dispatcher {
   private static final long MICROS_PER_SECOND = 1_000_000;
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** The period of {@link WorkerPool#runPeriodicTasks}. */
+  /** The interval between two calls of {@link WorkerPool#runPeriodicTasks}, in microseconds. */
   private static final long PERIODIC_TASK_INTERVAL_MICROS = MICROS_PER_SECOND;
 
-  /** How often metrics are logged. */
+  /** The interval between two log lines with metrics, in microseconds. */
   public static final long METRICS_LOG_INTERVAL_MICROS = 10 * MICROS_PER_SECOND;
 
   private final EventLoop loop;
   private final Settings settings;
   private final long seed;
-  private final long answerGrace;
+  private final long answerGraceMicros;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.core.dispatcher");
   private final DispatcherMetrics metrics;
   private final CallTable calls = new CallTable();
   private final WorkerPools pools = new WorkerPools();
   private final PolicyDriver policy;
 
-  /** Calls that are accepted from now on are answered by this time. */
+  /** The time by which calls that are accepted from now on must be answered. */
   private long shutdownDeadline = Long.MAX_VALUE;
 
   /**
-   * Creates a dispatcher that has not started and has no capacity yet.
+   * Creates a dispatcher that has not been started and has a capacity of 0 calls.
    *
-   * @param seed seeds the decision module's random numbers
-   * @param answerGrace how long after a client's deadline an answer still counts, in microseconds
+   * @param seed the seed of the decision module's random number generator
+   * @param answerGraceMicros the time after the deadline of a call during which an answer still
+   *     counts as in time, in microseconds
    */
-  public Dispatcher(EventLoop loop, Settings settings, long seed, long answerGrace) {
+  public Dispatcher(EventLoop loop, Settings settings, long seed, long answerGraceMicros) {
     this.loop = loop;
     this.settings = settings;
     this.seed = seed;
-    this.answerGrace = answerGrace;
+    this.answerGraceMicros = answerGraceMicros;
     metrics = new DispatcherMetrics(settings.classes());
     ActionExecutor executor = new ActionExecutor(this, loop, calls, pools, settings.limits());
     policy = new PolicyDriver(loop, executor::execute);
   }
 
-  /** Adds a source of workers. */
+  /** Adds a pool of workers. */
   public void addWorkerPool(WorkerPool pool) {
     pools.add(pool);
   }
 
-  /** Sets how many calls may be active at a time. */
+  /** Sets the maximum number of calls that are active at the same time. */
   public void setCapacity(int maxCalls) {
     calls.setCapacity(maxCalls);
   }
@@ -67,7 +71,7 @@
   /**
    * Starts the decision module.
    *
-   * @param disabledWorkers ids of the workers that operators have disabled
+   * @param disabledWorkers the ids of the workers that operators have disabled
    */
   public void start(Set<String> disabledWorkers) {
     submit(new Event.Start(seed, settings));
@@ -75,8 +79,8 @@
   }
 
   /**
-   * Starts the pools' periodic tasks and the metrics log. To be called once, after the first
-   * endpoint list.
+   * Starts the periodic tasks of the worker pools and the periodic logging of metrics. Must be
+   * called once only.
    */
   public void startPeriodicTasks() {
     runPeriodicTasks();
@@ -97,17 +101,17 @@
     loop.schedule(loop.now() + METRICS_LOG_INTERVAL_MICROS, this::logMetrics);
   }
 
-  /** The counters since the start as key=value pairs for the log. */
+  /** Returns the counters since the start, as key=value pairs for the log. */
   public String summary() {
     return metrics.summary(calls.size(), pools.size());
   }
 
-  /** The figures that operators query. */
+  /** Returns the metrics that operators query. */
   public MetricsSnapshot metricsSnapshot() {
     return metrics.snapshot(calls.unansweredCount(), pools.size(), policy.ejectedWorkers());
   }
 
-  /** Whether a worker pool lists a worker with that id. */
+  /** Returns whether a worker pool lists a worker with this id. */
   public boolean isListed(String worker) {
     return pools.find(worker) != null;
   }
@@ -120,69 +124,77 @@
     submit(new Event.CapacityFractionChanged(fraction));
   }
 
-  /** Starts no further attempt at a worker, and aborts those that are not completely written. */
+  /**
+   * Disables a worker: no further attempts are started at it, and attempts whose request is not
+   * completely written are aborted.
+   */
   public void disableWorker(String worker) {
-    // The policy first: it must not retry there what the pool aborts.
+    // The policy is informed first, so that it does not retry the aborted attempts at this worker.
     submit(new Event.WorkerDisabled(worker));
     pools.setDisabled(worker, true);
     abortUnsentAttempts(worker);
   }
 
-  /** Allows attempts at a disabled worker again. */
+  /** Enables a disabled worker: attempts may be started at it again. */
   public void enableWorker(String worker) {
     pools.setDisabled(worker, false);
     submit(new Event.WorkerEnabled(worker));
   }
 
-  /** Whether every accepted call has its answer. */
+  /** Returns whether every accepted call has been answered or cancelled. */
   public boolean isEmpty() {
     return calls.unansweredCount() == 0;
   }
 
-  /** Whether another call may be accepted. */
+  /** Returns whether the number of active calls is below the capacity. */
   public boolean hasCapacity() {
     return calls.hasCapacity();
   }
 
-  /** Whether a call with that id is active in this process. */
+  /** Returns whether a call with this id is active in this process. */
   public boolean isActive(String id) {
     return calls.isActive(id);
   }
 
-  /** Whether a call with that id is active in this process or in the one that it replaces. */
+  /**
+   * Returns whether a call with this id is active in this process or in another process that serves
+   * as the same dispatcher.
+   */
   public boolean inUse(String id) {
     return calls.inUse(id);
   }
 
-  /** Sets who is informed of the ids of active calls; null for nobody. */
+  /** Sets the registry that shares the ids of active calls, or null for none. */
   public void setCallIdRegistry(CallIdRegistry registry) {
     calls.setRegistry(registry);
   }
 
-  /** The ids of the calls that are active in this process. */
+  /** Returns a copy of the ids of the calls that are active in this process. */
   public Set<String> activeIds() {
     return calls.activeIds();
   }
 
-  /** Accepts a call. From here on it gets exactly one answer, unless it is cancelled. */
+  /** Accepts a call. From now on the call gets exactly one answer, unless it is cancelled. */
   public void accept(Rpc rpc, Event.RequestArrived arrival) {
     metrics.recordAcceptedCall();
     calls.add(rpc);
-    loop.schedule(Math.min(shutdownDeadline, rpc.deadline() + answerGrace), () -> failOverdue(rpc));
+    loop.schedule(
+        Math.min(shutdownDeadline, rpc.deadline() + answerGraceMicros), () -> failOverdue(rpc));
     submit(arrival);
   }
 
   /**
-   * Sets the time by which every call that is accepted from now on is answered, since the process
-   * exits soon after.
+   * Sets the time by which every call that is accepted from now on must be answered, because the
+   * process exits soon after that time.
    */
   public void setShutdownDeadline(long deadline) {
     shutdownDeadline = deadline;
   }
 
   /**
-   * Fails a call that has no answer in time. The policy decides before a call's deadline; this
-   * bounds the damage of a fault in it, and the time of calls that would outlive the process.
+   * Fails a call that has not been answered in time. Normally the policy ends each call before its
+   * deadline. This method limits the effect of a defect in the policy, and ends calls whose
+   * deadline is after the shutdown deadline.
    */
   private void failOverdue(Rpc rpc) {
     if (!rpc.isCompleted()) {
@@ -194,12 +206,15 @@
               + rpc.id());
       rpc.fail();
       submit(new Event.RequestCancelled(rpc.id()));
-      // A call without attempts would never be removed otherwise.
+      // A call is otherwise removed when an attempt ends, but this one may have no attempts.
       calls.removeIfDone(rpc);
     }
   }
 
-  /** Cancels a call whose client has disconnected; does nothing if it has its answer. */
+  /**
+   * Cancels a call whose answer is no longer needed, usually because its client has disconnected.
+   * Does nothing if the call has been answered or cancelled.
+   */
   public void cancel(Rpc rpc) {
     if (rpc.complete()) {
       metrics.recordCancelledCall();
@@ -208,21 +223,26 @@
     }
   }
 
-  /** The open attempt of a call at a worker, or null where there is none. */
+  /**
+   * Returns the unfinished attempt of a call at a worker, or null if there is none.
+   *
+   * @param id the id of the call
+   * @param worker the id of the worker
+   */
   public CallAttempt openAttemptAt(String id, String worker) {
     Rpc rpc = calls.find(id);
     return rpc == null ? null : rpc.openAttemptAt(worker);
   }
 
-  /** Reports that an attempt has started to run or has made progress. */
+  /** Reports to the policy that the job of an attempt has started to run or has made progress. */
   void attemptProgressed(CallAttempt attempt) {
     submit(new Event.AttemptProgressed(attempt.rpc().id(), attempt.number()));
   }
 
   /**
-   * Reports the end of an attempt.
+   * Reports the end of an attempt to the policy, and removes the call if it is done.
    *
-   * @param load the worker's load, or null where it was not reported
+   * @param load the load of the worker, or null if it was not reported
    */
   void attemptEnded(CallAttempt attempt, AttemptOutcome outcome, WorkerLoad load) {
     Rpc rpc = attempt.rpc();
@@ -239,35 +259,40 @@
   }
 
   /**
-   * Reports the result of a health check.
+   * Reports the result of a health check to the policy.
    *
-   * @param sentAt when it was sent
-   * @param load the worker's load, or null where it was not reported
+   * @param worker the id of the worker
+   * @param sentAt the time at which the health check was sent
+   * @param load the load of the worker, or null if it was not reported
    */
   public void healthChecked(String worker, AttemptOutcome outcome, long sentAt, WorkerLoad load) {
     metrics.recordHealthCheck(outcome == AttemptOutcome.OK);
     submit(new Event.HealthChecked(worker, outcome, loop.now() - sentAt, load));
   }
 
-  /** Reports that a pool's endpoint watch failed; the endpoints known so far stay valid. */
+  /**
+   * Reports to the policy that the endpoint watch of a pool has failed. The endpoints that are
+   * known stay valid.
+   */
   public void watchFailed() {
     submit(new Event.WatchFailed());
   }
 
   /**
-   * Reports a pool's endpoints; {@link WorkerPool#find} knows them already.
+   * Reports endpoints of a pool to the policy. The pool must have updated its subchannels before,
+   * so that {@link WorkerPool#find} finds them.
    *
-   * @param snapshot whether endpoints that it does not name are removed; otherwise these are
-   *     changes
+   * @param snapshot true if the list is complete, so that endpoints of the pool that it lacks have
+   *     been removed; false if the list contains changes only
    */
   public void endpointsChanged(WorkerPool source, boolean snapshot, List<Endpoint> endpoints) {
     submit(pools.endpointEvent(source, snapshot, endpoints));
   }
 
   /**
-   * Aborts all attempts at a worker whose request has not been completely written: the worker takes
-   * no new jobs, and the policy knows. A connection may be established only after the time by which
-   * such a request may still be written.
+   * Aborts all attempts at a worker whose request has not been completely written, because the
+   * worker accepts no new jobs. Without the abort, a connection that is established late could send
+   * such a request when this is no longer allowed. The policy must have been informed before.
    */
   public void abortUnsentAttempts(String worker) {
     calls.abortUnsentAttempts(worker);
@@ -278,12 +303,12 @@
     policy.submit(event);
   }
 
-  /** The loop whose thread owns this dispatcher. */
+  /** Returns the event loop on whose thread this dispatcher is used. */
   public EventLoop loop() {
     return loop;
   }
 
-  /** The counters of this dispatcher. */
+  /** Returns the counters of this dispatcher. */
   public DispatcherMetrics metrics() {
     return metrics;
   }
--- a/src/main/java/loomreel/core/DispatcherMetrics.java
+++ b/src/main/java/loomreel/core/DispatcherMetrics.java
@@ -8,23 +8,25 @@
 import loomreel.decision.Settings;
 
 /**
- * Counters of a dispatcher since its start. Each call's disposition is counted once, with its
- * answer. Used on the event loop's thread only.
+ * The counters of a dispatcher since its start. The disposition of each call is counted once, when
+ * the call is answered.
+ *
+ * <p>Not thread-safe: used on the event loop's thread only.
  */
 public final class DispatcherMetrics {
-  /** The ways in which a call gets its answer. */
+  /** The kinds of answers that a call can get. */
   public enum Disposition {
-    /** Served by a worker. */
+    /** A worker has completed the job. */
     SUCCESS,
-    /** Rejected: nothing has run. */
+    /** The call was rejected; the job has not run. */
     BUSY,
-    /** Failed: something may have run. */
+    /** The call has failed; the job may have run. */
     FAILURE
   }
 
   private final List<Settings.RequestClass> classes;
 
-  /** Answers by disposition and by the class's position in the settings. */
+  /** The number of answers by disposition and by index of the request class in the settings. */
   private final Map<Disposition, int[]> dispositions = new EnumMap<>(Disposition.class);
 
   private int acceptedCalls;
@@ -35,7 +37,11 @@
   private int successfulReloads;
   private int failedReloads;
 
-  /** Creates counters at zero for these request classes. */
+  /**
+   * Creates counters that are 0.
+   *
+   * @param classes the request classes of the settings, in their order
+   */
   public DispatcherMetrics(List<Settings.RequestClass> classes) {
     this.classes = classes;
     for (Disposition disposition : Disposition.values()) {
@@ -46,13 +52,13 @@
   /**
    * Counts the answer to a call.
    *
-   * @param requestClass the class's position in the settings
+   * @param requestClass the index of the request class in the settings
    */
   public void recordDisposition(int requestClass, Disposition disposition) {
     dispositions.get(disposition)[requestClass]++;
   }
 
-  /** Counts an attempt whose last request byte has been written. */
+  /** Counts an attempt whose request has been completely written. */
   public void recordUpstreamCall() {
     upstreamCalls++;
   }
@@ -83,27 +89,27 @@
     return Arrays.stream(dispositions.get(disposition)).sum();
   }
 
-  private Map<String, Integer> byClass(Disposition disposition) {
+  private Map<String, Integer> countsByClass(Disposition disposition) {
     int[] counts = dispositions.get(disposition);
-    Map<String, Integer> byClass = new LinkedHashMap<>();
+    Map<String, Integer> countsByClass = new LinkedHashMap<>();
     for (int i = 0; i < classes.size(); i++) {
-      byClass.put(classes.get(i).name(), counts[i]);
+      countsByClass.put(classes.get(i).name(), counts[i]);
     }
-    return byClass;
+    return countsByClass;
   }
 
   /**
-   * The figures that operators query.
+   * Returns the metrics that operators query.
    *
-   * @param unansweredCalls calls without an answer now
-   * @param listedWorkers workers that the endpoint lists name now
-   * @param ejectedWorkers those of them that are ejected or disabled now
+   * @param unansweredCalls the current number of calls without an answer
+   * @param listedWorkers the current number of workers in the endpoint lists
+   * @param ejectedWorkers the current number of listed workers that are ejected or disabled
    */
   public MetricsSnapshot snapshot(int unansweredCalls, int listedWorkers, int ejectedWorkers) {
     return new MetricsSnapshot(
-        byClass(Disposition.SUCCESS),
-        byClass(Disposition.BUSY),
-        byClass(Disposition.FAILURE),
+        countsByClass(Disposition.SUCCESS),
+        countsByClass(Disposition.BUSY),
+        countsByClass(Disposition.FAILURE),
         upstreamCalls,
         unansweredCalls,
         listedWorkers,
@@ -112,7 +118,7 @@
         failedReloads);
   }
 
-  /** The counters as key=value pairs for the log. */
+  /** Returns the counters as key=value pairs for the log. */
   String summary(int activeCalls, int listedWorkers) {
     return "active="
         + activeCalls
--- a/src/main/java/loomreel/core/ExternalNames.java
+++ b/src/main/java/loomreel/core/ExternalNames.java
@@ -6,14 +6,15 @@
 import loomreel.decision.RejectionReason;
 
 /**
- * The names under which constants of the decision module appear outside the program: in trace
- * lines, which {@code loomreel tally} adds up over dispatchers of several versions, and in the
- * reply to Faktory's TRACK. They are part of these formats and stay when a constant is renamed.
+ * The names that constants of the decision module have outside the program: in trace lines, which
+ * {@code loomreel tally} aggregates over dispatchers of several versions, and in the reply to
+ * Faktory's TRACK command. The names are part of these formats and must not change when a constant
+ * is renamed.
  */
 final class ExternalNames {
   private ExternalNames() {}
 
-  /** The outcome's name in trace lines. */
+  /** Returns the name of an attempt outcome in trace lines. */
   static String of(AttemptOutcome outcome) {
     return switch (outcome) {
       case OK -> "OK";
@@ -28,7 +29,7 @@
     };
   }
 
-  /** The endpoint state's name in trace lines. */
+  /** Returns the name of an endpoint state in trace lines. */
   static String of(Endpoint.State state) {
     return switch (state) {
       case READY -> "READY";
@@ -37,7 +38,7 @@
     };
   }
 
-  /** The reason's name in trace lines. */
+  /** Returns the name of a rejection reason in trace lines. */
   static String of(RejectionReason reason) {
     return switch (reason) {
       case ARRIVED_TOO_LATE -> "CAME_TOO_LATE";
@@ -50,8 +51,11 @@
     };
   }
 
-  /** The reason in words, for the caller of a rejected call. */
-  static String inWords(RejectionReason reason) {
+  /**
+   * Returns the text of a rejection reason for the caller of a rejected call: the external name in
+   * lower case, with spaces instead of underscores.
+   */
+  static String toText(RejectionReason reason) {
     return of(reason).toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 }
--- a/src/main/java/loomreel/core/Ingress.java
+++ b/src/main/java/loomreel/core/Ingress.java
@@ -1,19 +1,19 @@
 package loomreel.core;
 
-/** Accepts the clients of one protocol and turns their requests into {@link Rpc}s. */
+/** Accepts the clients of one protocol and converts their requests to {@link Rpc}s. */
 public interface Ingress {
-  /** Accepts nothing new from now on; accepted calls are still answered. */
+  /** Stops accepting new work. Calls that have been accepted are still answered. */
   void beginDrain();
 
-  /** Whether something that it accepted is not finished. */
+  /** Returns whether work that this ingress has accepted is unfinished. */
   boolean hasPendingWork();
 
   /**
-   * Releases its resources. The last call before the process exits: nothing is pending, or the
-   * shutdown deadline has passed.
+   * Releases the resources of this ingress. This is the last call before the process exits; by then
+   * no work is pending, or the shutdown deadline has passed.
    */
   default void close() {}
 
-  /** Its counters since the start, for the log. */
+  /** Returns the counters of this ingress since its start, as text for the log. */
   String summary();
 }
--- a/src/main/java/loomreel/core/MetricsSnapshot.java
+++ b/src/main/java/loomreel/core/MetricsSnapshot.java
@@ -4,17 +4,19 @@
 import java.util.Map;
 
 /**
- * The figures of {@code GET /ops/stats} at one moment. Counters run since the start of the process.
+ * The values that {@code GET /ops/stats} returns, at one point in time. Counters count from the
+ * start of the process.
  *
- * @param success served calls by request class; each class of the settings is present
- * @param busy rejected calls by request class
- * @param failure failed calls by request class
- * @param backendCalls attempts whose request was completely written
- * @param inflight calls without an answer now
- * @param hostsListed workers that the endpoint lists name now
- * @param hostsDown listed workers that are ejected or disabled now
- * @param reconfigOk configuration reloads that were taken over
- * @param reconfigFailed configuration reloads that were rejected
+ * @param success the number of calls served, by request class; has an entry for each class of the
+ *     settings
+ * @param busy the number of calls rejected, by request class; has the same entries
+ * @param failure the number of calls failed, by request class; has the same entries
+ * @param backendCalls the number of attempts whose request was completely written
+ * @param inflight the current number of calls without an answer
+ * @param hostsListed the current number of workers in the endpoint lists
+ * @param hostsDown the current number of listed workers that are ejected or disabled
+ * @param reconfigOk the number of configuration reloads that were applied
+ * @param reconfigFailed the number of configuration reloads that were rejected
  */
 public record MetricsSnapshot(
     Map<String, Integer> success,
@@ -27,7 +29,7 @@
     int reconfigOk,
     int reconfigFailed) {
 
-  /** The figures by their JSON field names, in the order of the reply. */
+  /** Returns the values by JSON field name, in the order in which the response has them. */
   public Map<String, Object> toJsonFields() {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("success", success);
--- a/src/main/java/loomreel/core/PolicyDriver.java
+++ b/src/main/java/loomreel/core/PolicyDriver.java
@@ -10,9 +10,11 @@
 import loomreel.io.EventLoop;
 
 /**
- * Feeds events to the decision module one at a time and has its actions executed. An event that an
- * action causes is queued until all actions of the current event have been executed. Used on the
- * event loop's thread only.
+ * Passes events to the decision module one at a time and executes the actions that it returns. An
+ * event that is caused by an action is queued until all actions of the current event have been
+ * executed.
+ *
+ * <p>Not thread-safe: used on the event loop's thread only.
  */
 final class PolicyDriver {
   private final EventLoop loop;
@@ -20,22 +22,26 @@
   private final Consumer<Action> executor;
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
 
-  /** The actions of the current event; one list for all events. */
+  /** The actions of the current event. The list is reused for all events. */
   private final List<Action> actions = new ArrayList<>();
 
+  /** Whether an event is being handled. */
   private boolean dispatching;
 
   /**
-   * Creates a driver of a policy that has not started.
+   * Creates a driver with a policy that has not been started.
    *
-   * @param executor executes one action; it may submit further events
+   * @param executor the function that executes one action; it may submit further events
    */
   PolicyDriver(EventLoop loop, Consumer<Action> executor) {
     this.loop = loop;
     this.executor = executor;
   }
 
-  /** Passes an event to the policy: at once, or after those that are being handled now. */
+  /**
+   * Passes an event to the policy: at once, or, if an event is being handled, after that event and
+   * all events that are queued.
+   */
   void submit(Event event) {
     pendingEvents.add(event);
     if (dispatching) {
@@ -67,7 +73,10 @@
     executor.accept(action);
   }
 
-  /** How many listed workers are ejected by the policy or disabled by operators now. */
+  /**
+   * Returns the current number of listed workers that are ejected by the policy or disabled by
+   * operators.
+   */
   int ejectedWorkers() {
     return policy.ejectedWorkers(loop.now());
   }
--- a/src/main/java/loomreel/core/PolicyTracer.java
+++ b/src/main/java/loomreel/core/PolicyTracer.java
@@ -7,14 +7,14 @@
 import loomreel.io.TraceWriter;
 
 /**
- * Writes the events and actions of the decision module as trace lines. The names in the lines are
- * those of a stored format that {@code loomreel tally} reads; they do not follow the names of the
- * types.
+ * Writes the events and actions of the decision module as trace lines. The names in the lines
+ * belong to a stored format that {@code loomreel tally} reads. They differ from the names of the
+ * Java types and must not change with them.
  */
 final class PolicyTracer {
   private PolicyTracer() {}
 
-  /** Writes the lines of an event; some types have none. */
+  /** Writes the trace lines of an event. Events of some types have no trace lines. */
   static void event(TraceWriter trace, long now, Event event) {
     if (event instanceof Event.RequestArrived arrival) {
       requestArrived(trace, now, arrival);
@@ -92,7 +92,10 @@
         load == null ? null : load.activeJobs());
   }
 
-  /** Writes a line for each endpoint whose start time is known, and one with the counts. */
+  /**
+   * Writes a line for each endpoint whose start time is known, and a line with the number of
+   * endpoints in each state.
+   */
   private static void endpoints(
       TraceWriter trace, long now, String name, Iterable<Endpoint> endpoints) {
     int ready = 0;
@@ -123,7 +126,7 @@
         endpoint.startedAt());
   }
 
-  /** Writes the line of an action; some types have none. */
+  /** Writes the trace line of an action. Actions of some types have no trace line. */
   static void action(TraceWriter trace, long now, Action action) {
     if (action instanceof Action.StartAttempt start) {
       trace.line(now, "send", "id", start.requestId(), "worker", start.workerId());
--- a/src/main/java/loomreel/core/Rpc.java
+++ b/src/main/java/loomreel/core/Rpc.java
@@ -7,31 +7,35 @@
 import loomreel.io.ByteQueue;
 
 /**
- * A client's call, from its acceptance until it is completed and its attempts have ended. Owns its
- * request body, which it releases on completion.
+ * A call of a client, from its acceptance until it is completed and all of its attempts have ended.
+ * A call is completed when it is answered or cancelled. Owns the request body, which is released on
+ * completion.
  */
 public final class Rpc {
   /**
-   * The client's side of a call. One of {@link #served}, {@link #rejected} and {@link #failed} is
-   * called, once, unless the call is cancelled before.
+   * Receives the answer to a call. Exactly one of {@link #served}, {@link #rejected} and {@link
+   * #failed} is called, once, unless the call is cancelled before.
    */
   public interface Caller {
-    /** A worker has completed the job with this result. */
+    /** Called when a worker has completed the job with this result. */
     void served(byte[] result);
 
-    /** The call is rejected: nothing has run, and a retry is safe. */
+    /** Called when the call is rejected. The job has not run, and a retry is safe. */
     void rejected(UnavailableStatus status);
 
     /**
-     * An attempt is about to be sent to a worker: from here on the job may run.
+     * Called before an attempt is sent to a worker. From this point on the job may run.
      *
-     * @return false where it must not be sent
+     * @return whether the attempt may be sent
      */
     default boolean attemptStarting() {
       return true;
     }
 
-    /** The call has failed; see {@link Rpc#mayHaveRun()} for whether the job may have run. */
+    /**
+     * Called when the call has failed. {@link Rpc#mayHaveRun()} returns whether the job may have
+     * run.
+     */
     void failed();
   }
 
@@ -47,7 +51,12 @@
   private final List<CallAttempt> attempts = new ArrayList<>(2);
   private boolean completed;
 
-  /** Creates a call that is not accepted yet; the parameters are those of the accessors. */
+  /**
+   * Creates a call that has not been accepted. The accessors describe the parameters.
+   *
+   * @param caller the receiver of the answer
+   * @param metrics the counters in which the answer is counted
+   */
   public Rpc(
       String id,
       int requestClass,
@@ -69,24 +78,26 @@
     this.metrics = metrics;
   }
 
-  /** Notifies the caller that an attempt is about to be sent; false where it must not be. */
+  /**
+   * Notifies the caller that an attempt is about to be sent, and returns whether it may be sent.
+   */
   boolean attemptStarting() {
     return caller.attemptStarting();
   }
 
-  /** Whether the call has its answer or is cancelled. */
+  /** Returns whether the call has been answered or cancelled. */
   public boolean isCompleted() {
     return completed;
   }
 
-  /** Whether the call is completed and every attempt of it has ended. */
+  /** Returns whether the call is completed and all of its attempts have ended. */
   boolean isDone() {
     return completed && attempts.stream().allMatch(CallAttempt::hasEnded);
   }
 
   /**
-   * Whether an attempt may have run, or may yet: true unless each has ended with proof that it did
-   * not.
+   * Returns whether the job may have run or may still run. This is true unless each attempt has
+   * ended with an outcome which proves that it did not run.
    */
   public boolean mayHaveRun() {
     return attempts.stream().anyMatch(Rpc::mayHaveRun);
@@ -106,15 +117,15 @@
   }
 
   /**
-   * The attempt with that number.
+   * Returns the attempt with this number.
    *
-   * @throws IndexOutOfBoundsException if there is none
+   * @throws IndexOutOfBoundsException if the call has no such attempt
    */
   CallAttempt attempt(int number) {
     return attempts.get(number);
   }
 
-  /** The attempt at a worker that has not ended, or null if there is none. */
+  /** Returns the unfinished attempt at a worker, or null if there is none. */
   CallAttempt openAttemptAt(String worker) {
     for (CallAttempt attempt : attempts) {
       if (!attempt.hasEnded() && attempt.worker().equals(worker)) {
@@ -124,7 +135,7 @@
     return null;
   }
 
-  /** Whether a worker has returned the job unstarted in one of the attempts. */
+  /** Returns whether a worker has returned the job unstarted in one of the attempts. */
   boolean wasReturnedBy(String worker) {
     return attempts.stream()
         .anyMatch(attempt -> attempt.wasReturnedUnstarted() && attempt.worker().equals(worker));
@@ -152,58 +163,63 @@
   }
 
   /**
-   * Completes the call without informing its caller: releases the body and aborts attempts whose
-   * request is not completely written.
+   * Completes the call without informing its caller. Releases the request body and aborts the
+   * attempts whose request is not completely written.
    *
-   * @return whether it was not completed before
+   * @return true if this completed the call, false if the call was completed before
    */
   boolean complete() {
-    boolean first = !completed;
+    boolean isFirstCompletion = !completed;
     completed = true;
     body.release();
-    if (first) {
+    if (isFirstCompletion) {
       abortUnsent(attempt -> true);
     }
-    return first;
+    return isFirstCompletion;
   }
 
-  /** Aborts those of the selected attempts whose request is not completely written. */
+  /** Aborts the selected attempts, except those whose request is completely written. */
   void abortUnsent(Predicate<CallAttempt> selected) {
-    // A copy, since the end of an attempt may add another one.
+    // Iterates over a copy, because the end of an attempt may add another attempt.
     List.copyOf(attempts).stream().filter(selected).forEach(CallAttempt::abortIfUnsent);
   }
 
-  /** The id that workers see; a client's retry has another one. */
+  /** Returns the id that is sent to workers. A retry by the client has a different id. */
   public String id() {
     return id;
   }
 
-  /** The position of its request class in the settings. */
+  /** Returns the index of the request class in the settings. */
   public int requestClass() {
     return requestClass;
   }
 
-  /** Path and query, forwarded unchanged. */
+  /** Returns the path and query of the request, which are forwarded unchanged. */
   public String target() {
     return target;
   }
 
-  /** The body's media type, or null where the ingress does not know it. */
+  /** Returns the media type of the request body, or null if the ingress does not know it. */
   public String contentType() {
     return contentType;
   }
 
-  /** The key by which workers detect duplicates, forwarded unchanged, or null. */
+  /**
+   * Returns the key by which workers detect duplicates, which is forwarded unchanged, or null if
+   * the call has none.
+   */
   public String idempotencyKey() {
     return idempotencyKey;
   }
 
-  /** The request body; owned by this call and released on its completion. */
+  /** Returns the request body, which this call owns and releases on its completion. */
   public ByteQueue body() {
     return body;
   }
 
-  /** When the client stops waiting, in microseconds of the loop's clock. */
+  /**
+   * Returns the time at which the client stops waiting, in microseconds of the event loop's clock.
+   */
   public long deadline() {
     return deadline;
   }
--- a/src/main/java/loomreel/core/Subchannel.java
+++ b/src/main/java/loomreel/core/Subchannel.java
@@ -2,21 +2,21 @@
 
 import loomreel.decision.Endpoint;
 
-/** The connection to one listed worker, whatever protocol it uses. */
+/** The logical connection to one listed worker, independent of the protocol that it uses. */
 public interface Subchannel {
-  /** Carries an attempt until that ends. */
+  /** An attempt in progress on a subchannel. */
   interface ActiveCall {
     /**
-     * Cancels the request: if it is not sent yet it is never sent; otherwise the worker is
-     * requested to stop the job.
+     * Cancels the request. If the request has not been sent, it is not sent at all; otherwise the
+     * worker is requested to stop the job, if the protocol allows that.
      */
     void cancel();
 
     /**
-     * Aborts the request if it is not completely written, so that the job cannot run; otherwise
-     * changes nothing.
+     * Aborts the request if it is not completely written, so that the job cannot run. Does nothing
+     * otherwise.
      *
-     * @return whether it was aborted
+     * @return whether the request was aborted
      */
     default boolean abortIfUnsent() {
       return false;
@@ -24,16 +24,21 @@
   }
 
   /**
-   * Starts an attempt. From here on the subchannel ends it. The outcome implies that nothing ran
-   * only where that is proven.
+   * Starts an attempt. The subchannel ends the attempt from now on, with an outcome that states
+   * that the job never ran only if this is certain.
    *
-   * @return what carries it, or null if it has ended already
+   * @return the call in progress, or null if the attempt has ended already
    */
   ActiveCall start(CallAttempt attempt);
 
-  /** The worker's endpoint in the state that its pool reported last, or is to report first. */
+  /**
+   * Returns the endpoint of the worker, in the state that the pool has reported last, or will
+   * report first.
+   */
   Endpoint endpoint();
 
-  /** Requests the worker's load; the result goes to {@link Dispatcher#healthChecked}. */
+  /**
+   * Requests the load of the worker. The result is reported by {@link Dispatcher#healthChecked}.
+   */
   void checkHealth();
 }
--- a/src/main/java/loomreel/core/SubchannelPool.java
+++ b/src/main/java/loomreel/core/SubchannelPool.java
@@ -6,23 +6,28 @@
 import loomreel.decision.Endpoint;
 
 /**
- * A {@link WorkerPool} that holds one subchannel for each worker that it lists. Used on the event
- * loop's thread only.
+ * A {@link WorkerPool} that has one subchannel for each worker that it lists.
  *
- * @param <S> the type of its subchannels
+ * <p>Not thread-safe: used on the event loop's thread only.
+ *
+ * @param <S> the type of the subchannels
  */
 public abstract class SubchannelPool<S extends Subchannel> implements WorkerPool {
   protected final Dispatcher dispatcher;
 
-  /** By endpoint id. */
+  /** The subchannels by endpoint id. */
   protected final Map<String, S> subchannels = new HashMap<>();
 
-  /** Creates a pool that lists no workers to a dispatcher. */
+  /**
+   * Creates a pool that lists no workers.
+   *
+   * @param dispatcher the dispatcher to which the pool reports its endpoints
+   */
   protected SubchannelPool(Dispatcher dispatcher) {
     this.dispatcher = dispatcher;
   }
 
-  /** Reports the change of one endpoint to the dispatcher. */
+  /** Reports an endpoint that has changed to the dispatcher. */
   protected final void publish(Endpoint endpoint) {
     dispatcher.endpointsChanged(this, false, List.of(endpoint));
   }
--- a/src/main/java/loomreel/core/WorkerPool.java
+++ b/src/main/java/loomreel/core/WorkerPool.java
@@ -4,25 +4,34 @@
 import loomreel.decision.Endpoint;
 
 /**
- * The workers of one kind. It reports its endpoints and their changes to {@link
- * Dispatcher#endpointsChanged}.
+ * A set of workers that are called over the same protocol. A pool reports its endpoints and their
+ * changes by {@link Dispatcher#endpointsChanged}.
  */
 public interface WorkerPool {
-  /** The subchannel to a worker that it lists now, or null. */
+  /**
+   * Returns the subchannel to the worker with this id, or null if the pool does not list such a
+   * worker now.
+   */
   Subchannel find(String id);
 
-  /** How many workers it lists. */
+  /** Returns the number of workers that this pool lists. */
   int size();
 
-  /** All endpoints that it lists, in the state that it reported last. */
+  /** Returns all endpoints that this pool lists, in the state that was reported last. */
   List<Endpoint> endpoints();
 
-  /** Requests the changes of the endpoint list from now on. */
+  /**
+   * Starts to watch the endpoint list for changes, unless it is being watched. By default does
+   * nothing.
+   */
   default void pollEndpoints() {}
 
-  /** Disables a worker or enables it again; work queued for a disabled worker is not sent. */
+  /**
+   * Disables a worker or enables it again. Work that is queued for a disabled worker is not sent.
+   * By default does nothing.
+   */
   default void setDisabled(String id, boolean disabled) {}
 
-  /** Called once a second. */
+  /** Called once per second. By default does nothing. */
   default void runPeriodicTasks() {}
 }
--- a/src/main/java/loomreel/core/WorkerPools.java
+++ b/src/main/java/loomreel/core/WorkerPools.java
@@ -13,7 +13,7 @@
     pools.add(pool);
   }
 
-  /** The subchannel to a worker that one of the pools lists, or null if none does. */
+  /** Returns the subchannel to a worker, or null if no pool lists a worker with this id. */
   Subchannel find(String worker) {
     for (WorkerPool pool : pools) {
       Subchannel subchannel = pool.find(worker);
@@ -24,7 +24,7 @@
     return null;
   }
 
-  /** How many workers all pools list. */
+  /** Returns the total number of workers that the pools list. */
   int size() {
     return pools.stream().mapToInt(WorkerPool::size).sum();
   }
@@ -42,8 +42,11 @@
   }
 
   /**
-   * The event for a pool's new endpoint list. To the decision module, a worker that is missing from
-   * a snapshot has been removed, so a snapshot also names the endpoints of all other pools.
+   * Returns the event that reports endpoints of a pool. The decision module removes workers that
+   * are missing from a snapshot, so the event for a snapshot also has the endpoints of all other
+   * pools.
+   *
+   * @param snapshot true if the list has all endpoints of the pool, false if it has changes only
    */
   Event endpointEvent(WorkerPool source, boolean snapshot, List<Endpoint> endpoints) {
     if (!snapshot) {
@@ -52,8 +55,10 @@
     if (pools.size() == 1) {
       return new Event.EndpointSnapshot(endpoints);
     }
-    List<Endpoint> all = new ArrayList<>(endpoints);
-    pools.stream().filter(pool -> pool != source).forEach(pool -> all.addAll(pool.endpoints()));
-    return new Event.EndpointSnapshot(all);
+    List<Endpoint> allEndpoints = new ArrayList<>(endpoints);
+    pools.stream()
+        .filter(pool -> pool != source)
+        .forEach(pool -> allEndpoints.addAll(pool.endpoints()));
+    return new Event.EndpointSnapshot(allEndpoints);
   }
 }
--- a/src/test/java/loomreel/core/CallAttemptStateTest.java
+++ b/src/test/java/loomreel/core/CallAttemptStateTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The transition table of {@link CallAttemptState}. */
+/** Tests the transition table of {@link CallAttemptState}. */
 class CallAttemptStateTest {
   @ParameterizedTest
   @CsvSource({
@@ -19,7 +19,7 @@
     "ENDED,ACCEPTED,false",
     "ENDED,ENDED,false"
   })
-  void allowsExactlyTheTransitionsOfItsTable(
+  void canBecomeAllowsOnlyTheDocumentedTransitions(
       CallAttemptState state, CallAttemptState next, boolean allowed) {
     assertEquals(allowed, state.canBecome(next));
   }
--- a/src/test/java/loomreel/core/ExternalNamesTest.java
+++ b/src/test/java/loomreel/core/ExternalNamesTest.java
@@ -9,10 +9,13 @@
 import loomreel.decision.RejectionReason;
 import org.junit.jupiter.api.Test;
 
-/** The names of version 0.2, which are part of trace lines and of Faktory's TRACK. */
+/**
+ * Tests that the external names are those of version 0.2, which are part of trace lines and of the
+ * reply to Faktory's TRACK command.
+ */
 class ExternalNamesTest {
   @Test
-  void outcomesHaveTheirNamesOfTraceLines() {
+  void attemptOutcomesHaveTheirTraceNames() {
     assertEquals(
         List.of(
             "OK",
@@ -28,14 +31,14 @@
   }
 
   @Test
-  void endpointStatesHaveTheirNamesOfTraceLines() {
+  void endpointStatesHaveTheirTraceNames() {
     assertEquals(
         List.of("READY", "DRAINING", "GONE"),
         Arrays.stream(Endpoint.State.values()).map(ExternalNames::of).toList());
   }
 
   @Test
-  void reasonsHaveTheirNamesOfTraceLines() {
+  void rejectionReasonsHaveTheirTraceNames() {
     assertEquals(
         List.of(
             "CAME_TOO_LATE",
@@ -49,8 +52,8 @@
   }
 
   @Test
-  void reasonsHaveTheirWordsForCallers() {
-    assertEquals("came too late", ExternalNames.inWords(RejectionReason.ARRIVED_TOO_LATE));
-    assertEquals("no worker", ExternalNames.inWords(RejectionReason.NO_ELIGIBLE_WORKER));
+  void rejectionReasonTextIsLowerCaseWithSpaces() {
+    assertEquals("came too late", ExternalNames.toText(RejectionReason.ARRIVED_TOO_LATE));
+    assertEquals("no worker", ExternalNames.toText(RejectionReason.NO_ELIGIBLE_WORKER));
   }
 }
--- a/src/test/java/loomreel/core/MetricsSnapshotTest.java
+++ b/src/test/java/loomreel/core/MetricsSnapshotTest.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The JSON fields of the figures that operators query. */
+/** Tests the JSON fields of {@link MetricsSnapshot}. */
 class MetricsSnapshotTest {
   @Test
-  void namesAndOrdersTheFieldsAsOperatorsReadThem() {
+  void toJsonFieldsReturnsAllValuesInTheOrderOfTheResponse() {
     MetricsSnapshot snapshot =
         new MetricsSnapshot(
             Map.of("copy", 1), Map.of("copy", 2), Map.of("copy", 3), 4, 5, 6, 7, 8, 9);
