--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -73,7 +73,7 @@
    * How long a process that starts waits for its first list. Nine in ten have to be ready within 10
    * s, and the start itself may take 3 s of that where many start at once.
    */
-  public static final long FIRST_LIST_TIMEOUT = 7_000_000;
+  public static final long FIRST_LIST_TIMEOUT_MICROS = 7_000_000;
 
   private static final long KNOWN_AFTER_SILENCE = 6_000_000;
   private static final long KNOWN_AFTER_WAIT = 2_000_000;
--- a/src/main/java/loomreel/upstream/FirstListBarrier.java
+++ b/src/main/java/loomreel/upstream/FirstListBarrier.java
@@ -6,11 +6,15 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Delays a callback until the first endpoint list of discovery has been received, its calls have
- * failed, or a timeout is over.
+ * Delays a callback until discovery has sent the first endpoint list, {@link #MAX_FAILED_CALLS}
+ * calls to discovery have failed, or {@link WatchTimeouts#FIRST_LIST_TIMEOUT_MICROS} have passed.
  */
 final class FirstListBarrier {
-  /** Discovery may be overloaded when the first call arrives; then it is down for longer. */
+  /**
+   * The number of failed calls to discovery after which the callback is no longer delayed. A single
+   * failure may be caused by a short overload of discovery; a second one indicates that discovery
+   * is unavailable for longer.
+   */
   private static final int MAX_FAILED_CALLS = 2;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -18,16 +22,17 @@
   private final EventLoop loop;
   private final String sourceName;
   private final RateLimitedLogger log;
+  /** The time at which the wait began, in microseconds of the event loop's clock. */
   private long startedAt;
   private int failedCalls;
 
-  /** Empty while no list is awaited. */
+  /** The delayed callback; empty while no list is awaited. */
   private Optional<Runnable> onReady = Optional.empty();
 
   /**
-   * Creates a barrier that is open.
+   * Creates a barrier that does not delay a callback yet.
    *
-   * @param sourceName where the list comes from, for the log
+   * @param sourceName the name of the source of the list, for the log
    */
   FirstListBarrier(EventLoop loop, String sourceName, RateLimitedLogger log) {
     this.loop = loop;
@@ -36,14 +41,15 @@
   }
 
   /**
-   * Starts to wait.
+   * Starts to delay a callback.
    *
-   * @param callback called once, on {@link #release} or on the timeout
+   * @param callback called once: on {@link #release}, after too many failed calls, or on the
+   *     timeout
    */
   void await(Runnable callback) {
     onReady = Optional.of(callback);
     startedAt = loop.now();
-    loop.schedule(loop.now() + WatchTimeouts.FIRST_LIST_TIMEOUT, this::timedOut);
+    loop.schedule(loop.now() + WatchTimeouts.FIRST_LIST_TIMEOUT_MICROS, this::timedOut);
   }
 
   private void timedOut() {
@@ -51,14 +57,15 @@
       log.warn(
           sourceName
               + " silent, serving the last known endpoint list timeout_ms="
-              + WatchTimeouts.FIRST_LIST_TIMEOUT / MICROS_PER_MILLI);
+              + WatchTimeouts.FIRST_LIST_TIMEOUT_MICROS / MICROS_PER_MILLI);
       open();
     }
   }
 
   /**
-   * A call to discovery has failed. Discovery that is down may stay so for long, and the processes
-   * that start meanwhile must not all leave their jobs waiting.
+   * Records that a call to discovery has failed. After {@link #MAX_FAILED_CALLS} failures the
+   * callback is run, because discovery may be down for a long time and processes that start during
+   * that time must be able to process their jobs.
    */
   void callFailed() {
     failedCalls++;
@@ -71,7 +78,7 @@
     }
   }
 
-  /** A list has been received; does nothing if none is awaited. */
+  /** Records that an endpoint list has been received. Does nothing if no list is awaited. */
   void release() {
     if (onReady.isPresent()) {
       log.info("first endpoint list received source=" + sourceName + " after_ms=" + waitedMillis());
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -20,12 +20,13 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * A worker that is called over HTTP, and the requests that it understands.
+ * The subchannel to a worker that is called over HTTP. Creates the HTTP requests of the worker's
+ * protocol: submitting a job, cancelling a job, and querying the load.
  *
- * <p>Owned by {@link HttpWorkerPool}; it owns the connection pool of its worker.
+ * <p>Owned by {@link HttpWorkerPool}. Owns the connection pool of the worker.
  */
 final class HttpSubchannel implements Subchannel {
-  /** The time limit of a health check or cancellation, in connect timeouts. */
+  /** The timeout of a health check or cancellation, as a multiple of the connect timeout. */
   private static final int SHORT_CALL_TIMEOUT_FACTOR = 2;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -35,7 +36,7 @@
   private final Dispatcher dispatcher;
   private final RateLimitedLogger log;
   private final ConnectionPool pool;
-  private final ReachabilityListener reachability;
+  private final ReachabilityListener reachabilityListener;
   private final long shortCallTimeoutMicros;
   private Endpoint endpoint;
 
@@ -44,47 +45,48 @@
       Endpoint endpoint,
       ConnectionPool pool,
       RateLimitedLogger log,
-      ReachabilityListener reachability) {
+      ReachabilityListener reachabilityListener) {
     this.dispatcher = dispatcher;
     this.endpoint = endpoint;
     this.pool = pool;
     this.log = log;
-    this.reachability = reachability;
+    this.reachabilityListener = reachabilityListener;
     this.shortCallTimeoutMicros = SHORT_CALL_TIMEOUT_FACTOR * pool.connectTimeout();
   }
 
   /**
-   * Sets the latest entry of the endpoint list. After a move or restart of the worker, old
-   * connections are not used any more: a new process knows nothing of them.
+   * Sets the latest entry of the endpoint list for this worker. If the worker has moved or
+   * restarted, existing connections are no longer used, because they belong to the old process.
    */
-  void update(InetSocketAddress address, Endpoint latest) {
-    if (!address.equals(pool.address()) || latest.startedAt() != endpoint.startedAt()) {
+  void update(InetSocketAddress address, Endpoint newEndpoint) {
+    if (!address.equals(pool.address()) || newEndpoint.startedAt() != endpoint.startedAt()) {
       pool.moveTo(address);
     }
-    endpoint = latest;
+    endpoint = newEndpoint;
   }
 
-  /** The latest entry of the endpoint list. */
+  /** Returns the latest entry of the endpoint list for this worker. */
   @Override
   public Endpoint endpoint() {
     return endpoint;
   }
 
   /**
-   * The worker was removed from the endpoint list: calls in flight may end, idle connections close.
+   * Closes the idle connections after the worker was removed from the endpoint list. Calls in
+   * flight continue.
    */
   void retire() {
     pool.moveTo(pool.address());
   }
 
-  /** Closes the connections that have been idle for too long. */
+  /** Closes connections whose idle time exceeds the idle timeout. */
   void closeStale() {
     pool.closeStale();
   }
 
-  /** What is notified whether this worker can be reached. */
-  ReachabilityListener reachability() {
-    return reachability;
+  /** Returns the listener that is notified whether this worker can be reached. */
+  ReachabilityListener reachabilityListener() {
+    return reachabilityListener;
   }
 
   @Override
@@ -116,7 +118,10 @@
     return headers.toArray(String[]::new);
   }
 
-  /** Requests the end of a job; the attempt has ended here, so the response does not matter. */
+  /**
+   * Requests the worker to cancel a job. The response is ignored, because the attempt has ended
+   * already.
+   */
   void cancelJob(String callId) {
     pool.call(request("DELETE", JOBS_PATH + callId, 0), new ShortCall());
   }
@@ -126,18 +131,19 @@
     pool.call(request("GET", LOAD_PATH, 0), new HealthCheck());
   }
 
-  /** Checks whether the worker can be reached; only the reachability listener is notified. */
+  /** Checks whether the worker can be reached, and notifies only the reachability listener. */
   void checkReachability() {
     pool.call(request("GET", LOAD_PATH, 0), new ReachabilityCheck());
   }
 
   /**
-   * A call has ended without a response. A reset does not mean that the worker is unreachable: it
-   * is sent by a running host.
+   * Handles a call that has ended without a response. After {@link AttemptOutcome#CONNECT_FAILED}
+   * or {@link AttemptOutcome#TIMEOUT} the worker counts as unreachable. A reset does not show that,
+   * because only a host that is running sends one.
    */
   void reportFailure(AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT) {
-      reachability.unreachable();
+      reachabilityListener.unreachable();
     }
   }
 
@@ -160,7 +166,7 @@
     return "worker=" + endpoint.id() + " address=" + hostAndPort();
   }
 
-  /** A call with a short time limit, whose outcome does not matter unless overridden. */
+  /** A call with a short timeout. Subclasses handle the outcome, which is ignored by default. */
   private class ShortCall implements HttpExchange {
     private final long deadline = dispatcher.loop().now() + shortCallTimeoutMicros;
 
@@ -176,11 +182,11 @@
     public void failed(AttemptOutcome outcome) {}
   }
 
-  /** A call whose response, or lack of one, shows whether the worker can be reached. */
+  /** A call that determines whether the worker can be reached. Any response shows that it can. */
   private class ReachabilityCheck extends ShortCall {
     @Override
     public void responseReceived(HttpMessage message) {
-      reachability.reachable();
+      reachabilityListener.reachable();
     }
 
     @Override
@@ -189,7 +195,7 @@
     }
   }
 
-  /** A call whose response has the worker's load. */
+  /** A call that requests the load of the worker, and reports it to the dispatcher. */
   private final class HealthCheck extends ReachabilityCheck {
     private final long sentAt = dispatcher.loop().now();
 
@@ -201,10 +207,10 @@
         return;
       }
       String header = JobHeader.LOAD_REPORT.valueIn(message);
-      String load =
+      String loadReport =
           header != null ? header : new String(message.body().toArray(), StandardCharsets.UTF_8);
       dispatcher.healthChecked(
-          endpoint.id(), AttemptOutcome.OK, sentAt, LoadReport.parse(load).orElse(null));
+          endpoint.id(), AttemptOutcome.OK, sentAt, LoadReport.parse(loadReport).orElse(null));
     }
 
     @Override
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -18,51 +18,57 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The workers that are called over HTTP: from discovery, or from a static endpoint list, whose
- * workers an {@link OutlierEjector} removes while they cannot be reached.
+ * The workers that are called over HTTP. The endpoint list comes from discovery or is static. Each
+ * worker of a static list has an {@link OutlierEjector}, which publishes the worker as removed
+ * while it cannot be reached.
  *
- * <p>Used on the event loop's thread only. It owns the subchannels and the endpoint watch.
+ * <p>Owns the subchannels and the endpoint watch. Not thread-safe: used on the event loop's thread
+ * only.
  */
 public final class HttpWorkerPool extends SubchannelPool<HttpSubchannel>
     implements EndpointWatcher.Listener {
-  /** After this time an idle connection to discovery is closed. */
+  /** The idle time after which a connection to discovery is closed, in microseconds. */
   private static final long DISCOVERY_IDLE_TIMEOUT_MICROS = 1_000_000;
 
   /**
-   * Idle connections are closed from this side after this fraction of the time after which the
-   * worker closes them.
+   * The idle timeout of connections to workers, as a fraction of the time after which the worker
+   * itself closes an idle connection.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
   private final long connectTimeoutMicros;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.upstream");
-  private final RateLimitedLogger peerLog = new RateLimitedLogger("loomreel.http.pool");
-  private final DescriptorQuota descriptors = new DescriptorQuota(0);
+  private final RateLimitedLogger connectionLog = new RateLimitedLogger("loomreel.http.pool");
+  private final DescriptorQuota descriptorQuota = new DescriptorQuota(0);
   private final IdleTimeoutEstimator idleTimeout;
   private final EndpointList initialEndpoints;
 
-  /** The initial endpoint list until discovery has confirmed or updated it; empty from then on. */
-  private Optional<EndpointList> unconfirmed = Optional.empty();
+  /**
+   * The initial endpoint list while it is not applied, because discovery has not confirmed or
+   * updated it; empty otherwise.
+   */
+  private Optional<EndpointList> unconfirmedEndpoints = Optional.empty();
 
-  /** Empty where the endpoint list is static. */
+  /** The endpoint watch; empty if the endpoint list is static. */
   private final Optional<EndpointWatcher> watcher;
 
-  /** Whether lists are pushed to an agent on this machine. */
+  /** Whether endpoint lists are pushed to an agent on this machine, which is watched then. */
   private final boolean isPushed;
 
   private final FirstListBarrier firstListBarrier;
 
-  /** By worker; empty unless the endpoint list is static. */
+  /** The outlier ejectors by worker id; empty unless the endpoint list is static. */
   private final Map<String, OutlierEjector> outlierEjectors = new HashMap<>();
 
   /**
    * Creates a pool that has no workers before {@link #start}.
    *
-   * @param initialEndpoints the endpoint list as it was last known
-   * @param discovery where the list comes from, or null where {@code initialEndpoints} is static
-   * @param settings whose rules limit how late a change of the list may be known
-   * @param connectTimeoutMicros how long establishing a connection may take, in microseconds
-   * @param workerIdleTimeoutMicros after which time a worker closes an idle connection, in
+   * @param initialEndpoints the last known endpoint list
+   * @param discovery the address of discovery, or null if {@code initialEndpoints} is static
+   * @param settings the settings, whose rules limit the delay after which a change of the endpoint
+   *     list must be known
+   * @param connectTimeoutMicros the maximum time for establishing a connection, in microseconds
+   * @param workerIdleTimeoutMicros the time after which a worker closes an idle connection, in
    *     microseconds
    */
   public HttpWorkerPool(
@@ -103,22 +109,26 @@
         new DescriptorQuota(1),
         connectTimeoutMicros,
         new IdleTimeoutEstimator(DISCOVERY_IDLE_TIMEOUT_MICROS),
-        peerLog);
+        connectionLog);
   }
 
-  /** Sets how many file descriptors calls to workers may use. */
+  /** Sets the maximum number of file descriptors that connections to workers may use. */
   public void setCapacity(int maxDescriptors) {
-    descriptors.setLimit(maxDescriptors);
+    descriptorQuota.setLimit(maxDescriptors);
   }
 
   /**
-   * Announces the initial endpoint list once discovery has confirmed or updated it: workers of a
-   * list of unknown age may have been draining or removed for longer than the grace. Until then
-   * there are no workers, and jobs wait. Where discovery is polled, the policy decides when to call
-   * it first; an agent is called at once.
+   * Starts the pool. A static endpoint list is applied at once. Otherwise the initial list is
+   * applied when discovery has confirmed or updated it, or when {@link FirstListBarrier} stops
+   * waiting for that. The age of the initial list is unknown, so its workers may have been draining
+   * or removed for longer than the drain grace. Until a list is applied, the pool has no workers
+   * and jobs wait.
+   *
+   * <p>An agent is called at once. If discovery is polled, the policy decides when the first call
+   * is made.
    *
-   * @param onReady called once, when jobs may be sent by the list that is known then; at once where
-   *     the list is static
+   * @param onReady called once, when jobs may be sent to the workers of the pool; during this call
+   *     if the endpoint list is static
    */
   public void start(Runnable onReady) {
     if (watcher.isEmpty()) {
@@ -126,10 +136,10 @@
       onReady.run();
       return;
     }
-    unconfirmed = Optional.of(initialEndpoints);
+    unconfirmedEndpoints = Optional.of(initialEndpoints);
     firstListBarrier.await(
         () -> {
-          announceUnconfirmed();
+          applyUnconfirmedEndpoints();
           onReady.run();
         });
     if (isPushed) {
@@ -137,13 +147,15 @@
     }
   }
 
-  private void announceUnconfirmed() {
-    Optional<EndpointList> initial = unconfirmed;
-    unconfirmed = Optional.empty();
-    initial.ifPresent(this::announce);
+  private void applyUnconfirmedEndpoints() {
+    Optional<EndpointList> initial = unconfirmedEndpoints;
+    unconfirmedEndpoints = Optional.empty();
+    initial.ifPresent(this::applyEndpointList);
   }
 
-  /** Watches discovery at another address from now on; does nothing if the list is static. */
+  /**
+   * Watches discovery at another address from now on. Does nothing if the endpoint list is static.
+   */
   public void moveDiscovery(InetSocketAddress address) {
     watcher.ifPresent(endpointWatcher -> endpointWatcher.moveTo(address));
   }
@@ -158,7 +170,7 @@
     subchannels.values().forEach(HttpSubchannel::closeStale);
     outlierEjectors.forEach(
         (id, ejector) -> {
-          if (ejector.takeDueProbe()) {
+          if (ejector.startProbeIfDue()) {
             subchannels.get(id).checkReachability();
           }
         });
@@ -172,27 +184,28 @@
 
   @Override
   public void endpointsReceived(EndpointList result) {
-    EndpointList next = unconfirmed.map(initial -> initial.updatedBy(result)).orElse(result);
-    unconfirmed = Optional.empty();
-    announce(next);
+    EndpointList updatedList =
+        unconfirmedEndpoints.map(initial -> initial.updatedBy(result)).orElse(result);
+    unconfirmedEndpoints = Optional.empty();
+    applyEndpointList(updatedList);
     firstListBarrier.release();
   }
 
-  private void announce(EndpointList list) {
-    Map<String, HttpSubchannel> missing = new HashMap<>(subchannels);
+  private void applyEndpointList(EndpointList list) {
+    Map<String, HttpSubchannel> missingSubchannels = new HashMap<>(subchannels);
     for (Endpoint endpoint : list.endpoints()) {
-      missing.remove(endpoint.id());
+      missingSubchannels.remove(endpoint.id());
       updateSubchannel(endpoint, list.addresses().get(endpoint.id()));
     }
     if (list.complete()) {
-      new ArrayList<>(missing.keySet()).forEach(this::retire);
+      new ArrayList<>(missingSubchannels.keySet()).forEach(this::retire);
     }
     dispatcher.endpointsChanged(this, list.complete(), list.endpoints());
     list.endpoints().stream()
         .filter(endpoint -> endpoint.state() != Endpoint.State.READY)
         .forEach(endpoint -> dispatcher.abortUnsentAttempts(endpoint.id()));
     if (list.complete()) {
-      missing.keySet().forEach(dispatcher::abortUnsentAttempts);
+      missingSubchannels.keySet().forEach(dispatcher::abortUnsentAttempts);
     }
   }
 
@@ -217,10 +230,10 @@
             dispatcher.loop(),
             endpoint.id(),
             address,
-            descriptors,
+            descriptorQuota,
             connectTimeoutMicros,
             idleTimeout,
-            peerLog);
+            connectionLog);
     return new HttpSubchannel(
         dispatcher, endpoint, connections, log, reachabilityListener(endpoint.id()));
   }
@@ -241,13 +254,13 @@
     return ejector;
   }
 
-  /** The latest entry of a worker that the pool has. */
+  /** Returns the latest endpoint list entry of a worker that this pool lists. */
   Endpoint endpoint(String id) {
     return subchannels.get(id).endpoint();
   }
 
-  /** Replaces the entry of a worker of a static endpoint list. */
-  void replace(Endpoint endpoint) {
+  /** Replaces and publishes the entry of a worker of a static endpoint list. */
+  void replaceEndpoint(Endpoint endpoint) {
     InetSocketAddress address = initialEndpoints.addresses().get(endpoint.id());
     subchannels.get(endpoint.id()).update(address, endpoint);
     publish(endpoint);
--- a/src/main/java/loomreel/upstream/JobCall.java
+++ b/src/main/java/loomreel/upstream/JobCall.java
@@ -10,19 +10,21 @@
 import loomreel.http.PooledConnection;
 
 /**
- * The HTTP call that submits a job to a worker, until the worker accepts or rejects it. Job status
- * updates report the outcome of an accepted job, which ends the attempt.
+ * The HTTP call that submits a job to a worker. The call ends when the worker accepts or rejects
+ * the job. The outcome of an accepted job is reported by a job status update, which ends the
+ * attempt.
  *
- * <p>Between the write of the request and its response it holds a connection of the subchannel's
- * pool.
+ * <p>A call has a connection of the subchannel's connection pool from its start until its response
+ * is received or it fails.
  */
 final class JobCall implements HttpExchange, Subchannel.ActiveCall {
   private final HttpSubchannel subchannel;
   private final CallAttempt attempt;
 
-  /** The connection of the call; null before the call is sent and once the call has ended. */
+  /** The connection of the call; null before the call is sent and after the call has ended. */
   private PooledConnection connection;
 
+  /** Whether the worker has accepted the job. */
   private boolean isAccepted;
 
   JobCall(HttpSubchannel subchannel, CallAttempt attempt) {
@@ -30,7 +32,9 @@
     this.attempt = attempt;
   }
 
-  /** Sets the connection of the call, unless the attempt has ended already. */
+  /**
+   * Sets the connection of the call; null if the call has none. Ignored if the attempt has ended.
+   */
   void setConnection(PooledConnection newConnection) {
     connection = attempt.hasEnded() ? null : newConnection;
   }
@@ -51,14 +55,14 @@
   }
 
   /**
-   * Status 202 means that the job was accepted, even if the body is truncated, malformed or
-   * endless.
+   * Records that the job was accepted if the status is 202. The status is sufficient, even if the
+   * body is truncated, malformed or endless.
    */
   @Override
   public boolean headReceived(int status) {
     if (status == HttpStatus.ACCEPTED && !isAccepted) {
       isAccepted = true;
-      subchannel.reachability().reachable();
+      subchannel.reachabilityListener().reachable();
       attempt.accepted();
     }
     return isAccepted;
@@ -70,8 +74,8 @@
     if (isAccepted) {
       return;
     }
-    subchannel.reachability().reachable();
-    // A job status update may have ended it before the 202 arrived.
+    subchannel.reachabilityListener().reachable();
+    // A job status update may have ended the attempt before the response with status 202 arrived.
     if (attempt.hasEnded()) {
       return;
     }
@@ -79,11 +83,11 @@
       isAccepted = true;
       attempt.accepted();
     } else {
-      endUnaccepted(message);
+      endAttemptWithoutAcceptance(message);
     }
   }
 
-  private void endUnaccepted(HttpMessage message) {
+  private void endAttemptWithoutAcceptance(HttpMessage message) {
     AttemptOutcome outcome = outcome(message);
     if (outcome != AttemptOutcome.REJECTED
         && message.status() != HttpStatus.INTERNAL_SERVER_ERROR) {
@@ -121,8 +125,9 @@
   }
 
   /**
-   * Closes the connection if the job was not accepted, and requests the end of the job if it was.
-   * The response may be unread, so pending input is read first.
+   * Closes the connection of the call, and requests the worker to cancel the job if it was
+   * accepted. Pending input is read first, because it may contain the response that accepts the
+   * job.
    */
   @Override
   public void cancel() {
--- a/src/main/java/loomreel/upstream/JobStatusUpdate.java
+++ b/src/main/java/loomreel/upstream/JobStatusUpdate.java
@@ -11,12 +11,13 @@
 import loomreel.decision.WorkerLoad;
 
 /**
- * A worker's callback with the state of a job.
+ * A job status update: a callback by which a worker reports the state of a job.
  *
- * @param callId the id of the job's call
- * @param workerId the worker that sends it
- * @param result what a completed job has produced; empty if there is nothing
- * @param load the worker's load report, or null if it sends none
+ * @param callId the id of the call that the job belongs to
+ * @param workerId the id of the worker that sends the update
+ * @param state the state of the job
+ * @param result the result of a completed job; empty if there is none
+ * @param load the load of the worker, or null if it was not reported
  */
 public record JobStatusUpdate(
     String callId, String workerId, State state, String result, WorkerLoad load) {
@@ -26,16 +27,16 @@
     STARTED("started"),
     /** The job is still running. */
     RUNNING("running"),
-    /** The job was completed. */
+    /** The job has been completed. */
     DONE("done"),
     /** The job has failed. */
     FAILED("failed"),
-    /** The job was returned without having started. */
+    /** The worker has returned the job without starting it. */
     RETURNED("returned"),
-    /** Any other state: the job may have run and will not be completed. */
+    /** Any other state. The job may have run and will not be completed. */
     ABORTED(null);
 
-    /** The state's name in a callback; null for those that have no name of their own. */
+    /** The name of the state in a callback; null for a state that has no name of its own. */
     private final String externalName;
 
     State(String externalName) {
@@ -58,15 +59,20 @@
   private static final String RESULT_KEY = "result";
   private static final String LOAD_KEY = "load";
 
-  /** Reads the body of a callback; empty if it is not JSON or lacks an id or the state. */
+  /**
+   * Parses the body of a callback.
+   *
+   * @return the update, or empty if the body is not JSON or lacks the id of the call, the id of the
+   *     worker or the state
+   */
   public static Optional<JobStatusUpdate> parse(byte[] body) {
-    Object tree;
+    Object json;
     try {
-      tree = JsonTree.read(body);
+      json = JsonTree.read(body);
     } catch (IOException e) {
       return Optional.empty();
     }
-    if (tree instanceof Map<?, ?> fields
+    if (json instanceof Map<?, ?> fields
         && fields.get(CALL_ID_KEY) instanceof String callId
         && fields.get(WORKER_ID_KEY) instanceof String workerId
         && fields.get(STATE_KEY) instanceof String state) {
@@ -77,7 +83,10 @@
     return Optional.empty();
   }
 
-  /** Applies this to the attempt of its job at its worker, if that is in flight. */
+  /**
+   * Applies this update to the unfinished attempt of the call at the worker. Does nothing if there
+   * is no such attempt.
+   */
   public void applyTo(Dispatcher dispatcher) {
     CallAttempt attempt = dispatcher.openAttemptAt(callId, workerId);
     if (attempt == null) {
--- a/src/main/java/loomreel/upstream/LoadReport.java
+++ b/src/main/java/loomreel/upstream/LoadReport.java
@@ -10,8 +10,8 @@
 import loomreel.decision.WorkerLoad;
 
 /**
- * Reads a worker's load report: a JSON object, or a text such as {@code TEXT inflight=7, queue=2}.
- * Unknown fields and values that are no finite numbers are ignored.
+ * Parses the load reports of workers. A report is a JSON object, or a text such as {@code TEXT
+ * inflight=7, queue=2}. Unknown fields and values that are not finite numbers are ignored.
  */
 final class LoadReport {
   private static final List<String> QUEUED_JOBS_KEYS = List.of("queue", "depth");
@@ -22,20 +22,21 @@
   private LoadReport() {}
 
   /**
-   * Reads a report in either form.
+   * Parses a report in either form.
    *
-   * @param text the report, or null if the worker sent none
-   * @return empty if it has no known field
+   * @param text the report, or null if the worker has sent none
+   * @return the load, or empty if the report has no known field with a finite number
    */
   static Optional<WorkerLoad> parse(String text) {
     return text == null ? Optional.empty() : fromFields(fields(text));
   }
 
   /**
-   * Reads a report that is part of a JSON document.
+   * Parses a report that is part of a JSON document.
    *
-   * @param value an object, a string in either form, or anything else, which is no report
-   * @return empty if it has no known field
+   * @param value the JSON value: an object, or a string with a report in either form; any other
+   *     value or null is not a report
+   * @return the load, or empty if the report has no known field with a finite number
    */
   static Optional<WorkerLoad> fromJson(Object value) {
     if (value instanceof String text) {
@@ -80,14 +81,17 @@
         try {
           fields.put(field.substring(0, equals), Double.valueOf(field.substring(equals + 1)));
         } catch (NumberFormatException e) {
-          // Ignored like an unknown field.
+          // A value that is not a number is ignored, as an unknown field is.
         }
       }
     }
     return fields;
   }
 
-  /** The value under the first name that the fields have; NaN, as the policy expects, if none. */
+  /**
+   * Returns the value of the first of the names that is present. Returns NaN, which the policy
+   * takes as unknown, if no name is present or the value is not a finite number.
+   */
   private static double number(Map<?, ?> fields, List<String> names) {
     for (String name : names) {
       Object value = fields.get(name);
--- a/src/main/java/loomreel/upstream/OutlierDetector.java
+++ b/src/main/java/loomreel/upstream/OutlierDetector.java
@@ -1,26 +1,32 @@
 package loomreel.upstream;
 
 /**
- * Outlier detection for one worker of a static endpoint list: ejects it after several consecutive
- * failures, and schedules probes of it with exponential backoff until it responds again.
+ * Detects whether one worker of a static endpoint list is an outlier. Ejects the worker after
+ * several consecutive failures, and schedules probes with exponential backoff until the worker
+ * responds again.
  *
- * <p>All times are passed in, in microseconds; it reads no clock and does no I/O.
+ * <p>Reads no clock and performs no I/O: all times are parameters, in microseconds.
  */
 final class OutlierDetector {
-  /** A single lost connection is no evidence that a worker is down. */
+  /**
+   * The number of consecutive failures after which a worker is ejected. A single lost connection
+   * does not show that a worker is down.
+   */
   private static final int CONSECUTIVE_FAILURES_TO_EJECT = 3;
 
+  /** The time from the ejection to the first probe, in microseconds. */
   private static final long FIRST_PROBE_DELAY_MICROS = 500_000;
+  /** The maximum time from a failure to the next probe, in microseconds. */
   private static final long MAX_PROBE_DELAY_MICROS = 5_000_000;
 
-  /** While a probe is in flight no other is due. */
+  /** The value of {@link #probeAt} while a probe is in flight, so that no other probe is due. */
   private static final long PROBE_IN_FLIGHT = Long.MAX_VALUE;
 
-  /** What a result has changed. */
+  /** The effect of a result on the state of the worker. */
   enum Change {
-    /** Nothing. */
+    /** The state has not changed. */
     NONE,
-    /** The worker was ejected. */
+    /** The worker has been ejected. */
     EJECTED,
     /** The worker is no longer ejected. */
     RECOVERED
@@ -28,10 +34,13 @@
 
   private int consecutiveFailures;
   private boolean ejected;
+  /** The time from the last failure to the next probe, in microseconds. */
   private long probeDelayMicros;
+
+  /** The time at which the next probe is due, or {@link #PROBE_IN_FLIGHT}. */
   private long probeAt;
 
-  /** The worker has responded, with whatever status. */
+  /** Records that the worker has responded, with any status. */
   Change recordSuccess() {
     consecutiveFailures = 0;
     boolean recovered = ejected;
@@ -39,7 +48,7 @@
     return recovered ? Change.RECOVERED : Change.NONE;
   }
 
-  /** The worker could not be reached, or did not respond in time. */
+  /** Records that the worker could not be reached or did not respond in time. */
   Change recordFailure(long now) {
     consecutiveFailures++;
     if (ejected) {
@@ -59,13 +68,16 @@
     probeAt = now + delayMicros;
   }
 
-  /** Whether the worker is ejected. */
+  /** Returns whether the worker is ejected. */
   boolean isEjected() {
     return ejected;
   }
 
-  /** Whether to probe the worker now; if so, no other probe is due before this one has failed. */
-  boolean takeDueProbe(long now) {
+  /**
+   * Returns whether a probe is due, and if so records it as in flight. No other probe is due until
+   * this one has failed.
+   */
+  boolean startProbeIfDue(long now) {
     boolean isDue = ejected && now >= probeAt;
     if (isDue) {
       probeAt = PROBE_IN_FLIGHT;
--- a/src/main/java/loomreel/upstream/OutlierEjector.java
+++ b/src/main/java/loomreel/upstream/OutlierEjector.java
@@ -5,43 +5,48 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Ejects a worker of a static endpoint list while it cannot be reached, by publishing it as removed
- * and later as ready. {@link OutlierDetector} decides when.
+ * Ejects a worker of a static endpoint list while it cannot be reached: publishes it as removed,
+ * and as ready when it has recovered. {@link OutlierDetector} determines when that is.
  */
 final class OutlierEjector implements ReachabilityListener {
-  private final HttpWorkerPool workers;
+  private final HttpWorkerPool workerPool;
   private final String workerId;
   private final OutlierDetector detector = new OutlierDetector();
   private final EventLoop loop;
   private final RateLimitedLogger log;
 
-  OutlierEjector(HttpWorkerPool workers, String workerId, EventLoop loop, RateLimitedLogger log) {
-    this.workers = workers;
+  OutlierEjector(
+      HttpWorkerPool workerPool, String workerId, EventLoop loop, RateLimitedLogger log) {
+    this.workerPool = workerPool;
     this.workerId = workerId;
     this.loop = loop;
     this.log = log;
   }
 
-  /** Whether to probe the worker now; if so, no other probe is due before this one has failed. */
-  boolean takeDueProbe() {
-    return detector.takeDueProbe(loop.now());
+  /**
+   * Returns whether a probe is due, and if so records it as in flight. No other probe is due until
+   * this one has failed.
+   */
+  boolean startProbeIfDue() {
+    return detector.startProbeIfDue(loop.now());
   }
 
   @Override
   public void reachable() {
     if (detector.recordSuccess() == OutlierDetector.Change.RECOVERED) {
       log.info("worker recovered worker=" + workerId);
-      // Whatever the cause of the failures: it warms up as if it had just started.
-      Endpoint known = workers.endpoint(workerId);
-      workers.replace(
+      // Sets the start time to the current time, so that the worker gets a slow start, whatever the
+      // cause of the failures was.
+      Endpoint lastEndpoint = workerPool.endpoint(workerId);
+      workerPool.replaceEndpoint(
           new Endpoint(
               workerId,
-              known.zone(),
-              known.kind(),
-              known.failureDomain(),
+              lastEndpoint.zone(),
+              lastEndpoint.kind(),
+              lastEndpoint.failureDomain(),
               Endpoint.State.READY,
               loop.now(),
-              known.weight()));
+              lastEndpoint.weight()));
     }
   }
 
@@ -49,7 +54,7 @@
   public void unreachable() {
     if (detector.recordFailure(loop.now()) == OutlierDetector.Change.EJECTED) {
       log.warn("worker ejected, it cannot be reached worker=" + workerId);
-      workers.replace(workers.endpoint(workerId).withState(Endpoint.State.REMOVED));
+      workerPool.replaceEndpoint(workerPool.endpoint(workerId).withState(Endpoint.State.REMOVED));
     }
   }
 }
--- a/src/main/java/loomreel/upstream/ReachabilityListener.java
+++ b/src/main/java/loomreel/upstream/ReachabilityListener.java
@@ -1,8 +1,8 @@
 package loomreel.upstream;
 
-/** Is notified by each call to a worker whether the worker can be reached. */
+/** Receives the result of each call to a worker: whether the worker could be reached. */
 interface ReachabilityListener {
-  /** Ignores everything. */
+  /** A listener that ignores all notifications. */
   ReachabilityListener NONE =
       new ReachabilityListener() {
         @Override
@@ -12,9 +12,9 @@
         public void unreachable() {}
       };
 
-  /** The worker has responded, with whatever status. */
+  /** Called when the worker has responded, with any status. */
   void reachable();
 
-  /** No connection could be established, or there was no response in time. */
+  /** Called when no connection could be established, or no response arrived in time. */
   void unreachable();
 }
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -195,7 +195,7 @@
       for (int seed = 0; seed < 50; seed++) {
         long called = startUntilPolledAgain(grace, ending, seed);
         assertTrue(
-            called + SECOND / 2 <= WatchTimeouts.FIRST_LIST_TIMEOUT,
+            called + SECOND / 2 <= WatchTimeouts.FIRST_LIST_TIMEOUT_MICROS,
             "polled " + called + " us after the start: " + ending);
       }
     }
--- a/src/test/java/loomreel/upstream/JobStatusUpdateTest.java
+++ b/src/test/java/loomreel/upstream/JobStatusUpdateTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The job status update that the body of a callback is parsed to. */
+/** Tests that {@link JobStatusUpdate} parses the bodies of callbacks. */
 class JobStatusUpdateTest {
   private static Optional<JobStatusUpdate> parse(String body) {
     return JobStatusUpdate.parse(body.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void allFieldsAreRead() {
+  void parseReadsAllFields() {
     JobStatusUpdate update =
         parse(
                 """
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void resultAndLoadAreOptional() {
+  void parseAcceptsABodyWithoutResultAndLoad() {
     JobStatusUpdate update =
         parse("{\"id\": \"a1\", \"from\": \"w0\", \"state\": \"running\", \"result\": 5}")
             .orElseThrow();
@@ -50,7 +50,7 @@
     "killed, ABORTED",
     "DONE, ABORTED"
   })
-  void anUnknownStateCountsAsAborted(String name, State state) {
+  void parseMapsEachStateNameAndTreatsUnknownOnesAsAborted(String name, State state) {
     String body = "{\"id\": \"a1\", \"from\": \"w0\", \"state\": \"" + name + "\"}";
     assertEquals(state, parse(body).orElseThrow().state());
   }
@@ -66,7 +66,7 @@
         "{\"id\": \"a1\", \"state\": \"done\"}",
         "{\"id\": \"a1\", \"from\": \"w0\"}"
       })
-  void aBodyWithoutTheRequiredFieldsIsMalformed(String body) {
+  void parseReturnsEmptyForAMalformedOrIncompleteBody(String body) {
     assertTrue(parse(body).isEmpty());
   }
 }
--- a/src/test/java/loomreel/upstream/LoadReportTest.java
+++ b/src/test/java/loomreel/upstream/LoadReportTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.NullAndEmptySource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The forms of load reports that are parsed. */
+/** Tests the forms of load reports that {@link LoadReport} parses. */
 class LoadReportTest {
   private static final Optional<WorkerLoad> LOAD =
       Optional.of(new WorkerLoad(2, 7, 0.5, Double.NaN));
@@ -24,19 +24,19 @@
         "{\"inflight\": 7, \"queue\": 2, \"util\": 0.5}",
         "  {\"concurrent\": 7, \"depth\": 2, \"load_share\": 0.5, \"x0\": \"8\"}"
       })
-  void textAndJsonHaveTheSameFields(String report) {
+  void textAndJsonReportsAreParsedToTheSameLoad(String report) {
     assertEquals(LOAD, LoadReport.parse(report));
   }
 
   @ParameterizedTest
   @NullAndEmptySource
   @ValueSource(strings = {"TEXT", "queue=NaN", "queue=Infinity", "{\"queue\":", "{}", "=5", "[1]"})
-  void aReportWithoutAKnownNumberIsNone(String report) {
+  void aReportWithoutAKnownFiniteNumberIsIgnored(String report) {
     assertEquals(Optional.empty(), LoadReport.parse(report));
   }
 
   @Test
-  void aReportInAJsonDocumentIsAnObjectOrText() {
+  void fromJsonAcceptsAnObjectOrTextOnly() {
     assertEquals(LOAD, LoadReport.fromJson(Map.of("inflight", 7, "queue", 2, "util", 0.5)));
     assertEquals(LOAD, LoadReport.fromJson("TEXT inflight=7, queue=2, util=0.5"));
     assertEquals(Optional.empty(), LoadReport.fromJson(List.of(7)));
--- a/src/test/java/loomreel/upstream/OutlierDetectorTest.java
+++ b/src/test/java/loomreel/upstream/OutlierDetectorTest.java
@@ -7,37 +7,41 @@
 import loomreel.upstream.OutlierDetector.Change;
 import org.junit.jupiter.api.Test;
 
-/** When a worker of a static endpoint list is ejected, and how often it is probed then. */
+/** Tests when {@link OutlierDetector} ejects a worker, and how often it is probed then. */
 class OutlierDetectorTest {
-  private static final long MS = 1000;
-  private final OutlierDetector worker = new OutlierDetector();
+  private static final long MICROS_PER_MILLI = 1000;
+  private final OutlierDetector detector = new OutlierDetector();
 
   @Test
-  void onlyConsecutiveFailuresEject() {
-    assertEquals(Change.NONE, worker.recordFailure(0));
-    assertEquals(Change.NONE, worker.recordFailure(0));
-    assertEquals(Change.NONE, worker.recordSuccess());
-    assertEquals(Change.NONE, worker.recordFailure(0));
-    assertEquals(Change.NONE, worker.recordFailure(0));
-    assertEquals(Change.EJECTED, worker.recordFailure(0));
-    assertEquals(Change.NONE, worker.recordFailure(0), "it is ejected already");
-    assertTrue(worker.isEjected());
-    assertEquals(Change.RECOVERED, worker.recordSuccess());
-    assertFalse(worker.isEjected());
+  void onlyThreeConsecutiveFailuresEjectAWorker() {
+    assertEquals(Change.NONE, detector.recordFailure(0));
+    assertEquals(Change.NONE, detector.recordFailure(0));
+    assertEquals(Change.NONE, detector.recordSuccess());
+    assertEquals(Change.NONE, detector.recordFailure(0));
+    assertEquals(Change.NONE, detector.recordFailure(0));
+    assertEquals(Change.EJECTED, detector.recordFailure(0));
+    assertEquals(Change.NONE, detector.recordFailure(0), "it is ejected already");
+    assertTrue(detector.isEjected());
+    assertEquals(Change.RECOVERED, detector.recordSuccess());
+    assertFalse(detector.isEjected());
   }
 
   @Test
-  void probesOfAnEjectedWorkerBackOffAndNeverOverlap() {
+  void probesOfAnEjectedWorkerBackOffAndDoNotOverlap() {
     for (int i = 0; i < 3; i++) {
-      worker.recordFailure(0);
+      detector.recordFailure(0);
     }
-    assertFalse(worker.takeDueProbe(499 * MS));
+    assertFalse(detector.startProbeIfDue(499 * MICROS_PER_MILLI));
     int probes = 0;
-    for (long now = 500 * MS; now < 60_000 * MS; now += 100 * MS) {
-      if (worker.takeDueProbe(now)) {
+    for (long now = 500 * MICROS_PER_MILLI;
+        now < 60_000 * MICROS_PER_MILLI;
+        now += 100 * MICROS_PER_MILLI) {
+      if (detector.startProbeIfDue(now)) {
         probes++;
-        assertFalse(worker.takeDueProbe(now + 50 * MS), "the probe in flight has not ended");
-        worker.recordFailure(now + 60 * MS);
+        assertFalse(
+            detector.startProbeIfDue(now + 50 * MICROS_PER_MILLI),
+            "the probe in flight has not ended");
+        detector.recordFailure(now + 60 * MICROS_PER_MILLI);
       }
     }
     assertTrue(probes >= 10 && probes <= 16, probes + " probes in a minute");
