--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -16,18 +16,19 @@
 import loomreel.io.EventLoop;
 
 /**
- * An accepted HTTP connection: of a client that submits jobs, of a worker that sends job status
- * updates, or of the platform's readiness check. Processes one request at a time, which {@link
- * RequestHandler} handles; {@link ClientConnectionState} has its states and their transitions.
+ * An accepted HTTP connection. The peer is a client that submits jobs, a worker that sends job
+ * status updates, or the platform, which checks readiness. The connection processes one request at
+ * a time, which {@link RequestHandler} handles. {@link ClientConnectionState} has the states of a
+ * connection and their transitions.
  *
- * <p>Owned by {@link HttpIngress}, which is notified of its close.
+ * <p>Owned by {@link HttpIngress}, which is notified when the connection closes.
  */
 final class ClientConnection extends HttpConnection implements Rpc.Caller {
-  /** How a request that is received in part is handled when its connection is to close. */
+  /** The handling of a partially received request on a connection that is to be closed. */
   enum PartialRequest {
-    /** The rest of it is awaited, and it is processed. */
+    /** The rest of the request is awaited, and the request is processed. */
     AWAIT,
-    /** It is rejected with status 408. */
+    /** The request is rejected with status 408. */
     REJECT
   }
 
@@ -36,41 +37,45 @@
   private static final byte[] NO_BODY = new byte[0];
   private static final double MICROS_PER_SECOND = 1e6;
 
-  // Names of trace events.
+  // The names of trace events.
   private static final String TRACE_CLOSED_WHILE_IDLE = "letgo";
   private static final String TRACE_OUTPUT_SHUT_DOWN = "shut";
 
   /**
-   * The time limit of the first request, counted from the connection's start, so that sending byte
-   * by byte does not extend it; of each further request; of writing a response; and of the client's
-   * close after the last response.
+   * The timeout, in microseconds, of each of these phases: receiving the first request, counted
+   * from the accept of the connection; receiving each further request, counted from its first byte;
+   * writing a response; and waiting for the client to close the connection after the last response.
+   * Input that arrives slowly, byte by byte, does not extend the timeout.
    */
   private static final long TIMEOUT_MICROS = 2_000_000;
 
-  /** The pause after a 4xx response, which limits the rate of clients that repeat an error. */
+  /**
+   * The time after a 4xx response during which no further request is read, in microseconds. It
+   * limits the request rate of clients that repeat an error.
+   */
   private static final long ERROR_PAUSE_MICROS = 100_000;
 
   private final HttpIngress ingress;
   private final RequestHandler handler;
-  private final PipelinedInput pipelined;
+  private final PipelinedInput pipelinedInput;
   private ClientConnectionState state = ClientConnectionState.READING;
 
-  /** The job that is being processed; null if there is none. */
+  /** The call that is being processed; null if there is none. */
   private Rpc rpc;
 
-  /** The input that is being parsed: it may have pipelined input behind a complete request. */
+  /** The buffer that is being parsed. It may contain pipelined input behind a complete request. */
   private ByteBuffer currentInput;
 
-  /** Whether the peer is a worker. */
+  /** Whether the peer is a worker. False until it has sent a job status update. */
   private boolean fromWorker;
 
   /** The pending timeout or pause; null if there is none. */
   private EventLoop.Timer timer;
 
   /**
-   * Takes ownership of an accepted channel.
+   * Creates a connection, which takes ownership of an accepted channel.
    *
-   * @throws IOException if it cannot be registered with the event loop
+   * @throws IOException if the channel cannot be registered with the event loop
    */
   ClientConnection(
       EventLoop loop, SocketChannel channel, HttpIngress ingress, RequestHandler handler)
@@ -78,11 +83,11 @@
     super(loop, channel, true, true);
     this.ingress = ingress;
     this.handler = handler;
-    pipelined = new PipelinedInput(loop.pool());
+    pipelinedInput = new PipelinedInput(loop.pool());
     startTimeout();
   }
 
-  /** Whether the peer is a worker. */
+  /** Returns whether the peer is known to be a worker. */
   boolean isFromWorker() {
     return fromWorker;
   }
@@ -99,8 +104,8 @@
   @Override
   protected void bytesReceived(ByteBuffer in) {
     if (!state.isOpen()) {
-      pipelined.discard(in);
-      pauseReading(pipelined.exceedsDiscardLimit());
+      pipelinedInput.discard(in);
+      pauseReading(pipelinedInput.exceedsDiscardLimit());
       return;
     }
     if (state == ClientConnectionState.READING) {
@@ -125,15 +130,16 @@
   }
 
   /**
-   * Buffers input behind the current request. If it has to be discarded instead, the response to
-   * the current request is the last one.
+   * Buffers input behind the current request. If the input must be discarded instead, the
+   * connection is closed after the response to the current request. If the discard limit is
+   * exceeded, a job that is being processed is cancelled, and the response has status 413.
    */
   private void bufferPipelined(ByteBuffer in) {
-    if (pipelined.add(in)) {
+    if (pipelinedInput.add(in)) {
       return;
     }
     apply(ClientConnectionState.Event.CLOSE_REQUESTED);
-    if (pipelined.exceedsDiscardLimit() && rpc != null) {
+    if (pipelinedInput.exceedsDiscardLimit() && rpc != null) {
       cancelJob();
       respondAndClose(HttpStatus.CONTENT_TOO_LARGE);
     }
@@ -172,33 +178,33 @@
   }
 
   /**
-   * Reads all input that has arrived by now behind the current request.
+   * Reads and buffers all input behind the current request that has arrived by now.
    *
-   * @return whether the connection is still open
+   * @return whether the connection is still open; false if the client has disconnected
    */
   boolean readPendingInput() {
     if (hasPipelinedInput()) {
-      // It precedes the input that is still in the channel.
+      // This input precedes the input that is still in the channel.
       bufferPipelined(currentInput);
     }
     boolean mayHaveMore = true;
-    while (mayHaveMore && state.isOpen() && !pipelined.exceedsDiscardLimit()) {
+    while (mayHaveMore && state.isOpen() && !pipelinedInput.exceedsDiscardLimit()) {
       mayHaveMore = readNow();
     }
     return state.isOpen();
   }
 
-  /** Sets the job that is being processed, whose end this connection responds with. */
+  /** Sets the call that is being processed, whose answer is sent as the response. */
   void setRpc(Rpc newRpc) {
     rpc = newRpc;
   }
 
-  /** Lets the connection end after the response to the current request. */
+  /** Closes the connection after the response to the current request. */
   void closeAfterResponse() {
     apply(ClientConnectionState.Event.CLOSE_REQUESTED);
   }
 
-  /** The client has sent a job or a job status update. */
+  /** Records that the peer has sent a job or a job status update. */
   void markProven() {
     ingress.markProven(this);
   }
@@ -208,7 +214,10 @@
     fromWorker = true;
   }
 
-  /** The other process has handled the status update that was received last. */
+  /**
+   * Responds to the current request, a job status update, after the other process has handled the
+   * update. Does nothing if the connection is closed.
+   */
   void statusUpdateForwarded() {
     if (!isClosed()) {
       respond(HttpStatus.OK);
@@ -235,7 +244,7 @@
     respond(HttpStatus.INTERNAL_SERVER_ERROR);
   }
 
-  /** Starts a response without a body. */
+  /** Starts a response without a body and without an additional header. */
   void respond(int status) {
     respond(status, NO_BODY, NO_HEADER);
   }
@@ -243,17 +252,21 @@
   /**
    * Starts a response without a body.
    *
-   * @param header a header line without its line end
+   * @param header an additional header line, without the line end
    */
   void respond(int status, String header) {
     respond(status, NO_BODY, header);
   }
 
-  /** Starts a response, the last one if the connection is to close. */
+  /**
+   * Starts a response. It is the last one on this connection if the connection is to be closed.
+   *
+   * @param header an additional header line, without the line end, or {@link #NO_HEADER}
+   */
   private void respond(int status, byte[] body, String header) {
-    // Pipelined requests were accepted, so they are processed before the connection closes.
+    // Pipelined requests have been read already, so they are processed before the close.
     boolean isFinal =
-        state.isFinal() || (ingress.isFinalResponse(fromWorker) && pipelined.isEmpty());
+        state.isFinal() || (ingress.isFinalResponse(fromWorker) && pipelinedInput.isEmpty());
     if (isFinal) {
       startResponse(ClientConnectionState.Event.FINAL_RESPONSE_STARTED, status, body, header);
     } else if (HttpStatus.isClientError(status)) {
@@ -263,7 +276,7 @@
     }
   }
 
-  /** Starts the last response: no further input of the connection can be parsed. */
+  /** Starts the last response on this connection, because no further input can be parsed. */
   private void respondAndClose(int status) {
     startResponse(ClientConnectionState.Event.FINAL_RESPONSE_STARTED, status, NO_BODY, NO_HEADER);
   }
@@ -295,7 +308,7 @@
   @Override
   protected void flushed() {
     if (!state.isResponding()) {
-      // An interim response, 100 Continue, was written.
+      // The output that was written is an interim response, 100 Continue.
       return;
     }
     cancelTimer();
@@ -318,9 +331,9 @@
   }
 
   private void resumeReading() {
-    if (!pipelined.isEmpty()) {
-      // It precedes the input that is still in the channel.
-      bytesReceived(ByteBuffer.wrap(pipelined.takeAll()));
+    if (!pipelinedInput.isEmpty()) {
+      // This input precedes the input that is still in the channel.
+      bytesReceived(ByteBuffer.wrap(pipelinedInput.takeAll()));
     }
     if (state == ClientConnectionState.READING && parser.atStart()) {
       ingress.markIdle(this);
@@ -328,11 +341,11 @@
   }
 
   /**
-   * Closes the connection gracefully if it is between two requests. Input that has arrived is read
-   * first, and a complete request is processed, so that as few requests as possible cross the
-   * close.
+   * Closes the connection gracefully if no request is being processed. Input that has arrived is
+   * read first, and a complete request is processed, so that as few requests as possible are sent
+   * by the client while the connection is being closed.
    *
-   * @param partialRequest how a request that is received in part is handled
+   * @param partialRequest the handling of a request that has been received partially
    */
   void closeIfIdle(PartialRequest partialRequest) {
     if (state != ClientConnectionState.READING) {
@@ -352,9 +365,9 @@
   }
 
   /**
-   * Ends the output; the input is discarded until the client closes or {@link #TIMEOUT_MICROS} have
-   * passed. Closing at once would reset the connection if there is unread input, and the client
-   * could lose the response.
+   * Shuts the output down. Input is discarded until the client closes the connection or {@link
+   * #TIMEOUT_MICROS} have passed. Closing the connection at once would reset it if there is unread
+   * input, and the client could lose the response.
    */
   private void shutDownOutput() {
     ingress.markHalfClosed(this);
@@ -390,7 +403,7 @@
       cancelJob();
       super.close();
       apply(ClientConnectionState.Event.CLOSED);
-      pipelined.release();
+      pipelinedInput.release();
       cancelTimer();
       ingress.remove(this);
     }
--- a/src/main/java/loomreel/ingress/ClientConnectionState.java
+++ b/src/main/java/loomreel/ingress/ClientConnectionState.java
@@ -1,9 +1,10 @@
 package loomreel.ingress;
 
 /**
- * The states of a client connection, which serves one request at a time.
+ * The states of a client connection, which processes one request at a time.
  *
- * <p>Transitions; an event that has no entry for a state is a programming error:
+ * <p>The table lists all transitions. An event that has no entry for a state is a programming
+ * error.
  *
  * <table>
  *   <caption>Next state by state and event</caption>
@@ -50,11 +51,11 @@
  * </table>
  */
 enum ClientConnectionState {
-  /** Waits for a request, or has received a part of one. */
+  /** The connection waits for a request, or has received a part of one. */
   READING,
   /** A complete request has been received and its response has not been started. */
   PROCESSING,
-  /** As {@link #PROCESSING}; the connection ends after the response. */
+  /** As {@link #PROCESSING}, but the connection is closed after the response. */
   PROCESSING_FINAL,
   /** The response is being written. */
   RESPONDING,
@@ -62,41 +63,41 @@
   RESPONDING_ERROR,
   /** The last response on this connection is being written. */
   RESPONDING_FINAL,
-  /** A response with a 4xx status was written; the next request is not read yet. */
+  /** A response with a 4xx status has been written, and the next request is not read yet. */
   PAUSED,
-  /** As {@link #PAUSED}; the connection ends after the pause. */
+  /** As {@link #PAUSED}, but the connection is closed after the pause. */
   PAUSED_FINAL,
-  /** The output is shut down; input is discarded until the client closes. */
+  /** The output is shut down, and input is discarded until the client closes the connection. */
   HALF_CLOSED,
   /** The connection is closed. */
   CLOSED;
 
-  /** What changes the state of a connection. */
+  /** The events that change the state of a connection. */
   enum Event {
-    /** A complete request was received. */
+    /** A complete request has been received. */
     REQUEST_RECEIVED,
-    /** The connection is to end after the response to the current request. */
+    /** The connection is to be closed after the response to the current request. */
     CLOSE_REQUESTED,
-    /** A response was started, after which the connection stays open. */
+    /** A response has been started after which the connection stays open. */
     RESPONSE_STARTED,
-    /** A response with a 4xx status was started, after which the connection stays open. */
+    /** A response with a 4xx status has been started after which the connection stays open. */
     ERROR_RESPONSE_STARTED,
-    /** The last response on this connection was started. */
+    /** The last response on this connection has been started. */
     FINAL_RESPONSE_STARTED,
-    /** The response was written completely. */
+    /** The response has been written completely. */
     RESPONSE_WRITTEN,
     /** The pause after a response with a 4xx status is over. */
     PAUSE_ENDED,
     /** The output of an idle connection is being shut down. */
     OUTPUT_SHUT_DOWN,
-    /** The connection was closed. */
+    /** The connection has been closed. */
     CLOSED
   }
 
   /**
-   * The state that follows an event.
+   * Returns the state after an event.
    *
-   * @throws IllegalStateException if the event is impossible in this state
+   * @throws IllegalStateException if the table has no entry for the event in this state
    */
   ClientConnectionState on(Event event) {
     if (event == Event.CLOSED) {
@@ -108,7 +109,7 @@
             case REQUEST_RECEIVED -> PROCESSING;
             case FINAL_RESPONSE_STARTED -> RESPONDING_FINAL;
             case OUTPUT_SHUT_DOWN -> HALF_CLOSED;
-            default -> throw impossible(event);
+            default -> throw illegalTransition(event);
           };
       case PROCESSING ->
           switch (event) {
@@ -116,27 +117,27 @@
             case RESPONSE_STARTED -> RESPONDING;
             case ERROR_RESPONSE_STARTED -> RESPONDING_ERROR;
             case FINAL_RESPONSE_STARTED -> RESPONDING_FINAL;
-            default -> throw impossible(event);
+            default -> throw illegalTransition(event);
           };
       case PROCESSING_FINAL ->
           switch (event) {
             case CLOSE_REQUESTED -> PROCESSING_FINAL;
             case FINAL_RESPONSE_STARTED -> RESPONDING_FINAL;
-            default -> throw impossible(event);
+            default -> throw illegalTransition(event);
           };
       case RESPONDING, RESPONDING_ERROR, RESPONDING_FINAL ->
           switch (event) {
             case CLOSE_REQUESTED -> RESPONDING_FINAL;
             case RESPONSE_WRITTEN -> afterResponse();
-            default -> throw impossible(event);
+            default -> throw illegalTransition(event);
           };
       case PAUSED, PAUSED_FINAL ->
           switch (event) {
             case CLOSE_REQUESTED -> PAUSED_FINAL;
             case PAUSE_ENDED -> this == PAUSED ? READING : HALF_CLOSED;
-            default -> throw impossible(event);
+            default -> throw illegalTransition(event);
           };
-      case HALF_CLOSED, CLOSED -> throw impossible(event);
+      case HALF_CLOSED, CLOSED -> throw illegalTransition(event);
     };
   }
 
@@ -148,21 +149,21 @@
     };
   }
 
-  private IllegalStateException impossible(Event event) {
+  private IllegalStateException illegalTransition(Event event) {
     return new IllegalStateException(event + " in state " + this);
   }
 
-  /** Whether requests may still be responded to: neither half-closed nor closed. */
+  /** Returns whether requests may be responded to: the state is neither HALF_CLOSED nor CLOSED. */
   boolean isOpen() {
     return this != HALF_CLOSED && this != CLOSED;
   }
 
-  /** Whether a response has been started and not been written completely. */
+  /** Returns whether a response has been started and not been written completely. */
   boolean isResponding() {
     return this == RESPONDING || this == RESPONDING_ERROR || this == RESPONDING_FINAL;
   }
 
-  /** Whether the connection ends after the current request. */
+  /** Returns whether the connection is closed after the current request or pause. */
   boolean isFinal() {
     return this == PROCESSING_FINAL || this == RESPONDING_FINAL || this == PAUSED_FINAL;
   }
--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -6,31 +6,40 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Keeps the number of client connections within the file descriptors that are granted: evicts
- * unproven and idle connections before the limit is reached, and pauses accepting at the limit.
+ * Limits the number of client connections to the file descriptors that are granted to them. Evicts
+ * unproven and idle connections before the limit is reached, and pauses accepting at the limit. A
+ * connection is unproven until it has sent a job or a job status update.
  *
- * <p>Connections are shut down gracefully, so that a response that is still unread is not lost;
- * only at the limit the oldest one is closed at once.
+ * <p>Evicted connections are closed gracefully, so that responses that are still unread are not
+ * lost. Only at the limit, the oldest half-closed or unproven connection is closed at once.
  */
 final class ConnectionLimiter {
-  /** How long a new connection has for its first request, in microseconds. */
+  /**
+   * The grace period of a new connection, in microseconds. During this time an unproven connection
+   * is not evicted, because its first request may not have been read yet. A half-closed connection
+   * has the same time before it may be closed at once.
+   */
   static final long UNPROVEN_GRACE_MICROS = 100_000;
 
-  /** The fraction of the connections that unproven ones cannot evict proven ones from. */
+  /**
+   * The fraction of the maximum number of connections that is protected for proven connections.
+   * While proven connections do not exceed this fraction, unproven connections are evicted first.
+   */
   private static final double PROVEN_FRACTION = 0.5;
 
   /**
-   * The fraction of all descriptors that idle connections may hold. Clients may send one request on
-   * each connection and leave it open; a third of the descriptors is for them, and those of idle
-   * connections are not available to their next jobs.
+   * The maximum fraction of the granted descriptors that idle connections may hold. Clients may
+   * send one request on each connection and leave the connection open. A third of the descriptors
+   * is meant for clients, and descriptors of idle connections are not available to their next jobs.
    */
   private static final double MAX_IDLE_FRACTION = 1 / 8.0;
 
+  /** The lower bound of the maximum number of idle connections. */
   private static final int MIN_IDLE_LIMIT = 4;
 
   /**
-   * The fraction of the connections that stays free, so that clients have the time to close their
-   * side of a connection that was shut down.
+   * The fraction of the maximum number of connections that is kept free, so that clients have time
+   * to close their side of a connection that was shut down.
    */
   private static final double RESERVED_FRACTION = 1 / 16.0;
 
@@ -38,10 +47,15 @@
   private final ConnectionRegistry registry;
   private final Acceptor acceptor;
   private final RateLimitedLogger log;
+
+  /** The maximum number of open connections. */
   private int maxConnections = Integer.MAX_VALUE;
+
+  /** The maximum number of idle connections. */
   private int maxIdle = Integer.MAX_VALUE;
-  private int unprovenEvicted;
-  private int idleEvicted;
+
+  private int evictedUnprovenCount;
+  private int evictedIdleCount;
 
   ConnectionLimiter(
       EventLoop loop, ConnectionRegistry registry, Acceptor acceptor, RateLimitedLogger log) {
@@ -51,25 +65,35 @@
     this.log = log;
   }
 
-  /** Sets the limits and enforces them, unless accepting is paused or stopped. */
-  void setCapacity(int connections, int grantedDescriptors) {
-    maxConnections = connections;
+  /**
+   * Sets the limits, and enforces them unless accepting is paused or stopped.
+   *
+   * @param newMaxConnections the maximum number of open connections
+   * @param grantedDescriptors the number of descriptors of the process, a fraction of which may be
+   *     used by idle connections
+   */
+  void setCapacity(int newMaxConnections, int grantedDescriptors) {
+    maxConnections = newMaxConnections;
     maxIdle = (int) Math.max(MIN_IDLE_LIMIT, grantedDescriptors * MAX_IDLE_FRACTION);
     if (acceptor.isAccepting()) {
       evictExcess();
     }
   }
 
-  /** Evicts connections while fewer than the reserved ones are free; called after each accept. */
+  /**
+   * Evicts connections until the reserved number is free or no further connection may be evicted.
+   * At the maximum number of connections, closes one at once or pauses accepting. Must be called
+   * after each accept.
+   */
   void evictExcess() {
     int reserved = (int) Math.max(1, maxConnections * RESERVED_FRACTION);
     int excess = registry.activeCount() - maxConnections + reserved;
     while (excess > 0) {
-      Optional<ClientConnection> victim = pollEvictable();
-      if (victim.isEmpty()) {
+      Optional<ClientConnection> evictable = pollEvictable();
+      if (evictable.isEmpty()) {
         break;
       }
-      victim.get().closeIfIdle(ClientConnection.PartialRequest.REJECT);
+      evictable.get().closeIfIdle(ClientConnection.PartialRequest.REJECT);
       excess--;
     }
     if (registry.openCount() >= maxConnections) {
@@ -94,10 +118,14 @@
   }
 
   /**
-   * Removes and returns the connection to evict next: the oldest unproven one, unless its first
-   * request may just be unread. Clients that open many connections must not displace those that
-   * send jobs and status updates. Where the proven ones exceed their fraction, it is the longest
-   * idle one, so that new connections have the time to prove themselves.
+   * Removes the next connection to evict from its category and returns it.
+   *
+   * <p>Normally this is the oldest unproven connection, so that clients that open many connections
+   * do not displace those that send jobs and status updates. An unproven connection is not evicted
+   * during its grace period, since its first request may not have been read yet. If proven
+   * connections exceed their fraction, or no connection is unproven, the connection that has been
+   * idle longest is evicted instead, if there is one. This gives new connections time to send a
+   * request.
    */
   private Optional<ClientConnection> pollEvictable() {
     if (registry.idleCount() > 0 && (registry.unprovenCount() == 0 || provenExceedFraction())) {
@@ -111,7 +139,7 @@
     oldest.ifPresent(
         connection -> {
           registry.markProven(connection);
-          unprovenEvicted++;
+          evictedUnprovenCount++;
         });
     return oldest;
   }
@@ -121,22 +149,25 @@
   }
 
   private ClientConnection pollLongestIdle() {
-    idleEvicted++;
+    evictedIdleCount++;
     return registry.pollLongestIdle();
   }
 
-  /** Removes and returns the longest idle connection if there are more than the limit allows. */
+  /**
+   * Removes and returns the connection that has been idle longest, if the number of idle
+   * connections exceeds its maximum.
+   */
   Optional<ClientConnection> pollExcessIdle() {
     return registry.idleCount() > maxIdle ? Optional.of(pollLongestIdle()) : Optional.empty();
   }
 
-  /** How many unproven connections were evicted since the start. */
-  int unprovenEvicted() {
-    return unprovenEvicted;
+  /** Returns the number of unproven connections that were evicted since the start. */
+  int evictedUnprovenCount() {
+    return evictedUnprovenCount;
   }
 
-  /** How many idle connections were evicted since the start. */
-  int idleEvicted() {
-    return idleEvicted;
+  /** Returns the number of idle connections that were evicted since the start. */
+  int evictedIdleCount() {
+    return evictedIdleCount;
   }
 }
--- a/src/main/java/loomreel/ingress/ConnectionRegistry.java
+++ b/src/main/java/loomreel/ingress/ConnectionRegistry.java
@@ -10,26 +10,34 @@
 import java.util.Set;
 
 /**
- * The open client connections, and which of them are unproven, idle or half-closed. Bookkeeping
- * only: it neither opens nor closes a connection.
+ * The open client connections, with the categories unproven, idle and half-closed. The registry
+ * only records connections; it neither opens nor closes them.
  *
- * <p>A connection is <em>unproven</em> until it has sent a job or a job status update,
- * <em>idle</em> while it has no request, and <em>half-closed</em> once its output is shut down and
- * the client's close is awaited. All times are in microseconds of the event loop's clock.
+ * <p>A connection is <em>unproven</em> until it has sent a job or a job status update. It is
+ * <em>idle</em> between the end of a request and the next one. It is <em>half-closed</em> after its
+ * output was shut down, while the client's close is awaited. All times are in microseconds of the
+ * event loop's clock.
  */
 final class ConnectionRegistry {
-  /** A connection and the time since when it is in its present category. */
+  /**
+   * A connection of a category.
+   *
+   * @param since the time at which the connection entered the category
+   */
   record Timed(ClientConnection connection, long since) {}
 
+  /** All open connections, the oldest first. */
   private final Set<ClientConnection> open = new LinkedHashSet<>();
 
-  /** By connection the time at which it was accepted, the oldest first. */
+  /** The unproven connections with the time of their accept, the oldest first. */
   private final Map<ClientConnection, Long> unproven = new LinkedHashMap<>();
 
-  /** By connection the time at which its output was shut down, the oldest first. */
+  /**
+   * The half-closed connections with the time of the shutdown of their output, the oldest first.
+   */
   private final Map<ClientConnection, Long> halfClosed = new LinkedHashMap<>();
 
-  /** The longest idle first. */
+  /** The idle connections, the longest idle first. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   void add(ClientConnection connection, long now) {
@@ -62,8 +70,8 @@
     halfClosed.put(connection, now);
   }
 
-  /** Whether a connection is proven, or was accepted at a time or before it. */
-  boolean isProvenOrOpenSince(ClientConnection connection, long time) {
+  /** Returns whether a connection is proven, or was accepted no later than the given time. */
+  boolean isProvenOrAcceptedBy(ClientConnection connection, long time) {
     Long acceptedAt = unproven.get(connection);
     return acceptedAt == null || acceptedAt <= time;
   }
@@ -82,20 +90,24 @@
         .map(entry -> new Timed(entry.getKey(), entry.getValue()));
   }
 
-  /** Removes the connection that has been idle longest from the idle ones; there has to be one. */
+  /**
+   * Removes the connection that has been idle longest from the idle connections, and returns it.
+   *
+   * @throws java.util.NoSuchElementException if no connection is idle
+   */
   ClientConnection pollLongestIdle() {
     Iterator<ClientConnection> connections = idle.iterator();
-    ClientConnection longest = connections.next();
+    ClientConnection longestIdle = connections.next();
     connections.remove();
-    return longest;
+    return longestIdle;
   }
 
-  /** A copy of the open connections, the oldest first. */
+  /** Returns a copy of the open connections, the oldest first. */
   List<ClientConnection> openConnections() {
     return new ArrayList<>(open);
   }
 
-  /** A copy of the idle connections, the longest idle first. */
+  /** Returns a copy of the idle connections, the longest idle first. */
   List<ClientConnection> idleConnections() {
     return new ArrayList<>(idle);
   }
@@ -116,7 +128,7 @@
     return halfClosed.size();
   }
 
-  /** The open connections whose output is not shut down. */
+  /** Returns the number of open connections that are not half-closed. */
   int activeCount() {
     return open.size() - halfClosed.size();
   }
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -12,41 +12,44 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The HTTP ingress: accepts the connections of clients with jobs and of workers with job status
- * updates. {@link ConnectionLimiter} bounds their number.
+ * The HTTP ingress. Accepts connections of clients, which submit jobs, and of workers, which send
+ * job status updates. {@link ConnectionLimiter} limits the number of connections.
  *
- * <p>Used on the event loop's thread only. It owns its {@link ClientConnection}s; the listening
- * socket belongs to the event loop.
+ * <p>Not thread-safe: used on the event loop's thread only. Owns its {@link ClientConnection}s. The
+ * listening socket is owned by the event loop.
  */
 public final class HttpIngress implements Ingress {
-  /** Which connections and jobs the process accepts in its present state. */
+  /** Decides which connections and jobs are accepted in the current state of the process. */
   public interface AdmissionGate {
-    /** Whether clients should use this process, as its readiness check reports. */
+    /** Returns whether the readiness check reports that clients should use this process. */
     boolean acceptsClients();
 
-    /** Whether jobs are accepted; if not, other processes accept them. */
+    /** Returns whether jobs are accepted. If not, other processes accept them. */
     boolean acceptsJobs();
 
-    /** Whether every connection is closed when it falls idle. */
+    /** Returns whether each connection is closed as soon as it is idle. */
     boolean isClosing();
 
     /**
-     * Whether a response is the last one on its connection.
+     * Returns whether a response that starts now is the last one on its connection.
      *
-     * @param fromWorker whether the peer is a worker
+     * @param fromWorker whether the peer of the connection is a worker
      */
     boolean isFinalResponse(boolean fromWorker);
 
     /**
-     * Forwards a job status update for a job that is unknown here to the other process.
+     * Forwards a job status update for a job that is not active in this process to the other
+     * process that serves as the same dispatcher.
      *
      * @param body the update as it was received
-     * @param completed called when the other process has handled it, or has disconnected
+     * @param completed called when the other process has handled the update or has disconnected, or
+     *     at once if there is no other process
      */
     void forwardStatusUpdate(byte[] body, Runnable completed);
   }
 
-  private static final int MAX_ACCEPTS_PER_TURN = 64;
+  /** The maximum number of connections that are accepted in one iteration of the event loop. */
+  private static final int MAX_ACCEPTS_PER_ITERATION = 64;
 
   private final AdmissionGate gate;
   private final RequestHandler requestHandler;
@@ -55,13 +58,14 @@
   private final ConnectionRegistry registry = new ConnectionRegistry();
   private final Acceptor acceptor;
   private final ConnectionLimiter limiter;
-  private int accepted;
+  private int acceptedCount;
   private int requestTimeouts;
 
   /**
    * Creates an ingress that accepts no connection before {@link #open}.
    *
-   * @param listener bound and non-blocking
+   * @param listener the listening socket, which is bound and non-blocking
+   * @param gate the rules for accepting connections and jobs
    * @throws IOException if the listener cannot be registered with the event loop
    */
   public HttpIngress(
@@ -70,7 +74,7 @@
     loop = dispatcher.loop();
     this.gate = gate;
     requestHandler = new RequestHandler(dispatcher, settings, gate, log);
-    acceptor = new Acceptor(loop, listener, MAX_ACCEPTS_PER_TURN, log, this::accept);
+    acceptor = new Acceptor(loop, listener, MAX_ACCEPTS_PER_ITERATION, log, this::accept);
     limiter = new ConnectionLimiter(loop, registry, acceptor, log);
   }
 
@@ -80,21 +84,21 @@
   }
 
   /**
-   * Sets how many connections may be open.
+   * Sets the maximum number of open connections.
    *
-   * @param grantedDescriptors the process's file descriptors, a fraction of which may be idle
-   *     connections
+   * @param grantedDescriptors the number of file descriptors of the process, a fraction of which
+   *     may be used by idle connections
    */
-  public void setCapacity(int connections, int grantedDescriptors) {
-    limiter.setCapacity(connections, grantedDescriptors);
+  public void setCapacity(int maxConnections, int grantedDescriptors) {
+    limiter.setCapacity(maxConnections, grantedDescriptors);
   }
 
-  /** Stops accepting connections for good: another process accepts them. */
+  /** Stops accepting connections permanently, because another process accepts them. */
   public void stopAccepting() {
     acceptor.stop();
   }
 
-  /** Closes the idle connections of clients; those of workers stay open. */
+  /** Closes the idle connections of clients. Connections of workers stay open. */
   public void closeIdleClients() {
     for (ClientConnection connection : registry.idleConnections()) {
       if (!connection.isFromWorker()) {
@@ -104,22 +108,22 @@
   }
 
   /**
-   * Closes all idle connections. One that was opened a moment ago has the time to send its first
-   * request, so this is to be called repeatedly until no connection is open.
+   * Closes all idle connections, except unproven ones in their grace period, which may still send
+   * their first request. Must therefore be called repeatedly until no connection is open.
    */
   @Override
   public void beginDrain() {
     long graceStart = loop.now() - ConnectionLimiter.UNPROVEN_GRACE_MICROS;
     for (ClientConnection connection : registry.openConnections()) {
-      if (registry.isProvenOrOpenSince(connection, graceStart)) {
+      if (registry.isProvenOrAcceptedBy(connection, graceStart)) {
         connection.closeIfIdle(ClientConnection.PartialRequest.AWAIT);
       }
     }
   }
 
   /**
-   * Whether a connection is open: its client may not have received the response yet, and the end of
-   * the process would lose it.
+   * Returns whether a connection is open. Its client may not have received the response yet, which
+   * would be lost if the process ended.
    */
   @Override
   public boolean hasPendingWork() {
@@ -137,11 +141,11 @@
         + " half_closed="
         + registry.halfClosedCount()
         + " accepted="
-        + accepted
+        + acceptedCount
         + " evicted_unproven="
-        + limiter.unprovenEvicted()
+        + limiter.evictedUnprovenCount()
         + " evicted_idle="
-        + limiter.idleEvicted()
+        + limiter.evictedIdleCount()
         + " timeouts="
         + requestTimeouts
         + " jobs_without_capacity="
@@ -152,18 +156,18 @@
     try {
       ClientConnection connection = new ClientConnection(loop, channel, this, requestHandler);
       registry.add(connection, loop.now());
-      accepted++;
+      acceptedCount++;
     } finally {
       limiter.evictExcess();
     }
   }
 
-  /** Counts a request, response or close that did not complete in time. */
+  /** Counts a request, a response or a close by the client that was not complete in time. */
   void recordTimeout() {
     requestTimeouts++;
   }
 
-  /** Whether a response that starts now is the last one on its connection. */
+  /** Returns whether a response that starts now is the last one on its connection. */
   boolean isFinalResponse(boolean fromWorker) {
     return gate.isFinalResponse(fromWorker);
   }
@@ -172,37 +176,43 @@
     log.info("malformed request reason=" + error.getMessage());
   }
 
-  /** A connection has received a job or a job status update. */
+  /** Records that a connection has received a job or a job status update. */
   void markProven(ClientConnection connection) {
     registry.markProven(connection);
   }
 
-  /** A connection has a request, or a part of one. */
+  /** Records that a connection has received a request or a part of one. */
   void markBusy(ClientConnection connection) {
     registry.markBusy(connection);
   }
 
-  /** A connection has no request any more. */
+  /**
+   * Records that a connection has become idle. Closes it if the process is closing connections, or
+   * closes the connection that has been idle longest if there are too many idle ones.
+   */
   void markIdle(ClientConnection connection) {
     registry.markIdle(connection);
     if (gate.isClosing()) {
-      closeNextTurn(connection);
+      closeInNextIteration(connection);
     } else {
-      limiter.pollExcessIdle().ifPresent(this::closeNextTurn);
+      limiter.pollExcessIdle().ifPresent(this::closeInNextIteration);
     }
   }
 
-  /** Not now, because input of the connection may be being processed. */
-  private void closeNextTurn(ClientConnection connection) {
+  /**
+   * Closes a connection in the next iteration of the event loop if it is idle then. It is not
+   * closed at once, because its input may be being processed.
+   */
+  private void closeInNextIteration(ClientConnection connection) {
     loop.schedule(loop.now(), () -> connection.closeIfIdle(ClientConnection.PartialRequest.AWAIT));
   }
 
-  /** A connection's output was shut down. */
+  /** Records that the output of a connection was shut down. */
   void markHalfClosed(ClientConnection connection) {
     registry.markHalfClosed(connection, loop.now());
   }
 
-  /** A connection was closed. */
+  /** Removes a connection that was closed. */
   void remove(ClientConnection connection) {
     registry.remove(connection);
   }
--- a/src/main/java/loomreel/ingress/JobRequest.java
+++ b/src/main/java/loomreel/ingress/JobRequest.java
@@ -8,18 +8,19 @@
 import loomreel.http.JobHeader;
 
 /**
- * The headers of a request that submits a job; {@link JobHeader} has their names. Their values are
- * bounded, because the policy adds them up: one job of cost 1e300 would drown all others in its
- * sums.
+ * The headers of a request that submits a job. {@link JobHeader} has the names of the headers. The
+ * values are limited, because the policy adds them up: a single job with a cost of 1e300 would make
+ * the cost of all other jobs negligible.
  *
- * @param callId 16 hexadecimal digits
- * @param budgetMillis the time until the deadline
- * @param slots the worker slots that the job occupies, 1 if absent
- * @param costHint the client's estimate of the work, NaN if absent, as the policy expects it
- * @param affinityKey the key by which jobs are sent to the same worker, or null
- * @param tenant the tenant's name, or null
- * @param isRetry whether the client retries the job
- * @param idempotencyKey the key by which repetitions are recognised, or null
+ * @param callId the id of the call: 16 hexadecimal digits
+ * @param budgetMillis the time until the deadline of the call, in milliseconds
+ * @param slots the number of worker slots that the job occupies, from 0 to 1024; 1 if absent
+ * @param costHint the client's estimate of the work; NaN, which the policy takes as unknown, if
+ *     absent
+ * @param affinityKey the key by which jobs are sent to the same worker, or null if absent
+ * @param tenant the name of the tenant, or null if absent
+ * @param isRetry whether the client marks the job as a retry
+ * @param idempotencyKey the key by which workers detect duplicates, or null if absent
  */
 record JobRequest(
     String callId,
@@ -34,13 +35,17 @@
   private static final Pattern BUDGET_MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,10}(\\.[0-9]{1,10})?");
 
-  /** No machine has more slots; a job that asks for more is a mistake. */
+  /** The maximum number of slots of a job. No machine has more, so a larger number is an error. */
   private static final int MAX_SLOTS = 1024;
 
   private static final String SLOTS_FIELD = "slots";
   private static final double DEFAULT_SLOTS = 1;
 
-  /** Reads the headers of a request; empty if one is missing or malformed. */
+  /**
+   * Parses the headers of a request.
+   *
+   * @return the job, or empty if a required header is missing or a header is malformed
+   */
   static Optional<JobRequest> parse(HttpMessage message) {
     String callId = JobHeader.CALL_ID.valueIn(message);
     String budget = JobHeader.BUDGET_MILLIS.valueIn(message);
@@ -65,11 +70,13 @@
   }
 
   /**
-   * The event that notifies the policy of this job.
+   * Returns the event that reports this job to the policy. A number of slots below 1 is reported as
+   * 1.
    *
-   * @param requestClass the index of its class in the settings
-   * @param tenant the index of its tenant in the settings, -1 if unknown, as the policy expects it
-   * @param deadline in microseconds of the event loop's clock
+   * @param requestClass the index of the request class in the settings
+   * @param tenant the index of the tenant in the settings; -1, which the policy takes as no tenant,
+   *     if unknown
+   * @param deadline the deadline of the call, in microseconds of the event loop's clock
    */
   Event.RequestArrived toEvent(int requestClass, int tenant, long deadline) {
     return new Event.RequestArrived(
--- a/src/main/java/loomreel/ingress/PipelinedInput.java
+++ b/src/main/java/loomreel/ingress/PipelinedInput.java
@@ -6,18 +6,21 @@
 import loomreel.io.ByteQueue;
 
 /**
- * The bytes that a client sends behind the request that is being served (HTTP pipelining).
+ * The input that a client sends behind the request that is being processed (HTTP pipelining).
  *
- * <p>They are buffered up to a bound and discarded beyond it. Discarded input still has to be read:
- * the end of the stream, by which a client disconnects, comes after it.
+ * <p>Input is buffered up to a limit and discarded beyond it. Discarded input must still be read,
+ * because it precedes the end of the stream, by which a client disconnects.
  *
- * <p>Owned by one {@link ClientConnection}, which calls {@link #release} when it closes.
+ * <p>Owned by a {@link ClientConnection}, which calls {@link #release} when it closes.
  */
 final class PipelinedInput {
-  /** Enough for one more request of the largest size. */
+  /**
+   * The maximum number of buffered bytes, which is sufficient for one more request of the maximum
+   * size.
+   */
   private static final int MAX_BUFFERED_BYTES = HttpMessageParser.MAX_BODY + BufferPool.SIZE;
 
-  /** Input beyond this is not read at all. */
+  /** The maximum number of discarded bytes. Once it is exceeded, no further input is read. */
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
   private final BufferPool pool;
@@ -30,8 +33,10 @@
   }
 
   /**
-   * Buffers more input, or discards it together with what was buffered before if the bound is
-   * exceeded. Once something was discarded, everything is: a gap makes the rest meaningless.
+   * Buffers input, or discards it together with all buffered input if the limit is exceeded. The
+   * limit is lower, {@link BufferPool#SIZE} bytes, while buffers are scarce. After input was
+   * discarded, all further input is discarded as well, because it cannot be parsed without the
+   * missing part.
    *
    * @return whether the input was buffered
    */
@@ -46,12 +51,12 @@
     return false;
   }
 
-  /** Discards input that arrives after the last request was processed. */
+  /** Discards input that arrives after the last response on the connection. */
   void discard(ByteBuffer in) {
     discardedBytes += in.remaining();
   }
 
-  /** Whether more was discarded than the limit for one connection. */
+  /** Returns whether more than the maximum number of bytes was discarded. */
   boolean exceedsDiscardLimit() {
     return discardedBytes > MAX_DISCARDED_BYTES;
   }
@@ -60,7 +65,7 @@
     return buffered.length() == 0;
   }
 
-  /** Removes and returns the buffered bytes. */
+  /** Removes and returns all buffered bytes, in the order of their arrival. */
   byte[] takeAll() {
     byte[] all = buffered.toArray();
     buffered.release();
--- a/src/main/java/loomreel/ingress/RequestHandler.java
+++ b/src/main/java/loomreel/ingress/RequestHandler.java
@@ -15,15 +15,18 @@
 
 /**
  * Handles the requests of all {@link ClientConnection}s: readiness checks, jobs and job status
- * updates. It releases the body of each request that it does not pass to the dispatcher.
+ * updates. Releases the body of each request that is not passed to the dispatcher.
  */
 final class RequestHandler {
-  /** {@code Retry-After} of a job that is rejected for lack of capacity, in microseconds. */
+  /**
+   * The time, in microseconds, in the {@code Retry-After} header of a job that is rejected for lack
+   * of capacity.
+   */
   private static final long RETRY_AFTER_MICROS = 500_000;
 
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** The index of the tenant of a job that names none, or an unknown one. */
+  /** The tenant index of a job that has no tenant or an unknown one. */
   private static final int NO_TENANT = -1;
 
   private final Dispatcher dispatcher;
@@ -54,12 +57,12 @@
     }
   }
 
-  /** How many jobs were rejected for lack of capacity since the start. */
+  /** Returns the number of jobs that were rejected for lack of capacity since the start. */
   int jobsWithoutCapacity() {
     return jobsWithoutCapacity;
   }
 
-  /** Handles a request, to which the connection responds now or later. */
+  /** Handles a request. The connection responds during this call or later. */
   void handle(HttpMessage request, ClientConnection connection) {
     RequestRoute route = RequestRoute.of(request.target(), classes.keySet());
     switch (route.kind()) {
@@ -70,7 +73,7 @@
     }
   }
 
-  /** Cancels a job whose client has disconnected, or sends too much. */
+  /** Cancels the call of a client that has disconnected or has sent too much input. */
   void cancel(Rpc rpc) {
     dispatcher.cancel(rpc);
   }
@@ -108,7 +111,10 @@
     }
   }
 
-  /** While clients are sent away, other processes have capacity at once: no Retry-After then. */
+  /**
+   * Rejects a job with status 503. The response has no {@code Retry-After} header while clients are
+   * being drained from this process, because other processes have capacity for the job at once.
+   */
   private void rejectForLackOfCapacity(
       HttpMessage request, int requestClass, ClientConnection connection) {
     jobsWithoutCapacity++;
@@ -153,11 +159,13 @@
     connection.markProven();
     connection.markFromWorker();
     if (dispatcher.isActive(update.get().callId())) {
-      // Responded to first: a worker repeats what is unanswered, and the rest may take a while.
+      // Responds before the update is applied, because applying it may take time and a worker
+      // repeats an update that is not answered.
       connection.respond(HttpStatus.OK);
       update.get().applyTo(dispatcher);
     } else {
-      // Responded to once the other process has it: a lost update would not be repeated.
+      // Responds only after the other process has handled the update. A worker does not repeat an
+      // update that was answered, so an update that did not reach the other process would be lost.
       gate.forwardStatusUpdate(body, connection::statusUpdateForwarded);
     }
     request.body().release();
--- a/src/main/java/loomreel/ingress/RequestRoute.java
+++ b/src/main/java/loomreel/ingress/RequestRoute.java
@@ -3,20 +3,22 @@
 import java.util.Set;
 
 /**
- * The kind of a request, by its path.
+ * The route of a request, which is determined by the path.
  *
- * @param requestClass the name of a job's request class; the first segment of the path otherwise
+ * @param kind the kind of the request
+ * @param requestClass the first segment of the path, which is the name of the request class of a
+ *     job
  */
 record RequestRoute(Kind kind, String requestClass) {
   /** The kinds of requests. */
   enum Kind {
-    /** Whether clients should use this process. */
+    /** The readiness check, which determines whether clients should use this process. */
     READINESS_CHECK,
-    /** A worker's job status update (callback). */
+    /** A job status update (callback) of a worker. */
     STATUS_UPDATE,
     /** A job of a client. */
     JOB,
-    /** None of these. */
+    /** Any other request. */
     UNKNOWN
   }
 
@@ -24,10 +26,10 @@
   private static final String STATUS_UPDATE_PATH = "/_jobs/news";
 
   /**
-   * Finds the route of a request.
+   * Returns the route of a request.
    *
-   * @param target path and query as received
-   * @param requestClasses the names of the classes that jobs may have
+   * @param target the path and query of the request, as received
+   * @param requestClasses the names of all request classes
    */
   static RequestRoute of(String target, Set<String> requestClasses) {
     int query = target.indexOf('?');
--- a/src/test/java/loomreel/ingress/ClientConnectionStateTest.java
+++ b/src/test/java/loomreel/ingress/ClientConnectionStateTest.java
@@ -19,7 +19,7 @@
 import loomreel.ingress.ClientConnectionState.Event;
 import org.junit.jupiter.api.Test;
 
-/** The transition table of {@link ClientConnectionState}, entry by entry. */
+/** Tests each entry of the transition table of {@link ClientConnectionState}. */
 class ClientConnectionStateTest {
   private static final Map<ClientConnectionState, Map<Event, ClientConnectionState>> TABLE =
       new EnumMap<>(ClientConnectionState.class);
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void eachEntryOfTheTableIsATransition() {
+  void eachEventInTheTableLeadsToTheNextState() {
     TABLE.forEach(
         (state, transitions) ->
             transitions.forEach(
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void everyOtherEventIsRejected() {
+  void eachEventOutsideTheTableIsRejected() {
     for (ClientConnectionState state : ClientConnectionState.values()) {
       for (Event event : EnumSet.complementOf(EnumSet.copyOf(TABLE.get(state).keySet()))) {
         IllegalStateException error =
@@ -74,14 +74,14 @@
   }
 
   @Test
-  void aConnectionIsOpenUntilItsOutputIsShutDown() {
+  void aConnectionIsOpenUnlessHalfClosedOrClosed() {
     for (ClientConnectionState state : ClientConnectionState.values()) {
       assertEquals(state != HALF_CLOSED && state != CLOSED, state.isOpen(), state.toString());
     }
   }
 
   @Test
-  void aConnectionClosesAfterTheCurrentRequestInTheFinalStatesOnly() {
+  void aConnectionIsFinalOnlyInTheFinalStates() {
     EnumSet<ClientConnectionState> finalStates =
         EnumSet.of(PROCESSING_FINAL, RESPONDING_FINAL, PAUSED_FINAL);
     for (ClientConnectionState state : ClientConnectionState.values()) {
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aResponseIsBeingWrittenInTheRespondingStatesOnly() {
+  void aConnectionIsRespondingOnlyInTheRespondingStates() {
     EnumSet<ClientConnectionState> responding =
         EnumSet.of(RESPONDING, RESPONDING_ERROR, RESPONDING_FINAL);
     for (ClientConnectionState state : ClientConnectionState.values()) {
--- a/src/test/java/loomreel/ingress/JobRequestTest.java
+++ b/src/test/java/loomreel/ingress/JobRequestTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which job headers are accepted, and the values that they are parsed to. */
+/** Tests which job headers {@link JobRequest} accepts, and the values that they are parsed to. */
 class JobRequestTest {
   private static final String CALL_ID = "0123456789abcDEF";
 
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void absentOptionalHeadersHaveDefaults() {
+  void absentOptionalHeadersHaveDefaultValues() {
     JobRequest job = parse("x-call-id", CALL_ID, "x-budget-ms", "1500").orElseThrow();
     assertEquals(new JobRequest(CALL_ID, 1500, 1, Double.NaN, null, null, false, null), job);
   }
@@ -35,7 +35,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"slots=3|3", "a=1, slots=2.5 ,slots=9|2.5", "slots|1", "a=b=c,,|1", "slots=0|0"})
-  void slotsAreReadFromTheFirstFieldOfThatName(String jobFields, double slots) {
+  void slotsAreParsedFromTheFirstSlotsField(String jobFields, double slots) {
     JobRequest job =
         parse("x-call-id", CALL_ID, "x-budget-ms", "1", "x-call-info", jobFields).orElseThrow();
     assertEquals(slots, job.slots());
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aCostHintIsAPlainDecimal() {
+  void costHintMustBeAPlainDecimalNumber() {
     JobRequest job =
         parse("x-call-id", CALL_ID, "x-budget-ms", "1", "x-call-cost", "12.5").orElseThrow();
     assertEquals(12.5, job.costHint());
@@ -59,14 +59,14 @@
   }
 
   @Test
-  void theEventOfAJobThatNamesNoSlotsOccupiesOne() {
+  void toEventReportsOneSlotForAJobWithZeroSlots() {
     JobRequest job =
         parse("x-call-id", CALL_ID, "x-budget-ms", "1", "x-call-info", "slots=0").orElseThrow();
     assertEquals(1, job.toEvent(0, -1, 1000).slots());
   }
 
   @Test
-  void idAndBudgetAreRequired() {
+  void callIdAndBudgetAreRequiredAndMustBeWellFormed() {
     assertTrue(parse("x-budget-ms", "1").isEmpty());
     assertTrue(parse("x-call-id", CALL_ID).isEmpty());
     assertTrue(parse("x-call-id", CALL_ID + "0", "x-budget-ms", "1").isEmpty());
--- a/src/test/java/loomreel/ingress/PipelinedInputTest.java
+++ b/src/test/java/loomreel/ingress/PipelinedInputTest.java
@@ -10,7 +10,7 @@
 import loomreel.io.BufferPool;
 import org.junit.jupiter.api.Test;
 
-/** Which input behind the current request is buffered, and which is discarded. */
+/** Tests which input behind the current request is buffered and which is discarded. */
 class PipelinedInputTest {
   private static final int MAX_BUFFERED_BYTES = HttpMessageParser.MAX_BODY + BufferPool.SIZE;
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void inputIsReturnedInOrderAndOnce() {
+  void takeAllReturnsTheInputInOrderAndOnlyOnce() {
     assertTrue(input.add(ByteBuffer.wrap("ab".getBytes(StandardCharsets.UTF_8))));
     assertTrue(input.add(ByteBuffer.wrap("c".getBytes(StandardCharsets.UTF_8))));
     assertArrayEquals("abc".getBytes(StandardCharsets.UTF_8), input.takeAll());
@@ -30,13 +30,13 @@
   }
 
   @Test
-  void anotherRequestOfTheLargestSizeIsBuffered() {
+  void aRequestOfTheMaximumSizeIsBuffered() {
     assertTrue(input.add(bytes(MAX_BUFFERED_BYTES)));
     assertFalse(input.isEmpty());
   }
 
   @Test
-  void inputBeyondTheLimitIsDiscardedWithAllOtherInput() {
+  void inputBeyondTheLimitIsDiscardedTogetherWithAllBufferedInput() {
     assertTrue(input.add(bytes(MAX_BUFFERED_BYTES)));
     assertFalse(input.add(bytes(1)));
     assertTrue(input.isEmpty());
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void discardedInputIsCountedUpToItsLimit() {
+  void discardLimitIsExceededOnlyByMoreThanTheMaximum() {
     input.discard(bytes(MAX_DISCARDED_BYTES));
     assertFalse(input.exceedsDiscardLimit());
     input.discard(bytes(1));
--- a/src/test/java/loomreel/ingress/RequestRouteTest.java
+++ b/src/test/java/loomreel/ingress/RequestRouteTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The kind of a request, by its path. */
+/** Tests the route that {@link RequestRoute} determines for a request. */
 class RequestRouteTest {
   private static final Set<String> REQUEST_CLASSES = Set.of("copy", "issue");
 
