--- a/src/main/java/loomreel/discovery/EndpointListCall.java
+++ b/src/main/java/loomreel/discovery/EndpointListCall.java
@@ -5,18 +5,22 @@
 import loomreel.http.HttpMessage;
 import loomreel.http.HttpStatus;
 
-/** One call of an {@link EndpointWatcher} to discovery, which waits for a change of the list. */
+/**
+ * A single call of an {@link EndpointWatcher} to discovery, which may wait for a change of the
+ * list.
+ */
 final class EndpointListCall implements HttpExchange {
   private final EndpointWatcher watcher;
   private final long deadline;
 
-  /** Whether the head of a response with a list has arrived. */
+  /** Whether the head of a response with an endpoint list, which has status 200, has arrived. */
   private boolean isResponseStarted;
 
   /**
    * Creates a call.
    *
-   * @param deadline when it times out, in microseconds of the event loop's clock
+   * @param watcher the watcher to which the result is reported
+   * @param deadline the time at which the call times out, in microseconds of the event loop's clock
    */
   EndpointListCall(EndpointWatcher watcher, long deadline) {
     this.watcher = watcher;
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -16,38 +16,42 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Watches discovery's endpoint list by long polling: one call after the other, each of which waits
- * for a change of the list. {@link WatchTimeouts} has the time limits and the times of retries.
+ * Watches the endpoint list of discovery by long polling. Makes one call after the other; each call
+ * waits for a change of the list. {@link WatchTimeouts} has the timeouts of the calls and the times
+ * of retries.
  *
- * <p>Used on the event loop's thread only.
+ * <p>Not thread-safe: used on the event loop's thread only.
  */
 public final class EndpointWatcher {
-  /** Receives the results of the watch. */
+  /** Receives the results of a watch. */
   public interface Listener {
-    /** Discovery has sent an endpoint list, or with changes to the last one. */
+    /** Called when discovery has sent a complete endpoint list or changes to the last one. */
     void endpointsReceived(EndpointList result);
 
-    /** Discovery has confirmed that the list that is known has not changed. */
+    /** Called when discovery has confirmed that the known endpoint list has not changed. */
     void endpointsUnchanged();
 
     /**
-     * Discovery is unavailable and the watch has ended; the last list stays valid. The listener
-     * decides when to call {@link EndpointWatcher#watch} again.
+     * Called when discovery is unavailable and the watch has ended. The last endpoint list stays
+     * valid. The listener decides when to call {@link EndpointWatcher#watch} again.
      */
     void watchFailed();
   }
 
-  /** No version is known, so the complete list is requested; versions count from 0. */
+  /**
+   * The version if no version is known, in which case the complete list is requested. Versions of
+   * discovery start at 0.
+   */
   private static final long NO_VERSION = -1;
 
-  /** Discovery responds at once. */
+  /** The maximum wait, in microseconds, of a call to which discovery responds at once. */
   private static final long NO_WAIT = 0;
 
   private static final String ENDPOINTS_PATH = "/registry/instances";
   private static final String VERSION_PARAMETER = "from";
   private static final String MAX_WAIT_MILLIS_PARAMETER = "hold_ms";
 
-  // Names of trace events.
+  // The names of trace events.
   private static final String TRACE_CALL = "listcall";
   private static final String TRACE_LIST_RECEIVED = "listed";
 
@@ -59,31 +63,34 @@
   private final WatchTimeouts timeouts;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.discovery");
 
-  /** The version of the last list, or {@link #NO_VERSION}. */
+  /** The version of the last endpoint list, or {@link #NO_VERSION}. */
   private long version;
 
-  /** Whether discovery has responded with a list since this watcher was created. */
+  /** Whether discovery has sent a valid endpoint list since this watcher was created. */
   private boolean isConfirmed;
 
-  private boolean calling;
+  /** Whether a call is in flight. */
+  private boolean isCallInFlight;
 
-  /** When the last call began. */
+  /** The start time of the last call, in microseconds of the event loop's clock. */
   private long calledAt;
 
-  /** The retry that is scheduled; null if there is none. */
+  /** The timer of the scheduled retry; null if no retry is scheduled. */
   private EventLoop.Timer retryTimer;
 
-  private boolean lastCallSilent;
+  /** Whether the last call failed with {@link WatchTimeouts.Failure#SILENT}. */
+  private boolean wasLastCallSilent;
 
   /** The connection of the call in flight; null if there is none. */
   private PooledConnection connection;
 
   /**
-   * Creates a watcher that makes no call before {@link #watch}. Until discovery has responded with
-   * a list, its calls do not wait for a change: the list that is known may have been outdated for
-   * long.
+   * Creates a watcher that makes no call before {@link #watch}. Its calls do not wait for a change
+   * until discovery has sent a valid list, because the known list may have been outdated for a long
+   * time.
    *
-   * @param version the version of the list that is known
+   * @param discovery the connections to discovery or to the agent
+   * @param version the version of the known endpoint list
    */
   public EndpointWatcher(
       EventLoop loop,
@@ -94,33 +101,35 @@
     this.loop = loop;
     this.discovery = discovery;
     this.timeouts = timeouts;
-    // The list of an agent counts as known whatever its version, so the complete one is requested.
+    // The list of an agent counts as known whatever its version is, so the complete list is
+    // requested.
     this.version = timeouts.pushed() ? NO_VERSION : version;
     this.listener = listener;
   }
 
-  /** Starts a watch, unless one is active. */
+  /** Starts a watch. Does nothing if a call is in flight. */
   public void watch() {
-    if (calling) {
+    if (isCallInFlight) {
       return;
     }
-    calling = true;
+    isCallInFlight = true;
     calledAt = loop.now();
     trace(TRACE_CALL, "from");
     boolean waitsForChange = isConfirmed && version != NO_VERSION;
     EndpointListCall call = new EndpointListCall(this, timeouts.deadline(calledAt, waitsForChange));
-    PooledConnection opened = discovery.call(request(waitsForChange), call);
-    // The call may have failed already.
-    connection = calling ? opened : null;
+    PooledConnection newConnection = discovery.call(request(waitsForChange), call);
+    // If the call has failed already, it is no longer in flight and has no connection.
+    connection = isCallInFlight ? newConnection : null;
   }
 
   /**
-   * A request for the changes since the version that is known, or for the complete list.
+   * Returns a request for the changes since the known version, or for the complete list if no
+   * version is known.
    *
    * @param waitsForChange whether discovery may delay the response until the list changes
    */
   private ByteQueue request(boolean waitsForChange) {
-    long maxWait = waitsForChange ? timeouts.maxWait() : NO_WAIT;
+    long maxWaitMicros = waitsForChange ? timeouts.maxWaitMicros() : NO_WAIT;
     String query =
         version == NO_VERSION
             ? ""
@@ -131,7 +140,7 @@
                 + "&"
                 + MAX_WAIT_MILLIS_PARAMETER
                 + "="
-                + maxWait / MICROS_PER_MILLI;
+                + maxWaitMicros / MICROS_PER_MILLI;
     ByteQueue request = new ByteQueue(loop.pool());
     request.append(HttpHeaders.request("GET", ENDPOINTS_PATH + query, hostAndPort(), 0));
     return request;
@@ -142,8 +151,9 @@
   }
 
   /**
-   * Watches discovery at another address, at once: its list counts as known 4 s later. The call in
-   * flight is abandoned. Versions may differ there, so the complete list is requested.
+   * Watches discovery at another address. The first call is made at once, because the list at the
+   * new address counts as known to the dispatcher 4 s later. The call in flight is abandoned. The
+   * complete list is requested, because the versions at the new address may differ.
    */
   public void moveTo(InetSocketAddress address) {
     if (connection != null) {
@@ -151,45 +161,47 @@
       connection = null;
     }
     discovery.moveTo(address);
-    calling = false;
-    lastCallSilent = false;
+    isCallInFlight = false;
+    wasLastCallSilent = false;
     version = NO_VERSION;
     watch();
   }
 
-  /** The response to the call in flight was received. */
+  /** Handles the response to the call in flight. */
   void responseReceived(HttpMessage message) {
     endCall();
-    lastCallSilent = false;
+    wasLastCallSilent = false;
     try {
       accept(parseNewer(message));
     } catch (InvalidEndpointListException e) {
       boolean hasList = message.status() == HttpStatus.OK;
-      failed(e.getMessage(), WatchTimeouts.Failure.of(AttemptOutcome.ERROR, hasList, false));
+      handleFailure(e.getMessage(), WatchTimeouts.Failure.of(AttemptOutcome.ERROR, hasList, false));
     }
   }
 
   /**
-   * The call in flight has ended without a complete response.
+   * Handles the end of the call in flight without a complete response.
    *
-   * @param isResponseStarted whether a part of a response with a list had arrived
+   * @param isResponseStarted whether a part of a response with an endpoint list has arrived
    */
   void callFailed(AttemptOutcome outcome, boolean isResponseStarted) {
     endCall();
-    failed(
-        outcome.toString(), WatchTimeouts.Failure.of(outcome, isResponseStarted, lastCallSilent));
+    handleFailure(
+        outcome.toString(),
+        WatchTimeouts.Failure.of(outcome, isResponseStarted, wasLastCallSilent));
   }
 
   private void endCall() {
-    calling = false;
+    isCallInFlight = false;
     connection = null;
   }
 
   private EndpointList parseNewer(HttpMessage message) throws InvalidEndpointListException {
     EndpointList list = parse(message);
     if (list.version() < version) {
-      // It may lack later changes, such as a worker that is draining. The complete list is accepted
-      // next, whatever its version: discovery may have restarted its count.
+      // An older list may lack later changes, such as a worker that is draining. The next call
+      // requests the complete list and accepts any version, because discovery may have restarted
+      // its version count.
       String reason = "version " + list.version() + " after " + version;
       version = NO_VERSION;
       throw new InvalidEndpointListException(reason);
@@ -213,7 +225,8 @@
     version = list.version();
     isConfirmed = true;
     trace(TRACE_LIST_RECEIVED, "seq");
-    // The next call first: the watch counts as failed if it is late.
+    // Makes the next call before the list is processed, because the watch counts as failed if that
+    // call is late.
     watch();
     if (list.complete() || !list.endpoints().isEmpty()) {
       listener.endpointsReceived(list);
@@ -222,20 +235,23 @@
     }
   }
 
-  private void failed(String reason, WatchTimeouts.Failure failure) {
-    OptionalLong retryTime = timeouts.retryTime(failure, lastCallSilent, calledAt, loop.now());
-    lastCallSilent = failure == WatchTimeouts.Failure.SILENT;
-    String event = lastCallSilent ? "endpoint watch silent" : "endpoint watch failed";
+  private void handleFailure(String reason, WatchTimeouts.Failure failure) {
+    OptionalLong retryTime = timeouts.retryTime(failure, wasLastCallSilent, calledAt, loop.now());
+    wasLastCallSilent = failure == WatchTimeouts.Failure.SILENT;
+    String event = wasLastCallSilent ? "endpoint watch silent" : "endpoint watch failed";
     log.warn(event + " address=" + hostAndPort() + " reason=" + reason);
     if (retryTime.isPresent()) {
-      watchAt(retryTime.getAsLong());
+      scheduleWatch(retryTime.getAsLong());
     } else {
       listener.watchFailed();
     }
   }
 
-  /** Retries at a time; the connection of a silent call is closed, so this uses a new one. */
-  private void watchAt(long time) {
+  /**
+   * Makes the next call at the given time, or at once if it has passed. The call after a silent one
+   * uses a new connection, because the connection of a silent call is closed.
+   */
+  private void scheduleWatch(long time) {
     if (time <= loop.now()) {
       watch();
     } else if (retryTimer == null) {
--- a/src/main/java/loomreel/discovery/InvalidEndpointListException.java
+++ b/src/main/java/loomreel/discovery/InvalidEndpointListException.java
@@ -1,19 +1,24 @@
 package loomreel.discovery;
 
-/** Discovery has sent something that is not a valid, current endpoint list. */
+/** Thrown if a response of discovery is not a valid and current endpoint list. */
 final class InvalidEndpointListException extends Exception {
   private static final long serialVersionUID = 1;
 
   /**
-   * Creates an exception.
+   * Creates an exception without a cause.
    *
-   * @param reason what is wrong, with the value, in one line
+   * @param reason a one-line description of the defect, with the invalid value
    */
   InvalidEndpointListException(String reason) {
     super(reason);
   }
 
-  /** As above, with the parser's error. */
+  /**
+   * Creates an exception that is caused by an error of the parser.
+   *
+   * @param reason a one-line description of the defect
+   * @param cause the error of the parser
+   */
   InvalidEndpointListException(String reason, Throwable cause) {
     super(reason, cause);
   }
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -5,64 +5,79 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * The timing of the endpoint watch: how long a call to discovery may wait, when it counts as
- * silent, and when a failed one is retried, so that a change is known before sending to a draining
- * worker would violate the rules. A pure function of the rules; all times in microseconds.
+ * The timeouts of the endpoint watch: how long a call to discovery may wait for a change, when a
+ * call without a response counts as silent, and when a failed call is retried. With these timeouts
+ * the dispatcher receives a change of the endpoint list before sending to a draining worker would
+ * violate the rules of the platform.
  *
- * <p>The rules of the platform on the endpoint list:
+ * <p>The timeouts depend only on these rules. All times are in microseconds.
+ *
+ * <p>The platform has the following rules for the endpoint list. They state when a change counts as
+ * known to the dispatcher, whether or not the dispatcher has received it.
  *
  * <ul>
- *   <li>A call whose connection is silent has failed. A change that it misses counts as known
- *       {@link #KNOWN_AFTER_SILENCE} after the silence began, or {@link #KNOWN_AFTER_WAIT} after
- *       the call's wait is over, if that is later, whether or not it arrived.
- *   <li>Whatever the outcome of our calls, a change counts as known {@link #KNOWN_AFTER_SILENCE}
- *       after discovery had it and could be reached.
- *   <li>Where lists are pushed to an agent, the list of the agent counts as known at once, watched
- *       or not, and after an outage too.
- *   <li>From then on sending to a draining worker is allowed for {@link Rules#drainGrace()} more.
+ *   <li>A call has failed if its connection is silent. A change that the call missed counts as
+ *       known {@link #KNOWN_AFTER_SILENCE_MICROS} after the silence began, or {@link
+ *       #KNOWN_AFTER_WAIT_MICROS} after the end of the call's wait, whichever is later.
+ *   <li>Whatever the outcome of the dispatcher's calls is, a change counts as known {@link
+ *       #KNOWN_AFTER_SILENCE_MICROS} after discovery had it and could be reached.
+ *   <li>If lists are pushed to an agent, the list of the agent counts as known at once, whether or
+ *       not the dispatcher watches it. This also applies after an outage.
+ *   <li>After a change counts as known, sending to a draining worker is allowed for another {@link
+ *       Rules#drainGrace()}.
  * </ul>
  *
- * <p><b>The bound where discovery is polled.</b> Let discovery be reachable from time 0 on. A call
- * in flight then may be lost, and ends at {@code maxWait + responseTimeout} at the latest, by our
- * own timeout or by a late reset. After a reset, a rejection or a 503 the policy waits: {@link
- * Rules#maxPollBackoff()} at most, and a quarter of that after a call that lasted as long as that.
- * So the next call is made by {@code maxWait + responseTimeout + maxPollBackoff / 4}, and one that
- * followed a short call by {@code maxPollBackoff} and the duration of the short one. Both leave
- * more than half a second of {@code KNOWN_AFTER_SILENCE} and the grace for the response, at every
- * grace (WatchTimeoutsTest tests the sequences).
+ * <p><b>Upper bound if discovery is polled.</b> Assume that discovery can be reached from time 0
+ * on. A call that is in flight at time 0 may be lost. It ends at {@code maxWaitMicros +
+ * responseTimeoutMicros} at the latest, by its timeout or by a late reset. After a reset, a
+ * rejection or a response with status 503 the policy waits before it calls again. It waits {@link
+ * Rules#maxPollBackoff()} at most, and a quarter of that at most if the failed call lasted at least
+ * that long. The next call is therefore made by {@code maxWaitMicros + responseTimeoutMicros +
+ * maxPollBackoff / 4}. If the failed call was short, the next call is made by {@code
+ * maxPollBackoff} plus the duration of the short call. In both cases more than half a second of the
+ * sum of {@code KNOWN_AFTER_SILENCE_MICROS} and the grace is left for the response, for every
+ * grace. WatchTimeoutsTest tests these sequences.
  *
- * @param pushed whether lists are pushed to an agent on this machine, which is the one called
- * @param maxWait how long a call may wait for a change
- * @param responseTimeout how long after that wait the response may take; then the call is silent
- * @param retryInterval the least time from one call to the next where the first was silent, or
- *     failed at an agent
- * @param invalidResponseRetryInterval the same where the response to the first was an invalid list,
- *     or incomplete
+ * @param pushed whether lists are pushed to an agent on this machine, which is called instead of
+ *     discovery
+ * @param maxWaitMicros the maximum time for which a call may wait for a change
+ * @param responseTimeoutMicros the maximum time from the end of that wait to the response; a call
+ *     that takes longer is silent
+ * @param retryIntervalMicros the minimum time between the starts of two calls if the first call was
+ *     silent, or was made to an agent and failed
+ * @param invalidResponseRetryIntervalMicros the minimum time between the starts of two calls if the
+ *     response to the first call was an invalid or incomplete list
  */
 public record WatchTimeouts(
     boolean pushed,
-    long maxWait,
-    long responseTimeout,
-    long retryInterval,
-    long invalidResponseRetryInterval) {
-  /** The state of discovery that a failed call indicates. */
+    long maxWaitMicros,
+    long responseTimeoutMicros,
+    long retryIntervalMicros,
+    long invalidResponseRetryIntervalMicros) {
+  /** The state of discovery that the failure of a call indicates. */
   enum Failure {
-    /** It did not respond, or after a call without response no connection is established either. */
+    /**
+     * Discovery did not respond in time, or no connection could be established after a call that
+     * was silent.
+     */
     SILENT,
-    /** It sent an invalid list, one older than the list that is known, or a part of one. */
+    /**
+     * Discovery sent an invalid list, a list that is older than the known one, or a part of a list.
+     */
     INVALID_RESPONSE,
-    /** It is overloaded or down. */
+    /** Discovery is overloaded or down. */
     UNAVAILABLE;
 
     /**
-     * Classifies the outcome of a call.
+     * Returns the failure that the outcome of a failed call indicates.
      *
-     * @param isResponseStarted whether a part of a response with a list had arrived
-     * @param wasSilentBefore whether the call before this one was silent
+     * @param isResponseStarted whether a part of a response with an endpoint list has arrived
+     * @param wasPreviousCallSilent whether the previous call was silent
      */
-    static Failure of(AttemptOutcome outcome, boolean isResponseStarted, boolean wasSilentBefore) {
+    static Failure of(
+        AttemptOutcome outcome, boolean isResponseStarted, boolean wasPreviousCallSilent) {
       if (outcome == AttemptOutcome.TIMEOUT
-          || (wasSilentBefore && outcome == AttemptOutcome.CONNECT_FAILED)) {
+          || (wasPreviousCallSilent && outcome == AttemptOutcome.CONNECT_FAILED)) {
         return SILENT;
       }
       return isResponseStarted ? INVALID_RESPONSE : UNAVAILABLE;
@@ -70,85 +85,116 @@
   }
 
   /**
-   * How long a process that starts waits for its first list. Nine in ten have to be ready within 10
-   * s, and the start itself may take 3 s of that where many start at once.
+   * The maximum time for which a starting process waits for its first endpoint list, in
+   * microseconds. Nine of ten processes must be ready within 10 s, and the start itself may take 3
+   * s of that time if many processes start at once.
    */
   public static final long FIRST_LIST_TIMEOUT_MICROS = 7_000_000;
 
-  private static final long KNOWN_AFTER_SILENCE = 6_000_000;
-  private static final long KNOWN_AFTER_WAIT = 2_000_000;
+  /**
+   * The time from the beginning of a silence, or from the time from which discovery has a change
+   * and can be reached, until the change counts as known, in microseconds.
+   */
+  private static final long KNOWN_AFTER_SILENCE_MICROS = 6_000_000;
 
-  /** The lower bound of intervals, however short the grace; the rules tolerate this much. */
-  private static final long MIN_INTERVAL = 50_000;
+  /**
+   * The time from the end of the wait of a silent call until a change that the call missed counts
+   * as known, in microseconds.
+   */
+  private static final long KNOWN_AFTER_WAIT_MICROS = 2_000_000;
 
-  /** A response that is this late after the wait is lost rather than slow. */
-  private static final long MAX_RESPONSE_TIMEOUT = 1_500_000;
+  /**
+   * The lower bound of the intervals that depend on the grace, in microseconds. The rules tolerate
+   * a delay of this length even if the grace is shorter.
+   */
+  private static final long MIN_INTERVAL_MICROS = 50_000;
+
+  /**
+   * The upper bound of the response timeout, in microseconds. A response that has not arrived this
+   * long after the end of the wait is taken as lost, not as slow.
+   */
+  private static final long MAX_RESPONSE_TIMEOUT_MICROS = 1_500_000;
 
-  /** Limits the load of retries; a change that a silent call misses must be known in seconds. */
-  private static final long SILENT_RETRY_INTERVAL = 1_000_000;
+  /**
+   * The retry interval after silent calls if discovery is polled, in microseconds. It limits the
+   * load that retries cause, and is short enough for a change that a silent call missed to be
+   * received within seconds.
+   */
+  private static final long SILENT_RETRY_INTERVAL_MICROS = 1_000_000;
 
   /**
-   * Derives the timing for a deployment.
+   * Returns the timeouts for a deployment.
    *
-   * <p>Polled: with a wait of {@code KNOWN_AFTER_SILENCE - KNOWN_AFTER_WAIT} both limits of the
-   * rules end together, {@code KNOWN_AFTER_SILENCE} after the call began at the earliest. The time
-   * from the end of the wait until sending could violate the rule, {@code KNOWN_AFTER_WAIT} and the
-   * grace, is divided evenly between the response timeouts of this call and the one that replaces
-   * it. A change in an invalid response may count as known when that was written: two more calls
-   * fit into the grace.
+   * <p>If discovery is polled, a call waits {@code KNOWN_AFTER_SILENCE_MICROS -
+   * KNOWN_AFTER_WAIT_MICROS}. With this wait, both time limits of the rules for silent calls end at
+   * the same time, which is {@code KNOWN_AFTER_SILENCE_MICROS} after the start of the call at the
+   * earliest. The time from the end of the wait until sending could violate the rules is the sum of
+   * {@code KNOWN_AFTER_WAIT_MICROS} and the grace. It is divided evenly between the response
+   * timeouts of the silent call and of the call that replaces it. A change in an invalid response
+   * may count as known from the time at which the response was written, so the retry interval after
+   * an invalid response leaves time for two more calls within the grace.
    *
-   * <p>Pushed: the list must be younger than the grace. Two fifths of that are the wait, a fifth
-   * the response timeout, and two fifths remain for a new connection and its first response.
+   * <p>If lists are pushed to an agent, the known list must be younger than the grace. The wait
+   * takes two fifths of the grace and the response timeout one fifth. The remaining two fifths are
+   * left for a new connection and its first response.
    *
-   * @param polled whether discovery itself is polled; else lists are pushed to an agent
+   * @param rules the rules of the platform, of which only the drain grace is used
+   * @param polled true if discovery itself is polled, false if lists are pushed to an agent
    */
   public static WatchTimeouts of(Rules rules, boolean polled) {
-    long grace = rules.drainGrace();
+    long graceMicros = rules.drainGrace();
     if (polled) {
       return new WatchTimeouts(
           false,
-          KNOWN_AFTER_SILENCE - KNOWN_AFTER_WAIT,
-          Math.min(MAX_RESPONSE_TIMEOUT, (KNOWN_AFTER_WAIT + grace) / 2),
-          SILENT_RETRY_INTERVAL,
-          Math.min(SILENT_RETRY_INTERVAL, Math.max(MIN_INTERVAL, grace / 3)));
+          KNOWN_AFTER_SILENCE_MICROS - KNOWN_AFTER_WAIT_MICROS,
+          Math.min(MAX_RESPONSE_TIMEOUT_MICROS, (KNOWN_AFTER_WAIT_MICROS + graceMicros) / 2),
+          SILENT_RETRY_INTERVAL_MICROS,
+          Math.min(SILENT_RETRY_INTERVAL_MICROS, Math.max(MIN_INTERVAL_MICROS, graceMicros / 3)));
     }
-    long fifth = Math.max(MIN_INTERVAL, grace / 5);
+    long fifthOfGraceMicros = Math.max(MIN_INTERVAL_MICROS, graceMicros / 5);
     return new WatchTimeouts(
         true,
-        Math.min(KNOWN_AFTER_SILENCE - KNOWN_AFTER_WAIT, 2 * fifth),
-        Math.min(MAX_RESPONSE_TIMEOUT, fifth),
-        fifth,
-        fifth);
+        Math.min(KNOWN_AFTER_SILENCE_MICROS - KNOWN_AFTER_WAIT_MICROS, 2 * fifthOfGraceMicros),
+        Math.min(MAX_RESPONSE_TIMEOUT_MICROS, fifthOfGraceMicros),
+        fifthOfGraceMicros,
+        fifthOfGraceMicros);
   }
 
   /**
-   * When a call that starts now times out.
+   * Returns the time at which a call that starts now times out.
    *
+   * @param now the current time
    * @param waitsForChange whether discovery may delay the response until the list changes
    */
   long deadline(long now, boolean waitsForChange) {
-    return now + (waitsForChange ? maxWait : 0) + responseTimeout;
+    return now + (waitsForChange ? maxWaitMicros : 0) + responseTimeoutMicros;
   }
 
   /**
-   * When a failed call is retried. A silent call is retried at once, because a change that it
-   * missed counts as known soon, and further ones at an interval. Discovery that sends an invalid
-   * list is up.
+   * Returns the time at which a failed call is retried.
+   *
+   * <p>Calls to an agent are retried after the retry interval. If discovery is polled, the first of
+   * several silent calls is retried at once, because a change that it missed counts as known soon;
+   * the others are retried after the retry interval. A call with an invalid response is retried
+   * after its own interval and without backoff, because discovery is up.
    *
-   * @param wasSilentBefore whether the call before this one was silent, too
-   * @param calledAt when this one began
-   * @return empty where the policy decides on the backoff, because discovery is overloaded or down
+   * @param wasPreviousCallSilent whether the previous call was silent, too
+   * @param calledAt the start time of the failed call
+   * @param now the current time
+   * @return the time of the retry, which is not before {@code now}; empty if discovery is
+   *     overloaded or down, in which case the policy determines the backoff
    */
-  OptionalLong retryTime(Failure failure, boolean wasSilentBefore, long calledAt, long now) {
+  OptionalLong retryTime(Failure failure, boolean wasPreviousCallSilent, long calledAt, long now) {
     if (pushed) {
-      return OptionalLong.of(Math.max(now, calledAt + retryInterval));
+      return OptionalLong.of(Math.max(now, calledAt + retryIntervalMicros));
     }
     return switch (failure) {
       case UNAVAILABLE -> OptionalLong.empty();
       case INVALID_RESPONSE ->
-          OptionalLong.of(Math.max(now, calledAt + invalidResponseRetryInterval));
+          OptionalLong.of(Math.max(now, calledAt + invalidResponseRetryIntervalMicros));
       case SILENT ->
-          OptionalLong.of(wasSilentBefore ? Math.max(now, calledAt + retryInterval) : now);
+          OptionalLong.of(
+              wasPreviousCallSilent ? Math.max(now, calledAt + retryIntervalMicros) : now);
     };
   }
 }
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -19,111 +19,130 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whatever the outcome of a call to discovery, a change that it missed is known before sending to a
- * draining worker would violate the rules.
+ * Tests that a change of the endpoint list is received before sending to a draining worker would
+ * violate the rules, whatever the outcomes of the calls to discovery are.
  */
 class WatchTimeoutsTest {
+  /** One second, in microseconds. */
   private static final long SECOND = 1_000_000;
 
-  private static Rules rules(double grace) {
-    return new Rules((long) (grace * SECOND), 10 * SECOND, 0.1, 20 * SECOND, 3, 2 * SECOND);
+  private static Rules rules(double graceSeconds) {
+    return new Rules((long) (graceSeconds * SECOND), 10 * SECOND, 0.1, 20 * SECOND, 3, 2 * SECOND);
   }
 
-  private static WatchTimeouts timeouts(double grace, boolean polled) {
-    return WatchTimeouts.of(rules(grace), polled);
+  private static WatchTimeouts timeouts(double graceSeconds, boolean polled) {
+    return WatchTimeouts.of(rules(graceSeconds), polled);
   }
 
   private static long retryAt(
-      WatchTimeouts timeouts, Failure failure, boolean silentBefore, long calledAt, long now) {
-    return timeouts.retryTime(failure, silentBefore, calledAt, now).orElseThrow();
+      WatchTimeouts timeouts,
+      Failure failure,
+      boolean wasPreviousCallSilent,
+      long calledAt,
+      long now) {
+    return timeouts.retryTime(failure, wasPreviousCallSilent, calledAt, now).orElseThrow();
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 3, 10})
-  void aChangeThatASilentCallMissedIsKnownInTime(double grace) {
-    WatchTimeouts timeouts = timeouts(grace, true);
-    // Silent from the start: 6 s after it, or 2 s after its wait, everything counts as known.
-    double violation = Math.max(6, timeouts.maxWait() / 1e6 + 2) + grace;
-    double timedOut = timeouts.deadline(0, true) / 1e6;
-    double nextTimedOut = timedOut + timeouts.responseTimeout() / 1e6;
+  void aChangeThatASilentCallMissedIsReceivedBeforeAViolation(double graceSeconds) {
+    WatchTimeouts timeouts = timeouts(graceSeconds, true);
+    // If a call is silent from its start, every change counts as known 6 s after the start, or 2 s
+    // after the end of the wait, whichever is later.
+    double violationSeconds = Math.max(6, timeouts.maxWaitMicros() / 1e6 + 2) + graceSeconds;
+    double timeoutSeconds = timeouts.deadline(0, true) / 1e6;
+    double nextTimeoutSeconds = timeoutSeconds + timeouts.responseTimeoutMicros() / 1e6;
     assertTrue(
-        nextTimedOut <= violation,
-        "the call that replaces it ends by " + nextTimedOut + ", of " + violation);
-    assertTrue(timeouts.responseTimeout() > 0.9 * SECOND, "a slow call is not silent");
+        nextTimeoutSeconds <= violationSeconds,
+        "the next call times out after (s): "
+            + nextTimeoutSeconds
+            + ", violation after (s): "
+            + violationSeconds);
+    assertTrue(
+        timeouts.responseTimeoutMicros() > 0.9 * SECOND,
+        "a slow response must not count as silence");
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 0.5, 1, 3, 10})
-  void theListOfAnAgentIsNeverOlderThanTheGrace(double grace) {
-    WatchTimeouts timeouts = timeouts(grace, false);
+  void theListOfAnAgentIsNeverOlderThanTheGrace(double graceSeconds) {
+    WatchTimeouts timeouts = timeouts(graceSeconds, false);
     assertTrue(
-        timeouts.deadline(0, true) + timeouts.responseTimeout() <= 0.8 * grace * SECOND,
-        timeouts + " for a grace of " + grace);
+        timeouts.deadline(0, true) + timeouts.responseTimeoutMicros()
+            <= 0.8 * graceSeconds * SECOND,
+        timeouts + " for a grace of " + graceSeconds);
     assertTrue(
-        timeouts.retryInterval() > 0
-            && timeouts.retryInterval() <= timeouts.responseTimeout() + SECOND,
-        "failing calls are neither many nor rare");
+        timeouts.retryIntervalMicros() > 0
+            && timeouts.retryIntervalMicros() <= timeouts.responseTimeoutMicros() + SECOND,
+        "the retry interval must limit the load and be short");
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.1})
-  void intervalsHaveALowerBoundHoweverShortTheGrace(double grace) {
-    WatchTimeouts timeouts = timeouts(grace, false);
-    assertEquals(50_000, timeouts.retryInterval());
+  void intervalsAreAtLeastFiftyMillisForAShortGrace(double graceSeconds) {
+    WatchTimeouts timeouts = timeouts(graceSeconds, false);
+    assertEquals(50_000, timeouts.retryIntervalMicros());
     assertTrue(
-        timeouts.maxWait() >= 50_000 && timeouts.responseTimeout() >= 50_000, timeouts.toString());
+        timeouts.maxWaitMicros() >= 50_000 && timeouts.responseTimeoutMicros() >= 50_000,
+        timeouts.toString());
   }
 
   /**
-   * A network partition may outlast a call: from the first silent one on, a call goes out every
-   * second or so until one is responded to.
+   * A network partition may last longer than a call. From the first silent call on, a call is made
+   * about once per second until discovery responds.
    */
   @Test
-  void aSilentCallIsRetriedAtOnceAndThenAtAnInterval() {
+  void theFirstSilentCallIsRetriedAtOnceAndOthersAtAnInterval() {
     WatchTimeouts timeouts = timeouts(3, true);
     Failure silent = Failure.of(AttemptOutcome.TIMEOUT, false, false);
     assertEquals(5_500_000, retryAt(timeouts, silent, false, 0, 5_500_000), "retried at once");
-    Failure still = Failure.of(AttemptOutcome.CONNECT_FAILED, false, true);
+    Failure repeatedlySilent = Failure.of(AttemptOutcome.CONNECT_FAILED, false, true);
     assertEquals(
         6_500_000,
-        retryAt(timeouts, still, true, 5_500_000, 5_750_000),
-        "no connection is established either");
+        retryAt(timeouts, repeatedlySilent, true, 5_500_000, 5_750_000),
+        "no connection is established after a silent call");
     assertEquals(7_000_000, retryAt(timeouts, silent, true, 5_500_000, 7_000_000));
-    for (AttemptOutcome busy : new AttemptOutcome[] {AttemptOutcome.RESET, AttemptOutcome.ERROR}) {
-      assertEquals(Failure.UNAVAILABLE, Failure.of(busy, false, true));
+    for (AttemptOutcome unavailableOutcome :
+        new AttemptOutcome[] {AttemptOutcome.RESET, AttemptOutcome.ERROR}) {
+      assertEquals(Failure.UNAVAILABLE, Failure.of(unavailableOutcome, false, true));
       assertEquals(
           OptionalLong.empty(),
           timeouts.retryTime(Failure.UNAVAILABLE, true, 0, SECOND),
-          "the policy decides how to spare it");
+          "the policy determines the backoff");
     }
     assertEquals(
         Failure.UNAVAILABLE,
         Failure.of(AttemptOutcome.CONNECT_FAILED, false, false),
-        "no listener: it is down");
-    assertEquals(Failure.SILENT, still);
+        "a refused connection means that discovery is down");
+    assertEquals(Failure.SILENT, repeatedlySilent);
   }
 
   /**
-   * Discovery is up and its list has changed: changes in the part that arrived may count as known.
+   * After an invalid response, discovery is up and its list has changed. The changes in the part of
+   * the response that has arrived may count as known.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 0.5, 1, 3, 10})
-  void anInvalidResponseIsRetriedWithinTheGrace(double grace) {
-    WatchTimeouts timeouts = timeouts(grace, true);
+  void twoInvalidResponsesAreRetriedWithinTheGrace(double graceSeconds) {
+    WatchTimeouts timeouts = timeouts(graceSeconds, true);
     for (AttemptOutcome outcome :
         new AttemptOutcome[] {AttemptOutcome.RESET, AttemptOutcome.ERROR}) {
       Failure failure = Failure.of(outcome, true, false);
       assertEquals(
-          3 * SECOND, retryAt(timeouts, failure, false, 0, 3 * SECOND), "at once after a wait");
-      long second = retryAt(timeouts, failure, false, 0, 1000);
-      long third = retryAt(timeouts, failure, false, second, second + 1000);
-      assertTrue(third <= grace * SECOND, third + " after two of them, of " + grace);
-      assertTrue(second >= 100_000, "retries are spaced");
+          3 * SECOND,
+          retryAt(timeouts, failure, false, 0, 3 * SECOND),
+          "a call that took long is retried at once");
+      long secondCallAt = retryAt(timeouts, failure, false, 0, 1000);
+      long thirdCallAt = retryAt(timeouts, failure, false, secondCallAt, secondCallAt + 1000);
+      assertTrue(
+          thirdCallAt <= graceSeconds * SECOND,
+          thirdCallAt + " us until the third call, grace in s: " + graceSeconds);
+      assertTrue(secondCallAt >= 100_000, "there must be a time between retries");
     }
   }
 
   @Test
-  void anAgentIsPolledAgainAfterAnyFailure() {
+  void aCallToAnAgentIsRetriedAtAnIntervalAfterEachFailure() {
     WatchTimeouts timeouts = timeouts(0.5, false);
     for (Failure failure : Failure.values()) {
       for (boolean silent : new boolean[] {false, true}) {
@@ -139,7 +158,7 @@
     }
   }
 
-  /** How a call may fail, and the fraction of its time limit after which it does. */
+  /** The ways in which a call may fail. */
   private enum Ending {
     CONNECTION_REFUSED(AttemptOutcome.CONNECT_FAILED, 0),
     NO_CONNECTION(AttemptOutcome.CONNECT_FAILED, -1),
@@ -149,113 +168,131 @@
     SILENT(AttemptOutcome.TIMEOUT, 1);
 
     final AttemptOutcome outcome;
-    final double limitFraction;
 
-    Ending(AttemptOutcome outcome, double limitFraction) {
+    /**
+     * The time until the failure as a fraction of the timeout of the call; negative if the call
+     * fails after 250 ms, whatever its timeout is.
+     */
+    final double timeoutFraction;
+
+    Ending(AttemptOutcome outcome, double timeoutFraction) {
       this.outcome = outcome;
-      this.limitFraction = limitFraction;
+      this.timeoutFraction = timeoutFraction;
     }
 
-    long duration(long limit) {
-      return limitFraction < 0 ? 250_000 : (long) (limitFraction * limit);
+    /** Returns the duration of a call that has the given timeout, both in microseconds. */
+    long durationMicros(long timeoutMicros) {
+      return timeoutFraction < 0 ? 250_000 : (long) (timeoutFraction * timeoutMicros);
     }
   }
 
   /**
-   * Every sequence of up to five failures, by the policy and these timeouts together, on a virtual
-   * clock: discovery can be reached from the start of the last of them on, which fails as well. The
-   * call after it has half a second for its response.
+   * Runs every sequence of one to five failed calls with the policy and these timeouts on a virtual
+   * clock. Discovery can be reached from the start of the last of these calls on, which fails as
+   * well. The call after it must have half a second for its response.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 2, 3, 10})
-  void afterAnyFailuresAChangeIsKnownBeforeASendCouldViolateTheRule(double grace) {
-    Ending[] all = Ending.values();
+  void afterAnyFailuresTheNextCallIsMadeBeforeASendCouldViolateTheRules(double graceSeconds) {
+    Ending[] endings = Ending.values();
     for (int length = 1; length <= 5; length++) {
-      for (int code = 0; code < Math.pow(all.length, length); code++) {
+      for (int index = 0; index < Math.pow(endings.length, length); index++) {
         Ending[] sequence = new Ending[length];
-        for (int i = 0, rest = code; i < length; i++, rest /= all.length) {
-          sequence[i] = all[rest % all.length];
+        for (int i = 0, remainder = index; i < length; i++, remainder /= endings.length) {
+          sequence[i] = endings[remainder % endings.length];
         }
-        long unknown = reachableUntilPolled(grace, sequence, code);
+        long delayMicros = microsFromLastCallToNextCall(graceSeconds, sequence, index);
         assertTrue(
-            unknown + SECOND / 2 <= (6 + grace + 0.05) * SECOND,
-            "polled " + unknown + " us after it could be reached: " + Arrays.toString(sequence));
+            delayMicros + SECOND / 2 <= (6 + graceSeconds + 0.05) * SECOND,
+            "called "
+                + delayMicros
+                + " us after discovery could be reached: "
+                + Arrays.toString(sequence));
       }
     }
   }
 
   /**
-   * A process that starts sends nothing by a list of unknown age: whatever becomes of its first
-   * call, the second one is made, with half a second for its response, while it still waits.
+   * A process that starts does not use a list of unknown age while it waits for its first list. If
+   * its first call fails, its second call must be made during that wait, with half a second left
+   * for the response.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 2, 3, 10})
-  void aProcessThatStartsCallsTwiceBeforeItServesAListOfUnknownAge(double grace) {
+  void aStartingProcessCallsTwiceBeforeItUsesAListOfUnknownAge(double graceSeconds) {
     for (Ending ending : Ending.values()) {
       for (int seed = 0; seed < 50; seed++) {
-        long called = startUntilPolledAgain(grace, ending, seed);
+        long secondCallMicros = microsFromStartToSecondCall(graceSeconds, ending, seed);
         assertTrue(
-            called + SECOND / 2 <= WatchTimeouts.FIRST_LIST_TIMEOUT_MICROS,
-            "polled " + called + " us after the start: " + ending);
+            secondCallMicros + SECOND / 2 <= WatchTimeouts.FIRST_LIST_TIMEOUT_MICROS,
+            "called again " + secondCallMicros + " us after the start: " + ending);
       }
     }
   }
 
-  /** From the start of a process, whose first call fails, to that of its second call. */
-  private static long startUntilPolledAgain(double grace, Ending ending, long seed) {
-    WatchTimeouts timeouts = timeouts(grace, true);
+  /**
+   * Returns the time, in microseconds, from the start of a process to the start of its second call
+   * if the first call fails.
+   */
+  private static long microsFromStartToSecondCall(double graceSeconds, Ending ending, long seed) {
+    WatchTimeouts timeouts = timeouts(graceSeconds, true);
     List<Action> actions = new ArrayList<>();
-    DispatchPolicy policy = startedPolicy(grace, seed, actions);
-    Action.SetTimer first = (Action.SetTimer) actions.get(0);
-    long calledAt = first.time();
-    policy.on(new Event.TimerFired(first.token()), calledAt, actions);
-    long end = calledAt + ending.duration(timeouts.deadline(0, false));
+    DispatchPolicy policy = startedPolicy(graceSeconds, seed, actions);
+    Action.SetTimer firstTimer = (Action.SetTimer) actions.get(0);
+    long calledAt = firstTimer.time();
+    policy.on(new Event.TimerFired(firstTimer.token()), calledAt, actions);
+    long endedAt = calledAt + ending.durationMicros(timeouts.deadline(0, false));
     Failure failure = Failure.of(ending.outcome, false, false);
-    OptionalLong retryTime = timeouts.retryTime(failure, false, calledAt, end);
+    OptionalLong retryTime = timeouts.retryTime(failure, false, calledAt, endedAt);
     if (retryTime.isPresent()) {
       return retryTime.getAsLong();
     }
     actions.clear();
-    policy.on(new Event.WatchFailed(), end, actions);
+    policy.on(new Event.WatchFailed(), endedAt, actions);
     return ((Action.SetTimer) actions.get(0)).time();
   }
 
-  /** From the start of the last of these calls, which all fail, to that of the one after it. */
-  private static long reachableUntilPolled(double grace, Ending[] sequence, long seed) {
-    WatchTimeouts timeouts = timeouts(grace, true);
+  /**
+   * Returns the time, in microseconds, from the start of the last call of a sequence of failed
+   * calls to the start of the call after it.
+   */
+  private static long microsFromLastCallToNextCall(
+      double graceSeconds, Ending[] sequence, long seed) {
+    WatchTimeouts timeouts = timeouts(graceSeconds, true);
     List<Action> actions = new ArrayList<>();
-    DispatchPolicy policy = startedPolicy(grace, seed, actions);
-    Rules rules = rules(grace);
+    DispatchPolicy policy = startedPolicy(graceSeconds, seed, actions);
+    Rules rules = rules(graceSeconds);
     long calledAt = 0;
-    long nextAt = 0;
+    long nextCallAt = 0;
     boolean silent = false;
     for (Ending ending : sequence) {
-      calledAt = nextAt;
-      long end = calledAt + ending.duration(timeouts.deadline(0, true));
+      calledAt = nextCallAt;
+      long endedAt = calledAt + ending.durationMicros(timeouts.deadline(0, true));
       Failure failure = Failure.of(ending.outcome, false, silent);
-      OptionalLong retryTime = timeouts.retryTime(failure, silent, calledAt, end);
+      OptionalLong retryTime = timeouts.retryTime(failure, silent, calledAt, endedAt);
       silent = failure == Failure.SILENT;
       if (retryTime.isPresent()) {
-        nextAt = retryTime.getAsLong();
+        nextCallAt = retryTime.getAsLong();
       } else {
         actions.clear();
-        policy.on(new Event.WatchFailed(), end, actions);
+        policy.on(new Event.WatchFailed(), endedAt, actions);
         Action.SetTimer timer = (Action.SetTimer) actions.get(0);
-        nextAt = timer.time();
-        policy.on(new Event.TimerFired(timer.token()), nextAt, actions);
-        assertTrue(nextAt - end >= rules.maxPollBackoff() / 8, "the policy backs off");
+        nextCallAt = timer.time();
+        policy.on(new Event.TimerFired(timer.token()), nextCallAt, actions);
+        assertTrue(nextCallAt - endedAt >= rules.maxPollBackoff() / 8, "the policy backs off");
       }
     }
-    return nextAt - calledAt;
+    return nextCallAt - calledAt;
   }
 
-  private static DispatchPolicy startedPolicy(double grace, long seed, List<Action> actions) {
+  private static DispatchPolicy startedPolicy(
+      double graceSeconds, long seed, List<Action> actions) {
     DispatchPolicy policy = new DispatchPolicy();
     policy.on(
         new Event.Start(
             seed,
             Settings.builder()
-                .rules(rules(grace))
+                .rules(rules(graceSeconds))
                 .limits(new Settings.Limits(4, true, true, false, false, 0))
                 .dispatchers(20)
                 .zone("z")
