--- a/src/main/java/loomreel/core/Rpc.java
+++ b/src/main/java/loomreel/core/Rpc.java
@@ -141,6 +141,7 @@
         .anyMatch(attempt -> attempt.wasReturnedUnstarted() && attempt.worker().equals(worker));
   }
 
+  /** Answers the call with the result of the job. Does nothing if the call is completed. */
   void serve(byte[] result) {
     if (complete()) {
       metrics.recordDisposition(requestClass, DispatcherMetrics.Disposition.SUCCESS);
@@ -148,6 +149,7 @@
     }
   }
 
+  /** Rejects the call. Does nothing if the call is completed. */
   void reject(UnavailableStatus status) {
     if (complete()) {
       metrics.recordDisposition(requestClass, DispatcherMetrics.Disposition.BUSY);
@@ -155,6 +157,7 @@
     }
   }
 
+  /** Fails the call. Does nothing if the call is completed. */
   void fail() {
     if (complete()) {
       metrics.recordDisposition(requestClass, DispatcherMetrics.Disposition.FAILURE);
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -19,7 +19,7 @@
  * listening socket is owned by the event loop.
  */
 public final class HttpIngress implements Ingress {
-  /** Decides which connections and jobs are accepted in the current state of the process. */
+  /** The rules for accepting connections and jobs in the current state of the process. */
   public interface AdmissionGate {
     /** Returns whether the readiness check reports that clients should use this process. */
     boolean acceptsClients();
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -147,6 +147,7 @@
     }
   }
 
+  /** Applies the initial endpoint list if it has not been confirmed or updated by discovery. */
   private void applyUnconfirmedEndpoints() {
     Optional<EndpointList> initial = unconfirmedEndpoints;
     unconfirmedEndpoints = Optional.empty();
@@ -191,6 +192,10 @@
     firstListBarrier.release();
   }
 
+  /**
+   * Updates the subchannels, reports the endpoints to the dispatcher, and then aborts unsent
+   * attempts at workers that accept no new jobs.
+   */
   private void applyEndpointList(EndpointList list) {
     Map<String, HttpSubchannel> missingSubchannels = new HashMap<>(subchannels);
     for (Endpoint endpoint : list.endpoints()) {
