--- a/src/main/java/loomreel/core/ActionExecutor.java
+++ b/src/main/java/loomreel/core/ActionExecutor.java
@@ -8,7 +8,9 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Executes the actions that the decision module returns on the calls and workers of a dispatcher.
+ * Executes the actions that the policy, {@link loomreel.decision.DispatchPolicy}, returns: starts
+ * and cancels attempts, rejects and fails calls, checks the health of workers, sets timers, polls
+ * endpoint lists, and logs lines.
  */
 final class ActionExecutor {
   private final RateLimitedLogger policyLog = new RateLimitedLogger("loomreel.decision");
@@ -32,7 +34,8 @@
   }
 
   /**
-   * Executes one action. An action for a call that is no longer active is ignored.
+   * Executes one action. An action on a call is ignored if the call is no longer in the {@link
+   * CallTable}. The rejection or failure of a call is also ignored if the call is completed.
    *
    * @throws IllegalStateException if the type of the action is unknown
    */
@@ -59,9 +62,12 @@
   }
 
   /**
-   * Adds an attempt to the call and starts it, or ends it at once if it must not or cannot be
-   * started. Such an attempt is added as well, because the policy and the dispatcher both number
-   * the attempts of a call by counting these actions.
+   * Adds an attempt to a call and starts the attempt.
+   *
+   * <p>If the attempt must not be started, or if no worker with the given id is listed, the attempt
+   * is still added to the call, but it ends at once. The policy and the dispatcher both number the
+   * attempts of a call by counting the {@link Action.StartAttempt} actions for the call, so each of
+   * these actions must add an attempt.
    */
   private void startAttempt(Action.StartAttempt start) {
     Rpc rpc = calls.find(start.requestId());
@@ -95,8 +101,9 @@
   }
 
   /**
-   * Returns the deadline of an attempt, in microseconds of the loop's clock. It is never later than
-   * the deadline of the call, which also applies if the action has a timeout of 0.
+   * Returns the deadline of an attempt, in microseconds of the event loop's clock. The deadline is
+   * the end of the action's timeout or the deadline of the call, whichever is earlier. A timeout of
+   * 0 means that the action sets no timeout; the deadline of the call applies in this case.
    */
   private long attemptDeadline(Action.StartAttempt start, Rpc rpc) {
     return start.timeout() > 0
--- a/src/main/java/loomreel/core/CallAttempt.java
+++ b/src/main/java/loomreel/core/CallAttempt.java
@@ -5,8 +5,9 @@
 import loomreel.io.EventLoop;
 
 /**
- * One attempt to have a call processed by one worker. {@link CallAttemptState} describes its
- * states. An attempt ends exactly once and then reports its outcome to the {@link Dispatcher}.
+ * One attempt to have a call processed by one worker. {@link CallAttemptState} describes the states
+ * of an attempt. An attempt ends exactly once. When the attempt ends, it reports its outcome to the
+ * {@link Dispatcher}.
  *
  * <p>All times are in microseconds of the event loop's clock.
  */
@@ -26,34 +27,40 @@
   private AttemptOutcome outcome;
 
   /**
-   * The call on the subchannel; null before the start, and if the attempt ended during the start.
+   * The handle with which the subchannel's request can be cancelled or aborted. Null before the
+   * attempt is started, and if the attempt ended while it was being started.
    */
   private Subchannel.ActiveCall activeCall;
 
-  /** The timer that enforces the deadline in state ACCEPTED; null until that state is entered. */
+  /**
+   * The timer that enforces the deadline in state {@link CallAttemptState#ACCEPTED}; null until the
+   * attempt enters that state.
+   */
   private EventLoop.Timer deadlineTimer;
 
   /**
-   * Whether the last byte of the request has been written. This is not part of the state, because a
-   * worker may accept a request before its last byte is written.
+   * Whether the last byte of the request has been written. This flag is not part of the state,
+   * because a worker may accept a job before the last byte of the request is written.
    */
   private boolean requestWritten;
 
   /**
-   * Whether the worker has returned the job unstarted. This is not part of the state, because it is
-   * needed after the end of the attempt, to detect a repeated status update.
+   * Whether the worker has returned the job unstarted. This flag is not part of the state, because
+   * it is needed after the attempt has ended: it shows whether a later status update that returns
+   * the job may be a repetition.
    */
   private boolean returnedUnstarted;
 
   /**
-   * Creates an attempt whose number is the number of attempts that its call has so far.
+   * Creates an attempt. Its number is the number of attempts that the call already has.
    *
    * @param worker the id of the worker
    * @param subchannel the subchannel to the worker, or null if no worker with that id is listed; an
    *     attempt without a subchannel must not be started
    * @param sentAt the time at which the attempt is passed to the subchannel
    * @param deadline the time at which to stop waiting for the outcome
-   * @param writeDeadline the time at which to abort a request that is not completely written
+   * @param writeDeadline the time at which to abort the request if it has not been completely
+   *     written
    */
   CallAttempt(
       Dispatcher dispatcher,
@@ -73,13 +80,13 @@
     this.writeDeadline = writeDeadline;
   }
 
-  /** Starts the attempt on its subchannel. */
+  /** Starts the attempt on its subchannel. The attempt may end during this call. */
   void start() {
     Subchannel.ActiveCall started = subchannel.start(this);
     activeCall = hasEnded() ? null : started;
   }
 
-  /** Returns whether the attempt has ended. Its outcome is final then. */
+  /** Returns whether the attempt has ended. The outcome of an ended attempt does not change. */
   public boolean hasEnded() {
     return state == CallAttemptState.ENDED;
   }
@@ -100,8 +107,9 @@
   }
 
   /**
-   * Notifies the caller that the request is about to be sent, and returns whether it may be sent.
-   * The subchannel must call this before it writes the first byte of the request.
+   * Notifies the {@link Rpc.Caller} that the request is about to be sent, and returns whether the
+   * request may be sent. The subchannel must call this method before it writes the first byte of
+   * the request.
    */
   public boolean mayStart() {
     return rpc.attemptStarting();
@@ -109,6 +117,7 @@
 
   /**
    * Records that the last byte of the request has been written. From this point on the job may run.
+   * Only the first invocation has an effect.
    */
   public void requestWritten() {
     if (!requestWritten) {
@@ -118,9 +127,10 @@
   }
 
   /**
-   * Records that the worker has accepted the job. The worker reports the end of the job later; if
-   * it does not do so by the deadline, the attempt ends with {@link AttemptOutcome#TIMEOUT}. Does
-   * nothing unless the attempt is in state {@link CallAttemptState#OPEN}.
+   * Records that the worker has accepted the job. The worker reports the end of the job later. If
+   * the worker has not reported the end by the deadline, the attempt ends with {@link
+   * AttemptOutcome#TIMEOUT}. Does nothing unless the attempt is in state {@link
+   * CallAttemptState#OPEN}.
    */
   public void accepted() {
     if (transitionTo(CallAttemptState.ACCEPTED)) {
@@ -128,7 +138,10 @@
     }
   }
 
-  /** Reports that the job has started to run or has made progress. Ignored after the end. */
+  /**
+   * Reports to the dispatcher that the job has started to run or has made progress. Does nothing if
+   * the attempt has ended.
+   */
   public void progressed() {
     if (!hasEnded()) {
       dispatcher.attemptProgressed(this);
@@ -139,7 +152,7 @@
    * Answers the call with the result of the job and ends the attempt. Does nothing if the attempt
    * has ended.
    *
-   * @param load the load of the worker, or null if it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   public void completed(byte[] result, WorkerLoad load) {
     if (!hasEnded()) {
@@ -150,12 +163,12 @@
 
   /**
    * Ends the attempt because the worker has returned the job unstarted. The outcome is {@link
-   * AttemptOutcome#REJECTED}, unless the same worker has already returned the job in an earlier
-   * attempt of the call. Workers may repeat status updates, so a second return may be a duplicate
-   * of the first one and does not prove that this attempt did not run. The outcome is {@link
-   * AttemptOutcome#RESET} then.
+   * AttemptOutcome#REJECTED}. However, if the same worker has already returned the job in an
+   * earlier attempt of the call, the outcome is {@link AttemptOutcome#RESET}. Workers may repeat
+   * status updates, so the second return may be a duplicate of the first return and does not prove
+   * that the job did not run in this attempt.
    *
-   * @param load the load of the worker, or null if it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   public void returnedUnstarted(WorkerLoad load) {
     boolean repeated = rpc.wasReturnedBy(worker);
@@ -163,16 +176,16 @@
     end(repeated ? AttemptOutcome.RESET : AttemptOutcome.REJECTED, load);
   }
 
-  /** Returns whether the worker has returned the job unstarted. */
+  /** Returns whether the worker has returned the job of this attempt unstarted. */
   boolean wasReturnedUnstarted() {
     return returnedUnstarted;
   }
 
   /**
-   * Ends the attempt with an outcome and reports it to the dispatcher. Does nothing if the attempt
-   * has ended.
+   * Ends the attempt with an outcome and reports the outcome to the dispatcher. Does nothing if the
+   * attempt has ended.
    *
-   * @param load the load of the worker, or null if it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   public void end(AttemptOutcome finalOutcome, WorkerLoad load) {
     if (!transitionTo(CallAttemptState.ENDED)) {
@@ -185,7 +198,11 @@
     dispatcher.attemptEnded(this, finalOutcome, load);
   }
 
-  /** Enters a state if the transition is allowed, and returns whether it was. */
+  /**
+   * Enters the given state if {@link CallAttemptState#canBecome} allows the transition.
+   *
+   * @return whether the state was entered
+   */
   private boolean transitionTo(CallAttemptState next) {
     boolean isAllowed = state.canBecome(next);
     if (isAllowed) {
@@ -195,9 +212,12 @@
   }
 
   /**
-   * Aborts the attempt if its request is not completely written, which means that the job cannot
-   * have run. The client may have disconnected, or the worker may accept no new jobs; without the
-   * abort, the rest of the request could be written later and would start the job.
+   * Aborts the attempt if its request has not been completely written. In this case the job cannot
+   * have run, so the outcome is {@link AttemptOutcome#NOT_ATTEMPTED}. Without the abort, the rest
+   * of the request could be written later and would start the job.
+   *
+   * <p>This method is called when the call is completed, for example because the client has
+   * disconnected, and when the worker accepts no new jobs.
    */
   void abortIfUnsent() {
     if (!hasEnded() && activeCall != null && activeCall.abortIfUnsent()) {
@@ -205,7 +225,9 @@
     }
   }
 
-  /** Cancels the attempt if it has not ended. The job may have run, or may still run. */
+  /**
+   * Cancels the attempt if it has not ended. The job may nevertheless have run, or may still run.
+   */
   void cancel() {
     if (!hasEnded()) {
       if (activeCall != null) {
@@ -230,7 +252,7 @@
     return deadline;
   }
 
-  /** Returns the time at which to abort a request that is not completely written. */
+  /** Returns the time at which to abort the request if it has not been completely written. */
   public long writeDeadline() {
     return writeDeadline;
   }
--- a/src/main/java/loomreel/core/CallAttemptState.java
+++ b/src/main/java/loomreel/core/CallAttemptState.java
@@ -7,25 +7,26 @@
  *   <caption>Transitions; an event that is not listed for a state is ignored</caption>
  *   <tr><th>state</th><th>event</th><th>next state</th></tr>
  *   <tr><td>{@link #OPEN}</td><td>the worker accepts the job</td><td>{@link #ACCEPTED}</td></tr>
- *   <tr><td>{@link #OPEN}</td><td>any outcome</td><td>{@link #ENDED}</td></tr>
- *   <tr><td>{@link #ACCEPTED}</td><td>any outcome, or the deadline</td><td>{@link #ENDED}</td></tr>
+ *   <tr><td>{@link #OPEN}</td><td>the attempt gets an outcome</td><td>{@link #ENDED}</td></tr>
+ *   <tr><td>{@link #ACCEPTED}</td><td>the attempt gets an outcome, or its deadline passes</td>
+ *       <td>{@link #ENDED}</td></tr>
  * </table>
  */
 enum CallAttemptState {
   /**
-   * The worker has not accepted the job. The subchannel's call enforces the deadline of the
+   * The worker has not accepted the job. The {@link Subchannel} enforces the deadline of the
    * attempt.
    */
   OPEN,
   /**
-   * The worker has accepted the job and reports its end later. A timer of the attempt enforces the
-   * deadline.
+   * The worker has accepted the job and reports the end of the job later. A timer of the {@link
+   * CallAttempt} enforces the deadline.
    */
   ACCEPTED,
   /** The outcome is known and final. */
   ENDED;
 
-  /** Returns whether an attempt in this state may enter another state. */
+  /** Returns whether an attempt in this state may enter the given state. */
   boolean canBecome(CallAttemptState next) {
     return switch (this) {
       case OPEN -> next == ACCEPTED || next == ENDED;
--- a/src/main/java/loomreel/core/CallIdRegistry.java
+++ b/src/main/java/loomreel/core/CallIdRegistry.java
@@ -1,14 +1,18 @@
 package loomreel.core;
 
 /**
- * Shares the ids of active calls with another process that serves as the same dispatcher, as during
- * a hot restart, so that an id is never active in both processes.
+ * Shares the ids of active calls with another process that serves as the same dispatcher, for
+ * example during a hot restart. With this registry, each process can ensure that no id is active in
+ * both processes. {@link CallTable} defines which calls are active.
  */
 public interface CallIdRegistry {
-  /** Records that a call with this id has become active in this process. */
+  /** Called when a call with this id has become active in this process. */
   void acquired(String id);
 
-  /** Records that the call with this id has ended in this process and the id is free again. */
+  /**
+   * Called when the call with this id is no longer active in this process, so that the id may be
+   * used again.
+   */
   void released(String id);
 
   /** Returns whether a call with this id is active in the other process. */
--- a/src/main/java/loomreel/core/CallTable.java
+++ b/src/main/java/loomreel/core/CallTable.java
@@ -32,7 +32,9 @@
     return calls.size() < capacity;
   }
 
-  /** Sets the registry that shares the ids of active calls, or null for none. */
+  /**
+   * Sets the registry that shares the ids of active calls with another process, or null for none.
+   */
   void setRegistry(CallIdRegistry newRegistry) {
     registry = newRegistry;
   }
@@ -60,7 +62,10 @@
     return calls.containsKey(id);
   }
 
-  /** Returns whether a call with this id is active in this process or in the other one. */
+  /**
+   * Returns whether a call with this id is active in this process or, according to the registry, in
+   * the other process that serves as the same dispatcher.
+   */
   boolean inUse(String id) {
     return isActive(id) || (registry != null && registry.inUseElsewhere(id));
   }
@@ -79,9 +84,14 @@
     return (int) calls.values().stream().filter(rpc -> !rpc.isCompleted()).count();
   }
 
-  /** Aborts the attempts at a worker whose request has not been completely written. */
+  /**
+   * Aborts the attempts at one worker, except attempts whose request has been completely written.
+   *
+   * @param worker the id of the worker
+   */
   void abortUnsentAttempts(String worker) {
-    // Iterates over a copy, because the end of an attempt may add an attempt or remove its call.
+    // Iterates over a copy, because the end of an attempt may start another attempt or remove the
+    // call from the table.
     for (Rpc rpc : List.copyOf(calls.values())) {
       rpc.abortUnsent(attempt -> attempt.worker().equals(worker));
     }
--- a/src/main/java/loomreel/core/Dispatcher.java
+++ b/src/main/java/loomreel/core/Dispatcher.java
@@ -11,9 +11,13 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Connects the protocols to the decision module. Reports what ingresses and worker pools observe to
- * the decision module, as events, and executes the actions that it returns. Makes no dispatch
- * decisions itself, and owns the active calls.
+ * Connects the ingresses and the worker pools to the policy, {@link
+ * loomreel.decision.DispatchPolicy}, which makes all dispatch decisions. The dispatcher reports the
+ * observations of the ingresses and worker pools to the policy, as events, and executes the actions
+ * that the policy returns.
+ *
+ * <p>The dispatcher owns the active calls. A call is active from its acceptance until it has been
+ * answered or cancelled and all of its attempts have ended.
  *
  * <p>Not thread-safe: used on the event loop's thread only. All times are in microseconds of the
  * event loop's clock.
@@ -38,13 +42,16 @@
   private final WorkerPools pools = new WorkerPools();
   private final PolicyDriver policy;
 
-  /** The time by which calls that are accepted from now on must be answered. */
+  /**
+   * The time by which every call that is accepted from now on must be answered; {@link
+   * Long#MAX_VALUE} if no shutdown deadline has been set.
+   */
   private long shutdownDeadline = Long.MAX_VALUE;
 
   /**
    * Creates a dispatcher that has not been started and has a capacity of 0 calls.
    *
-   * @param seed the seed of the decision module's random number generator
+   * @param seed the seed of the policy's random number generator
    * @param answerGraceMicros the time after the deadline of a call during which an answer still
    *     counts as in time, in microseconds
    */
@@ -69,7 +76,7 @@
   }
 
   /**
-   * Starts the decision module.
+   * Starts the policy.
    *
    * @param disabledWorkers the ids of the workers that operators have disabled
    */
@@ -79,8 +86,8 @@
   }
 
   /**
-   * Starts the periodic tasks of the worker pools and the periodic logging of metrics. Must be
-   * called once only.
+   * Starts the periodic tasks of the worker pools and the periodic logging of metrics. Must not be
+   * called more than once.
    */
   public void startPeriodicTasks() {
     runPeriodicTasks();
@@ -101,7 +108,10 @@
     loop.schedule(loop.now() + METRICS_LOG_INTERVAL_MICROS, this::logMetrics);
   }
 
-  /** Returns the counters since the start, as key=value pairs for the log. */
+  /**
+   * Returns key=value pairs for the log: the current numbers of active calls and of listed workers,
+   * and the counters since the start.
+   */
   public String summary() {
     return metrics.summary(calls.size(), pools.size());
   }
@@ -118,15 +128,17 @@
 
   /**
    * Sets the fraction of the dispatcher's slow-start allowance that this process may use, from 0 to
-   * 1.
+   * 1. The allowance limits the work that the dispatcher sends to workers that are warming up.
    */
   public void setCapacityFraction(double fraction) {
     submit(new Event.CapacityFractionChanged(fraction));
   }
 
   /**
-   * Disables a worker: no further attempts are started at it, and attempts whose request is not
-   * completely written are aborted.
+   * Disables a worker: no further attempts are started at the worker, and its attempts are aborted
+   * unless their request has been completely written.
+   *
+   * @param worker the id of the worker
    */
   public void disableWorker(String worker) {
     // The policy is informed first, so that it does not retry the aborted attempts at this worker.
@@ -135,13 +147,20 @@
     abortUnsentAttempts(worker);
   }
 
-  /** Enables a disabled worker: attempts may be started at it again. */
+  /**
+   * Enables a disabled worker: attempts may be started at the worker again.
+   *
+   * @param worker the id of the worker
+   */
   public void enableWorker(String worker) {
     pools.setDisabled(worker, false);
     submit(new Event.WorkerEnabled(worker));
   }
 
-  /** Returns whether every accepted call has been answered or cancelled. */
+  /**
+   * Returns whether every accepted call has been answered or cancelled. Attempts of these calls may
+   * still be open.
+   */
   public boolean isEmpty() {
     return calls.unansweredCount() == 0;
   }
@@ -174,7 +193,11 @@
     return calls.activeIds();
   }
 
-  /** Accepts a call. From now on the call gets exactly one answer, unless it is cancelled. */
+  /**
+   * Accepts a call. From now on the call gets exactly one answer, unless it is cancelled.
+   *
+   * @param arrival the event that reports the call to the policy
+   */
   public void accept(Rpc rpc, Event.RequestArrived arrival) {
     metrics.recordAcceptedCall();
     calls.add(rpc);
@@ -192,9 +215,12 @@
   }
 
   /**
-   * Fails a call that has not been answered in time. Normally the policy ends each call before its
-   * deadline. This method limits the effect of a defect in the policy, and ends calls whose
-   * deadline is after the shutdown deadline.
+   * Fails a call unless it has been answered or cancelled. Called when the time for an answer has
+   * ended: at the deadline of the call plus the grace for answers, or at the shutdown deadline if
+   * that is earlier.
+   *
+   * <p>Normally the policy ends each call before the deadline of the call. This method limits the
+   * effect of a defect in the policy, and ends calls whose deadline is after the shutdown deadline.
    */
   private void failOverdue(Rpc rpc) {
     if (!rpc.isCompleted()) {
@@ -206,7 +232,7 @@
               + rpc.id());
       rpc.fail();
       submit(new Event.RequestCancelled(rpc.id()));
-      // A call is otherwise removed when an attempt ends, but this one may have no attempts.
+      // Normally a call is removed when its last attempt ends, but this call may have no attempts.
       calls.removeIfDone(rpc);
     }
   }
@@ -240,9 +266,10 @@
   }
 
   /**
-   * Reports the end of an attempt to the policy, and removes the call if it is done.
+   * Reports the end of an attempt to the policy. Removes the call from the active calls if the call
+   * is completed and all of its attempts have ended.
    *
-   * @param load the load of the worker, or null if it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   void attemptEnded(CallAttempt attempt, AttemptOutcome outcome, WorkerLoad load) {
     Rpc rpc = attempt.rpc();
@@ -263,7 +290,7 @@
    *
    * @param worker the id of the worker
    * @param sentAt the time at which the health check was sent
-   * @param load the load of the worker, or null if it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   public void healthChecked(String worker, AttemptOutcome outcome, long sentAt, WorkerLoad load) {
     metrics.recordHealthCheck(outcome == AttemptOutcome.OK);
@@ -271,28 +298,35 @@
   }
 
   /**
-   * Reports to the policy that the endpoint watch of a pool has failed. The endpoints that are
-   * known stay valid.
+   * Reports to the policy that the endpoint watch of a pool has failed. The last known endpoints
+   * stay valid.
    */
   public void watchFailed() {
     submit(new Event.WatchFailed());
   }
 
   /**
-   * Reports endpoints of a pool to the policy. The pool must have updated its subchannels before,
-   * so that {@link WorkerPool#find} finds them.
+   * Reports endpoints of a pool to the policy. The pool must update its subchannels before it calls
+   * this method, because the policy may start attempts at the reported workers at once, and {@link
+   * WorkerPool#find} must return the subchannels of these workers.
    *
-   * @param snapshot true if the list is complete, so that endpoints of the pool that it lacks have
-   *     been removed; false if the list contains changes only
+   * @param source the pool that lists the endpoints
+   * @param snapshot true if the list is complete, which means that an endpoint of the pool has been
+   *     removed if it is missing from the list; false if the list contains only changes
    */
   public void endpointsChanged(WorkerPool source, boolean snapshot, List<Endpoint> endpoints) {
     submit(pools.endpointEvent(source, snapshot, endpoints));
   }
 
   /**
-   * Aborts all attempts at a worker whose request has not been completely written, because the
-   * worker accepts no new jobs. Without the abort, a connection that is established late could send
-   * such a request when this is no longer allowed. The policy must have been informed before.
+   * Aborts the attempts at a worker that accepts no new jobs, except attempts whose request has
+   * been completely written. Without the abort, such a request could be sent over a connection that
+   * is established later, at a time when sending to the worker is no longer allowed.
+   *
+   * <p>The policy must be informed that the worker accepts no new jobs before this method is
+   * called. Otherwise the policy could retry the aborted attempts at the same worker.
+   *
+   * @param worker the id of the worker
    */
   public void abortUnsentAttempts(String worker) {
     calls.abortUnsentAttempts(worker);
--- a/src/main/java/loomreel/core/DispatcherMetrics.java
+++ b/src/main/java/loomreel/core/DispatcherMetrics.java
@@ -8,8 +8,8 @@
 import loomreel.decision.Settings;
 
 /**
- * The counters of a dispatcher since its start. The disposition of each call is counted once, when
- * the call is answered.
+ * The counters of a dispatcher since its start. The disposition of a call, which is the kind of its
+ * answer, is counted once, when the call is answered.
  *
  * <p>Not thread-safe: used on the event loop's thread only.
  */
@@ -18,9 +18,12 @@
   public enum Disposition {
     /** A worker has completed the job. */
     SUCCESS,
-    /** The call was rejected; the job has not run. */
+    /**
+     * The call was rejected. The client may safely retry the job, because the job has not run or
+     * because running it twice does no harm.
+     */
     BUSY,
-    /** The call has failed; the job may have run. */
+    /** The call has failed. The job may have run. */
     FAILURE
   }
 
@@ -38,7 +41,7 @@
   private int failedReloads;
 
   /**
-   * Creates counters that are 0.
+   * Creates counters whose values are 0.
    *
    * @param classes the request classes of the settings, in their order
    */
@@ -101,7 +104,7 @@
   /**
    * Returns the metrics that operators query.
    *
-   * @param unansweredCalls the current number of calls without an answer
+   * @param unansweredCalls the current number of calls that are neither answered nor cancelled
    * @param listedWorkers the current number of workers in the endpoint lists
    * @param ejectedWorkers the current number of listed workers that are ejected or disabled
    */
@@ -118,7 +121,12 @@
         failedReloads);
   }
 
-  /** Returns the counters as key=value pairs for the log. */
+  /**
+   * Returns the counters and the given current values as key=value pairs for the log.
+   *
+   * @param activeCalls the current number of active calls
+   * @param listedWorkers the current number of workers in the endpoint lists
+   */
   String summary(int activeCalls, int listedWorkers) {
     return "active="
         + activeCalls
--- a/src/main/java/loomreel/core/ExternalNames.java
+++ b/src/main/java/loomreel/core/ExternalNames.java
@@ -6,10 +6,10 @@
 import loomreel.decision.RejectionReason;
 
 /**
- * The names that constants of the decision module have outside the program: in trace lines, which
- * {@code loomreel tally} aggregates over dispatchers of several versions, and in the reply to
- * Faktory's TRACK command. The names are part of these formats and must not change when a constant
- * is renamed.
+ * Maps constants of the decision module to their names outside the program. The names are used in
+ * trace lines, which {@code loomreel tally} aggregates over dispatchers of several versions, and in
+ * the reply to Faktory's TRACK command. The names are part of these formats and must not change
+ * when a constant is renamed.
  */
 final class ExternalNames {
   private ExternalNames() {}
--- a/src/main/java/loomreel/core/MetricsSnapshot.java
+++ b/src/main/java/loomreel/core/MetricsSnapshot.java
@@ -9,10 +9,12 @@
  *
  * @param success the number of calls served, by request class; has an entry for each class of the
  *     settings
- * @param busy the number of calls rejected, by request class; has the same entries
- * @param failure the number of calls failed, by request class; has the same entries
+ * @param busy the number of calls rejected, by request class; has an entry for each class of the
+ *     settings
+ * @param failure the number of calls failed, by request class; has an entry for each class of the
+ *     settings
  * @param backendCalls the number of attempts whose request was completely written
- * @param inflight the current number of calls without an answer
+ * @param inflight the current number of calls that are neither answered nor cancelled
  * @param hostsListed the current number of workers in the endpoint lists
  * @param hostsDown the current number of listed workers that are ejected or disabled
  * @param reconfigOk the number of configuration reloads that were applied
--- a/src/main/java/loomreel/core/PolicyDriver.java
+++ b/src/main/java/loomreel/core/PolicyDriver.java
@@ -10,9 +10,9 @@
 import loomreel.io.EventLoop;
 
 /**
- * Passes events to the decision module one at a time and executes the actions that it returns. An
- * event that is caused by an action is queued until all actions of the current event have been
- * executed.
+ * Passes events to the {@link DispatchPolicy} one at a time, and executes the actions that the
+ * policy returns for each event. If the execution of an action causes another event, that event is
+ * queued until all actions of the current event have been executed.
  *
  * <p>Not thread-safe: used on the event loop's thread only.
  */
@@ -22,11 +22,13 @@
   private final Consumer<Action> executor;
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
 
-  /** The actions of the current event. The list is reused for all events. */
+  /**
+   * The actions that the policy returns for the current event. The list is reused for all events.
+   */
   private final List<Action> actions = new ArrayList<>();
 
   /** Whether an event is being handled. */
-  private boolean dispatching;
+  private boolean handlingEvent;
 
   /**
    * Creates a driver with a policy that has not been started.
@@ -39,21 +41,21 @@
   }
 
   /**
-   * Passes an event to the policy: at once, or, if an event is being handled, after that event and
-   * all events that are queued.
+   * Passes an event to the policy. If another event is being handled, the new event is queued and
+   * is passed to the policy after all events that are already queued.
    */
   void submit(Event event) {
     pendingEvents.add(event);
-    if (dispatching) {
+    if (handlingEvent) {
       return;
     }
-    dispatching = true;
+    handlingEvent = true;
     try {
       for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
         handle(next);
       }
     } finally {
-      dispatching = false;
+      handlingEvent = false;
     }
   }
 
--- a/src/main/java/loomreel/core/PolicyTracer.java
+++ b/src/main/java/loomreel/core/PolicyTracer.java
@@ -7,9 +7,9 @@
 import loomreel.io.TraceWriter;
 
 /**
- * Writes the events and actions of the decision module as trace lines. The names in the lines
- * belong to a stored format that {@code loomreel tally} reads. They differ from the names of the
- * Java types and must not change with them.
+ * Writes the events and actions of the policy as trace lines. The names in the lines belong to a
+ * stored format that {@code loomreel tally} reads. These names differ from the names of the Java
+ * types and must not change when a Java type is renamed.
  */
 final class PolicyTracer {
   private PolicyTracer() {}
--- a/src/main/java/loomreel/core/Rpc.java
+++ b/src/main/java/loomreel/core/Rpc.java
@@ -13,20 +13,25 @@
  */
 public final class Rpc {
   /**
-   * Receives the answer to a call. Exactly one of {@link #served}, {@link #rejected} and {@link
-   * #failed} is called, once, unless the call is cancelled before.
+   * Receives the answer to a call. If the call is cancelled before it is answered, no answer is
+   * delivered. Otherwise exactly one of {@link #served}, {@link #rejected} and {@link #failed} is
+   * called, and only once.
    */
   public interface Caller {
     /** Called when a worker has completed the job with this result. */
     void served(byte[] result);
 
-    /** Called when the call is rejected. The job has not run, and a retry is safe. */
+    /**
+     * Called when the call is rejected. A retry by the client is safe, because the job has not run
+     * or because running it twice does no harm.
+     */
     void rejected(UnavailableStatus status);
 
     /**
-     * Called before an attempt is sent to a worker. From this point on the job may run.
+     * Called before the request of an attempt is sent to a worker. If this method returns true, the
+     * job may run from this point on. By default returns true.
      *
-     * @return whether the attempt may be sent
+     * @return whether the request may be sent
      */
     default boolean attemptStarting() {
       return true;
@@ -52,7 +57,8 @@
   private boolean completed;
 
   /**
-   * Creates a call that has not been accepted. The accessors describe the parameters.
+   * Creates a call that has not been accepted. The accessors of this class describe the other
+   * parameters.
    *
    * @param caller the receiver of the answer
    * @param metrics the counters in which the answer is counted
@@ -79,7 +85,8 @@
   }
 
   /**
-   * Notifies the caller that an attempt is about to be sent, and returns whether it may be sent.
+   * Notifies the {@link Caller} that the request of an attempt is about to be sent, and returns
+   * whether the request may be sent.
    */
   boolean attemptStarting() {
     return caller.attemptStarting();
@@ -96,8 +103,8 @@
   }
 
   /**
-   * Returns whether the job may have run or may still run. This is true unless each attempt has
-   * ended with an outcome which proves that it did not run.
+   * Returns whether the job may have run or may still run. Returns false only if each attempt of
+   * the call has ended with an outcome which proves that the job did not run in that attempt.
    */
   public boolean mayHaveRun() {
     return attempts.stream().anyMatch(Rpc::mayHaveRun);
@@ -119,7 +126,7 @@
   /**
    * Returns the attempt with this number.
    *
-   * @throws IndexOutOfBoundsException if the call has no such attempt
+   * @throws IndexOutOfBoundsException if the call has no attempt with this number
    */
   CallAttempt attempt(int number) {
     return attempts.get(number);
@@ -135,7 +142,9 @@
     return null;
   }
 
-  /** Returns whether a worker has returned the job unstarted in one of the attempts. */
+  /**
+   * Returns whether the given worker has returned the job unstarted in any attempt of this call.
+   */
   boolean wasReturnedBy(String worker) {
     return attempts.stream()
         .anyMatch(attempt -> attempt.wasReturnedUnstarted() && attempt.worker().equals(worker));
@@ -166,10 +175,10 @@
   }
 
   /**
-   * Completes the call without informing its caller. Releases the request body and aborts the
-   * attempts whose request is not completely written.
+   * Completes the call without informing the {@link Caller}. Releases the request body, and aborts
+   * each attempt whose request has not been completely written.
    *
-   * @return true if this completed the call, false if the call was completed before
+   * @return true if this invocation has completed the call, false if the call was already completed
    */
   boolean complete() {
     boolean isFirstCompletion = !completed;
@@ -181,13 +190,16 @@
     return isFirstCompletion;
   }
 
-  /** Aborts the selected attempts, except those whose request is completely written. */
+  /** Aborts the selected attempts, except attempts whose request has been completely written. */
   void abortUnsent(Predicate<CallAttempt> selected) {
     // Iterates over a copy, because the end of an attempt may add another attempt.
     List.copyOf(attempts).stream().filter(selected).forEach(CallAttempt::abortIfUnsent);
   }
 
-  /** Returns the id that is sent to workers. A retry by the client has a different id. */
+  /**
+   * Returns the id of this call, which is sent to workers. A retry by the client is another call
+   * with a different id.
+   */
   public String id() {
     return id;
   }
@@ -208,8 +220,8 @@
   }
 
   /**
-   * Returns the key by which workers detect duplicates, which is forwarded unchanged, or null if
-   * the call has none.
+   * Returns the idempotency key, by which workers detect duplicates of a job, or null if the call
+   * has no key. The key is forwarded unchanged.
    */
   public String idempotencyKey() {
     return idempotencyKey;
--- a/src/main/java/loomreel/core/Subchannel.java
+++ b/src/main/java/loomreel/core/Subchannel.java
@@ -2,19 +2,23 @@
 
 import loomreel.decision.Endpoint;
 
-/** The logical connection to one listed worker, independent of the protocol that it uses. */
+/**
+ * The logical connection to one listed worker. This interface is independent of the protocol by
+ * which the worker is called.
+ */
 public interface Subchannel {
   /** An attempt in progress on a subchannel. */
   interface ActiveCall {
     /**
-     * Cancels the request. If the request has not been sent, it is not sent at all; otherwise the
-     * worker is requested to stop the job, if the protocol allows that.
+     * Cancels the attempt. If its request has not been sent, the request is not sent at all. If the
+     * worker has accepted the job, the worker is requested to stop the job, provided that the
+     * protocol allows such a request.
      */
     void cancel();
 
     /**
-     * Aborts the request if it is not completely written, so that the job cannot run. Does nothing
-     * otherwise.
+     * Aborts the request if it has not been completely written and can still be withdrawn, so that
+     * the job cannot run. Otherwise does nothing. By default does nothing.
      *
      * @return whether the request was aborted
      */
@@ -24,21 +28,22 @@
   }
 
   /**
-   * Starts an attempt. The subchannel ends the attempt from now on, with an outcome that states
-   * that the job never ran only if this is certain.
+   * Starts an attempt. From now on, the subchannel may end the attempt. The subchannel must not use
+   * an outcome which proves that the job has not run, see {@link
+   * loomreel.decision.AttemptOutcome#neverRan}, unless this is certain.
    *
-   * @return the call in progress, or null if the attempt has ended already
+   * @return the attempt in progress; may be null if the attempt has already ended
    */
   ActiveCall start(CallAttempt attempt);
 
   /**
-   * Returns the endpoint of the worker, in the state that the pool has reported last, or will
-   * report first.
+   * Returns the current endpoint of the worker. The pool has reported this endpoint to the
+   * dispatcher or is about to report it.
    */
   Endpoint endpoint();
 
   /**
-   * Requests the load of the worker. The result is reported by {@link Dispatcher#healthChecked}.
+   * Requests the load of the worker. The result is reported to {@link Dispatcher#healthChecked}.
    */
   void checkHealth();
 }
--- a/src/main/java/loomreel/core/SubchannelPool.java
+++ b/src/main/java/loomreel/core/SubchannelPool.java
@@ -6,7 +6,7 @@
 import loomreel.decision.Endpoint;
 
 /**
- * A {@link WorkerPool} that has one subchannel for each worker that it lists.
+ * A {@link WorkerPool} that has one subchannel for each listed worker.
  *
  * <p>Not thread-safe: used on the event loop's thread only.
  *
@@ -27,7 +27,7 @@
     this.dispatcher = dispatcher;
   }
 
-  /** Reports an endpoint that has changed to the dispatcher. */
+  /** Informs the dispatcher that one endpoint has changed. */
   protected final void publish(Endpoint endpoint) {
     dispatcher.endpointsChanged(this, false, List.of(endpoint));
   }
--- a/src/main/java/loomreel/core/WorkerPools.java
+++ b/src/main/java/loomreel/core/WorkerPools.java
@@ -42,11 +42,13 @@
   }
 
   /**
-   * Returns the event that reports endpoints of a pool. The decision module removes workers that
-   * are missing from a snapshot, so the event for a snapshot also has the endpoints of all other
-   * pools.
+   * Returns the event that reports endpoints of one pool to the policy. The policy removes each
+   * worker that is missing from an {@link Event.EndpointSnapshot}, so a snapshot event also
+   * contains the endpoints of all other pools.
    *
-   * @param snapshot true if the list has all endpoints of the pool, false if it has changes only
+   * @param source the pool that lists the endpoints
+   * @param snapshot true if the list has all endpoints of the pool, false if the list has only
+   *     changes
    */
   Event endpointEvent(WorkerPool source, boolean snapshot, List<Endpoint> endpoints) {
     if (!snapshot) {
