--- a/src/main/java/loomreel/upstream/FirstListBarrier.java
+++ b/src/main/java/loomreel/upstream/FirstListBarrier.java
@@ -6,14 +6,15 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Delays a callback until discovery has sent the first endpoint list, {@link #MAX_FAILED_CALLS}
- * calls to discovery have failed, or {@link WatchTimeouts#FIRST_LIST_TIMEOUT_MICROS} have passed.
+ * Delays a callback until discovery has sent the first endpoint list or has confirmed the last
+ * known list. The callback is not delayed any longer once {@link #MAX_FAILED_CALLS} calls to
+ * discovery have failed or {@link WatchTimeouts#FIRST_LIST_TIMEOUT_MICROS} have passed.
  */
 final class FirstListBarrier {
   /**
    * The number of failed calls to discovery after which the callback is no longer delayed. A single
-   * failure may be caused by a short overload of discovery; a second one indicates that discovery
-   * is unavailable for longer.
+   * failure may be caused by a short overload of discovery. A second failure indicates that
+   * discovery is unavailable for longer.
    */
   private static final int MAX_FAILED_CALLS = 2;
 
@@ -26,13 +27,13 @@
   private long startedAt;
   private int failedCalls;
 
-  /** The delayed callback; empty while no list is awaited. */
+  /** The delayed callback; empty while no callback is delayed. */
   private Optional<Runnable> onReady = Optional.empty();
 
   /**
    * Creates a barrier that does not delay a callback yet.
    *
-   * @param sourceName the name of the source of the list, for the log
+   * @param sourceName the name of the source of the endpoint list, for the log
    */
   FirstListBarrier(EventLoop loop, String sourceName, RateLimitedLogger log) {
     this.loop = loop;
@@ -43,8 +44,8 @@
   /**
    * Starts to delay a callback.
    *
-   * @param callback called once: on {@link #release}, after too many failed calls, or on the
-   *     timeout
+   * @param callback run once: by {@link #callSucceeded}, by {@link #callFailed} after too many
+   *     failed calls, or on the timeout
    */
   void await(Runnable callback) {
     onReady = Optional.of(callback);
@@ -58,14 +59,14 @@
           sourceName
               + " silent, serving the last known endpoint list timeout_ms="
               + WatchTimeouts.FIRST_LIST_TIMEOUT_MICROS / MICROS_PER_MILLI);
-      open();
+      runCallback();
     }
   }
 
   /**
-   * Records that a call to discovery has failed. After {@link #MAX_FAILED_CALLS} failures the
-   * callback is run, because discovery may be down for a long time and processes that start during
-   * that time must be able to process their jobs.
+   * Records that a call to discovery has failed because discovery is unavailable. After {@link
+   * #MAX_FAILED_CALLS} of these failures the callback is run, because discovery may be unavailable
+   * for a long time. Processes that start during that time must be able to process their jobs.
    */
   void callFailed() {
     failedCalls++;
@@ -74,15 +75,18 @@
           sourceName
               + " unavailable, serving the last known endpoint list after_ms="
               + waitedMillis());
-      open();
+      runCallback();
     }
   }
 
-  /** Records that an endpoint list has been received. Does nothing if no list is awaited. */
-  void release() {
+  /**
+   * Records that discovery has sent an endpoint list or has confirmed that the known list has not
+   * changed. Runs the callback if it is still delayed; otherwise does nothing.
+   */
+  void callSucceeded() {
     if (onReady.isPresent()) {
       log.info("first endpoint list received source=" + sourceName + " after_ms=" + waitedMillis());
-      open();
+      runCallback();
     }
   }
 
@@ -90,7 +94,7 @@
     return (loop.now() - startedAt) / MICROS_PER_MILLI;
   }
 
-  private void open() {
+  private void runCallback() {
     Runnable callback = onReady.orElseThrow();
     onReady = Optional.empty();
     callback.run();
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -26,7 +26,10 @@
  * <p>Owned by {@link HttpWorkerPool}. Owns the connection pool of the worker.
  */
 final class HttpSubchannel implements Subchannel {
-  /** The timeout of a health check or cancellation, as a multiple of the connect timeout. */
+  /**
+   * The timeout of health checks, reachability checks and cancellations, as a multiple of the
+   * connect timeout.
+   */
   private static final int SHORT_CALL_TIMEOUT_FACTOR = 2;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -55,8 +58,9 @@
   }
 
   /**
-   * Sets the latest entry of the endpoint list for this worker. If the worker has moved or
-   * restarted, existing connections are no longer used, because they belong to the old process.
+   * Sets the latest entry of the endpoint list for this worker. If the address or the start time of
+   * the worker has changed, existing connections are not used for further calls, because they
+   * belong to the old process of the worker.
    */
   void update(InetSocketAddress address, Endpoint newEndpoint) {
     if (!address.equals(pool.address()) || newEndpoint.startedAt() != endpoint.startedAt()) {
@@ -84,7 +88,7 @@
     pool.closeStale();
   }
 
-  /** Returns the listener that is notified whether this worker can be reached. */
+  /** Returns the listener that is informed whether calls have reached this worker. */
   ReachabilityListener reachabilityListener() {
     return reachabilityListener;
   }
@@ -119,8 +123,8 @@
   }
 
   /**
-   * Requests the worker to cancel a job. The response is ignored, because the attempt has ended
-   * already.
+   * Requests the worker to cancel a job. The response is ignored, because the attempt ends without
+   * waiting for the response.
    */
   void cancelJob(String callId) {
     pool.call(request("DELETE", JOBS_PATH + callId, 0), new ShortCall());
@@ -131,15 +135,19 @@
     pool.call(request("GET", LOAD_PATH, 0), new HealthCheck());
   }
 
-  /** Checks whether the worker can be reached, and notifies only the reachability listener. */
+  /**
+   * Checks whether the worker can be reached. The result is reported to the {@link
+   * ReachabilityListener} only, not to the dispatcher.
+   */
   void checkReachability() {
     pool.call(request("GET", LOAD_PATH, 0), new ReachabilityCheck());
   }
 
   /**
-   * Handles a call that has ended without a response. After {@link AttemptOutcome#CONNECT_FAILED}
-   * or {@link AttemptOutcome#TIMEOUT} the worker counts as unreachable. A reset does not show that,
-   * because only a host that is running sends one.
+   * Reports a call that has ended without a response to the {@link ReachabilityListener}. After the
+   * outcome {@link AttemptOutcome#CONNECT_FAILED} or {@link AttemptOutcome#TIMEOUT}, the worker
+   * counts as unreachable. A reset does not show that the worker is unreachable, because only a
+   * host that is running sends a reset.
    */
   void reportFailure(AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT) {
@@ -182,7 +190,10 @@
     public void failed(AttemptOutcome outcome) {}
   }
 
-  /** A call that determines whether the worker can be reached. Any response shows that it can. */
+  /**
+   * A call that determines whether the worker can be reached. Any response shows that the worker
+   * can be reached.
+   */
   private class ReachabilityCheck extends ShortCall {
     @Override
     public void responseReceived(HttpMessage message) {
@@ -195,7 +206,10 @@
     }
   }
 
-  /** A call that requests the load of the worker, and reports it to the dispatcher. */
+  /**
+   * A call that requests the load of the worker and reports the load to the dispatcher. The call
+   * also reports whether the worker can be reached.
+   */
   private final class HealthCheck extends ReachabilityCheck {
     private final long sentAt = dispatcher.loop().now();
 
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -19,8 +19,8 @@
 
 /**
  * The workers that are called over HTTP. The endpoint list comes from discovery or is static. Each
- * worker of a static list has an {@link OutlierEjector}, which publishes the worker as removed
- * while it cannot be reached.
+ * worker of a static list has an {@link OutlierEjector}, which reports the worker as removed while
+ * the worker cannot be reached.
  *
  * <p>Owns the subchannels and the endpoint watch. Not thread-safe: used on the event loop's thread
  * only.
@@ -44,15 +44,18 @@
   private final EndpointList initialEndpoints;
 
   /**
-   * The initial endpoint list while it is not applied, because discovery has not confirmed or
-   * updated it; empty otherwise.
+   * The initial endpoint list while it has not been applied, because discovery has neither
+   * confirmed nor updated it; empty otherwise.
    */
   private Optional<EndpointList> unconfirmedEndpoints = Optional.empty();
 
   /** The endpoint watch; empty if the endpoint list is static. */
   private final Optional<EndpointWatcher> watcher;
 
-  /** Whether endpoint lists are pushed to an agent on this machine, which is watched then. */
+  /**
+   * Whether endpoint lists are pushed to an agent on this machine. If so, the agent is watched
+   * instead of discovery.
+   */
   private final boolean isPushed;
 
   private final FirstListBarrier firstListBarrier;
@@ -63,10 +66,11 @@
   /**
    * Creates a pool that has no workers before {@link #start}.
    *
-   * @param initialEndpoints the last known endpoint list
-   * @param discovery the address of discovery, or null if {@code initialEndpoints} is static
-   * @param settings the settings, whose rules limit the delay after which a change of the endpoint
-   *     list must be known
+   * @param initialEndpoints the static endpoint list, or the last known list of discovery
+   * @param discovery the address of discovery or of the agent, or null if {@code initialEndpoints}
+   *     is static
+   * @param settings the settings, which state whether lists are polled or pushed; their rules limit
+   *     the time within which a change of the endpoint list must be known
    * @param connectTimeoutMicros the maximum time for establishing a connection, in microseconds
    * @param workerIdleTimeoutMicros the time after which a worker closes an idle connection, in
    *     microseconds
@@ -120,12 +124,14 @@
   /**
    * Starts the pool. A static endpoint list is applied at once. Otherwise the initial list is
    * applied when discovery has confirmed or updated it, or when {@link FirstListBarrier} stops
-   * waiting for that. The age of the initial list is unknown, so its workers may have been draining
-   * or removed for longer than the drain grace. Until a list is applied, the pool has no workers
-   * and jobs wait.
+   * waiting for discovery. Until a list is applied, the pool has no workers and jobs wait.
    *
-   * <p>An agent is called at once. If discovery is polled, the policy decides when the first call
-   * is made.
+   * <p>The initial list of discovery is not applied at once, because its age is unknown: its
+   * workers may have been draining or removed for longer than the drain grace, {@link
+   * Settings.Rules#drainGrace}, during which jobs may still be sent to them.
+   *
+   * <p>If lists are pushed to an agent, the agent is called at once. If discovery is polled, the
+   * policy decides when the first call is made.
    *
    * @param onReady called once, when jobs may be sent to the workers of the pool; during this call
    *     if the endpoint list is static
@@ -147,7 +153,7 @@
     }
   }
 
-  /** Applies the initial endpoint list if it has not been confirmed or updated by discovery. */
+  /** Applies the initial endpoint list if no endpoint list has been applied yet. */
   private void applyUnconfirmedEndpoints() {
     Optional<EndpointList> initial = unconfirmedEndpoints;
     unconfirmedEndpoints = Optional.empty();
@@ -189,12 +195,13 @@
         unconfirmedEndpoints.map(initial -> initial.updatedBy(result)).orElse(result);
     unconfirmedEndpoints = Optional.empty();
     applyEndpointList(updatedList);
-    firstListBarrier.release();
+    firstListBarrier.callSucceeded();
   }
 
   /**
-   * Updates the subchannels, reports the endpoints to the dispatcher, and then aborts unsent
-   * attempts at workers that accept no new jobs.
+   * Applies an endpoint list: updates the subchannels, then reports the endpoints to the
+   * dispatcher, and then calls {@link Dispatcher#abortUnsentAttempts} for each worker that accepts
+   * no new jobs.
    */
   private void applyEndpointList(EndpointList list) {
     Map<String, HttpSubchannel> missingSubchannels = new HashMap<>(subchannels);
@@ -216,7 +223,7 @@
 
   @Override
   public void endpointsUnchanged() {
-    firstListBarrier.release();
+    firstListBarrier.callSucceeded();
   }
 
   private void updateSubchannel(Endpoint endpoint, InetSocketAddress address) {
@@ -240,7 +247,7 @@
             idleTimeout,
             connectionLog);
     return new HttpSubchannel(
-        dispatcher, endpoint, connections, log, reachabilityListener(endpoint.id()));
+        dispatcher, endpoint, connections, log, createReachabilityListener(endpoint.id()));
   }
 
   private void retire(String id) {
@@ -250,7 +257,11 @@
     }
   }
 
-  private ReachabilityListener reachabilityListener(String id) {
+  /**
+   * Creates the reachability listener of a worker. If the endpoint list is static, the listener is
+   * an {@link OutlierEjector}, which is also added to {@link #outlierEjectors}.
+   */
+  private ReachabilityListener createReachabilityListener(String id) {
     if (watcher.isPresent()) {
       return ReachabilityListener.NONE;
     }
@@ -264,7 +275,10 @@
     return subchannels.get(id).endpoint();
   }
 
-  /** Replaces and publishes the entry of a worker of a static endpoint list. */
+  /**
+   * Replaces the entry of one worker of a static endpoint list, and reports the new entry to the
+   * dispatcher.
+   */
   void replaceEndpoint(Endpoint endpoint) {
     InetSocketAddress address = initialEndpoints.addresses().get(endpoint.id());
     subchannels.get(endpoint.id()).update(address, endpoint);
--- a/src/main/java/loomreel/upstream/JobCall.java
+++ b/src/main/java/loomreel/upstream/JobCall.java
@@ -10,12 +10,12 @@
 import loomreel.http.PooledConnection;
 
 /**
- * The HTTP call that submits a job to a worker. The call ends when the worker accepts or rejects
- * the job. The outcome of an accepted job is reported by a job status update, which ends the
- * attempt.
+ * The HTTP call that submits a job to a worker. The call ends when the worker has responded or the
+ * call has failed. If the worker accepts the job, the attempt does not end with the call: a {@link
+ * JobStatusUpdate} reports the outcome of the job and ends the attempt.
  *
- * <p>A call has a connection of the subchannel's connection pool from its start until its response
- * is received or it fails.
+ * <p>From its start to its end, the call uses a connection from the connection pool of the
+ * subchannel.
  */
 final class JobCall implements HttpExchange, Subchannel.ActiveCall {
   private final HttpSubchannel subchannel;
@@ -33,7 +33,8 @@
   }
 
   /**
-   * Sets the connection of the call; null if the call has none. Ignored if the attempt has ended.
+   * Sets the connection of the call, or null if no connection is available. If the attempt has
+   * already ended, the connection is ignored.
    */
   void setConnection(PooledConnection newConnection) {
     connection = attempt.hasEnded() ? null : newConnection;
@@ -55,8 +56,8 @@
   }
 
   /**
-   * Records that the job was accepted if the status is 202. The status is sufficient, even if the
-   * body is truncated, malformed or endless.
+   * Records that the worker has accepted the job if the status is 202. The status is sufficient,
+   * even if the body is truncated, malformed or endless.
    */
   @Override
   public boolean headReceived(int status) {
@@ -125,9 +126,9 @@
   }
 
   /**
-   * Closes the connection of the call, and requests the worker to cancel the job if it was
-   * accepted. Pending input is read first, because it may contain the response that accepts the
-   * job.
+   * Closes the connection of the call. If the worker has accepted the job, also requests the worker
+   * to cancel the job. Input that has already arrived is read first, because it may contain the
+   * response by which the worker accepts the job.
    */
   @Override
   public void cancel() {
--- a/src/main/java/loomreel/upstream/JobStatusUpdate.java
+++ b/src/main/java/loomreel/upstream/JobStatusUpdate.java
@@ -17,7 +17,7 @@
  * @param workerId the id of the worker that sends the update
  * @param state the state of the job
  * @param result the result of a completed job; empty if there is none
- * @param load the load of the worker, or null if it was not reported
+ * @param load the load that the worker reported, or null if none was reported
  */
 public record JobStatusUpdate(
     String callId, String workerId, State state, String result, WorkerLoad load) {
@@ -36,7 +36,10 @@
     /** Any other state. The job may have run and will not be completed. */
     ABORTED(null);
 
-    /** The name of the state in a callback; null for a state that has no name of its own. */
+    /**
+     * The name of the state in a callback; null for {@link #ABORTED}, which stands for all names
+     * that are not listed here.
+     */
     private final String externalName;
 
     State(String externalName) {
@@ -84,8 +87,8 @@
   }
 
   /**
-   * Applies this update to the unfinished attempt of the call at the worker. Does nothing if there
-   * is no such attempt.
+   * Applies this update to the unfinished attempt of the call at the worker that sent the update.
+   * Does nothing if the call has no unfinished attempt at this worker.
    */
   public void applyTo(Dispatcher dispatcher) {
     CallAttempt attempt = dispatcher.openAttemptAt(callId, workerId);
--- a/src/main/java/loomreel/upstream/LoadReport.java
+++ b/src/main/java/loomreel/upstream/LoadReport.java
@@ -22,7 +22,7 @@
   private LoadReport() {}
 
   /**
-   * Parses a report in either form.
+   * Parses a report that is JSON or text.
    *
    * @param text the report, or null if the worker has sent none
    * @return the load, or empty if the report has no known field with a finite number
@@ -34,8 +34,8 @@
   /**
    * Parses a report that is part of a JSON document.
    *
-   * @param value the JSON value: an object, or a string with a report in either form; any other
-   *     value or null is not a report
+   * @param value the JSON value: an object, or a string that contains a JSON or text report; null
+   *     or a value of another type is not a report
    * @return the load, or empty if the report has no known field with a finite number
    */
   static Optional<WorkerLoad> fromJson(Object value) {
@@ -81,7 +81,7 @@
         try {
           fields.put(field.substring(0, equals), Double.valueOf(field.substring(equals + 1)));
         } catch (NumberFormatException e) {
-          // A value that is not a number is ignored, as an unknown field is.
+          // A field whose value is not a number is ignored, like an unknown field.
         }
       }
     }
@@ -89,8 +89,9 @@
   }
 
   /**
-   * Returns the value of the first of the names that is present. Returns NaN, which the policy
-   * takes as unknown, if no name is present or the value is not a finite number.
+   * Returns the value of the first of the named fields that is present. Returns NaN, which the
+   * policy interprets as unknown, if none of these fields is present or if this value is not a
+   * finite number.
    */
   private static double number(Map<?, ?> fields, List<String> names) {
     for (String name : names) {
--- a/src/main/java/loomreel/upstream/OutlierDetector.java
+++ b/src/main/java/loomreel/upstream/OutlierDetector.java
@@ -1,9 +1,9 @@
 package loomreel.upstream;
 
 /**
- * Detects whether one worker of a static endpoint list is an outlier. Ejects the worker after
- * several consecutive failures, and schedules probes with exponential backoff until the worker
- * responds again.
+ * Detects whether one worker of a static endpoint list is an outlier, which is a worker that cannot
+ * be reached. Ejects the worker after several consecutive failures. While the worker is ejected,
+ * schedules probes with exponential backoff until the worker responds.
  *
  * <p>Reads no clock and performs no I/O: all times are parameters, in microseconds.
  */
@@ -22,7 +22,7 @@
   /** The value of {@link #probeAt} while a probe is in flight, so that no other probe is due. */
   private static final long PROBE_IN_FLIGHT = Long.MAX_VALUE;
 
-  /** The effect of a result on the state of the worker. */
+  /** The change of the state of the worker that a success or a failure causes. */
   enum Change {
     /** The state has not changed. */
     NONE,
@@ -40,7 +40,11 @@
   /** The time at which the next probe is due, or {@link #PROBE_IN_FLIGHT}. */
   private long probeAt;
 
-  /** Records that the worker has responded, with any status. */
+  /**
+   * Records that the worker has responded, with any status.
+   *
+   * @return {@link Change#RECOVERED} if the worker was ejected, otherwise {@link Change#NONE}
+   */
   Change recordSuccess() {
     consecutiveFailures = 0;
     boolean recovered = ejected;
@@ -48,7 +52,12 @@
     return recovered ? Change.RECOVERED : Change.NONE;
   }
 
-  /** Records that the worker could not be reached or did not respond in time. */
+  /**
+   * Records that the worker could not be reached or did not respond in time.
+   *
+   * @param now the current time, in microseconds
+   * @return {@link Change#EJECTED} if this failure ejects the worker, otherwise {@link Change#NONE}
+   */
   Change recordFailure(long now) {
     consecutiveFailures++;
     if (ejected) {
@@ -74,8 +83,10 @@
   }
 
   /**
-   * Returns whether a probe is due, and if so records it as in flight. No other probe is due until
-   * this one has failed.
+   * Returns whether a probe of the ejected worker is due. If a probe is due, records that a probe
+   * is in flight. No other probe is due until {@link #recordFailure} has been called.
+   *
+   * @param now the current time, in microseconds
    */
   boolean startProbeIfDue(long now) {
     boolean isDue = ejected && now >= probeAt;
--- a/src/main/java/loomreel/upstream/OutlierEjector.java
+++ b/src/main/java/loomreel/upstream/OutlierEjector.java
@@ -5,8 +5,9 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Ejects a worker of a static endpoint list while it cannot be reached: publishes it as removed,
- * and as ready when it has recovered. {@link OutlierDetector} determines when that is.
+ * Ejects one worker of a static endpoint list while the worker cannot be reached. When {@link
+ * OutlierDetector} ejects the worker, reports the worker to the dispatcher as removed. When the
+ * worker responds again, reports the worker as ready.
  */
 final class OutlierEjector implements ReachabilityListener {
   private final HttpWorkerPool workerPool;
@@ -24,8 +25,8 @@
   }
 
   /**
-   * Returns whether a probe is due, and if so records it as in flight. No other probe is due until
-   * this one has failed.
+   * Returns whether a probe of the ejected worker is due. If a probe is due, records that a probe
+   * is in flight. No other probe is due until {@link #unreachable} has been called.
    */
   boolean startProbeIfDue() {
     return detector.startProbeIfDue(loop.now());
--- a/src/main/java/loomreel/upstream/ReachabilityListener.java
+++ b/src/main/java/loomreel/upstream/ReachabilityListener.java
@@ -1,8 +1,11 @@
 package loomreel.upstream;
 
-/** Receives the result of each call to a worker: whether the worker could be reached. */
+/**
+ * Receives the results of calls to one worker: whether the worker could be reached. Calls that end
+ * with a reset, and calls that cancel a job, are not reported to the listener.
+ */
 interface ReachabilityListener {
-  /** A listener that ignores all notifications. */
+  /** A listener that does nothing. */
   ReachabilityListener NONE =
       new ReachabilityListener() {
         @Override
@@ -15,6 +18,9 @@
   /** Called when the worker has responded, with any status. */
   void reachable();
 
-  /** Called when no connection could be established, or no response arrived in time. */
+  /**
+   * Called when a call has failed because no connection could be established or no response arrived
+   * in time.
+   */
   void unreachable();
 }
--- a/src/test/java/loomreel/upstream/OutlierDetectorTest.java
+++ b/src/test/java/loomreel/upstream/OutlierDetectorTest.java
@@ -7,7 +7,9 @@
 import loomreel.upstream.OutlierDetector.Change;
 import org.junit.jupiter.api.Test;
 
-/** Tests when {@link OutlierDetector} ejects a worker, and how often it is probed then. */
+/**
+ * Tests when {@link OutlierDetector} ejects a worker, and when probes of an ejected worker are due.
+ */
 class OutlierDetectorTest {
   private static final long MICROS_PER_MILLI = 1000;
   private final OutlierDetector detector = new OutlierDetector();
