--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -17,14 +17,14 @@
 
 /**
  * An accepted HTTP connection. The peer is a client that submits jobs, a worker that sends job
- * status updates, or the platform, which checks readiness. The connection processes one request at
- * a time, which {@link RequestHandler} handles. {@link ClientConnectionState} has the states of a
- * connection and their transitions.
+ * status updates, or the platform, which checks readiness. The connection receives one request at a
+ * time and passes each complete request to {@link RequestHandler}. {@link ClientConnectionState}
+ * lists the states of a connection and the transitions between them.
  *
  * <p>Owned by {@link HttpIngress}, which is notified when the connection closes.
  */
 final class ClientConnection extends HttpConnection implements Rpc.Caller {
-  /** The handling of a partially received request on a connection that is to be closed. */
+  /** What happens to a partially received request when its connection is to be closed. */
   enum PartialRequest {
     /** The rest of the request is awaited, and the request is processed. */
     AWAIT,
@@ -63,10 +63,10 @@
   /** The call that is being processed; null if there is none. */
   private Rpc rpc;
 
-  /** The buffer that is being parsed. It may contain pipelined input behind a complete request. */
+  /** The buffer that is being parsed. After a complete request, it may contain pipelined input. */
   private ByteBuffer currentInput;
 
-  /** Whether the peer is a worker. False until it has sent a job status update. */
+  /** Whether the peer is a worker. False until the peer has sent a job status update. */
   private boolean fromWorker;
 
   /** The pending timeout or pause; null if there is none. */
@@ -103,7 +103,7 @@
 
   @Override
   protected void bytesReceived(ByteBuffer in) {
-    if (!state.isOpen()) {
+    if (!state.isOutputOpen()) {
       pipelinedInput.discard(in);
       pauseReading(pipelinedInput.exceedsDiscardLimit());
       return;
@@ -111,7 +111,7 @@
     if (state == ClientConnectionState.READING) {
       parse(in);
     }
-    if (state.isOpen()) {
+    if (state.isOutputOpen()) {
       bufferPipelined(in);
     }
   }
@@ -130,9 +130,9 @@
   }
 
   /**
-   * Buffers input behind the current request. If the input must be discarded instead, the
-   * connection is closed after the response to the current request. If the discard limit is
-   * exceeded, a job that is being processed is cancelled, and the response has status 413.
+   * Buffers input that follows the current request. If {@link PipelinedInput} discards the input,
+   * the connection is closed after the response to the current request. If the discard limit is
+   * exceeded while a job is being processed, the job is cancelled and the response has status 413.
    */
   private void bufferPipelined(ByteBuffer in) {
     if (pipelinedInput.add(in)) {
@@ -178,7 +178,7 @@
   }
 
   /**
-   * Reads and buffers all input behind the current request that has arrived by now.
+   * Reads and buffers all input that has arrived after the current request.
    *
    * @return whether the connection is still open; false if the client has disconnected
    */
@@ -188,13 +188,13 @@
       bufferPipelined(currentInput);
     }
     boolean mayHaveMore = true;
-    while (mayHaveMore && state.isOpen() && !pipelinedInput.exceedsDiscardLimit()) {
+    while (mayHaveMore && state.isOutputOpen() && !pipelinedInput.exceedsDiscardLimit()) {
       mayHaveMore = readNow();
     }
-    return state.isOpen();
+    return state.isOutputOpen();
   }
 
-  /** Sets the call that is being processed, whose answer is sent as the response. */
+  /** Sets the call that is being processed. The answer to the call is sent as the response. */
   void setRpc(Rpc newRpc) {
     rpc = newRpc;
   }
@@ -215,8 +215,9 @@
   }
 
   /**
-   * Responds to the current request, a job status update, after the other process has handled the
-   * update. Does nothing if the connection is closed.
+   * Responds to the current request, which is a job status update, after {@link
+   * HttpIngress.AdmissionGate#forwardStatusUpdate} has forwarded the update. Does nothing if the
+   * connection is closed.
    */
   void statusUpdateForwarded() {
     if (!isClosed()) {
@@ -259,12 +260,13 @@
   }
 
   /**
-   * Starts a response. It is the last one on this connection if the connection is to be closed.
+   * Starts a response. If the connection is to be closed, the response is the last one on it.
    *
    * @param header an additional header line, without the line end, or {@link #NO_HEADER}
    */
   private void respond(int status, byte[] body, String header) {
-    // Pipelined requests have been read already, so they are processed before the close.
+    // While pipelined input is buffered, the admission gate does not end the connection: the
+    // buffered requests have been read already, so they are processed before the close.
     boolean isFinal =
         state.isFinal() || (ingress.isFinalResponse(fromWorker) && pipelinedInput.isEmpty());
     if (isFinal) {
@@ -276,7 +278,7 @@
     }
   }
 
-  /** Starts the last response on this connection, because no further input can be parsed. */
+  /** Starts the last response on this connection. Used if no further input can be parsed. */
   private void respondAndClose(int status) {
     startResponse(ClientConnectionState.Event.FINAL_RESPONSE_STARTED, status, NO_BODY, NO_HEADER);
   }
@@ -341,11 +343,12 @@
   }
 
   /**
-   * Closes the connection gracefully if no request is being processed. Input that has arrived is
-   * read first, and a complete request is processed, so that as few requests as possible are sent
-   * by the client while the connection is being closed.
+   * Closes the connection gracefully if it is waiting for a request. Input that has already arrived
+   * is read first. If this input completes a request, the request is processed and this method does
+   * not close the connection. Reading first reduces the number of requests that are discarded
+   * because the client sent them before it noticed the close.
    *
-   * @param partialRequest the handling of a request that has been received partially
+   * @param partialRequest what happens to a request that has been received partially
    */
   void closeIfIdle(PartialRequest partialRequest) {
     if (state != ClientConnectionState.READING) {
@@ -365,9 +368,9 @@
   }
 
   /**
-   * Shuts the output down. Input is discarded until the client closes the connection or {@link
-   * #TIMEOUT_MICROS} have passed. Closing the connection at once would reset it if there is unread
-   * input, and the client could lose the response.
+   * Shuts the output down. From then on, input is discarded until the client closes the connection
+   * or {@link #TIMEOUT_MICROS} have passed. If the connection were closed at once while input is
+   * unread, it would be reset, and the client could lose the response.
    */
   private void shutDownOutput() {
     ingress.markHalfClosed(this);
--- a/src/main/java/loomreel/ingress/ClientConnectionState.java
+++ b/src/main/java/loomreel/ingress/ClientConnectionState.java
@@ -55,7 +55,10 @@
   READING,
   /** A complete request has been received and its response has not been started. */
   PROCESSING,
-  /** As {@link #PROCESSING}, but the connection is closed after the response. */
+  /**
+   * A complete request has been received and its response has not been started, as in {@link
+   * #PROCESSING}. The connection is closed after the response.
+   */
   PROCESSING_FINAL,
   /** The response is being written. */
   RESPONDING,
@@ -65,7 +68,10 @@
   RESPONDING_FINAL,
   /** A response with a 4xx status has been written, and the next request is not read yet. */
   PAUSED,
-  /** As {@link #PAUSED}, but the connection is closed after the pause. */
+  /**
+   * A response with a 4xx status has been written, and the next request is not read yet, as in
+   * {@link #PAUSED}. The connection is closed after the pause.
+   */
   PAUSED_FINAL,
   /** The output is shut down, and input is discarded until the client closes the connection. */
   HALF_CLOSED,
@@ -76,11 +82,14 @@
   enum Event {
     /** A complete request has been received. */
     REQUEST_RECEIVED,
-    /** The connection is to be closed after the response to the current request. */
+    /**
+     * The connection is to be closed after the response to the current request or, if no request is
+     * being processed, after the current pause.
+     */
     CLOSE_REQUESTED,
-    /** A response has been started after which the connection stays open. */
+    /** A response without a 4xx status has been started. The connection stays open after it. */
     RESPONSE_STARTED,
-    /** A response with a 4xx status has been started after which the connection stays open. */
+    /** A response with a 4xx status has been started. The connection stays open after it. */
     ERROR_RESPONSE_STARTED,
     /** The last response on this connection has been started. */
     FINAL_RESPONSE_STARTED,
@@ -153,17 +162,22 @@
     return new IllegalStateException(event + " in state " + this);
   }
 
-  /** Returns whether requests may be responded to: the state is neither HALF_CLOSED nor CLOSED. */
-  boolean isOpen() {
+  /**
+   * Returns whether responses can be sent, which means that the state is neither {@link
+   * #HALF_CLOSED} nor {@link #CLOSED}.
+   */
+  boolean isOutputOpen() {
     return this != HALF_CLOSED && this != CLOSED;
   }
 
-  /** Returns whether a response has been started and not been written completely. */
+  /** Returns whether a response has been started and has not been written completely. */
   boolean isResponding() {
     return this == RESPONDING || this == RESPONDING_ERROR || this == RESPONDING_FINAL;
   }
 
-  /** Returns whether the connection is closed after the current request or pause. */
+  /**
+   * Returns whether the connection is to be closed after the current response or the current pause.
+   */
   boolean isFinal() {
     return this == PROCESSING_FINAL || this == RESPONDING_FINAL || this == PAUSED_FINAL;
   }
--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -6,31 +6,35 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Limits the number of client connections to the file descriptors that are granted to them. Evicts
- * unproven and idle connections before the limit is reached, and pauses accepting at the limit. A
- * connection is unproven until it has sent a job or a job status update.
+ * Limits the number of open client connections to the number of file descriptors that are granted
+ * for them. Before the limit is reached, evicts connections that are unproven or idle; {@link
+ * ConnectionRegistry} defines these categories. Evicted connections are closed gracefully, so that
+ * clients do not lose responses that they have not read yet.
  *
- * <p>Evicted connections are closed gracefully, so that responses that are still unread are not
- * lost. Only at the limit, the oldest half-closed or unproven connection is closed at once.
+ * <p>If the limit is reached nevertheless, closes the oldest half-closed connection at once or, if
+ * no connection is half-closed, the oldest unproven connection. If this connection is in its grace
+ * period, or if no connection is half-closed or unproven, accepting is paused instead.
  */
 final class ConnectionLimiter {
   /**
-   * The grace period of a new connection, in microseconds. During this time an unproven connection
-   * is not evicted, because its first request may not have been read yet. A half-closed connection
-   * has the same time before it may be closed at once.
+   * The grace period, in microseconds. An unproven connection is not evicted or closed during this
+   * time after its accept, because its first request may not have been read yet. A half-closed
+   * connection is not closed at once during this time after the shutdown of its output.
    */
   static final long UNPROVEN_GRACE_MICROS = 100_000;
 
   /**
-   * The fraction of the maximum number of connections that is protected for proven connections.
-   * While proven connections do not exceed this fraction, unproven connections are evicted first.
+   * The fraction of the maximum number of connections that is protected for proven connections,
+   * on which a job or a job status update has arrived. While the proven connections do not exceed
+   * this fraction, unproven connections are evicted before idle connections.
    */
   private static final double PROVEN_FRACTION = 0.5;
 
   /**
-   * The maximum fraction of the granted descriptors that idle connections may hold. Clients may
-   * send one request on each connection and leave the connection open. A third of the descriptors
-   * is meant for clients, and descriptors of idle connections are not available to their next jobs.
+   * The maximum fraction of the granted file descriptors that idle connections may hold. Clients
+   * may send one request on each connection and leave the connection open. A third of the granted
+   * descriptors is meant for clients, and a descriptor that an idle connection holds is not
+   * available for a new connection, on which a client submits its next job.
    */
   private static final double MAX_IDLE_FRACTION = 1 / 8.0;
 
@@ -39,7 +43,7 @@
 
   /**
    * The fraction of the maximum number of connections that is kept free, so that clients have time
-   * to close their side of a connection that was shut down.
+   * to close their side of a connection whose output was shut down by the dispatcher.
    */
   private static final double RESERVED_FRACTION = 1 / 16.0;
 
@@ -66,11 +70,11 @@
   }
 
   /**
-   * Sets the limits, and enforces them unless accepting is paused or stopped.
+   * Sets the limits. If connections are currently being accepted, also enforces the limits.
    *
    * @param newMaxConnections the maximum number of open connections
-   * @param grantedDescriptors the number of descriptors of the process, a fraction of which may be
-   *     used by idle connections
+   * @param grantedDescriptors the number of file descriptors that are granted to this process for
+   *     HTTP; idle connections may hold {@link #MAX_IDLE_FRACTION} of them
    */
   void setCapacity(int newMaxConnections, int grantedDescriptors) {
     maxConnections = newMaxConnections;
@@ -81,9 +85,10 @@
   }
 
   /**
-   * Evicts connections until the reserved number is free or no further connection may be evicted.
-   * At the maximum number of connections, closes one at once or pauses accepting. Must be called
-   * after each accept.
+   * Evicts connections until {@link #RESERVED_FRACTION} of the maximum number of connections is
+   * free, where half-closed connections count as free, or until no further connection may be
+   * evicted. If the maximum number of connections is open nevertheless, half-closed connections
+   * included, closes one connection at once or pauses accepting. Must be called after each accept.
    */
   void evictExcess() {
     int reserved = (int) Math.max(1, maxConnections * RESERVED_FRACTION);
@@ -118,14 +123,19 @@
   }
 
   /**
-   * Removes the next connection to evict from its category and returns it.
+   * Selects the next connection to evict, and removes it from the unproven or the idle connections
+   * of the registry.
    *
-   * <p>Normally this is the oldest unproven connection, so that clients that open many connections
-   * do not displace those that send jobs and status updates. An unproven connection is not evicted
-   * during its grace period, since its first request may not have been read yet. If proven
-   * connections exceed their fraction, or no connection is unproven, the connection that has been
-   * idle longest is evicted instead, if there is one. This gives new connections time to send a
-   * request.
+   * <p>Normally the oldest unproven connection is selected. Clients that open many connections
+   * therefore do not displace clients that send jobs or workers that send status updates. An
+   * unproven connection is not selected during its grace period, because its first request may not
+   * have been read yet.
+   *
+   * <p>If the proven connections exceed {@link #PROVEN_FRACTION}, or if no connection is unproven,
+   * the connection that has been idle longest is selected instead, provided that any connection is
+   * idle. This rule gives new connections time to send a request.
+   *
+   * @return the selected connection, or empty if no connection may be evicted
    */
   private Optional<ClientConnection> pollEvictable() {
     if (registry.idleCount() > 0 && (registry.unprovenCount() == 0 || provenExceedFraction())) {
@@ -138,6 +148,8 @@
             .map(ConnectionRegistry.Timed::connection);
     oldest.ifPresent(
         connection -> {
+          // This only removes the connection from the unproven connections, so that it is not
+          // selected again.
           registry.markProven(connection);
           evictedUnprovenCount++;
         });
@@ -154,8 +166,8 @@
   }
 
   /**
-   * Removes and returns the connection that has been idle longest, if the number of idle
-   * connections exceeds its maximum.
+   * If the number of idle connections exceeds the maximum, removes the connection that has been
+   * idle longest from the idle connections and returns it. Otherwise returns empty.
    */
   Optional<ClientConnection> pollExcessIdle() {
     return registry.idleCount() > maxIdle ? Optional.of(pollLongestIdle()) : Optional.empty();
--- a/src/main/java/loomreel/ingress/ConnectionRegistry.java
+++ b/src/main/java/loomreel/ingress/ConnectionRegistry.java
@@ -11,29 +11,36 @@
 
 /**
  * The open client connections, with the categories unproven, idle and half-closed. The registry
- * only records connections; it neither opens nor closes them.
+ * only records connections; it neither opens nor closes them. A connection may belong to several
+ * categories or to none.
  *
- * <p>A connection is <em>unproven</em> until it has sent a job or a job status update. It is
- * <em>idle</em> between the end of a request and the next one. It is <em>half-closed</em> after its
- * output was shut down, while the client's close is awaited. All times are in microseconds of the
- * event loop's clock.
+ * <ul>
+ *   <li>A connection is <em>unproven</em> until a job or a job status update has arrived on it.
+ *   <li>A connection is <em>idle</em> from the end of a response to the start of the next request.
+ *   <li>A connection is <em>half-closed</em> after the dispatcher has shut its output down, until
+ *       the connection is closed.
+ * </ul>
+ *
+ * <p>All times are in microseconds of the event loop's clock.
  */
 final class ConnectionRegistry {
   /**
-   * A connection of a category.
+   * An unproven or half-closed connection, and the time since which it has been in that category.
    *
-   * @param since the time at which the connection entered the category
+   * @param since the time at which the connection was accepted if it is unproven, or at which its
+   *     output was shut down if it is half-closed
    */
   record Timed(ClientConnection connection, long since) {}
 
-  /** All open connections, the oldest first. */
+  /** All open connections, including the half-closed ones, the oldest first. */
   private final Set<ClientConnection> open = new LinkedHashSet<>();
 
-  /** The unproven connections with the time of their accept, the oldest first. */
+  /** The unproven connections and the times at which they were accepted, the oldest first. */
   private final Map<ClientConnection, Long> unproven = new LinkedHashMap<>();
 
   /**
-   * The half-closed connections with the time of the shutdown of their output, the oldest first.
+   * The half-closed connections and the times at which their output was shut down, the oldest
+   * first.
    */
   private final Map<ClientConnection, Long> halfClosed = new LinkedHashMap<>();
 
@@ -70,8 +77,11 @@
     halfClosed.put(connection, now);
   }
 
-  /** Returns whether a connection is proven, or was accepted no later than the given time. */
-  boolean isProvenOrAcceptedBy(ClientConnection connection, long time) {
+  /**
+   * Returns whether a connection is proven, or is unproven and was accepted at the given time or
+   * earlier.
+   */
+  boolean isProvenOrAcceptedNoLaterThan(ClientConnection connection, long time) {
     Long acceptedAt = unproven.get(connection);
     return acceptedAt == null || acceptedAt <= time;
   }
@@ -102,7 +112,7 @@
     return longestIdle;
   }
 
-  /** Returns a copy of the open connections, the oldest first. */
+  /** Returns a copy of all open connections, including the half-closed ones, the oldest first. */
   List<ClientConnection> openConnections() {
     return new ArrayList<>(open);
   }
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -19,15 +19,20 @@
  * listening socket is owned by the event loop.
  */
 public final class HttpIngress implements Ingress {
-  /** The rules for accepting connections and jobs in the current state of the process. */
+  /**
+   * Decides, from the current state of the process, what is accepted and when connections are
+   * closed.
+   */
   public interface AdmissionGate {
     /** Returns whether the readiness check reports that clients should use this process. */
     boolean acceptsClients();
 
-    /** Returns whether jobs are accepted. If not, other processes accept them. */
+    /**
+     * Returns whether this process accepts jobs. If it does not, other processes accept the jobs.
+     */
     boolean acceptsJobs();
 
-    /** Returns whether each connection is closed as soon as it is idle. */
+    /** Returns whether each connection is closed as soon as it becomes idle. */
     boolean isClosing();
 
     /**
@@ -38,8 +43,8 @@
     boolean isFinalResponse(boolean fromWorker);
 
     /**
-     * Forwards a job status update for a job that is not active in this process to the other
-     * process that serves as the same dispatcher.
+     * Forwards a job status update to the other process that serves as the same dispatcher, for
+     * example during a hot restart. Used if the call of the update is not active in this process.
      *
      * @param body the update as it was received
      * @param completed called when the other process has handled the update or has disconnected, or
@@ -59,13 +64,13 @@
   private final Acceptor acceptor;
   private final ConnectionLimiter limiter;
   private int acceptedCount;
-  private int requestTimeouts;
+  private int timeoutCount;
 
   /**
    * Creates an ingress that accepts no connection before {@link #open}.
    *
    * @param listener the listening socket, which is bound and non-blocking
-   * @param gate the rules for accepting connections and jobs
+   * @param gate decides what is accepted and when connections are closed
    * @throws IOException if the listener cannot be registered with the event loop
    */
   public HttpIngress(
@@ -86,8 +91,8 @@
   /**
    * Sets the maximum number of open connections.
    *
-   * @param grantedDescriptors the number of file descriptors of the process, a fraction of which
-   *     may be used by idle connections
+   * @param grantedDescriptors the number of file descriptors that are granted to this process for
+   *     HTTP; idle connections may hold a fraction of them
    */
   public void setCapacity(int maxConnections, int grantedDescriptors) {
     limiter.setCapacity(maxConnections, grantedDescriptors);
@@ -98,7 +103,10 @@
     acceptor.stop();
   }
 
-  /** Closes the idle connections of clients. Connections of workers stay open. */
+  /**
+   * Closes the idle connections of clients. Connections whose peer is known to be a worker stay
+   * open.
+   */
   public void closeIdleClients() {
     for (ClientConnection connection : registry.idleConnections()) {
       if (!connection.isFromWorker()) {
@@ -108,22 +116,24 @@
   }
 
   /**
-   * Closes all idle connections, except unproven ones in their grace period, which may still send
-   * their first request. Must therefore be called repeatedly until no connection is open.
+   * Closes the connections that are waiting for a request. An unproven connection stays open during
+   * its grace period, because its first request may still arrive. A connection whose request is
+   * being received or processed also stays open. This method must therefore be called repeatedly,
+   * until no connection is open. It does not stop accepting connections.
    */
   @Override
   public void beginDrain() {
     long graceStart = loop.now() - ConnectionLimiter.UNPROVEN_GRACE_MICROS;
     for (ClientConnection connection : registry.openConnections()) {
-      if (registry.isProvenOrAcceptedBy(connection, graceStart)) {
+      if (registry.isProvenOrAcceptedNoLaterThan(connection, graceStart)) {
         connection.closeIfIdle(ClientConnection.PartialRequest.AWAIT);
       }
     }
   }
 
   /**
-   * Returns whether a connection is open. Its client may not have received the response yet, which
-   * would be lost if the process ended.
+   * Returns whether any connection is open. The client of an open connection may not have received
+   * its response yet, and would lose the response if the process exited.
    */
   @Override
   public boolean hasPendingWork() {
@@ -147,7 +157,7 @@
         + " evicted_idle="
         + limiter.evictedIdleCount()
         + " timeouts="
-        + requestTimeouts
+        + timeoutCount
         + " jobs_without_capacity="
         + requestHandler.jobsWithoutCapacity();
   }
@@ -162,9 +172,12 @@
     }
   }
 
-  /** Counts a request, a response or a close by the client that was not complete in time. */
+  /**
+   * Counts a timeout of a connection: a request was not received in time, a response was not
+   * written in time, or the client did not close the connection in time.
+   */
   void recordTimeout() {
-    requestTimeouts++;
+    timeoutCount++;
   }
 
   /** Returns whether a response that starts now is the last one on its connection. */
@@ -181,14 +194,15 @@
     registry.markProven(connection);
   }
 
-  /** Records that a connection has received a request or a part of one. */
+  /** Records that a connection has received a request or the first part of a request. */
   void markBusy(ClientConnection connection) {
     registry.markBusy(connection);
   }
 
   /**
-   * Records that a connection has become idle. Closes it if the process is closing connections, or
-   * closes the connection that has been idle longest if there are too many idle ones.
+   * Records that a connection has become idle. If idle connections are to be closed, closes this
+   * connection. Otherwise, if too many connections are idle, closes the connection that has been
+   * idle longest.
    */
   void markIdle(ClientConnection connection) {
     registry.markIdle(connection);
@@ -200,8 +214,9 @@
   }
 
   /**
-   * Closes a connection in the next iteration of the event loop if it is idle then. It is not
-   * closed at once, because its input may be being processed.
+   * Closes a connection in the next iteration of the event loop if the connection is still idle at
+   * that time. The connection is not closed at once, because this method may be called while input
+   * of the connection is being processed.
    */
   private void closeInNextIteration(ClientConnection connection) {
     loop.schedule(loop.now(), () -> connection.closeIfIdle(ClientConnection.PartialRequest.AWAIT));
--- a/src/main/java/loomreel/ingress/JobRequest.java
+++ b/src/main/java/loomreel/ingress/JobRequest.java
@@ -9,18 +9,18 @@
 
 /**
  * The headers of a request that submits a job. {@link JobHeader} has the names of the headers. The
- * values are limited, because the policy adds them up: a single job with a cost of 1e300 would make
- * the cost of all other jobs negligible.
+ * numbers in the headers are limited, because the policy adds up the numbers of all jobs: a single
+ * job with a cost of 1e300 would make the cost of all other jobs negligible.
  *
  * @param callId the id of the call: 16 hexadecimal digits
  * @param budgetMillis the time until the deadline of the call, in milliseconds
  * @param slots the number of worker slots that the job occupies, from 0 to 1024; 1 if absent
- * @param costHint the client's estimate of the work; NaN, which the policy takes as unknown, if
- *     absent
+ * @param costHint the client's estimate of the work; NaN, which the policy interprets as unknown,
+ *     if absent
  * @param affinityKey the key by which jobs are sent to the same worker, or null if absent
  * @param tenant the name of the tenant, or null if absent
  * @param isRetry whether the client marks the job as a retry
- * @param idempotencyKey the key by which workers detect duplicates, or null if absent
+ * @param idempotencyKey the key by which workers detect duplicates of a job, or null if absent
  */
 record JobRequest(
     String callId,
@@ -35,7 +35,10 @@
   private static final Pattern BUDGET_MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,10}(\\.[0-9]{1,10})?");
 
-  /** The maximum number of slots of a job. No machine has more, so a larger number is an error. */
+  /**
+   * The maximum number of slots of a job. No machine has more slots, so a larger number is an
+   * error.
+   */
   private static final int MAX_SLOTS = 1024;
 
   private static final String SLOTS_FIELD = "slots";
@@ -74,8 +77,8 @@
    * 1.
    *
    * @param requestClass the index of the request class in the settings
-   * @param tenant the index of the tenant in the settings; -1, which the policy takes as no tenant,
-   *     if unknown
+   * @param tenant the index of the tenant in the settings, or -1 if the tenant is unknown; the
+   *     policy interprets -1 as no tenant
    * @param deadline the deadline of the call, in microseconds of the event loop's clock
    */
   Event.RequestArrived toEvent(int requestClass, int tenant, long deadline) {
--- a/src/main/java/loomreel/ingress/PipelinedInput.java
+++ b/src/main/java/loomreel/ingress/PipelinedInput.java
@@ -6,12 +6,13 @@
 import loomreel.io.ByteQueue;
 
 /**
- * The input that a client sends behind the request that is being processed (HTTP pipelining).
+ * The input that a client sends after the request that is being processed (HTTP pipelining).
  *
- * <p>Input is buffered up to a limit and discarded beyond it. Discarded input must still be read,
- * because it precedes the end of the stream, by which a client disconnects.
+ * <p>Input is buffered up to a limit and discarded beyond the limit. Input must be read even if it
+ * is discarded, because the end of the stream, which shows that the client has disconnected, can
+ * only be read after it.
  *
- * <p>Owned by a {@link ClientConnection}, which calls {@link #release} when it closes.
+ * <p>Owned by a {@link ClientConnection}, which calls {@link #release} when the connection closes.
  */
 final class PipelinedInput {
   /**
@@ -20,7 +21,10 @@
    */
   private static final int MAX_BUFFERED_BYTES = HttpMessageParser.MAX_BODY + BufferPool.SIZE;
 
-  /** The maximum number of discarded bytes. Once it is exceeded, no further input is read. */
+  /**
+   * The maximum number of discarded bytes. Once more bytes have been discarded, no further input is
+   * read.
+   */
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
   private final BufferPool pool;
@@ -33,10 +37,10 @@
   }
 
   /**
-   * Buffers input, or discards it together with all buffered input if the limit is exceeded. The
-   * limit is lower, {@link BufferPool#SIZE} bytes, while buffers are scarce. After input was
-   * discarded, all further input is discarded as well, because it cannot be parsed without the
-   * missing part.
+   * Buffers input. If more bytes than the limit would be buffered, discards the input together with
+   * all buffered input. The limit is {@link #MAX_BUFFERED_BYTES} or, while buffers are scarce,
+   * {@link BufferPool#SIZE} bytes. After input has been discarded, all further input is discarded
+   * as well, because it cannot be parsed without the missing part.
    *
    * @return whether the input was buffered
    */
@@ -72,7 +76,7 @@
     return all;
   }
 
-  /** Returns the buffers to the pool. */
+  /** Returns the buffers of the buffered input to the buffer pool. */
   void release() {
     buffered.release();
   }
--- a/src/main/java/loomreel/ingress/RequestHandler.java
+++ b/src/main/java/loomreel/ingress/RequestHandler.java
@@ -19,8 +19,8 @@
  */
 final class RequestHandler {
   /**
-   * The time, in microseconds, in the {@code Retry-After} header of a job that is rejected for lack
-   * of capacity.
+   * The recommended time before a retry of a job that is rejected for lack of capacity, in
+   * microseconds. The {@code Retry-After} header of the response contains this time in seconds.
    */
   private static final long RETRY_AFTER_MICROS = 500_000;
 
@@ -62,7 +62,7 @@
     return jobsWithoutCapacity;
   }
 
-  /** Handles a request. The connection responds during this call or later. */
+  /** Handles a request. The response is started during this call or later. */
   void handle(HttpMessage request, ClientConnection connection) {
     RequestRoute route = RequestRoute.of(request.target(), classes.keySet());
     switch (route.kind()) {
@@ -112,8 +112,9 @@
   }
 
   /**
-   * Rejects a job with status 503. The response has no {@code Retry-After} header while clients are
-   * being drained from this process, because other processes have capacity for the job at once.
+   * Rejects a job with status 503. While this process accepts no jobs because clients are being
+   * drained from it, the response has no {@code Retry-After} header, because other processes have
+   * capacity for the job at once.
    */
   private void rejectForLackOfCapacity(
       HttpMessage request, int requestClass, ClientConnection connection) {
@@ -159,13 +160,14 @@
     connection.markProven();
     connection.markFromWorker();
     if (dispatcher.isActive(update.get().callId())) {
-      // Responds before the update is applied, because applying it may take time and a worker
-      // repeats an update that is not answered.
+      // Responds before the update is applied, because applying the update may take time and a
+      // worker repeats an update that is not answered.
       connection.respond(HttpStatus.OK);
       update.get().applyTo(dispatcher);
     } else {
       // Responds only after the other process has handled the update. A worker does not repeat an
-      // update that was answered, so an update that did not reach the other process would be lost.
+      // update that was answered. If this process responded earlier, an update that does not reach
+      // the other process would be lost.
       gate.forwardStatusUpdate(body, connection::statusUpdateForwarded);
     }
     request.body().release();
--- a/src/main/java/loomreel/ingress/RequestRoute.java
+++ b/src/main/java/loomreel/ingress/RequestRoute.java
@@ -6,8 +6,8 @@
  * The route of a request, which is determined by the path.
  *
  * @param kind the kind of the request
- * @param requestClass the first segment of the path, which is the name of the request class of a
- *     job
+ * @param requestClass the first segment of the path; if the request is a job, this is the name of
+ *     the request class of the job
  */
 record RequestRoute(Kind kind, String requestClass) {
   /** The kinds of requests. */
--- a/src/test/java/loomreel/ingress/ClientConnectionStateTest.java
+++ b/src/test/java/loomreel/ingress/ClientConnectionStateTest.java
@@ -74,9 +74,9 @@
   }
 
   @Test
-  void aConnectionIsOpenUnlessHalfClosedOrClosed() {
+  void theOutputIsOpenUnlessTheConnectionIsHalfClosedOrClosed() {
     for (ClientConnectionState state : ClientConnectionState.values()) {
-      assertEquals(state != HALF_CLOSED && state != CLOSED, state.isOpen(), state.toString());
+      assertEquals(state != HALF_CLOSED && state != CLOSED, state.isOutputOpen(), state.toString());
     }
   }
 
--- a/src/test/java/loomreel/ingress/PipelinedInputTest.java
+++ b/src/test/java/loomreel/ingress/PipelinedInputTest.java
@@ -10,7 +10,7 @@
 import loomreel.io.BufferPool;
 import org.junit.jupiter.api.Test;
 
-/** Tests which input behind the current request is buffered and which is discarded. */
+/** Tests which input after the current request is buffered and which is discarded. */
 class PipelinedInputTest {
   private static final int MAX_BUFFERED_BYTES = HttpMessageParser.MAX_BODY + BufferPool.SIZE;
   private static final int MAX_DISCARDED_BYTES = 256 * 1024;
