--- a/src/main/java/loomreel/discovery/EndpointListCall.java
+++ b/src/main/java/loomreel/discovery/EndpointListCall.java
@@ -6,14 +6,17 @@
 import loomreel.http.HttpStatus;
 
 /**
- * A single call of an {@link EndpointWatcher} to discovery, which may wait for a change of the
- * list.
+ * A single call of an {@link EndpointWatcher} to discovery. Discovery may delay the response until
+ * the endpoint list changes.
  */
 final class EndpointListCall implements HttpExchange {
   private final EndpointWatcher watcher;
   private final long deadline;
 
-  /** Whether the head of a response with an endpoint list, which has status 200, has arrived. */
+  /**
+   * Whether the head of a response with status 200 has arrived. Only a response with this status
+   * contains an endpoint list.
+   */
   private boolean isResponseStarted;
 
   /**
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -16,16 +16,16 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Watches the endpoint list of discovery by long polling. Makes one call after the other; each call
- * waits for a change of the list. {@link WatchTimeouts} has the timeouts of the calls and the times
- * of retries.
+ * Watches the endpoint list of discovery by long polling. Makes one call after the other. Normally
+ * discovery delays the response to a call until the list changes or until the maximum wait of the
+ * call has passed. {@link WatchTimeouts} has the timeouts of the calls and the times of retries.
  *
  * <p>Not thread-safe: used on the event loop's thread only.
  */
 public final class EndpointWatcher {
   /** Receives the results of a watch. */
   public interface Listener {
-    /** Called when discovery has sent a complete endpoint list or changes to the last one. */
+    /** Called when discovery has sent a complete endpoint list or the changes to the last list. */
     void endpointsReceived(EndpointList result);
 
     /** Called when discovery has confirmed that the known endpoint list has not changed. */
@@ -39,12 +39,12 @@
   }
 
   /**
-   * The version if no version is known, in which case the complete list is requested. Versions of
-   * discovery start at 0.
+   * The value of {@link #version} if no version is known. The complete list is requested in this
+   * case. Versions of discovery start at 0.
    */
   private static final long NO_VERSION = -1;
 
-  /** The maximum wait, in microseconds, of a call to which discovery responds at once. */
+  /** The maximum wait, in microseconds, of a call that does not wait for a change of the list. */
   private static final long NO_WAIT = 0;
 
   private static final String ENDPOINTS_PATH = "/registry/instances";
@@ -85,11 +85,11 @@
   private PooledConnection connection;
 
   /**
-   * Creates a watcher that makes no call before {@link #watch}. Its calls do not wait for a change
-   * until discovery has sent a valid list, because the known list may have been outdated for a long
-   * time.
+   * Creates a watcher that makes no call before {@link #watch}. Until discovery has sent a valid
+   * list, calls do not wait for a change of the list, because the known list may have been outdated
+   * for a long time.
    *
-   * @param discovery the connections to discovery or to the agent
+   * @param discovery the connections to discovery, or to the agent if lists are pushed to an agent
    * @param version the version of the known endpoint list
    */
   public EndpointWatcher(
@@ -101,13 +101,17 @@
     this.loop = loop;
     this.discovery = discovery;
     this.timeouts = timeouts;
-    // The list of an agent counts as known whatever its version is, so the complete list is
-    // requested.
+    // If lists are pushed to an agent, the list of the agent counts as known to the dispatcher at
+    // once (see WatchTimeouts), whatever version the list has. The complete list is therefore
+    // requested instead of the changes since the known version.
     this.version = timeouts.pushed() ? NO_VERSION : version;
     this.listener = listener;
   }
 
-  /** Starts a watch. Does nothing if a call is in flight. */
+  /**
+   * Starts to watch the endpoint list: makes a call now, and makes the next call after each valid
+   * response. Does nothing if a call is in flight.
+   */
   public void watch() {
     if (isCallInFlight) {
       return;
@@ -151,9 +155,10 @@
   }
 
   /**
-   * Watches discovery at another address. The first call is made at once, because the list at the
-   * new address counts as known to the dispatcher 4 s later. The call in flight is abandoned. The
-   * complete list is requested, because the versions at the new address may differ.
+   * Watches discovery at another address. The call in flight is abandoned, and the first call to
+   * the new address is made at once: the list at the new address counts as known to the dispatcher
+   * 4 s after the move. The complete list is requested, because the versions at the new address may
+   * differ.
    */
   public void moveTo(InetSocketAddress address) {
     if (connection != null) {
@@ -199,7 +204,7 @@
   private EndpointList parseNewer(HttpMessage message) throws InvalidEndpointListException {
     EndpointList list = parse(message);
     if (list.version() < version) {
-      // An older list may lack later changes, such as a worker that is draining. The next call
+      // An older list may lack later changes, for example that a worker is draining. The next call
       // requests the complete list and accepts any version, because discovery may have restarted
       // its version count.
       String reason = "version " + list.version() + " after " + version;
@@ -225,8 +230,8 @@
     version = list.version();
     isConfirmed = true;
     trace(TRACE_LIST_RECEIVED, "seq");
-    // Makes the next call before the list is processed, because the watch counts as failed if that
-    // call is late.
+    // Makes the next call before the list is processed. Processing takes time, and the watch would
+    // count as failed if the next call were late.
     watch();
     if (list.complete() || !list.endpoints().isEmpty()) {
       listener.endpointsReceived(list);
@@ -248,8 +253,8 @@
   }
 
   /**
-   * Makes the next call at the given time, or at once if it has passed. The call after a silent one
-   * uses a new connection, because the connection of a silent call is closed.
+   * Makes the next call at the given time, or at once if that time has passed. The call after a
+   * silent call uses a new connection, because the connection of a silent call is closed.
    */
   private void scheduleWatch(long time) {
     if (time <= loop.now()) {
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -5,44 +5,60 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * The timeouts of the endpoint watch: how long a call to discovery may wait for a change, when a
- * call without a response counts as silent, and when a failed call is retried. With these timeouts
- * the dispatcher receives a change of the endpoint list before sending to a draining worker would
- * violate the rules of the platform.
+ * The timeouts of the endpoint watch. They determine how long a call to discovery may wait for a
+ * change of the endpoint list, when a call without a response counts as silent, and when a failed
+ * call is retried.
  *
- * <p>The timeouts depend only on these rules. All times are in microseconds.
+ * <p>The rules of the platform limit the time during which jobs may still be sent to a worker that
+ * drains. With these timeouts, the dispatcher receives the corresponding change of the endpoint
+ * list before that time has passed. The timeouts depend only on these rules. All times are in
+ * microseconds.
  *
- * <p>The platform has the following rules for the endpoint list. They state when a change counts as
- * known to the dispatcher, whether or not the dispatcher has received it.
+ * <p>The platform has the following rules for the endpoint list. The rules state when a change of
+ * the list <em>counts as known</em> to the dispatcher, whether or not the dispatcher has received
+ * the change.
  *
  * <ul>
  *   <li>A call has failed if its connection is silent. A change that the call missed counts as
  *       known {@link #KNOWN_AFTER_SILENCE_MICROS} after the silence began, or {@link
- *       #KNOWN_AFTER_WAIT_MICROS} after the end of the call's wait, whichever is later.
- *   <li>Whatever the outcome of the dispatcher's calls is, a change counts as known {@link
- *       #KNOWN_AFTER_SILENCE_MICROS} after discovery had it and could be reached.
+ *       #KNOWN_AFTER_WAIT_MICROS} after the end of the call's wait for a change, whichever is
+ *       later.
+ *   <li>Whether or not the calls of the dispatcher succeed, a change counts as known {@link
+ *       #KNOWN_AFTER_SILENCE_MICROS} after the time from which discovery has the change and can be
+ *       reached.
  *   <li>If lists are pushed to an agent, the list of the agent counts as known at once, whether or
- *       not the dispatcher watches it. This also applies after an outage.
- *   <li>After a change counts as known, sending to a draining worker is allowed for another {@link
- *       Rules#drainGrace()}.
+ *       not the dispatcher watches the agent. This also applies after an outage.
+ *   <li>If a change shows that a worker drains, jobs may be sent to the worker for another {@link
+ *       Rules#drainGrace()}, the drain grace, after the change counts as known.
  * </ul>
  *
- * <p><b>Upper bound if discovery is polled.</b> Assume that discovery can be reached from time 0
- * on. A call that is in flight at time 0 may be lost. It ends at {@code maxWaitMicros +
- * responseTimeoutMicros} at the latest, by its timeout or by a late reset. After a reset, a
- * rejection or a response with status 503 the policy waits before it calls again. It waits {@link
- * Rules#maxPollBackoff()} at most, and a quarter of that at most if the failed call lasted at least
- * that long. The next call is therefore made by {@code maxWaitMicros + responseTimeoutMicros +
- * maxPollBackoff / 4}. If the failed call was short, the next call is made by {@code
- * maxPollBackoff} plus the duration of the short call. In both cases more than half a second of the
- * sum of {@code KNOWN_AFTER_SILENCE_MICROS} and the grace is left for the response, for every
- * grace. WatchTimeoutsTest tests these sequences.
+ * <p><b>Time of the next call if discovery is polled.</b> Assume that discovery can be reached from
+ * time 0 on. A change that discovery has at time 0 counts as known at {@code
+ * KNOWN_AFTER_SILENCE_MICROS}, and sending to a draining worker violates the rules from {@code
+ * KNOWN_AFTER_SILENCE_MICROS} plus the drain grace on.
+ *
+ * <p>A call that is in flight at time 0 may be lost. It ends by its timeout or by a late reset, at
+ * {@code maxWaitMicros + responseTimeoutMicros} at the latest. After a reset, a rejection or a
+ * response with status 503, the policy waits before the next call is made. This backoff is at most
+ * {@link Rules#maxPollBackoff()}. If the failed call lasted at least {@code maxPollBackoff}, the
+ * backoff is at most {@code maxPollBackoff / 4}. There are two cases:
+ *
+ * <ul>
+ *   <li>If the failed call lasted at least {@code maxPollBackoff}, the next call is made at {@code
+ *       maxWaitMicros + responseTimeoutMicros + maxPollBackoff / 4} at the latest.
+ *   <li>If the failed call was shorter, the next call is made at {@code maxPollBackoff} plus the
+ *       duration of the failed call at the latest.
+ * </ul>
+ *
+ * <p>In both cases, more than half a second is left for the response to the next call before
+ * sending violates the rules, for every length of the drain grace. WatchTimeoutsTest tests these
+ * sequences of calls.
  *
  * @param pushed whether lists are pushed to an agent on this machine, which is called instead of
  *     discovery
  * @param maxWaitMicros the maximum time for which a call may wait for a change
- * @param responseTimeoutMicros the maximum time from the end of that wait to the response; a call
- *     that takes longer is silent
+ * @param responseTimeoutMicros the maximum time from the end of the wait for a change to the
+ *     response; a call without a response by then is silent
  * @param retryIntervalMicros the minimum time between the starts of two calls if the first call was
  *     silent, or was made to an agent and failed
  * @param invalidResponseRetryIntervalMicros the minimum time between the starts of two calls if the
@@ -57,8 +73,8 @@
   /** The state of discovery that the failure of a call indicates. */
   enum Failure {
     /**
-     * Discovery did not respond in time, or no connection could be established after a call that
-     * was silent.
+     * Discovery did not respond in time. Also used if no connection could be established and the
+     * previous call was silent.
      */
     SILENT,
     /**
@@ -69,7 +85,7 @@
     UNAVAILABLE;
 
     /**
-     * Returns the failure that the outcome of a failed call indicates.
+     * Returns the state that the outcome of a failed call indicates.
      *
      * @param isResponseStarted whether a part of a response with an endpoint list has arrived
      * @param wasPreviousCallSilent whether the previous call was silent
@@ -92,51 +108,63 @@
   public static final long FIRST_LIST_TIMEOUT_MICROS = 7_000_000;
 
   /**
-   * The time from the beginning of a silence, or from the time from which discovery has a change
-   * and can be reached, until the change counts as known, in microseconds.
+   * The time after which a change counts as known to the dispatcher, in microseconds. This time
+   * begins when a connection becomes silent, or when discovery has the change and can be reached.
    */
   private static final long KNOWN_AFTER_SILENCE_MICROS = 6_000_000;
 
   /**
-   * The time from the end of the wait of a silent call until a change that the call missed counts
-   * as known, in microseconds.
+   * The time after which a change that a silent call missed counts as known to the dispatcher, in
+   * microseconds. This time begins at the end of the call's wait for a change.
    */
   private static final long KNOWN_AFTER_WAIT_MICROS = 2_000_000;
 
   /**
-   * The lower bound of the intervals that depend on the grace, in microseconds. The rules tolerate
-   * a delay of this length even if the grace is shorter.
+   * The lower bound, in microseconds, of the times that are computed as a fraction of the drain
+   * grace: the retry interval after an invalid response if discovery is polled, and all timeouts
+   * and intervals if lists are pushed to an agent. The rules of the platform tolerate a delay of
+   * this length even if the drain grace is shorter.
    */
   private static final long MIN_INTERVAL_MICROS = 50_000;
 
   /**
-   * The upper bound of the response timeout, in microseconds. A response that has not arrived this
-   * long after the end of the wait is taken as lost, not as slow.
+   * The upper bound of the response timeout, in microseconds. If a response has not arrived this
+   * long after the end of the wait for a change, the response is considered lost, not slow.
    */
   private static final long MAX_RESPONSE_TIMEOUT_MICROS = 1_500_000;
 
   /**
-   * The retry interval after silent calls if discovery is polled, in microseconds. It limits the
-   * load that retries cause, and is short enough for a change that a silent call missed to be
-   * received within seconds.
+   * The retry interval after silent calls if discovery is polled, in microseconds. Also the upper
+   * bound of the retry interval after an invalid response. The interval limits the load that
+   * retries cause. It is short enough that the dispatcher receives a change that a silent call
+   * missed within seconds.
    */
   private static final long SILENT_RETRY_INTERVAL_MICROS = 1_000_000;
 
   /**
    * Returns the timeouts for a deployment.
    *
-   * <p>If discovery is polled, a call waits {@code KNOWN_AFTER_SILENCE_MICROS -
-   * KNOWN_AFTER_WAIT_MICROS}. With this wait, both time limits of the rules for silent calls end at
-   * the same time, which is {@code KNOWN_AFTER_SILENCE_MICROS} after the start of the call at the
-   * earliest. The time from the end of the wait until sending could violate the rules is the sum of
-   * {@code KNOWN_AFTER_WAIT_MICROS} and the grace. It is divided evenly between the response
-   * timeouts of the silent call and of the call that replaces it. A change in an invalid response
-   * may count as known from the time at which the response was written, so the retry interval after
-   * an invalid response leaves time for two more calls within the grace.
+   * <p>If discovery is polled:
+   *
+   * <ul>
+   *   <li>A call waits for a change for {@code KNOWN_AFTER_SILENCE_MICROS -
+   *       KNOWN_AFTER_WAIT_MICROS}. With this wait, the two time limits of the rule for silent
+   *       calls end at the same time if a call is silent from its start: {@code
+   *       KNOWN_AFTER_SILENCE_MICROS} after the start of the call. If the silence begins later, the
+   *       change counts as known later.
+   *   <li>From the end of the wait, {@code KNOWN_AFTER_WAIT_MICROS} plus the drain grace pass until
+   *       sending to a draining worker could violate the rules. Half of this time is the response
+   *       timeout of the silent call, and the other half is the response timeout of the call that
+   *       replaces it. Each response timeout is at most {@link #MAX_RESPONSE_TIMEOUT_MICROS}.
+   *   <li>A change in an invalid response may count as known from the time at which discovery wrote
+   *       the response. The retry interval after an invalid response therefore leaves time for two
+   *       more calls within the drain grace.
+   * </ul>
    *
-   * <p>If lists are pushed to an agent, the known list must be younger than the grace. The wait
-   * takes two fifths of the grace and the response timeout one fifth. The remaining two fifths are
-   * left for a new connection and its first response.
+   * <p>If lists are pushed to an agent, the known list must be younger than the drain grace. The
+   * wait for a change takes two fifths of the drain grace, and the response timeout takes one
+   * fifth. The remaining two fifths are left for a new connection and the first response on that
+   * connection.
    *
    * @param rules the rules of the platform, of which only the drain grace is used
    * @param polled true if discovery itself is polled, false if lists are pushed to an agent
@@ -173,16 +201,25 @@
   /**
    * Returns the time at which a failed call is retried.
    *
-   * <p>Calls to an agent are retried after the retry interval. If discovery is polled, the first of
-   * several silent calls is retried at once, because a change that it missed counts as known soon;
-   * the others are retried after the retry interval. A call with an invalid response is retried
-   * after its own interval and without backoff, because discovery is up.
+   * <p>If lists are pushed to an agent, each failed call is retried after the retry interval. If
+   * discovery is polled, the kind of failure decides:
+   *
+   * <ul>
+   *   <li>The first of several successive silent calls is retried at once, because a change that
+   *       the call missed counts as known soon. The other silent calls are retried after the retry
+   *       interval.
+   *   <li>A call with an invalid response is retried after the interval for invalid responses.
+   *       There is no backoff, because discovery is up.
+   *   <li>If discovery is overloaded or down, the policy determines the backoff.
+   * </ul>
+   *
+   * <p>All intervals begin at the start of the failed call.
    *
-   * @param wasPreviousCallSilent whether the previous call was silent, too
+   * @param wasPreviousCallSilent whether the call before the failed call was silent
    * @param calledAt the start time of the failed call
    * @param now the current time
-   * @return the time of the retry, which is not before {@code now}; empty if discovery is
-   *     overloaded or down, in which case the policy determines the backoff
+   * @return the time of the retry, which is not before {@code now}; empty if the policy determines
+   *     the backoff
    */
   OptionalLong retryTime(Failure failure, boolean wasPreviousCallSilent, long calledAt, long now) {
     if (pushed) {
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests that a change of the endpoint list is received before sending to a draining worker would
- * violate the rules, whatever the outcomes of the calls to discovery are.
+ * Tests that the dispatcher receives a change of the endpoint list in time, whatever the outcomes
+ * of its calls to discovery are. The change that a worker drains is received in time if the rules
+ * still allow sending jobs to the worker. {@link WatchTimeouts} describes the rules.
  */
 class WatchTimeoutsTest {
   /** One second, in microseconds. */
@@ -47,8 +48,8 @@
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 3, 10})
   void aChangeThatASilentCallMissedIsReceivedBeforeAViolation(double graceSeconds) {
     WatchTimeouts timeouts = timeouts(graceSeconds, true);
-    // If a call is silent from its start, every change counts as known 6 s after the start, or 2 s
-    // after the end of the wait, whichever is later.
+    // If a call is silent from its start, every change counts as known to the dispatcher 6 s after
+    // the start of the call, or 2 s after the end of its wait for a change, whichever is later.
     double violationSeconds = Math.max(6, timeouts.maxWaitMicros() / 1e6 + 2) + graceSeconds;
     double timeoutSeconds = timeouts.deadline(0, true) / 1e6;
     double nextTimeoutSeconds = timeoutSeconds + timeouts.responseTimeoutMicros() / 1e6;
@@ -88,7 +89,7 @@
   }
 
   /**
-   * A network partition may last longer than a call. From the first silent call on, a call is made
+   * A network partition may last longer than a call. After the first silent call, a call is made
    * about once per second until discovery responds.
    */
   @Test
@@ -118,8 +119,8 @@
   }
 
   /**
-   * After an invalid response, discovery is up and its list has changed. The changes in the part of
-   * the response that has arrived may count as known.
+   * An invalid response shows that discovery is up and that its list has changed. Changes in the
+   * part of the response that has arrived may already count as known.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 0.5, 1, 3, 10})
@@ -158,7 +159,7 @@
     }
   }
 
-  /** The ways in which a call may fail. */
+  /** The ways in which a call to discovery may fail. */
   private enum Ending {
     CONNECTION_REFUSED(AttemptOutcome.CONNECT_FAILED, 0),
     NO_CONNECTION(AttemptOutcome.CONNECT_FAILED, -1),
@@ -170,7 +171,7 @@
     final AttemptOutcome outcome;
 
     /**
-     * The time until the failure as a fraction of the timeout of the call; negative if the call
+     * The time until the failure as a fraction of the timeout of the call. Negative if the call
      * fails after 250 ms, whatever its timeout is.
      */
     final double timeoutFraction;
@@ -187,9 +188,11 @@
   }
 
   /**
-   * Runs every sequence of one to five failed calls with the policy and these timeouts on a virtual
-   * clock. Discovery can be reached from the start of the last of these calls on, which fails as
-   * well. The call after it must have half a second for its response.
+   * Simulates failed calls to discovery with the policy and these timeouts on a virtual clock, for
+   * every sequence of one to five {@link Ending}s. Discovery can be reached from the start of the
+   * last failed call on, although this call fails as well. The call that follows must be made at
+   * least half a second before sending to a draining worker could violate the rules, so that there
+   * is time for the response.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 2, 3, 10})
@@ -213,9 +216,9 @@
   }
 
   /**
-   * A process that starts does not use a list of unknown age while it waits for its first list. If
-   * its first call fails, its second call must be made during that wait, with half a second left
-   * for the response.
+   * While a starting process waits for its first list from discovery, it does not use the last
+   * known list, whose age is unknown. If the first call fails, the second call must be made during
+   * this wait, with half a second left for the response.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.2, 0.5, 1, 2, 3, 10})
@@ -231,7 +234,7 @@
   }
 
   /**
-   * Returns the time, in microseconds, from the start of a process to the start of its second call
+   * Returns the time, in microseconds, from the start of a process to the start of its second call,
    * if the first call fails.
    */
   private static long microsFromStartToSecondCall(double graceSeconds, Ending ending, long seed) {
@@ -253,8 +256,8 @@
   }
 
   /**
-   * Returns the time, in microseconds, from the start of the last call of a sequence of failed
-   * calls to the start of the call after it.
+   * Returns the time, in microseconds, from the start of the last call in a sequence of failed
+   * calls to the start of the next call.
    */
   private static long microsFromLastCallToNextCall(
       double graceSeconds, Ending[] sequence, long seed) {
