--- a/src/main/java/loomreel/core/Dispatcher.java
+++ b/src/main/java/loomreel/core/Dispatcher.java
@@ -26,7 +26,9 @@
   private static final long MICROS_PER_SECOND = 1_000_000;
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** The interval between two calls of {@link WorkerPool#runPeriodicTasks}, in microseconds. */
+  /**
+   * The interval between two invocations of {@link WorkerPool#runPeriodicTasks}, in microseconds.
+   */
   private static final long PERIODIC_TASK_INTERVAL_MICROS = MICROS_PER_SECOND;
 
   /** The interval between two log lines with metrics, in microseconds. */
@@ -53,7 +55,7 @@
    *
    * @param seed the seed of the policy's random number generator
    * @param answerGraceMicros the time after the deadline of a call during which an answer still
-   *     counts as in time, in microseconds
+   *     counts as in time, in microseconds; a call that has no answer by then is failed
    */
   public Dispatcher(EventLoop loop, Settings settings, long seed, long answerGraceMicros) {
     this.loop = loop;
--- a/src/main/java/loomreel/core/DispatcherMetrics.java
+++ b/src/main/java/loomreel/core/DispatcherMetrics.java
@@ -66,7 +66,11 @@
     upstreamCalls++;
   }
 
-  /** Counts a reload of the configuration. */
+  /**
+   * Counts a reload of the configuration.
+   *
+   * @param successful true if the new configuration was applied, false if it was rejected
+   */
   public void recordReload(boolean successful) {
     if (successful) {
       successfulReloads++;
--- a/src/main/java/loomreel/core/Subchannel.java
+++ b/src/main/java/loomreel/core/Subchannel.java
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Starts an attempt. From now on, the subchannel may end the attempt. The subchannel must not use
-   * an outcome which proves that the job has not run, see {@link
-   * loomreel.decision.AttemptOutcome#neverRan}, unless this is certain.
+   * Starts an attempt. From now on, the subchannel may end the attempt. The subchannel may use an
+   * outcome for which {@link loomreel.decision.AttemptOutcome#neverRan} returns true only if it is
+   * certain that the job has not run.
    *
    * @return the attempt in progress; may be null if the attempt has already ended
    */
--- a/src/main/java/loomreel/core/WorkerPool.java
+++ b/src/main/java/loomreel/core/WorkerPool.java
@@ -4,8 +4,8 @@
 import loomreel.decision.Endpoint;
 
 /**
- * A set of workers that are called over the same protocol. A pool reports its endpoints, and all
- * changes of them, to {@link Dispatcher#endpointsChanged}.
+ * A set of workers that are called over the same protocol. A pool reports its endpoints, and each
+ * later change of an endpoint, to {@link Dispatcher#endpointsChanged}.
  */
 public interface WorkerPool {
   /**
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -155,10 +155,10 @@
   }
 
   /**
-   * Watches discovery at another address. The call in flight is abandoned, and the first call to
-   * the new address is made at once: the list at the new address counts as known to the dispatcher
-   * 4 s after the move. The complete list is requested, because the versions at the new address may
-   * differ.
+   * Watches discovery at another address. The call in flight is abandoned. The first call to the
+   * new address is made at once, because the list at the new address counts as known to the
+   * dispatcher 4 s after the move; {@link WatchTimeouts} explains when a list counts as known. The
+   * complete list is requested, because the versions at the new address may differ.
    */
   public void moveTo(InetSocketAddress address) {
     if (connection != null) {
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -136,8 +136,8 @@
   /**
    * The retry interval after silent calls if discovery is polled, in microseconds. Also the upper
    * bound of the retry interval after an invalid response. The interval limits the load that
-   * retries cause. It is short enough that the dispatcher receives a change that a silent call
-   * missed within seconds.
+   * retries cause. It is short enough for the dispatcher to receive, within seconds, a change that
+   * a silent call missed.
    */
   private static final long SILENT_RETRY_INTERVAL_MICROS = 1_000_000;
 
--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -50,8 +50,8 @@
   private static final long TIMEOUT_MICROS = 2_000_000;
 
   /**
-   * The time after a 4xx response during which no further request is read, in microseconds. It
-   * limits the request rate of clients that repeat an error.
+   * The time after a 4xx response during which no further request is read, in microseconds. The
+   * pause limits the request rate of clients that repeat an error.
    */
   private static final long ERROR_PAUSE_MICROS = 100_000;
 
@@ -66,10 +66,12 @@
   /** The buffer that is being parsed. After a complete request, it may contain pipelined input. */
   private ByteBuffer currentInput;
 
-  /** Whether the peer is a worker. False until the peer has sent a job status update. */
+  /**
+   * Whether the peer is known to be a worker. False until the peer has sent a job status update.
+   */
   private boolean fromWorker;
 
-  /** The pending timeout or pause; null if there is none. */
+  /** The timer of the current timeout or pause; null if neither is pending. */
   private EventLoop.Timer timer;
 
   /**
--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -17,11 +17,12 @@
  */
 final class ConnectionLimiter {
   /**
-   * The grace period, in microseconds. An unproven connection is not evicted or closed during this
-   * time after its accept, because its first request may not have been read yet. A half-closed
-   * connection is not closed at once during this time after the shutdown of its output.
+   * The grace period of unproven and half-closed connections, in microseconds. An unproven
+   * connection is not evicted or closed until this time has passed since its accept, because its
+   * first request may not have been read yet. A half-closed connection is not closed at once until
+   * this time has passed since the shutdown of its output.
    */
-  static final long UNPROVEN_GRACE_MICROS = 100_000;
+  static final long GRACE_PERIOD_MICROS = 100_000;
 
   /**
    * The fraction of the maximum number of connections that is protected for proven connections,
@@ -114,7 +115,7 @@
       acceptor.pause(Acceptor.RETRY_DELAY_MICROS);
       return;
     }
-    long waitMicros = oldest.get().since() + UNPROVEN_GRACE_MICROS - loop.now();
+    long waitMicros = oldest.get().since() + GRACE_PERIOD_MICROS - loop.now();
     if (waitMicros > 0) {
       acceptor.pause(waitMicros);
     } else {
@@ -144,7 +145,7 @@
     Optional<ClientConnection> oldest =
         registry
             .oldestUnproven()
-            .filter(timed -> timed.since() + UNPROVEN_GRACE_MICROS <= loop.now())
+            .filter(timed -> timed.since() + GRACE_PERIOD_MICROS <= loop.now())
             .map(ConnectionRegistry.Timed::connection);
     oldest.ifPresent(
         connection -> {
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -44,7 +44,8 @@
 
     /**
      * Forwards a job status update to the other process that serves as the same dispatcher, for
-     * example during a hot restart. Used if the call of the update is not active in this process.
+     * example during a hot restart. Used if the call that the update belongs to is not active in
+     * this process.
      *
      * @param body the update as it was received
      * @param completed called when the other process has handled the update or has disconnected, or
@@ -123,7 +124,7 @@
    */
   @Override
   public void beginDrain() {
-    long graceStart = loop.now() - ConnectionLimiter.UNPROVEN_GRACE_MICROS;
+    long graceStart = loop.now() - ConnectionLimiter.GRACE_PERIOD_MICROS;
     for (ClientConnection connection : registry.openConnections()) {
       if (registry.isProvenOrAcceptedNoLaterThan(connection, graceStart)) {
         connection.closeIfIdle(ClientConnection.PartialRequest.AWAIT);
--- a/src/main/java/loomreel/ingress/RequestRoute.java
+++ b/src/main/java/loomreel/ingress/RequestRoute.java
@@ -16,7 +16,7 @@
     READINESS_CHECK,
     /** A job status update (callback) of a worker. */
     STATUS_UPDATE,
-    /** A job of a client. */
+    /** A request of a client that submits a job. */
     JOB,
     /** Any other request. */
     UNKNOWN
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -270,7 +270,7 @@
     return ejector;
   }
 
-  /** Returns the latest endpoint list entry of a worker that this pool lists. */
+  /** Returns the latest entry of the endpoint list for a worker that this pool lists. */
   Endpoint endpoint(String id) {
     return subchannels.get(id).endpoint();
   }
