--- a/src/main/java/loomreel/core/ActionExecutor.java
+++ b/src/main/java/loomreel/core/ActionExecutor.java
@@ -7,7 +7,11 @@
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
-/** Executes the actions of the decision module on the calls and workers of a dispatcher. */
+/**
+ * Executes the actions that the policy, {@link loomreel.decision.DispatchPolicy}, returns: starts
+ * and cancels attempts, rejects and fails calls, checks the health of workers, sets timers, polls
+ * endpoint lists, and logs lines.
+ */
 final class ActionExecutor {
   private final RateLimitedLogger policyLog = new RateLimitedLogger("loomreel.decision");
   private final Dispatcher dispatcher;
@@ -30,9 +34,10 @@
   }
 
   /**
-   * Executes one action.
+   * Executes one action. An action on a call is ignored if the call is no longer in the {@link
+   * CallTable}. The rejection or failure of a call is also ignored if the call is completed.
    *
-   * @throws IllegalStateException if the action's type is unknown
+   * @throws IllegalStateException if the type of the action is unknown
    */
   void execute(Action action) {
     if (action instanceof Action.StartAttempt start) {
@@ -57,8 +62,12 @@
   }
 
   /**
-   * Each action adds an attempt to the call, and each attempt ends, also one that cannot be
-   * started: the policy and this dispatcher number the attempts of a call by the same rule.
+   * Adds an attempt to a call and starts the attempt.
+   *
+   * <p>If the attempt must not be started, or if no worker with the given id is listed, the attempt
+   * is still added to the call, but it ends at once. The policy and the dispatcher both number the
+   * attempts of a call by counting the {@link Action.StartAttempt} actions for the call, so each of
+   * these actions must add an attempt.
    */
   private void startAttempt(Action.StartAttempt start) {
     Rpc rpc = calls.find(start.requestId());
@@ -67,7 +76,7 @@
     }
     long deadline = attemptDeadline(start, rpc);
     Subchannel subchannel = pools.find(start.workerId());
-    boolean isSuperfluous =
+    boolean mustNotStart =
         rpc.isCompleted()
             || rpc.attemptCount() >= maxAttempts
             || loop.now() >= deadline
@@ -82,7 +91,7 @@
             deadline,
             Math.min(deadline, start.writeDeadline()));
     rpc.addAttempt(attempt);
-    if (isSuperfluous) {
+    if (mustNotStart) {
       attempt.end(AttemptOutcome.NOT_ATTEMPTED, null);
     } else if (subchannel == null) {
       attempt.end(AttemptOutcome.CONNECT_FAILED, null);
@@ -91,7 +100,11 @@
     }
   }
 
-  /** A timeout of 0 stands for the call's own deadline. */
+  /**
+   * Returns the deadline of an attempt, in microseconds of the event loop's clock. The deadline is
+   * the end of the action's timeout or the deadline of the call, whichever is earlier. A timeout of
+   * 0 means that the action sets no timeout; the deadline of the call applies in this case.
+   */
   private long attemptDeadline(Action.StartAttempt start, Rpc rpc) {
     return start.timeout() > 0
         ? Math.min(rpc.deadline(), loop.now() + start.timeout())
@@ -109,7 +122,7 @@
     Rpc rpc = calls.find(reject.requestId());
     if (rpc != null && !rpc.isCompleted()) {
       rpc.reject(
-          new UnavailableStatus(reject.retryAfter(), ExternalNames.inWords(reject.reason())));
+          new UnavailableStatus(reject.retryAfter(), ExternalNames.toText(reject.reason())));
       calls.removeIfDone(rpc);
     }
   }
--- a/src/main/java/loomreel/core/CallAttempt.java
+++ b/src/main/java/loomreel/core/CallAttempt.java
@@ -5,8 +5,11 @@
 import loomreel.io.EventLoop;
 
 /**
- * One attempt of a call at one worker, in one of the {@link CallAttemptState}s. It ends once and
- * then reports its outcome to the {@link Dispatcher}. Times are microseconds of the loop's clock.
+ * One attempt to have a call processed by one worker. {@link CallAttemptState} describes the states
+ * of an attempt. An attempt ends exactly once. When the attempt ends, it reports its outcome to the
+ * {@link Dispatcher}.
+ *
+ * <p>All times are in microseconds of the event loop's clock.
  */
 public final class CallAttempt {
   private final Dispatcher dispatcher;
@@ -20,27 +23,44 @@
 
   private CallAttemptState state = CallAttemptState.OPEN;
 
-  /** Null until the attempt has ended. */
+  /** The final outcome; null until the attempt has ended. */
   private AttemptOutcome outcome;
 
-  /** Carries the attempt; null before the start, and where it ended during the start. */
+  /**
+   * The handle with which the subchannel's request can be cancelled or aborted. Null before the
+   * attempt is started, and if the attempt ended while it was being started.
+   */
   private Subchannel.ActiveCall activeCall;
 
-  /** Enforces the deadline in state ACCEPTED; null before. */
+  /**
+   * The timer that enforces the deadline in state {@link CallAttemptState#ACCEPTED}; null until the
+   * attempt enters that state.
+   */
   private EventLoop.Timer deadlineTimer;
 
-  /** Not part of the state: a worker may accept a request before its last byte is written. */
+  /**
+   * Whether the last byte of the request has been written. This flag is not part of the state,
+   * because a worker may accept a job before the last byte of the request is written.
+   */
   private boolean requestWritten;
 
-  /** Not part of the state: it matters for status updates after the attempt's end. */
+  /**
+   * Whether the worker has returned the job unstarted. This flag is not part of the state, because
+   * it is needed after the attempt has ended: it shows whether a later status update that returns
+   * the job may be a repetition.
+   */
   private boolean returnedUnstarted;
 
   /**
-   * Creates an attempt with the next number of its call.
+   * Creates an attempt. Its number is the number of attempts that the call already has.
    *
-   * @param subchannel the subchannel to the worker; null where none of that id is listed
-   * @param deadline when to stop waiting for the outcome
-   * @param writeDeadline when to abort a request that is not completely written
+   * @param worker the id of the worker
+   * @param subchannel the subchannel to the worker, or null if no worker with that id is listed; an
+   *     attempt without a subchannel must not be started
+   * @param sentAt the time at which the attempt is passed to the subchannel
+   * @param deadline the time at which to stop waiting for the outcome
+   * @param writeDeadline the time at which to abort the request if it has not been completely
+   *     written
    */
   CallAttempt(
       Dispatcher dispatcher,
@@ -60,38 +80,45 @@
     this.writeDeadline = writeDeadline;
   }
 
-  /** Starts the attempt on its subchannel. */
+  /** Starts the attempt on its subchannel. The attempt may end during this call. */
   void start() {
     Subchannel.ActiveCall started = subchannel.start(this);
     activeCall = hasEnded() ? null : started;
   }
 
-  /** Whether the outcome is known; it does not change any more. */
+  /** Returns whether the attempt has ended. The outcome of an ended attempt does not change. */
   public boolean hasEnded() {
     return state == CallAttemptState.ENDED;
   }
 
-  /** The outcome, or null before the end. */
+  /** Returns the outcome, or null if the attempt has not ended. */
   AttemptOutcome outcome() {
     return outcome;
   }
 
-  /** Its position among the attempts of its call, from 0. */
+  /** Returns the position of this attempt among the attempts of its call, starting at 0. */
   int number() {
     return number;
   }
 
-  /** The id of the worker. */
+  /** Returns the id of the worker. */
   public String worker() {
     return worker;
   }
 
-  /** Whether the request may be sent; to be called before its first byte is written. */
+  /**
+   * Notifies the {@link Rpc.Caller} that the request is about to be sent, and returns whether the
+   * request may be sent. The subchannel must call this method before it writes the first byte of
+   * the request.
+   */
   public boolean mayStart() {
     return rpc.attemptStarting();
   }
 
-  /** Records that the last byte of the request is written: from here on the job may run. */
+  /**
+   * Records that the last byte of the request has been written. From this point on the job may run.
+   * Only the first invocation has an effect.
+   */
   public void requestWritten() {
     if (!requestWritten) {
       requestWritten = true;
@@ -99,14 +126,22 @@
     }
   }
 
-  /** Records that the worker has accepted the job; its end is reported later or times out. */
+  /**
+   * Records that the worker has accepted the job. The worker reports the end of the job later. If
+   * the worker has not reported the end by the deadline, the attempt ends with {@link
+   * AttemptOutcome#TIMEOUT}. Does nothing unless the attempt is in state {@link
+   * CallAttemptState#OPEN}.
+   */
   public void accepted() {
     if (transitionTo(CallAttemptState.ACCEPTED)) {
       deadlineTimer = dispatcher.loop().schedule(deadline, () -> end(AttemptOutcome.TIMEOUT, null));
     }
   }
 
-  /** Records that the job has started to run or has made progress. */
+  /**
+   * Reports to the dispatcher that the job has started to run or has made progress. Does nothing if
+   * the attempt has ended.
+   */
   public void progressed() {
     if (!hasEnded()) {
       dispatcher.attemptProgressed(this);
@@ -114,9 +149,10 @@
   }
 
   /**
-   * Records that the worker has completed the job, and answers the call.
+   * Answers the call with the result of the job and ends the attempt. Does nothing if the attempt
+   * has ended.
    *
-   * @param load the worker's load, or null where it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   public void completed(byte[] result, WorkerLoad load) {
     if (!hasEnded()) {
@@ -126,11 +162,13 @@
   }
 
   /**
-   * Records that the worker has returned the job unstarted. Status updates may be repeated: a
-   * second return by the same worker may be a repeat of the first, and proves nothing for this
-   * attempt.
+   * Ends the attempt because the worker has returned the job unstarted. The outcome is {@link
+   * AttemptOutcome#REJECTED}. However, if the same worker has already returned the job in an
+   * earlier attempt of the call, the outcome is {@link AttemptOutcome#RESET}. Workers may repeat
+   * status updates, so the second return may be a duplicate of the first return and does not prove
+   * that the job did not run in this attempt.
    *
-   * @param load the worker's load, or null where it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   public void returnedUnstarted(WorkerLoad load) {
     boolean repeated = rpc.wasReturnedBy(worker);
@@ -138,15 +176,16 @@
     end(repeated ? AttemptOutcome.RESET : AttemptOutcome.REJECTED, load);
   }
 
-  /** Whether the worker has returned the job unstarted. */
+  /** Returns whether the worker has returned the job of this attempt unstarted. */
   boolean wasReturnedUnstarted() {
     return returnedUnstarted;
   }
 
   /**
-   * Ends the attempt; does nothing if it has ended.
+   * Ends the attempt with an outcome and reports the outcome to the dispatcher. Does nothing if the
+   * attempt has ended.
    *
-   * @param load the worker's load, or null where it was not reported
+   * @param load the load that the worker reported, or null if none was reported
    */
   public void end(AttemptOutcome finalOutcome, WorkerLoad load) {
     if (!transitionTo(CallAttemptState.ENDED)) {
@@ -159,18 +198,26 @@
     dispatcher.attemptEnded(this, finalOutcome, load);
   }
 
+  /**
+   * Enters the given state if {@link CallAttemptState#canBecome} allows the transition.
+   *
+   * @return whether the state was entered
+   */
   private boolean transitionTo(CallAttemptState next) {
-    boolean possible = state.canBecome(next);
-    if (possible) {
+    boolean isAllowed = state.canBecome(next);
+    if (isAllowed) {
       state = next;
     }
-    return possible;
+    return isAllowed;
   }
 
   /**
-   * Aborts the attempt if its request is not completely written, so that the job cannot have run:
-   * the client may have disconnected, or the worker takes no new jobs, and a request written later
-   * would start the job then.
+   * Aborts the attempt if its request has not been completely written. In this case the job cannot
+   * have run, so the outcome is {@link AttemptOutcome#NOT_ATTEMPTED}. Without the abort, the rest
+   * of the request could be written later and would start the job.
+   *
+   * <p>This method is called when the call is completed, for example because the client has
+   * disconnected, and when the worker accepts no new jobs.
    */
   void abortIfUnsent() {
     if (!hasEnded() && activeCall != null && activeCall.abortIfUnsent()) {
@@ -178,7 +225,9 @@
     }
   }
 
-  /** Cancels the attempt; the job may have run. */
+  /**
+   * Cancels the attempt if it has not ended. The job may nevertheless have run, or may still run.
+   */
   void cancel() {
     if (!hasEnded()) {
       if (activeCall != null) {
@@ -188,22 +237,22 @@
     }
   }
 
-  /** The call that this is an attempt of. */
+  /** Returns the call that this attempt belongs to. */
   public Rpc rpc() {
     return rpc;
   }
 
-  /** When it was passed to its subchannel. */
+  /** Returns the time at which the attempt was passed to its subchannel. */
   public long sentAt() {
     return sentAt;
   }
 
-  /** When to stop waiting for the outcome. */
+  /** Returns the time at which to stop waiting for the outcome. */
   public long deadline() {
     return deadline;
   }
 
-  /** When to abort a request that is not completely written. */
+  /** Returns the time at which to abort the request if it has not been completely written. */
   public long writeDeadline() {
     return writeDeadline;
   }
--- a/src/main/java/loomreel/core/CallIdRegistry.java
+++ b/src/main/java/loomreel/core/CallIdRegistry.java
@@ -1,16 +1,20 @@
 package loomreel.core;
 
 /**
- * Coordinates the ids of active calls with another process that serves as the same dispatcher, so
- * that an id is never active in both.
+ * Shares the ids of active calls with another process that serves as the same dispatcher, for
+ * example during a hot restart. With this registry, each process can ensure that no id is active in
+ * both processes. {@link CallTable} defines which calls are active.
  */
 public interface CallIdRegistry {
-  /** A call with this id has become active here. */
+  /** Called when a call with this id has become active in this process. */
   void acquired(String id);
 
-  /** The call with this id has ended here; the id is free again. */
+  /**
+   * Called when the call with this id is no longer active in this process, so that the id may be
+   * used again.
+   */
   void released(String id);
 
-  /** Whether a call with this id is active in the other process. */
+  /** Returns whether a call with this id is active in the other process. */
   boolean inUseElsewhere(String id);
 }
--- a/src/main/java/loomreel/core/Ingress.java
+++ b/src/main/java/loomreel/core/Ingress.java
@@ -1,19 +1,25 @@
 package loomreel.core;
 
-/** Accepts the clients of one protocol and turns their requests into {@link Rpc}s. */
+/** Accepts the clients of one protocol and converts their requests to {@link Rpc}s. */
 public interface Ingress {
-  /** Accepts nothing new from now on; accepted calls are still answered. */
+  /**
+   * Starts to drain this ingress, because the process is shutting down. The ingress may stop
+   * accepting new work. Calls that have been accepted are still answered.
+   */
   void beginDrain();
 
-  /** Whether something that it accepted is not finished. */
+  /** Returns whether any work that this ingress has accepted is unfinished. */
   boolean hasPendingWork();
 
   /**
-   * Releases its resources. The last call before the process exits: nothing is pending, or the
-   * shutdown deadline has passed.
+   * Releases the resources of this ingress. This method is called last, before the process exits.
+   * At that time no work is pending, or the shutdown deadline has passed. By default does nothing.
    */
   default void close() {}
 
-  /** Its counters since the start, for the log. */
+  /**
+   * Returns the current values and the counters of this ingress as text for the log. The counters
+   * count from the start of the ingress.
+   */
   String summary();
 }
--- a/src/main/java/loomreel/core/PolicyDriver.java
+++ b/src/main/java/loomreel/core/PolicyDriver.java
@@ -10,9 +10,11 @@
 import loomreel.io.EventLoop;
 
 /**
- * Feeds events to the decision module one at a time and has its actions executed. An event that an
- * action causes is queued until all actions of the current event have been executed. Used on the
- * event loop's thread only.
+ * Passes events to the {@link DispatchPolicy} one at a time, and executes the actions that the
+ * policy returns for each event. If the execution of an action causes another event, that event is
+ * queued until all actions of the current event have been executed.
+ *
+ * <p>Not thread-safe: used on the event loop's thread only.
  */
 final class PolicyDriver {
   private final EventLoop loop;
@@ -20,34 +22,40 @@
   private final Consumer<Action> executor;
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
 
-  /** The actions of the current event; one list for all events. */
+  /**
+   * The actions that the policy returns for the current event. The list is reused for all events.
+   */
   private final List<Action> actions = new ArrayList<>();
 
-  private boolean dispatching;
+  /** Whether an event is being handled. */
+  private boolean handlingEvent;
 
   /**
-   * Creates a driver of a policy that has not started.
+   * Creates a driver with a policy that has not been started.
    *
-   * @param executor executes one action; it may submit further events
+   * @param executor the function that executes one action; it may submit further events
    */
   PolicyDriver(EventLoop loop, Consumer<Action> executor) {
     this.loop = loop;
     this.executor = executor;
   }
 
-  /** Passes an event to the policy: at once, or after those that are being handled now. */
+  /**
+   * Passes an event to the policy. If another event is being handled, the new event is queued and
+   * is passed to the policy after all events that are already queued.
+   */
   void submit(Event event) {
     pendingEvents.add(event);
-    if (dispatching) {
+    if (handlingEvent) {
       return;
     }
-    dispatching = true;
+    handlingEvent = true;
     try {
       for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
         handle(next);
       }
     } finally {
-      dispatching = false;
+      handlingEvent = false;
     }
   }
 
@@ -67,7 +75,10 @@
     executor.accept(action);
   }
 
-  /** How many listed workers are ejected by the policy or disabled by operators now. */
+  /**
+   * Returns the current number of listed workers that are ejected by the policy or disabled by
+   * operators.
+   */
   int ejectedWorkers() {
     return policy.ejectedWorkers(loop.now());
   }
--- a/src/main/java/loomreel/core/Subchannel.java
+++ b/src/main/java/loomreel/core/Subchannel.java
@@ -2,21 +2,25 @@
 
 import loomreel.decision.Endpoint;
 
-/** The connection to one listed worker, whatever protocol it uses. */
+/**
+ * The logical connection to one listed worker. This interface is independent of the protocol by
+ * which the worker is called.
+ */
 public interface Subchannel {
-  /** Carries an attempt until that ends. */
+  /** An attempt in progress on a subchannel. */
   interface ActiveCall {
     /**
-     * Cancels the request: if it is not sent yet it is never sent; otherwise the worker is
-     * requested to stop the job.
+     * Cancels the attempt. If its request has not been sent, the request is not sent at all. If the
+     * worker has accepted the job, the worker is requested to stop the job, provided that the
+     * protocol allows such a request.
      */
     void cancel();
 
     /**
-     * Aborts the request if it is not completely written, so that the job cannot run; otherwise
-     * changes nothing.
+     * Aborts the request if it has not been completely written and can still be withdrawn, so that
+     * the job cannot run. Otherwise does nothing. By default does nothing.
      *
-     * @return whether it was aborted
+     * @return whether the request was aborted
      */
     default boolean abortIfUnsent() {
       return false;
@@ -24,16 +28,22 @@
   }
 
   /**
-   * Starts an attempt. From here on the subchannel ends it. The outcome implies that nothing ran
-   * only where that is proven.
+   * Starts an attempt. From now on, the subchannel may end the attempt. The subchannel may use an
+   * outcome for which {@link loomreel.decision.AttemptOutcome#neverRan} returns true only if it is
+   * certain that the job has not run.
    *
-   * @return what carries it, or null if it has ended already
+   * @return the attempt in progress; may be null if the attempt has already ended
    */
   ActiveCall start(CallAttempt attempt);
 
-  /** The worker's endpoint in the state that its pool reported last, or is to report first. */
+  /**
+   * Returns the current endpoint of the worker. The pool has reported this endpoint to the
+   * dispatcher or is about to report it.
+   */
   Endpoint endpoint();
 
-  /** Requests the worker's load; the result goes to {@link Dispatcher#healthChecked}. */
+  /**
+   * Requests the load of the worker. The result is reported to {@link Dispatcher#healthChecked}.
+   */
   void checkHealth();
 }
--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -6,31 +6,45 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Keeps the number of client connections within the file descriptors that are granted: evicts
- * unproven and idle connections before the limit is reached, and pauses accepting at the limit.
+ * Limits the number of open client connections to the number of file descriptors that are granted
+ * for them. Before the limit is reached, evicts connections that are unproven or idle; {@link
+ * ConnectionRegistry} defines these categories. Evicted connections are closed gracefully, so that
+ * clients do not lose responses that they have not read yet.
  *
- * <p>Connections are shut down gracefully, so that a response that is still unread is not lost;
- * only at the limit the oldest one is closed at once.
+ * <p>If the limit is reached nevertheless, closes the oldest half-closed connection at once or, if
+ * no connection is half-closed, the oldest unproven connection. If this connection is in its grace
+ * period, or if no connection is half-closed or unproven, accepting is paused instead.
  */
 final class ConnectionLimiter {
-  /** How long a new connection has for its first request, in microseconds. */
-  static final long UNPROVEN_GRACE_MICROS = 100_000;
+  /**
+   * The grace period of unproven and half-closed connections, in microseconds. An unproven
+   * connection is not evicted or closed until this time has passed since its accept, because its
+   * first request may not have been read yet. A half-closed connection is not closed at once until
+   * this time has passed since the shutdown of its output.
+   */
+  static final long GRACE_PERIOD_MICROS = 100_000;
 
-  /** The fraction of the connections that unproven ones cannot evict proven ones from. */
+  /**
+   * The fraction of the maximum number of connections that is protected for proven connections,
+   * on which a job or a job status update has arrived. While the proven connections do not exceed
+   * this fraction, unproven connections are evicted before idle connections.
+   */
   private static final double PROVEN_FRACTION = 0.5;
 
   /**
-   * The fraction of all descriptors that idle connections may hold. Clients may send one request on
-   * each connection and leave it open; a third of the descriptors is for them, and those of idle
-   * connections are not available to their next jobs.
+   * The maximum fraction of the granted file descriptors that idle connections may hold. Clients
+   * may send one request on each connection and leave the connection open. A third of the granted
+   * descriptors is meant for clients, and a descriptor that an idle connection holds is not
+   * available for a new connection, on which a client submits its next job.
    */
   private static final double MAX_IDLE_FRACTION = 1 / 8.0;
 
+  /** The lower bound of the maximum number of idle connections. */
   private static final int MIN_IDLE_LIMIT = 4;
 
   /**
-   * The fraction of the connections that stays free, so that clients have the time to close their
-   * side of a connection that was shut down.
+   * The fraction of the maximum number of connections that is kept free, so that clients have time
+   * to close their side of a connection whose output was shut down by the dispatcher.
    */
   private static final double RESERVED_FRACTION = 1 / 16.0;
 
@@ -38,10 +52,15 @@
   private final ConnectionRegistry registry;
   private final Acceptor acceptor;
   private final RateLimitedLogger log;
+
+  /** The maximum number of open connections. */
   private int maxConnections = Integer.MAX_VALUE;
+
+  /** The maximum number of idle connections. */
   private int maxIdle = Integer.MAX_VALUE;
-  private int unprovenEvicted;
-  private int idleEvicted;
+
+  private int evictedUnprovenCount;
+  private int evictedIdleCount;
 
   ConnectionLimiter(
       EventLoop loop, ConnectionRegistry registry, Acceptor acceptor, RateLimitedLogger log) {
@@ -51,25 +70,36 @@
     this.log = log;
   }
 
-  /** Sets the limits and enforces them, unless accepting is paused or stopped. */
-  void setCapacity(int connections, int grantedDescriptors) {
-    maxConnections = connections;
+  /**
+   * Sets the limits. If connections are currently being accepted, also enforces the limits.
+   *
+   * @param newMaxConnections the maximum number of open connections
+   * @param grantedDescriptors the number of file descriptors that are granted to this process for
+   *     HTTP; idle connections may hold {@link #MAX_IDLE_FRACTION} of them
+   */
+  void setCapacity(int newMaxConnections, int grantedDescriptors) {
+    maxConnections = newMaxConnections;
     maxIdle = (int) Math.max(MIN_IDLE_LIMIT, grantedDescriptors * MAX_IDLE_FRACTION);
     if (acceptor.isAccepting()) {
       evictExcess();
     }
   }
 
-  /** Evicts connections while fewer than the reserved ones are free; called after each accept. */
+  /**
+   * Evicts connections until {@link #RESERVED_FRACTION} of the maximum number of connections is
+   * free, where half-closed connections count as free, or until no further connection may be
+   * evicted. If the maximum number of connections is open nevertheless, half-closed connections
+   * included, closes one connection at once or pauses accepting. Must be called after each accept.
+   */
   void evictExcess() {
     int reserved = (int) Math.max(1, maxConnections * RESERVED_FRACTION);
     int excess = registry.activeCount() - maxConnections + reserved;
     while (excess > 0) {
-      Optional<ClientConnection> victim = pollEvictable();
-      if (victim.isEmpty()) {
+      Optional<ClientConnection> evictable = pollEvictable();
+      if (evictable.isEmpty()) {
         break;
       }
-      victim.get().closeIfIdle(ClientConnection.PartialRequest.REJECT);
+      evictable.get().closeIfIdle(ClientConnection.PartialRequest.REJECT);
       excess--;
     }
     if (registry.openCount() >= maxConnections) {
@@ -85,7 +115,7 @@
       acceptor.pause(Acceptor.RETRY_DELAY_MICROS);
       return;
     }
-    long waitMicros = oldest.get().since() + UNPROVEN_GRACE_MICROS - loop.now();
+    long waitMicros = oldest.get().since() + GRACE_PERIOD_MICROS - loop.now();
     if (waitMicros > 0) {
       acceptor.pause(waitMicros);
     } else {
@@ -94,10 +124,19 @@
   }
 
   /**
-   * Removes and returns the connection to evict next: the oldest unproven one, unless its first
-   * request may just be unread. Clients that open many connections must not displace those that
-   * send jobs and status updates. Where the proven ones exceed their fraction, it is the longest
-   * idle one, so that new connections have the time to prove themselves.
+   * Selects the next connection to evict, and removes it from the unproven or the idle connections
+   * of the registry.
+   *
+   * <p>Normally the oldest unproven connection is selected. Clients that open many connections
+   * therefore do not displace clients that send jobs or workers that send status updates. An
+   * unproven connection is not selected during its grace period, because its first request may not
+   * have been read yet.
+   *
+   * <p>If the proven connections exceed {@link #PROVEN_FRACTION}, or if no connection is unproven,
+   * the connection that has been idle longest is selected instead, provided that any connection is
+   * idle. This rule gives new connections time to send a request.
+   *
+   * @return the selected connection, or empty if no connection may be evicted
    */
   private Optional<ClientConnection> pollEvictable() {
     if (registry.idleCount() > 0 && (registry.unprovenCount() == 0 || provenExceedFraction())) {
@@ -106,12 +145,14 @@
     Optional<ClientConnection> oldest =
         registry
             .oldestUnproven()
-            .filter(timed -> timed.since() + UNPROVEN_GRACE_MICROS <= loop.now())
+            .filter(timed -> timed.since() + GRACE_PERIOD_MICROS <= loop.now())
             .map(ConnectionRegistry.Timed::connection);
     oldest.ifPresent(
         connection -> {
+          // This only removes the connection from the unproven connections, so that it is not
+          // selected again.
           registry.markProven(connection);
-          unprovenEvicted++;
+          evictedUnprovenCount++;
         });
     return oldest;
   }
@@ -121,22 +162,25 @@
   }
 
   private ClientConnection pollLongestIdle() {
-    idleEvicted++;
+    evictedIdleCount++;
     return registry.pollLongestIdle();
   }
 
-  /** Removes and returns the longest idle connection if there are more than the limit allows. */
+  /**
+   * If the number of idle connections exceeds the maximum, removes the connection that has been
+   * idle longest from the idle connections and returns it. Otherwise returns empty.
+   */
   Optional<ClientConnection> pollExcessIdle() {
     return registry.idleCount() > maxIdle ? Optional.of(pollLongestIdle()) : Optional.empty();
   }
 
-  /** How many unproven connections were evicted since the start. */
-  int unprovenEvicted() {
-    return unprovenEvicted;
+  /** Returns the number of unproven connections that were evicted since the start. */
+  int evictedUnprovenCount() {
+    return evictedUnprovenCount;
   }
 
-  /** How many idle connections were evicted since the start. */
-  int idleEvicted() {
-    return idleEvicted;
+  /** Returns the number of idle connections that were evicted since the start. */
+  int evictedIdleCount() {
+    return evictedIdleCount;
   }
 }
--- a/src/main/java/loomreel/ingress/ConnectionRegistry.java
+++ b/src/main/java/loomreel/ingress/ConnectionRegistry.java
@@ -10,26 +10,41 @@
 import java.util.Set;
 
 /**
- * The open client connections, and which of them are unproven, idle or half-closed. Bookkeeping
- * only: it neither opens nor closes a connection.
+ * The open client connections, with the categories unproven, idle and half-closed. The registry
+ * only records connections; it neither opens nor closes them. A connection may belong to several
+ * categories or to none.
  *
- * <p>A connection is <em>unproven</em> until it has sent a job or a job status update,
- * <em>idle</em> while it has no request, and <em>half-closed</em> once its output is shut down and
- * the client's close is awaited. All times are in microseconds of the event loop's clock.
+ * <ul>
+ *   <li>A connection is <em>unproven</em> until a job or a job status update has arrived on it.
+ *   <li>A connection is <em>idle</em> from the end of a response to the start of the next request.
+ *   <li>A connection is <em>half-closed</em> after the dispatcher has shut its output down, until
+ *       the connection is closed.
+ * </ul>
+ *
+ * <p>All times are in microseconds of the event loop's clock.
  */
 final class ConnectionRegistry {
-  /** A connection and the time since when it is in its present category. */
+  /**
+   * An unproven or half-closed connection, and the time since which it has been in that category.
+   *
+   * @param since the time at which the connection was accepted if it is unproven, or at which its
+   *     output was shut down if it is half-closed
+   */
   record Timed(ClientConnection connection, long since) {}
 
+  /** All open connections, including the half-closed ones, the oldest first. */
   private final Set<ClientConnection> open = new LinkedHashSet<>();
 
-  /** By connection the time at which it was accepted, the oldest first. */
+  /** The unproven connections and the times at which they were accepted, the oldest first. */
   private final Map<ClientConnection, Long> unproven = new LinkedHashMap<>();
 
-  /** By connection the time at which its output was shut down, the oldest first. */
+  /**
+   * The half-closed connections and the times at which their output was shut down, the oldest
+   * first.
+   */
   private final Map<ClientConnection, Long> halfClosed = new LinkedHashMap<>();
 
-  /** The longest idle first. */
+  /** The idle connections, the longest idle first. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   void add(ClientConnection connection, long now) {
@@ -62,8 +77,11 @@
     halfClosed.put(connection, now);
   }
 
-  /** Whether a connection is proven, or was accepted at a time or before it. */
-  boolean isProvenOrOpenSince(ClientConnection connection, long time) {
+  /**
+   * Returns whether a connection is proven, or is unproven and was accepted at the given time or
+   * earlier.
+   */
+  boolean isProvenOrAcceptedNoLaterThan(ClientConnection connection, long time) {
     Long acceptedAt = unproven.get(connection);
     return acceptedAt == null || acceptedAt <= time;
   }
@@ -82,20 +100,24 @@
         .map(entry -> new Timed(entry.getKey(), entry.getValue()));
   }
 
-  /** Removes the connection that has been idle longest from the idle ones; there has to be one. */
+  /**
+   * Removes the connection that has been idle longest from the idle connections, and returns it.
+   *
+   * @throws java.util.NoSuchElementException if no connection is idle
+   */
   ClientConnection pollLongestIdle() {
     Iterator<ClientConnection> connections = idle.iterator();
-    ClientConnection longest = connections.next();
+    ClientConnection longestIdle = connections.next();
     connections.remove();
-    return longest;
+    return longestIdle;
   }
 
-  /** A copy of the open connections, the oldest first. */
+  /** Returns a copy of all open connections, including the half-closed ones, the oldest first. */
   List<ClientConnection> openConnections() {
     return new ArrayList<>(open);
   }
 
-  /** A copy of the idle connections, the longest idle first. */
+  /** Returns a copy of the idle connections, the longest idle first. */
   List<ClientConnection> idleConnections() {
     return new ArrayList<>(idle);
   }
@@ -116,7 +138,7 @@
     return halfClosed.size();
   }
 
-  /** The open connections whose output is not shut down. */
+  /** Returns the number of open connections that are not half-closed. */
   int activeCount() {
     return open.size() - halfClosed.size();
   }
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -12,41 +12,50 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The HTTP ingress: accepts the connections of clients with jobs and of workers with job status
- * updates. {@link ConnectionLimiter} bounds their number.
+ * The HTTP ingress. Accepts connections of clients, which submit jobs, and of workers, which send
+ * job status updates. {@link ConnectionLimiter} limits the number of connections.
  *
- * <p>Used on the event loop's thread only. It owns its {@link ClientConnection}s; the listening
- * socket belongs to the event loop.
+ * <p>Not thread-safe: used on the event loop's thread only. Owns its {@link ClientConnection}s. The
+ * listening socket is owned by the event loop.
  */
 public final class HttpIngress implements Ingress {
-  /** Which connections and jobs the process accepts in its present state. */
+  /**
+   * Decides, from the current state of the process, what is accepted and when connections are
+   * closed.
+   */
   public interface AdmissionGate {
-    /** Whether clients should use this process, as its readiness check reports. */
+    /** Returns whether the readiness check reports that clients should use this process. */
     boolean acceptsClients();
 
-    /** Whether jobs are accepted; if not, other processes accept them. */
+    /**
+     * Returns whether this process accepts jobs. If it does not, other processes accept the jobs.
+     */
     boolean acceptsJobs();
 
-    /** Whether every connection is closed when it falls idle. */
+    /** Returns whether each connection is closed as soon as it becomes idle. */
     boolean isClosing();
 
     /**
-     * Whether a response is the last one on its connection.
+     * Returns whether a response that starts now is the last one on its connection.
      *
-     * @param fromWorker whether the peer is a worker
+     * @param fromWorker whether the peer of the connection is a worker
      */
     boolean isFinalResponse(boolean fromWorker);
 
     /**
-     * Forwards a job status update for a job that is unknown here to the other process.
+     * Forwards a job status update to the other process that serves as the same dispatcher, for
+     * example during a hot restart. Used if the call that the update belongs to is not active in
+     * this process.
      *
      * @param body the update as it was received
-     * @param completed called when the other process has handled it, or has disconnected
+     * @param completed called when the other process has handled the update or has disconnected, or
+     *     at once if there is no other process
      */
     void forwardStatusUpdate(byte[] body, Runnable completed);
   }
 
-  private static final int MAX_ACCEPTS_PER_TURN = 64;
+  /** The maximum number of connections that are accepted in one iteration of the event loop. */
+  private static final int MAX_ACCEPTS_PER_ITERATION = 64;
 
   private final AdmissionGate gate;
   private final RequestHandler requestHandler;
@@ -55,13 +64,14 @@
   private final ConnectionRegistry registry = new ConnectionRegistry();
   private final Acceptor acceptor;
   private final ConnectionLimiter limiter;
-  private int accepted;
-  private int requestTimeouts;
+  private int acceptedCount;
+  private int timeoutCount;
 
   /**
    * Creates an ingress that accepts no connection before {@link #open}.
    *
-   * @param listener bound and non-blocking
+   * @param listener the listening socket, which is bound and non-blocking
+   * @param gate decides what is accepted and when connections are closed
    * @throws IOException if the listener cannot be registered with the event loop
    */
   public HttpIngress(
@@ -70,7 +80,7 @@
     loop = dispatcher.loop();
     this.gate = gate;
     requestHandler = new RequestHandler(dispatcher, settings, gate, log);
-    acceptor = new Acceptor(loop, listener, MAX_ACCEPTS_PER_TURN, log, this::accept);
+    acceptor = new Acceptor(loop, listener, MAX_ACCEPTS_PER_ITERATION, log, this::accept);
     limiter = new ConnectionLimiter(loop, registry, acceptor, log);
   }
 
@@ -80,21 +90,24 @@
   }
 
   /**
-   * Sets how many connections may be open.
+   * Sets the maximum number of open connections.
    *
-   * @param grantedDescriptors the process's file descriptors, a fraction of which may be idle
-   *     connections
+   * @param grantedDescriptors the number of file descriptors that are granted to this process for
+   *     HTTP; idle connections may hold a fraction of them
    */
-  public void setCapacity(int connections, int grantedDescriptors) {
-    limiter.setCapacity(connections, grantedDescriptors);
+  public void setCapacity(int maxConnections, int grantedDescriptors) {
+    limiter.setCapacity(maxConnections, grantedDescriptors);
   }
 
-  /** Stops accepting connections for good: another process accepts them. */
+  /** Stops accepting connections permanently, because another process accepts them. */
   public void stopAccepting() {
     acceptor.stop();
   }
 
-  /** Closes the idle connections of clients; those of workers stay open. */
+  /**
+   * Closes the idle connections of clients. Connections whose peer is known to be a worker stay
+   * open.
+   */
   public void closeIdleClients() {
     for (ClientConnection connection : registry.idleConnections()) {
       if (!connection.isFromWorker()) {
@@ -104,22 +117,24 @@
   }
 
   /**
-   * Closes all idle connections. One that was opened a moment ago has the time to send its first
-   * request, so this is to be called repeatedly until no connection is open.
+   * Closes the connections that are waiting for a request. An unproven connection stays open during
+   * its grace period, because its first request may still arrive. A connection whose request is
+   * being received or processed also stays open. This method must therefore be called repeatedly,
+   * until no connection is open. It does not stop accepting connections.
    */
   @Override
   public void beginDrain() {
-    long graceStart = loop.now() - ConnectionLimiter.UNPROVEN_GRACE_MICROS;
+    long graceStart = loop.now() - ConnectionLimiter.GRACE_PERIOD_MICROS;
     for (ClientConnection connection : registry.openConnections()) {
-      if (registry.isProvenOrOpenSince(connection, graceStart)) {
+      if (registry.isProvenOrAcceptedNoLaterThan(connection, graceStart)) {
         connection.closeIfIdle(ClientConnection.PartialRequest.AWAIT);
       }
     }
   }
 
   /**
-   * Whether a connection is open: its client may not have received the response yet, and the end of
-   * the process would lose it.
+   * Returns whether any connection is open. The client of an open connection may not have received
+   * its response yet, and would lose the response if the process exited.
    */
   @Override
   public boolean hasPendingWork() {
@@ -137,13 +152,13 @@
         + " half_closed="
         + registry.halfClosedCount()
         + " accepted="
-        + accepted
+        + acceptedCount
         + " evicted_unproven="
-        + limiter.unprovenEvicted()
+        + limiter.evictedUnprovenCount()
         + " evicted_idle="
-        + limiter.idleEvicted()
+        + limiter.evictedIdleCount()
         + " timeouts="
-        + requestTimeouts
+        + timeoutCount
         + " jobs_without_capacity="
         + requestHandler.jobsWithoutCapacity();
   }
@@ -152,18 +167,21 @@
     try {
       ClientConnection connection = new ClientConnection(loop, channel, this, requestHandler);
       registry.add(connection, loop.now());
-      accepted++;
+      acceptedCount++;
     } finally {
       limiter.evictExcess();
     }
   }
 
-  /** Counts a request, response or close that did not complete in time. */
+  /**
+   * Counts a timeout of a connection: a request was not received in time, a response was not
+   * written in time, or the client did not close the connection in time.
+   */
   void recordTimeout() {
-    requestTimeouts++;
+    timeoutCount++;
   }
 
-  /** Whether a response that starts now is the last one on its connection. */
+  /** Returns whether a response that starts now is the last one on its connection. */
   boolean isFinalResponse(boolean fromWorker) {
     return gate.isFinalResponse(fromWorker);
   }
@@ -172,37 +190,45 @@
     log.info("malformed request reason=" + error.getMessage());
   }
 
-  /** A connection has received a job or a job status update. */
+  /** Records that a connection has received a job or a job status update. */
   void markProven(ClientConnection connection) {
     registry.markProven(connection);
   }
 
-  /** A connection has a request, or a part of one. */
+  /** Records that a connection has received a request or the first part of a request. */
   void markBusy(ClientConnection connection) {
     registry.markBusy(connection);
   }
 
-  /** A connection has no request any more. */
+  /**
+   * Records that a connection has become idle. If idle connections are to be closed, closes this
+   * connection. Otherwise, if too many connections are idle, closes the connection that has been
+   * idle longest.
+   */
   void markIdle(ClientConnection connection) {
     registry.markIdle(connection);
     if (gate.isClosing()) {
-      closeNextTurn(connection);
+      closeInNextIteration(connection);
     } else {
-      limiter.pollExcessIdle().ifPresent(this::closeNextTurn);
+      limiter.pollExcessIdle().ifPresent(this::closeInNextIteration);
     }
   }
 
-  /** Not now, because input of the connection may be being processed. */
-  private void closeNextTurn(ClientConnection connection) {
+  /**
+   * Closes a connection in the next iteration of the event loop if the connection is still idle at
+   * that time. The connection is not closed at once, because this method may be called while input
+   * of the connection is being processed.
+   */
+  private void closeInNextIteration(ClientConnection connection) {
     loop.schedule(loop.now(), () -> connection.closeIfIdle(ClientConnection.PartialRequest.AWAIT));
   }
 
-  /** A connection's output was shut down. */
+  /** Records that the output of a connection was shut down. */
   void markHalfClosed(ClientConnection connection) {
     registry.markHalfClosed(connection, loop.now());
   }
 
-  /** A connection was closed. */
+  /** Removes a connection that was closed. */
   void remove(ClientConnection connection) {
     registry.remove(connection);
   }
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -18,51 +18,61 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The workers that are called over HTTP: from discovery, or from a static endpoint list, whose
- * workers an {@link OutlierEjector} removes while they cannot be reached.
+ * The workers that are called over HTTP. The endpoint list comes from discovery or is static. Each
+ * worker of a static list has an {@link OutlierEjector}, which reports the worker as removed while
+ * the worker cannot be reached.
  *
- * <p>Used on the event loop's thread only. It owns the subchannels and the endpoint watch.
+ * <p>Owns the subchannels and the endpoint watch. Not thread-safe: used on the event loop's thread
+ * only.
  */
 public final class HttpWorkerPool extends SubchannelPool<HttpSubchannel>
     implements EndpointWatcher.Listener {
-  /** After this time an idle connection to discovery is closed. */
+  /** The idle time after which a connection to discovery is closed, in microseconds. */
   private static final long DISCOVERY_IDLE_TIMEOUT_MICROS = 1_000_000;
 
   /**
-   * Idle connections are closed from this side after this fraction of the time after which the
-   * worker closes them.
+   * The idle timeout of connections to workers, as a fraction of the time after which the worker
+   * itself closes an idle connection.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
   private final long connectTimeoutMicros;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.upstream");
-  private final RateLimitedLogger peerLog = new RateLimitedLogger("loomreel.http.pool");
-  private final DescriptorQuota descriptors = new DescriptorQuota(0);
+  private final RateLimitedLogger connectionLog = new RateLimitedLogger("loomreel.http.pool");
+  private final DescriptorQuota descriptorQuota = new DescriptorQuota(0);
   private final IdleTimeoutEstimator idleTimeout;
   private final EndpointList initialEndpoints;
 
-  /** The initial endpoint list until discovery has confirmed or updated it; empty from then on. */
-  private Optional<EndpointList> unconfirmed = Optional.empty();
+  /**
+   * The initial endpoint list while it has not been applied, because discovery has neither
+   * confirmed nor updated it; empty otherwise.
+   */
+  private Optional<EndpointList> unconfirmedEndpoints = Optional.empty();
 
-  /** Empty where the endpoint list is static. */
+  /** The endpoint watch; empty if the endpoint list is static. */
   private final Optional<EndpointWatcher> watcher;
 
-  /** Whether lists are pushed to an agent on this machine. */
+  /**
+   * Whether endpoint lists are pushed to an agent on this machine. If so, the agent is watched
+   * instead of discovery.
+   */
   private final boolean isPushed;
 
   private final FirstListBarrier firstListBarrier;
 
-  /** By worker; empty unless the endpoint list is static. */
+  /** The outlier ejectors by worker id; empty unless the endpoint list is static. */
   private final Map<String, OutlierEjector> outlierEjectors = new HashMap<>();
 
   /**
    * Creates a pool that has no workers before {@link #start}.
    *
-   * @param initialEndpoints the endpoint list as it was last known
-   * @param discovery where the list comes from, or null where {@code initialEndpoints} is static
-   * @param settings whose rules limit how late a change of the list may be known
-   * @param connectTimeoutMicros how long establishing a connection may take, in microseconds
-   * @param workerIdleTimeoutMicros after which time a worker closes an idle connection, in
+   * @param initialEndpoints the static endpoint list, or the last known list of discovery
+   * @param discovery the address of discovery or of the agent, or null if {@code initialEndpoints}
+   *     is static
+   * @param settings the settings, which state whether lists are polled or pushed; their rules limit
+   *     the time within which a change of the endpoint list must be known
+   * @param connectTimeoutMicros the maximum time for establishing a connection, in microseconds
+   * @param workerIdleTimeoutMicros the time after which a worker closes an idle connection, in
    *     microseconds
    */
   public HttpWorkerPool(
@@ -103,22 +113,28 @@
         new DescriptorQuota(1),
         connectTimeoutMicros,
         new IdleTimeoutEstimator(DISCOVERY_IDLE_TIMEOUT_MICROS),
-        peerLog);
+        connectionLog);
   }
 
-  /** Sets how many file descriptors calls to workers may use. */
+  /** Sets the maximum number of file descriptors that connections to workers may use. */
   public void setCapacity(int maxDescriptors) {
-    descriptors.setLimit(maxDescriptors);
+    descriptorQuota.setLimit(maxDescriptors);
   }
 
   /**
-   * Announces the initial endpoint list once discovery has confirmed or updated it: workers of a
-   * list of unknown age may have been draining or removed for longer than the grace. Until then
-   * there are no workers, and jobs wait. Where discovery is polled, the policy decides when to call
-   * it first; an agent is called at once.
+   * Starts the pool. A static endpoint list is applied at once. Otherwise the initial list is
+   * applied when discovery has confirmed or updated it, or when {@link FirstListBarrier} stops
+   * waiting for discovery. Until a list is applied, the pool has no workers and jobs wait.
    *
-   * @param onReady called once, when jobs may be sent by the list that is known then; at once where
-   *     the list is static
+   * <p>The initial list of discovery is not applied at once, because its age is unknown: its
+   * workers may have been draining or removed for longer than the drain grace, {@link
+   * Settings.Rules#drainGrace}, during which jobs may still be sent to them.
+   *
+   * <p>If lists are pushed to an agent, the agent is called at once. If discovery is polled, the
+   * policy decides when the first call is made.
+   *
+   * @param onReady called once, when jobs may be sent to the workers of the pool; during this call
+   *     if the endpoint list is static
    */
   public void start(Runnable onReady) {
     if (watcher.isEmpty()) {
@@ -126,10 +142,10 @@
       onReady.run();
       return;
     }
-    unconfirmed = Optional.of(initialEndpoints);
+    unconfirmedEndpoints = Optional.of(initialEndpoints);
     firstListBarrier.await(
         () -> {
-          announceUnconfirmed();
+          applyUnconfirmedEndpoints();
           onReady.run();
         });
     if (isPushed) {
@@ -137,13 +153,16 @@
     }
   }
 
-  private void announceUnconfirmed() {
-    Optional<EndpointList> initial = unconfirmed;
-    unconfirmed = Optional.empty();
-    initial.ifPresent(this::announce);
+  /** Applies the initial endpoint list if no endpoint list has been applied yet. */
+  private void applyUnconfirmedEndpoints() {
+    Optional<EndpointList> initial = unconfirmedEndpoints;
+    unconfirmedEndpoints = Optional.empty();
+    initial.ifPresent(this::applyEndpointList);
   }
 
-  /** Watches discovery at another address from now on; does nothing if the list is static. */
+  /**
+   * Watches discovery at another address from now on. Does nothing if the endpoint list is static.
+   */
   public void moveDiscovery(InetSocketAddress address) {
     watcher.ifPresent(endpointWatcher -> endpointWatcher.moveTo(address));
   }
@@ -158,7 +177,7 @@
     subchannels.values().forEach(HttpSubchannel::closeStale);
     outlierEjectors.forEach(
         (id, ejector) -> {
-          if (ejector.takeDueProbe()) {
+          if (ejector.startProbeIfDue()) {
             subchannels.get(id).checkReachability();
           }
         });
@@ -172,33 +191,39 @@
 
   @Override
   public void endpointsReceived(EndpointList result) {
-    EndpointList next = unconfirmed.map(initial -> initial.updatedBy(result)).orElse(result);
-    unconfirmed = Optional.empty();
-    announce(next);
-    firstListBarrier.release();
+    EndpointList updatedList =
+        unconfirmedEndpoints.map(initial -> initial.updatedBy(result)).orElse(result);
+    unconfirmedEndpoints = Optional.empty();
+    applyEndpointList(updatedList);
+    firstListBarrier.callSucceeded();
   }
 
-  private void announce(EndpointList list) {
-    Map<String, HttpSubchannel> missing = new HashMap<>(subchannels);
+  /**
+   * Applies an endpoint list: updates the subchannels, then reports the endpoints to the
+   * dispatcher, and then calls {@link Dispatcher#abortUnsentAttempts} for each worker that accepts
+   * no new jobs.
+   */
+  private void applyEndpointList(EndpointList list) {
+    Map<String, HttpSubchannel> missingSubchannels = new HashMap<>(subchannels);
     for (Endpoint endpoint : list.endpoints()) {
-      missing.remove(endpoint.id());
+      missingSubchannels.remove(endpoint.id());
       updateSubchannel(endpoint, list.addresses().get(endpoint.id()));
     }
     if (list.complete()) {
-      new ArrayList<>(missing.keySet()).forEach(this::retire);
+      new ArrayList<>(missingSubchannels.keySet()).forEach(this::retire);
     }
     dispatcher.endpointsChanged(this, list.complete(), list.endpoints());
     list.endpoints().stream()
         .filter(endpoint -> endpoint.state() != Endpoint.State.READY)
         .forEach(endpoint -> dispatcher.abortUnsentAttempts(endpoint.id()));
     if (list.complete()) {
-      missing.keySet().forEach(dispatcher::abortUnsentAttempts);
+      missingSubchannels.keySet().forEach(dispatcher::abortUnsentAttempts);
     }
   }
 
   @Override
   public void endpointsUnchanged() {
-    firstListBarrier.release();
+    firstListBarrier.callSucceeded();
   }
 
   private void updateSubchannel(Endpoint endpoint, InetSocketAddress address) {
@@ -217,12 +242,12 @@
             dispatcher.loop(),
             endpoint.id(),
             address,
-            descriptors,
+            descriptorQuota,
             connectTimeoutMicros,
             idleTimeout,
-            peerLog);
+            connectionLog);
     return new HttpSubchannel(
-        dispatcher, endpoint, connections, log, reachabilityListener(endpoint.id()));
+        dispatcher, endpoint, connections, log, createReachabilityListener(endpoint.id()));
   }
 
   private void retire(String id) {
@@ -232,7 +257,11 @@
     }
   }
 
-  private ReachabilityListener reachabilityListener(String id) {
+  /**
+   * Creates the reachability listener of a worker. If the endpoint list is static, the listener is
+   * an {@link OutlierEjector}, which is also added to {@link #outlierEjectors}.
+   */
+  private ReachabilityListener createReachabilityListener(String id) {
     if (watcher.isPresent()) {
       return ReachabilityListener.NONE;
     }
@@ -241,13 +270,16 @@
     return ejector;
   }
 
-  /** The latest entry of a worker that the pool has. */
+  /** Returns the latest entry of the endpoint list for a worker that this pool lists. */
   Endpoint endpoint(String id) {
     return subchannels.get(id).endpoint();
   }
 
-  /** Replaces the entry of a worker of a static endpoint list. */
-  void replace(Endpoint endpoint) {
+  /**
+   * Replaces the entry of one worker of a static endpoint list, and reports the new entry to the
+   * dispatcher.
+   */
+  void replaceEndpoint(Endpoint endpoint) {
     InetSocketAddress address = initialEndpoints.addresses().get(endpoint.id());
     subchannels.get(endpoint.id()).update(address, endpoint);
     publish(endpoint);
--- a/src/main/java/loomreel/upstream/ReachabilityListener.java
+++ b/src/main/java/loomreel/upstream/ReachabilityListener.java
@@ -1,8 +1,11 @@
 package loomreel.upstream;
 
-/** Is notified by each call to a worker whether the worker can be reached. */
+/**
+ * Receives the results of calls to one worker: whether the worker could be reached. Calls that end
+ * with a reset, and calls that cancel a job, are not reported to the listener.
+ */
 interface ReachabilityListener {
-  /** Ignores everything. */
+  /** A listener that does nothing. */
   ReachabilityListener NONE =
       new ReachabilityListener() {
         @Override
@@ -12,9 +15,12 @@
         public void unreachable() {}
       };
 
-  /** The worker has responded, with whatever status. */
+  /** Called when the worker has responded, with any status. */
   void reachable();
 
-  /** No connection could be established, or there was no response in time. */
+  /**
+   * Called when a call has failed because no connection could be established or no response arrived
+   * in time.
+   */
   void unreachable();
 }
