--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -10,25 +10,30 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * This process's side of a hot restart: while two processes serve as one dispatcher it divides the
- * capacity between them, shares the ids of active calls, and forwards callbacks.
+ * Manages this process's side of a hot restart. While two processes serve as one dispatcher, it
+ * divides the capacity between them, shares the ids of active calls, and forwards callbacks.
  *
- * <p>Without a channel, as where hot restart is disabled or no loopback port can be opened, it does
- * nothing. Confined to the event loop's thread, apart from {@link #connect}.
+ * <p>Without a channel, because hot restart is disabled or no loopback port could be opened, this
+ * process keeps all capacity and forwards nothing. Confined to the event loop's thread, except for
+ * {@link #connect}.
  */
 public final class HotRestart implements CallIdRegistry {
-  /** The fraction of the dispatcher's capacity for each of two processes. */
-  private static final double HALF = 0.5;
+  /** The fraction of the dispatcher's slow-start allowance that each of two processes uses. */
+  private static final double HALF_CAPACITY = 0.5;
 
-  /** The fraction for a process that serves alone. */
-  private static final double ALL = 1;
+  /** The fraction that a process uses while no other process uses any. */
+  private static final double FULL_CAPACITY = 1;
 
-  private static final double NONE = 0;
+  /** The fraction that a process uses after it has handed over to its successor. */
+  private static final double NO_CAPACITY = 0;
 
   private final Dispatcher dispatcher;
   private final Optional<HotRestartChannel> channel;
 
-  /** The ids of calls that are active in the other process: an id is in use once in both. */
+  /**
+   * The ids of the calls that are active in the other process. An id must not be active in both
+   * processes at the same time.
+   */
   private final Set<String> idsActiveElsewhere = new HashSet<>();
 
   private HotRestart(Dispatcher dispatcher, Optional<HotRestartChannel> channel) {
@@ -39,7 +44,8 @@
   /**
    * Connects to the predecessor, if there is one, and listens for a successor.
    *
-   * @param portFile where processes find each other; empty where hot restart is disabled
+   * @param portFile the file in which the newest process publishes its loopback port; empty if hot
+   *     restart is disabled
    */
   public static HotRestart connect(Dispatcher dispatcher, Optional<Path> portFile) {
     HotRestart hotRestart =
@@ -61,40 +67,43 @@
     }
   }
 
-  /** Sets the receiver of what the other process sends; required before the event loop runs. */
+  /**
+   * Sets the receiver of messages from the other processes. Required before the event loop runs.
+   */
   void setListener(HotRestartChannel.Listener listener) {
     channel.ifPresent(open -> open.setListener(listener));
   }
 
-  /** Whether another process serves beside this one. */
+  /** Returns whether another process of this dispatcher is connected. */
   public boolean isShared() {
     return channel.isPresent() && channel.get().isConnected();
   }
 
-  /** Whether a successor serves beside this process. */
+  /** Returns whether a successor is connected. */
   public boolean hasSuccessor() {
     return channel.isPresent() && channel.get().hasSuccessor();
   }
 
-  /** Sends a message that needs no answer to each of the other processes. */
+  /** Sends a notice, which is a message that is not answered, to each of the other processes. */
   void send(HotRestartMessage notice) {
-    channel.ifPresent(to -> to.send(notice));
+    channel.ifPresent(restartChannel -> restartChannel.send(notice));
   }
 
-  /** Sends a message that needs no answer to the processes other than the one it came from. */
+  /** Sends a notice to each of the other processes except the one that it came from. */
   void relay(HotRestartLink source, HotRestartMessage notice) {
-    channel.ifPresent(to -> to.relay(source, notice));
+    channel.ifPresent(restartChannel -> restartChannel.relay(source, notice));
   }
 
-  /** Sends a message that needs no answer to the newest successor, if there is one. */
+  /** Sends a notice to the successor that connected last; does nothing if there is none. */
   void sendToSuccessor(HotRestartMessage notice) {
-    channel.ifPresent(to -> to.sendToSuccessor(notice));
+    channel.ifPresent(restartChannel -> restartChannel.sendToSuccessor(notice));
   }
 
   /**
-   * Forwards a callback whose job is not in flight here to the other process.
+   * Forwards a callback whose job is not active in this process to the other process.
    *
-   * @param handled run once that process has handled it; at once where there is none
+   * @param handled run when that process has handled the callback or has disconnected; run at once
+   *     if no other process is connected
    */
   public void forwardCallback(byte[] callback, Runnable handled) {
     if (channel.isPresent()) {
@@ -105,9 +114,10 @@
   }
 
   /**
-   * Divides the capacity by the number of processes, and sends the ids of the calls that are active
-   * here to the other one. To be called at the start and whenever a process has connected or
-   * disconnected.
+   * Sets the capacity that this process uses: half while another process is connected, otherwise
+   * all. Sends the ids of the calls that are active here to the other process, or forgets the ids
+   * that were active there if none is connected. Must be called at the start and whenever a process
+   * connects or disconnects.
    */
   public void divideCapacity() {
     boolean isShared = isShared();
@@ -116,18 +126,20 @@
     } else {
       idsActiveElsewhere.clear();
     }
-    dispatcher.setCapacityFraction(isShared ? HALF : ALL);
+    dispatcher.setCapacityFraction(isShared ? HALF_CAPACITY : FULL_CAPACITY);
   }
 
-  /** Gives all capacity to the successor. */
+  /**
+   * Gives up all capacity and notifies the other processes, so that the successor uses all of it.
+   */
   public void handOver() {
-    dispatcher.setCapacityFraction(NONE);
+    dispatcher.setCapacityFraction(NO_CAPACITY);
     send(HotRestartMessage.notice(HotRestartMessage.Type.HANDING_OVER, ""));
   }
 
-  /** The predecessor has given all capacity to this process. */
+  /** Takes all capacity, which the predecessor has given up. */
   void receiveCapacity() {
-    dispatcher.setCapacityFraction(ALL);
+    dispatcher.setCapacityFraction(FULL_CAPACITY);
   }
 
   @Override
@@ -145,12 +157,12 @@
     return idsActiveElsewhere.contains(id);
   }
 
-  /** A call has become active in the other process. */
+  /** Records that a call has become active in the other process. */
   void acquiredElsewhere(String id) {
     idsActiveElsewhere.add(id);
   }
 
-  /** A call has ended in the other process. */
+  /** Records that a call is no longer active in the other process. */
   void releasedElsewhere(String id) {
     idsActiveElsewhere.remove(id);
   }
--- a/src/main/java/loomreel/process/HotRestartChannel.java
+++ b/src/main/java/loomreel/process/HotRestartChannel.java
@@ -18,60 +18,71 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Connects the processes of one dispatcher during a hot restart. Both accept connections at the
- * address that clients and workers use, so each receives requests that are meant for the other.
+ * Connects the processes of one dispatcher during a hot restart. Two such processes accept
+ * connections at the same address, which clients and workers use, so each of them receives requests
+ * that are meant for the other.
  *
- * <p>Each process listens on a port of IPv4 loopback, and the newest one writes its port to a file
- * in {@code $TMPDIR} where its successor finds it. Unix sockets are not available on every
- * platform: the full fleet's serves only TCP and UDP over IPv4.
+ * <p>Each process listens on a port of IPv4 loopback. The newest process writes its port to a file
+ * in {@code $TMPDIR}, where its successor finds it. Unix domain sockets are not used, because they
+ * are not available on every platform: the platform of the full fleet provides only TCP and UDP
+ * over IPv4.
  *
- * <p>Confined to the event loop's thread, apart from {@link #open}; open until the process ends.
+ * <p>Confined to the event loop's thread, except for {@link #open}. Stays open until the process
+ * ends.
  */
 final class HotRestartChannel implements EventLoop.Handler {
-  /** Receives what the other process sends. */
+  /** Receives events and messages from the other processes. */
   interface Listener {
-    /** The successor has connected. */
+    /** Called when a successor has connected. */
     void successorConnected();
 
-    /** Another process has disconnected. */
+    /** Called when another process has disconnected. */
     void processDisconnected();
 
-    /** A message was received that needs no answer. */
+    /**
+     * Called with each notice, which is a message that is not answered.
+     *
+     * @param source the link on which the notice was received
+     */
     void noticeReceived(HotRestartLink source, HotRestartMessage notice);
 
     /**
-     * A callback was received whose job is not in flight at the other process.
+     * Delivers a callback whose job is not active in the process that sent it.
      *
-     * @return whether its job is in flight here
+     * @return whether the job is active in this process
      */
     boolean deliverCallback(byte[] callback);
   }
 
-  /** Pending connections in the kernel's queue; only a few processes ever connect. */
+  /**
+   * Maximum number of pending connections in the kernel's accept queue. Only a few processes
+   * connect.
+   */
   private static final int BACKLOG = 4;
 
-  private static final int LARGEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private static final byte[] LOOPBACK = {127, 0, 0, 1};
   private static final int ANY_PORT = 0;
 
   private final EventLoop loop;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.process.hotrestart");
-  private final ServerSocketChannel acceptor;
+  private final ServerSocketChannel listeningSocket;
   private final Set<HotRestartLink> links = new LinkedHashSet<>();
 
-  /** Set before the event loop runs, and so before anything is received. */
+  /** Set before the event loop runs, and thus before any message is received. */
   private Listener listener;
 
-  private HotRestartChannel(EventLoop loop, ServerSocketChannel acceptor) {
+  private HotRestartChannel(EventLoop loop, ServerSocketChannel listeningSocket) {
     this.loop = loop;
-    this.acceptor = acceptor;
+    this.listeningSocket = listeningSocket;
   }
 
   /**
    * Connects to the predecessor, if there is one, and listens for a successor.
    *
-   * @param portFile holds the port of the newest process of this dispatcher
+   * @param portFile contains the port of the newest process of this dispatcher; replaced by this
+   *     method
    * @throws IOException if no port can be opened or the file cannot be written
    */
   static HotRestartChannel open(EventLoop loop, Path portFile) throws IOException {
@@ -95,56 +106,64 @@
   }
 
   private void listen(InetSocketAddress address, Path portFile) throws IOException {
-    acceptor.bind(address, BACKLOG);
-    writePort(portFile, ((InetSocketAddress) acceptor.getLocalAddress()).getPort());
-    acceptor.configureBlocking(false);
-    acceptor.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
+    listeningSocket.bind(address, BACKLOG);
+    writePort(portFile, ((InetSocketAddress) listeningSocket.getLocalAddress()).getPort());
+    listeningSocket.configureBlocking(false);
+    listeningSocket.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
   }
 
-  /** Sets the receiver of what the other processes send; required before the event loop runs. */
+  /**
+   * Sets the receiver of messages from the other processes. Required before the event loop runs.
+   */
   void setListener(Listener listener) {
     this.listener = listener;
   }
 
-  /** The port in the file, if it exists and holds one. */
+  /**
+   * Returns the port in the file, or empty if the file cannot be read or contains no valid port.
+   */
   private static OptionalInt readPort(Path file) {
     try {
       int port = Integer.parseInt(Files.readString(file).trim());
-      return port > 0 && port <= LARGEST_PORT ? OptionalInt.of(port) : OptionalInt.empty();
+      return port > 0 && port <= MAX_PORT ? OptionalInt.of(port) : OptionalInt.empty();
     } catch (NumberFormatException | IOException e) {
       return OptionalInt.empty();
     }
   }
 
-  /** Replaces the file atomically: a process that starts meanwhile reads a complete port. */
+  /**
+   * Replaces the file atomically, so that a process that starts at the same time reads a complete
+   * port.
+   */
   private static void writePort(Path file, int port) throws IOException {
-    Path next = file.resolveSibling(file.getFileName() + ".next");
-    Files.writeString(next, Integer.toString(port));
-    Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
+    Files.writeString(temporaryFile, Integer.toString(port));
+    Files.move(
+        temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Whether another process serves beside this one. */
+  /** Returns whether another process is connected. */
   boolean isConnected() {
     return !links.isEmpty();
   }
 
-  /** Whether a successor serves beside this process. */
+  /** Returns whether a successor is connected. */
   boolean hasSuccessor() {
     return links.stream().anyMatch(HotRestartLink::isToSuccessor);
   }
 
-  /** Sends a message that needs no answer to each of the other processes. */
+  /** Sends a notice, which is a message that is not answered, to each of the other processes. */
   void send(HotRestartMessage notice) {
     new ArrayList<>(links).forEach(link -> link.send(notice));
   }
 
-  /** Sends a message that needs no answer to the processes other than the one it came from. */
+  /** Sends a notice to each of the other processes except the one that it came from. */
   void relay(HotRestartLink source, HotRestartMessage notice) {
     new ArrayList<>(links)
         .stream().filter(link -> link != source).forEach(link -> link.send(notice));
   }
 
-  /** Sends a message that needs no answer to the newest successor, if there is one. */
+  /** Sends a notice to the successor that connected last; does nothing if there is none. */
   void sendToSuccessor(HotRestartMessage notice) {
     links.stream()
         .filter(HotRestartLink::isToSuccessor)
@@ -153,9 +172,10 @@
   }
 
   /**
-   * Forwards a callback whose job is not in flight here.
+   * Forwards a callback whose job is not active in this process.
    *
-   * @param handled run once another process has handled it, at once if there is none
+   * @param handled run when another process has handled the callback or has disconnected; run at
+   *     once if no other process is connected
    */
   void forwardCallback(byte[] callback, Runnable handled) {
     forward(callback, links.stream().findFirst(), handled);
@@ -173,7 +193,7 @@
   @Override
   public void ready(SelectionKey key) {
     try {
-      SocketChannel socket = acceptor.accept();
+      SocketChannel socket = listeningSocket.accept();
       if (socket != null) {
         links.add(new HotRestartLink(loop, socket, true, this, log));
         log.info("hot restart link established peer=successor");
@@ -185,10 +205,12 @@
   }
 
   /**
-   * A callback was received. If its job is not in flight here, it may be in a third process, which
-   * is still draining after an earlier upgrade; the callback is never sent back to its source.
+   * Handles a callback from another process. If its job is not active in this process, it may be
+   * active in a third process, which still drains after an earlier upgrade, so the callback is
+   * forwarded to that process. It is never sent back to its source.
    *
-   * @param handled run once a process has handled the callback
+   * @param handled run when a process has handled the callback, or at once if there is no third
+   *     process
    */
   void callbackReceived(HotRestartLink source, byte[] callback, Runnable handled) {
     if (listener.deliverCallback(callback)) {
@@ -198,18 +220,18 @@
     }
   }
 
-  /** A message was received that needs no answer. */
+  /** Passes a notice to the listener. */
   void noticeReceived(HotRestartLink source, HotRestartMessage notice) {
     listener.noticeReceived(source, notice);
   }
 
-  /** Removes a link that is being closed, before its callbacks count as handled. */
+  /** Removes a link that is closing. Called before the callbacks of the link count as handled. */
   void detach(HotRestartLink link) {
     links.remove(link);
   }
 
-  /** A detached link has been closed. */
-  void closed() {
+  /** Notifies the listener that a link has been detached and closed. */
+  void linkClosed() {
     listener.processDisconnected();
   }
 }
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -14,7 +14,7 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The connection to one other process of this dispatcher. Both sides send requests on it, and none
+ * A connection to one other process of this dispatcher. Both sides send requests on it, and neither
  * sends a response. Owned by its {@link HotRestartChannel}.
  */
 final class HotRestartLink extends HttpConnection {
@@ -22,20 +22,20 @@
   private final RateLimitedLogger log;
   private final boolean toSuccessor;
 
-  /** What to run once the other process has handled a callback, by the callback's number. */
+  /** The tasks to run when the other process has handled a callback, by callback number. */
   private final Map<Long, Runnable> unhandledCallbacks = new HashMap<>();
 
-  private long lastCallback;
+  private long lastCallbackNumber;
 
-  /** The overrides of which this process has sent a change. */
+  /** The overrides of which this process has sent a change on this link. */
   private final Set<OverrideChange.Target> overridesSent = new HashSet<>();
 
   /**
-   * A link over a connected socket, which it owns from now on.
+   * Creates a link over a connected socket and takes ownership of the socket.
    *
    * @param toSuccessor whether the other process is the successor
-   * @param owner receives the messages of the link, and is notified when it closes
-   * @throws IOException if the socket cannot be registered with the loop
+   * @param owner receives the messages of the link, and is notified when the link closes
+   * @throws IOException if the socket cannot be registered with the event loop
    */
   HotRestartLink(
       EventLoop loop,
@@ -55,12 +55,12 @@
     return socket;
   }
 
-  /** Whether the other process is the successor. */
+  /** Returns whether the other process is the successor. */
   boolean isToSuccessor() {
     return toSuccessor;
   }
 
-  /** Sends a message, or drops it where the link is closed. */
+  /** Sends a message, or discards it if the link is closed. */
   void send(HotRestartMessage message) {
     if (!isClosed()) {
       OverrideChange.of(message).ifPresent(change -> overridesSent.add(change.target()));
@@ -71,22 +71,22 @@
   }
 
   /**
-   * Whether this process has sent a change of that override on this link: one from the other
-   * process may have crossed it.
+   * Returns whether this process has sent a change of an override on this link. If so, a change of
+   * the same override by the other process may have crossed it.
    */
   boolean hasSentOverride(OverrideChange.Target target) {
     return overridesSent.contains(target);
   }
 
   /**
-   * Sends a callback.
+   * Sends a callback under a new callback number.
    *
-   * @param handled run once the other process has handled it or has disconnected
+   * @param handled run when the other process has handled the callback or has disconnected
    */
   void sendCallback(byte[] callback, Runnable handled) {
-    long number = ++lastCallback;
-    unhandledCallbacks.put(number, handled);
-    send(HotRestartMessage.callback(number, callback));
+    long callbackNumber = ++lastCallbackNumber;
+    unhandledCallbacks.put(callbackNumber, handled);
+    send(HotRestartMessage.callback(callbackNumber, callback));
   }
 
   @Override
@@ -97,7 +97,7 @@
     try {
       message =
           HotRestartMessage.decode(
-              request.target(), request.header(HotRestartMessage.NUMBER_HEADER), body);
+              request.target(), request.header(HotRestartMessage.CALLBACK_NUMBER_HEADER), body);
     } catch (IllegalArgumentException e) {
       log.warn("hot restart message unknown reason=" + e.getMessage());
       return;
@@ -107,15 +107,15 @@
           owner.callbackReceived(
               this,
               message.body(),
-              () -> send(HotRestartMessage.callbackHandled(message.number())));
-      case CALLBACK_HANDLED -> unhandledCallbacks.remove(message.number()).run();
+              () -> send(HotRestartMessage.callbackHandled(message.callbackNumber())));
+      case CALLBACK_HANDLED -> unhandledCallbacks.remove(message.callbackNumber()).run();
       default -> owner.noticeReceived(this, message);
     }
   }
 
   @Override
-  protected void malformed(BadMessageException why) {
-    log.warn("hot restart message malformed reason=" + why.getMessage());
+  protected void malformed(BadMessageException error) {
+    log.warn("hot restart message malformed reason=" + error.getMessage());
     close();
   }
 
@@ -125,7 +125,10 @@
   @Override
   protected void flushed() {}
 
-  /** Closes the link; the jobs of unhandled callbacks have ended with the other process. */
+  /**
+   * Closes the link. Its unhandled callbacks count as handled, because their jobs have ended with
+   * the other process.
+   */
   @Override
   public void close() {
     if (!isClosed()) {
@@ -133,7 +136,7 @@
       owner.detach(this);
       new ArrayList<>(unhandledCallbacks.values()).forEach(Runnable::run);
       log.info("hot restart link closed peer=" + (toSuccessor ? "successor" : "predecessor"));
-      owner.closed();
+      owner.linkClosed();
     }
   }
 }
--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -8,14 +8,15 @@
 /**
  * A message between the two processes of a hot restart.
  *
- * <p>On the connection it is an HTTP request, {@code POST /WORD} with a number in {@code X-Number}
- * and the content as its body; there are no responses. Processes of different versions exchange
- * these messages, so the words and the format must not change.
+ * <p>It is sent as an HTTP request {@code POST /NAME}, where {@code NAME} is the wire name of its
+ * type. The header {@code X-Number} contains a callback number, and the body is the content. There
+ * are no responses. Processes of different versions exchange these messages, so the wire names and
+ * the format must not change.
  */
 final class HotRestartMessage {
-  /** The kind of a message; its word on the wire is fixed by the versions that are in service. */
+  /** The type of a message. Its wire name must not change, because versions in service use it. */
   enum Type {
-    /** A callback whose job is not in flight at the sender; the body is the callback's. */
+    /** A callback whose job is not active at the sender. The body is that of the callback. */
     CALLBACK("news"),
 
     /** The callback with this number was handled. */
@@ -24,16 +25,16 @@
     /** A call with the id in the body has become active at the sender. */
     CALL_ID_ACQUIRED("holds"),
 
-    /** The call with the id in the body has ended at the sender. */
+    /** The call with the id in the body is no longer active at the sender. */
     CALL_ID_RELEASED("frees"),
 
-    /** The sender shuts down and gives all capacity to the receiver. */
+    /** The sender shuts down and leaves all capacity to the receiver. */
     HANDING_OVER("leaving"),
 
-    /** Operators have disabled the worker in the body. */
+    /** Operators have disabled the worker whose id is in the body. */
     WORKER_DISABLED("down"),
 
-    /** Operators have enabled the worker in the body. */
+    /** Operators have enabled the worker whose id is in the body. */
     WORKER_ENABLED("up"),
 
     /** Operators have started a client drain. */
@@ -42,51 +43,55 @@
     /** Operators have stopped the client drain. */
     CLIENT_DRAIN_STOPPED("serve"),
 
-    /** All that operators have set; the body is the text of {@link OperatorOverrides}. */
+    /**
+     * All overrides that operators have set. The body is the text format of {@link
+     * OperatorOverrides}.
+     */
     OPERATOR_OVERRIDES("state");
 
-    private final String word;
+    private final String wireName;
 
-    Type(String word) {
-      this.word = word;
+    Type(String wireName) {
+      this.wireName = wireName;
     }
 
-    private static Optional<Type> of(String word) {
-      return Arrays.stream(values()).filter(type -> type.word.equals(word)).findFirst();
+    private static Optional<Type> of(String wireName) {
+      return Arrays.stream(values()).filter(type -> type.wireName.equals(wireName)).findFirst();
     }
   }
 
-  /** The header that holds the number of a callback. */
-  static final String NUMBER_HEADER = "x-number";
+  /** The name of the header that contains the callback number. */
+  static final String CALLBACK_NUMBER_HEADER = "x-number";
 
   private static final String HOST = "sibling";
-  private static final byte[] EMPTY = {};
+  private static final byte[] EMPTY_BODY = {};
 
   private final Type type;
-  private final long number;
+  private final long callbackNumber;
   private final byte[] body;
 
-  private HotRestartMessage(Type type, long number, byte[] body) {
+  private HotRestartMessage(Type type, long callbackNumber, byte[] body) {
     this.type = type;
-    this.number = number;
+    this.callbackNumber = callbackNumber;
     this.body = body;
   }
 
   /**
-   * A callback for the other process.
+   * Creates a message that forwards a callback to the other process.
    *
-   * @param number identifies it on this connection until it is handled
+   * @param callbackNumber identifies the callback on its connection until it is handled
+   * @param callback the body of the callback, which is not copied
    */
-  static HotRestartMessage callback(long number, byte[] callback) {
-    return new HotRestartMessage(Type.CALLBACK, number, callback);
+  static HotRestartMessage callback(long callbackNumber, byte[] callback) {
+    return new HotRestartMessage(Type.CALLBACK, callbackNumber, callback);
   }
 
-  /** The answer to the callback with this number. */
-  static HotRestartMessage callbackHandled(long number) {
-    return new HotRestartMessage(Type.CALLBACK_HANDLED, number, EMPTY);
+  /** Creates the message which confirms that the callback with this number was handled. */
+  static HotRestartMessage callbackHandled(long callbackNumber) {
+    return new HotRestartMessage(Type.CALLBACK_HANDLED, callbackNumber, EMPTY_BODY);
   }
 
-  /** A message that is not answered. */
+  /** Creates a notice, which is a message that is not answered. */
   static HotRestartMessage notice(Type type, String text) {
     return new HotRestartMessage(type, 0, text.getBytes(StandardCharsets.UTF_8));
   }
@@ -94,38 +99,42 @@
   /**
    * Decodes a received message.
    *
-   * @param target the request's target
-   * @param number the value of {@link #NUMBER_HEADER}
-   * @throws IllegalArgumentException if the target or the number is not one of a message
+   * @param target the request target
+   * @param callbackNumber the value of {@link #CALLBACK_NUMBER_HEADER}
+   * @param body the request body, which is not copied
+   * @throws IllegalArgumentException if the target names no type or the number is missing or
+   *     invalid
    */
-  static HotRestartMessage decode(String target, String number, byte[] body) {
+  static HotRestartMessage decode(String target, String callbackNumber, byte[] body) {
     Type type =
         Type.of(target.substring(1))
             .orElseThrow(() -> new IllegalArgumentException("unknown message " + target));
-    return new HotRestartMessage(type, Long.parseLong(number), body);
+    return new HotRestartMessage(type, Long.parseLong(callbackNumber), body);
   }
 
-  /** The head of the HTTP request that carries the message; {@link #body} follows it. */
+  /**
+   * Returns the head of the HTTP request that carries the message. The {@link #body} follows it.
+   */
   String head() {
-    return HttpHeaders.request("POST", "/" + type.word, HOST, body.length, "X-Number: " + number);
+    return HttpHeaders.request(
+        "POST", "/" + type.wireName, HOST, body.length, "X-Number: " + callbackNumber);
   }
 
-  /** Its kind. */
   Type type() {
     return type;
   }
 
-  /** The number of the callback; 0 in other messages. */
-  long number() {
-    return number;
+  /** Returns the callback number, or 0 if the message does not concern a callback. */
+  long callbackNumber() {
+    return callbackNumber;
   }
 
-  /** Its body, which the caller must not change. */
+  /** Returns the message body, which the caller must not modify. */
   byte[] body() {
     return body;
   }
 
-  /** Its body as text. */
+  /** Returns the message body decoded as UTF-8. */
   String text() {
     return new String(body, StandardCharsets.UTF_8);
   }
--- a/src/test/java/loomreel/process/HotRestartMessageTest.java
+++ b/src/test/java/loomreel/process/HotRestartMessageTest.java
@@ -9,14 +9,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bytes that processes of different versions exchange, which must stay as they are. */
+/**
+ * Verifies the bytes of messages, which processes of different versions exchange and which must not
+ * change.
+ */
 class HotRestartMessageTest {
-  /** The form up to version 0.2, written out. */
-  private static String wire(String word, long number, String body) {
+  /** Returns a message in the format of versions up to 0.2. */
+  private static String wireFormat(String wireName, long callbackNumber, String body) {
     return "POST /"
-        + word
+        + wireName
         + " HTTP/1.1\r\nHost: sibling\r\nX-Number: "
-        + number
+        + callbackNumber
         + "\r\nContent-Length: "
         + body.getBytes(StandardCharsets.UTF_8).length
         + "\r\n\r\n"
@@ -38,16 +41,17 @@
     "CLIENT_DRAIN_STOPPED, serve, ''",
     "OPERATOR_OVERRIDES, state, 'down wé'"
   })
-  void aNoticeIsWrittenAndReadInTheOldForm(HotRestartMessage.Type type, String word, String body) {
-    assertEquals(wire(word, 0, body), encoded(HotRestartMessage.notice(type, body)));
+  void aNoticeIsEncodedAndDecodedInTheFormatOfEarlierVersions(
+      HotRestartMessage.Type type, String wireName, String body) {
+    assertEquals(wireFormat(wireName, 0, body), encoded(HotRestartMessage.notice(type, body)));
     HotRestartMessage read =
-        HotRestartMessage.decode("/" + word, "0", body.getBytes(StandardCharsets.UTF_8));
+        HotRestartMessage.decode("/" + wireName, "0", body.getBytes(StandardCharsets.UTF_8));
     assertEquals(type, read.type());
     assertEquals(body, read.text());
   }
 
   @Test
-  void aCallbackCarriesItsNumberAndItsBytes() {
+  void aCallbackIsEncodedAndDecodedWithItsNumberAndBytes() {
     byte[] callback = {'{', (byte) 0xff, '}'};
     HotRestartMessage message = HotRestartMessage.callback(7, callback);
     assertEquals(
@@ -55,20 +59,20 @@
         message.head());
     HotRestartMessage read = HotRestartMessage.decode("/news", "7", callback);
     assertEquals(HotRestartMessage.Type.CALLBACK, read.type());
-    assertEquals(7, read.number());
+    assertEquals(7, read.callbackNumber());
     assertArrayEquals(callback, read.body());
   }
 
   @Test
-  void theAnswerToACallbackNamesItsNumber() {
-    assertEquals(wire("taken", 7, ""), encoded(HotRestartMessage.callbackHandled(7)));
+  void theConfirmationOfACallbackIsEncodedAndDecodedWithItsNumber() {
+    assertEquals(wireFormat("taken", 7, ""), encoded(HotRestartMessage.callbackHandled(7)));
     HotRestartMessage read = HotRestartMessage.decode("/taken", "7", new byte[0]);
     assertEquals(HotRestartMessage.Type.CALLBACK_HANDLED, read.type());
-    assertEquals(7, read.number());
+    assertEquals(7, read.callbackNumber());
   }
 
   @Test
-  void whatIsNoMessageIsAnError() {
+  void decodingThrowsForAnUnknownTargetOrAMissingCallbackNumber() {
     assertThrows(
         IllegalArgumentException.class, () -> HotRestartMessage.decode("/other", "0", new byte[0]));
     assertThrows(
