--- a/src/main/java/loomreel/process/AdminOperations.java
+++ b/src/main/java/loomreel/process/AdminOperations.java
@@ -3,26 +3,27 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** What operators can query and set in a dispatcher. Called on the event loop's thread. */
+/** Operations that operators can request. All methods are called on the event loop's thread. */
 public interface AdminOperations {
-  /** Whether this process can serve. */
+  /** Returns whether this process reports itself as ready to serve clients. */
   boolean isReady();
 
-  /** Metrics by name; a value is a number, or a map of further names and numbers. */
+  /** Returns the metrics by name. A value is a number or a nested map from names to numbers. */
   Map<String, Object> metrics();
 
   /**
-   * Disables a worker, which then receives no more jobs, or enables it again.
+   * Disables a worker, so that it receives no more jobs, or enables it again.
    *
-   * @return false where no worker has this id
-   * @throws IOException if it could not be stored for the next process; nothing has changed then
+   * @param id the worker's id
+   * @return false if no worker with this id is listed or disabled
+   * @throws IOException if the change cannot be stored for the next process; it is not applied then
    */
   boolean setWorkerDisabled(String id, boolean disabled) throws IOException;
 
   /**
-   * Starts a client drain, which directs clients to other dispatchers, or stops it.
+   * Starts or stops a client drain, which directs clients to other dispatchers.
    *
-   * @throws IOException if it could not be stored for the next process; nothing has changed then
+   * @throws IOException if the change cannot be stored for the next process; it is not applied then
    */
   void setClientDrain(boolean draining) throws IOException;
 }
--- a/src/main/java/loomreel/process/ClientDrain.java
+++ b/src/main/java/loomreel/process/ClientDrain.java
@@ -1,24 +1,28 @@
 package loomreel.process;
 
-/** Owns the {@link ClientDrainState} of a process. Confined to the event loop's thread. */
+/** Holds the {@link ClientDrainState} of a process. Confined to the event loop's thread. */
 public final class ClientDrain {
   private ClientDrainState state;
 
   /**
-   * The state at the start of the process.
+   * Creates a drain that continues one from an earlier process: jobs are rejected from the start if
+   * clients were drained then.
    *
-   * @param initial what operators set in an earlier process
+   * @param initial the overrides that operators set in an earlier process
    */
   public ClientDrain(OperatorOverrides initial) {
     state = initial.clientsDrained() ? ClientDrainState.REJECTING : ClientDrainState.ACCEPTING;
   }
 
-  /** Whether operators are draining the clients. */
+  /** Returns whether a client drain is in progress. */
   public boolean isActive() {
     return state != ClientDrainState.ACCEPTING;
   }
 
-  /** Whether jobs are rejected because clients have had the time to notice the drain. */
+  /**
+   * Returns whether a drain is in progress and its notice period is over, so that jobs are
+   * rejected.
+   */
   public boolean isRejectingJobs() {
     return state == ClientDrainState.REJECTING;
   }
--- a/src/main/java/loomreel/process/ClientDrainState.java
+++ b/src/main/java/loomreel/process/ClientDrainState.java
@@ -1,8 +1,8 @@
 package loomreel.process;
 
 /**
- * The progress of a client drain, which operators start and stop. {@link #next} holds all
- * transitions; a trigger for which the table has no entry leaves the state as it is.
+ * The states of a client drain, which operators start and stop. {@link #next} implements the
+ * transitions in the table; a trigger without an entry leaves the state unchanged.
  *
  * <table>
  *   <caption>Transitions</caption>
@@ -14,16 +14,19 @@
  * </table>
  */
 enum ClientDrainState {
-  /** Clients are served. */
+  /** No drain is in progress, and clients are served. */
   ACCEPTING,
 
-  /** The health check and each response ask clients to disconnect; jobs are still accepted. */
+  /**
+   * The readiness check fails and each response closes its client's connection, so that clients
+   * move to other dispatchers. Jobs are still accepted.
+   */
   NOTIFYING,
 
-  /** Idle connections have been closed; jobs are rejected. */
+  /** Jobs are rejected, and idle client connections have been closed. */
   REJECTING;
 
-  /** What moves a client drain from one state to the next. */
+  /** An event that changes the state of a client drain. */
   enum Trigger {
     /** Operators have started the drain. */
     DRAIN_STARTED,
@@ -31,11 +34,11 @@
     /** Operators have stopped the drain. */
     DRAIN_STOPPED,
 
-    /** Clients have had the time to notice the drain. */
+    /** The notice period, in which clients can notice the drain, has ended. */
     NOTICE_PERIOD_ENDED
   }
 
-  /** The state after a trigger, by the table above. */
+  /** Returns the state that follows after a trigger, as listed in the table above. */
   ClientDrainState next(Trigger trigger) {
     return switch (trigger) {
       case DRAIN_STARTED -> this == ACCEPTING ? NOTIFYING : this;
--- a/src/main/java/loomreel/process/HotRestartCoordinator.java
+++ b/src/main/java/loomreel/process/HotRestartCoordinator.java
@@ -1,23 +1,30 @@
 package loomreel.process;
 
 /**
- * Reacts to the other process of a hot restart: divides descriptors and capacity when a process
- * connects or disconnects, and applies the messages that it sends. Confined to the event loop's
- * thread.
+ * Handles the events and messages from the other process of a hot restart: divides descriptors and
+ * capacity when a process connects or disconnects, and applies the messages that it sends. Confined
+ * to the event loop's thread.
  */
 public final class HotRestartCoordinator implements HotRestartChannel.Listener {
-  /** The rest of the process, as far as the other process affects it. */
+  /** The components of this process that the other process affects. */
   public interface Host {
-    /** Divides the file descriptors; {@code shared} if another process serves beside this one. */
+    /**
+     * Divides the file descriptors between the processes.
+     *
+     * @param shared whether another process of this dispatcher is connected
+     */
     void divideDescriptors(boolean shared);
 
-    /** Accepts clients, which no other process does; does nothing if this process accepts them. */
+    /**
+     * Starts to accept clients, because no other process does. Does nothing if this process accepts
+     * them already.
+     */
     void acceptClients();
 
     /**
      * Delivers a callback that the other process received.
      *
-     * @return whether its job is in flight here
+     * @return whether its job is active in this process
      */
     boolean deliverCallback(byte[] callback);
   }
@@ -33,7 +40,10 @@
     this.host = host;
   }
 
-  /** Handles all that the other process sends from the first iteration of the event loop on. */
+  /**
+   * Registers a coordinator for all events and messages from the other processes. Required before
+   * the event loop runs.
+   */
   public static void attach(HotRestart hotRestart, OperatorControls operatorControls, Host host) {
     hotRestart.setListener(new HotRestartCoordinator(hotRestart, operatorControls, host));
   }
@@ -41,7 +51,7 @@
   @Override
   public void successorConnected() {
     divideResources();
-    operatorControls.sendAll();
+    operatorControls.sendSnapshot();
   }
 
   @Override
@@ -78,12 +88,13 @@
   }
 
   /**
-   * Applies a change of an override. Where two changes of one override cross on a link, the one of
-   * the successor holds in both processes: the predecessor sends it back, in case the successor has
-   * replaced it by the change that it received from here.
+   * Applies a change of an override by another process and relays it. If the two processes of a
+   * link change the same override at the same time, the change by the successor takes effect in
+   * both. The predecessor therefore sends the successor's change back, because the successor may
+   * have replaced it by the predecessor's change in the meantime.
    */
   private void overrideReceived(HotRestartLink source, OverrideChange change) {
-    if (operatorControls.changedElsewhere(change)) {
+    if (operatorControls.changeReceived(change)) {
       hotRestart.relay(source, change.toMessage());
     }
     if (source.isToSuccessor() && source.hasSentOverride(change.target())) {
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -11,14 +11,15 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Applies what operators set by hand, stores it for the next process and sends it to the other
- * process of a hot restart. Owns the {@link OperatorOverrides} and drives the {@link ClientDrain};
- * confined to the event loop's thread.
+ * Applies the overrides that operators set, stores them for the next process, and sends them to the
+ * other process of a hot restart. Owns the {@link OperatorOverrides} and triggers the transitions
+ * of the {@link ClientDrain}. Confined to the event loop's thread.
  */
 public final class OperatorControls {
   /**
-   * For this long after the start of a client drain idle connections stay open and jobs are
-   * accepted: load balancers in front need 0.2 s to notice, and after 2 s no job may be accepted.
+   * The time, in microseconds, for which idle connections stay open and jobs are accepted after the
+   * start of a client drain. Load balancers in front of the dispatcher need 0.2 s to notice the
+   * drain, and after 2 s no job may be accepted.
    */
   private static final long NOTICE_PERIOD_MICROS = 1_800_000;
 
@@ -31,22 +32,25 @@
   private final Runnable closeIdleClients;
   private OperatorOverrides overrides;
 
-  /** Whether a predecessor will send its overrides. */
-  private boolean awaitsPredecessor;
+  /** Whether the overrides of the predecessor have not been received yet. */
+  private boolean awaitsSnapshot;
 
-  /** The last change here of each override while the predecessor's overrides are awaited. */
+  /**
+   * The last change of each override in this process while the predecessor's overrides are awaited.
+   */
   private final Map<OverrideChange.Target, OverrideChange> changesBeforeSnapshot =
       new LinkedHashMap<>();
 
-  /** Runs while the state is {@link ClientDrainState#NOTIFYING}. */
-  private Optional<EventLoop.Timer> noticePeriod = Optional.empty();
+  /** Ends the notice period; pending while the state is {@link ClientDrainState#NOTIFYING}. */
+  private Optional<EventLoop.Timer> noticePeriodTimer = Optional.empty();
 
   /**
-   * Continues with what operators set in an earlier process.
+   * Creates controls that start with the overrides which operators set in an earlier process.
    *
-   * @param initial as the store held it at the start
-   * @param clientDrain in the state that follows from {@code initial}
-   * @param closeIdleClients run when the notice period of a client drain has ended
+   * @param initial the overrides that the store contained at the start
+   * @param clientDrain a drain in the state that corresponds to {@code initial}
+   * @param closeIdleClients closes the idle connections of clients; run when the notice period of a
+   *     client drain ends
    */
   public OperatorControls(
       Dispatcher dispatcher,
@@ -61,19 +65,19 @@
     this.overrides = initial;
     this.clientDrain = clientDrain;
     this.hotRestart = hotRestart;
-    awaitsPredecessor = hotRestart.isShared();
+    awaitsSnapshot = hotRestart.isShared();
     this.closeIdleClients = closeIdleClients;
   }
 
-  /** The ids of the workers that operators have disabled. */
+  /** Returns the ids of the workers that operators have disabled. */
   public Set<String> disabledWorkers() {
     return overrides.disabledWorkers();
   }
 
   /**
-   * As {@link AdminOperations#setWorkerDisabled}.
+   * Does what {@link AdminOperations#setWorkerDisabled} specifies.
    *
-   * @throws IOException if it could not be stored; nothing has changed then
+   * @throws IOException if the change cannot be stored; it is not applied then
    */
   public boolean setWorkerDisabled(String id, boolean disabled) throws IOException {
     boolean isDisabled = overrides.disabledWorkers().contains(id);
@@ -85,9 +89,9 @@
   }
 
   /**
-   * As {@link AdminOperations#setClientDrain}.
+   * Does what {@link AdminOperations#setClientDrain} specifies.
    *
-   * @throws IOException if it could not be stored; nothing has changed then
+   * @throws IOException if the change cannot be stored; it is not applied then
    */
   public void setClientDrain(boolean draining) throws IOException {
     if (overrides.clientsDrained() != draining || hotRestart.isShared()) {
@@ -96,53 +100,57 @@
   }
 
   /**
-   * Changes an override here and in the other processes. A change without effect here is sent as
-   * well: the opposite one may be under way from another process.
+   * Changes an override in this process and in the other processes. A change that has no effect
+   * here is sent as well, because another process may have sent the opposite change, which has not
+   * arrived yet.
    */
   private void change(OverrideChange change) throws IOException {
     OperatorOverrides next = change.applyTo(overrides);
     store.save(next);
     apply(next);
-    if (awaitsPredecessor) {
+    if (awaitsSnapshot) {
       changesBeforeSnapshot.put(change.target(), change);
     }
     hotRestart.send(change.toMessage());
   }
 
-  /** Sends everything to a process that may have read the file just before the last change. */
-  void sendAll() {
+  /**
+   * Sends all overrides to the successor, which may have read the file just before the last change.
+   */
+  void sendSnapshot() {
     hotRestart.sendToSuccessor(
         HotRestartMessage.notice(HotRestartMessage.Type.OPERATOR_OVERRIDES, overrides.toText()));
   }
 
   /**
-   * Operators have changed something in another process.
+   * Applies a change that operators made in another process.
    *
-   * @return whether that changes something here
+   * @return whether this changes an override in this process
    */
-  boolean changedElsewhere(OverrideChange change) {
+  boolean changeReceived(OverrideChange change) {
     return !replace(change.applyTo(overrides)).isEmpty();
   }
 
   /**
-   * The predecessor has sent all that it has. What operators have changed here since the start is
-   * newer: the predecessor receives it after it has sent this.
+   * Applies all overrides of the predecessor. The changes that operators have made in this process
+   * since its start are newer and take precedence: the predecessor receives them only after it has
+   * sent its overrides.
    *
-   * @return what that changes here
+   * @return the changes to the overrides of this process
    */
-  List<OverrideChange> snapshotReceived(OperatorOverrides ofPredecessor) {
-    OperatorOverrides next = ofPredecessor;
+  List<OverrideChange> snapshotReceived(OperatorOverrides predecessorOverrides) {
+    OperatorOverrides next = predecessorOverrides;
     for (OverrideChange change : changesBeforeSnapshot.values()) {
       next = change.applyTo(next);
     }
-    awaitsPredecessor = false;
+    awaitsSnapshot = false;
     changesBeforeSnapshot.clear();
     return replace(next);
   }
 
   private List<OverrideChange> replace(OperatorOverrides next) {
     try {
-      // Both processes store it: two changes may cross, and the file must then contain both.
+      // Both processes write the file: if two changes cross, it must contain both of them.
       store.save(next);
     } catch (IOException e) {
       log.warn("operator overrides of the other process not saved reason=" + e.getMessage());
@@ -158,16 +166,16 @@
   }
 
   private void applyToDispatcher(OverrideChange change) {
-    if (change instanceof OverrideChange.OfWorker ofWorker) {
-      if (ofWorker.disabled()) {
-        dispatcher.disableWorker(ofWorker.id());
+    if (change instanceof OverrideChange.OfWorker workerChange) {
+      if (workerChange.disabled()) {
+        dispatcher.disableWorker(workerChange.id());
       } else {
-        dispatcher.enableWorker(ofWorker.id());
+        dispatcher.enableWorker(workerChange.id());
       }
       return;
     }
-    noticePeriod.ifPresent(EventLoop.Timer::cancel);
-    noticePeriod = Optional.empty();
+    noticePeriodTimer.ifPresent(EventLoop.Timer::cancel);
+    noticePeriodTimer = Optional.empty();
     if (overrides.clientsDrained()) {
       startClientDrain();
     } else {
@@ -177,7 +185,7 @@
 
   private void startClientDrain() {
     clientDrain.apply(ClientDrainState.Trigger.DRAIN_STARTED);
-    noticePeriod =
+    noticePeriodTimer =
         Optional.of(loop.schedule(loop.now() + NOTICE_PERIOD_MICROS, this::noticePeriodEnded));
   }
 
--- a/src/main/java/loomreel/process/OperatorOverrides.java
+++ b/src/main/java/loomreel/process/OperatorOverrides.java
@@ -6,21 +6,24 @@
 import java.util.TreeSet;
 
 /**
- * What operators have set by hand. It stays in force until they change it, across restarts of the
- * dispatcher.
+ * The overrides that operators have set. They stay in force until operators change them, across
+ * restarts of the dispatcher.
  *
- * @param clientsDrained whether clients are drained: they are directed to other dispatchers
- * @param disabledWorkers the ids of workers that receive no jobs
+ * @param clientsDrained whether clients are drained, which directs them to other dispatchers
+ * @param disabledWorkers the ids of the workers that receive no jobs
  */
 public record OperatorOverrides(boolean clientsDrained, Set<String> disabledWorkers) {
-  /** Nothing is overridden. */
+  /** The overrides if operators have set none. */
   public static final OperatorOverrides NONE = new OperatorOverrides(false, Set.of());
 
-  // Words of the text form, which is stored in files and exchanged with other versions.
+  // Keywords of the text format, which is stored in files and exchanged with other versions.
   private static final String CLIENTS_DRAINED = "drained";
   private static final String WORKER_DISABLED = "down ";
 
-  /** Reads the text form: a line for each disabled worker, and one if clients are drained. */
+  /**
+   * Parses the text format: a line for each disabled worker, and a line if clients are drained.
+   * Other lines are ignored.
+   */
   static OperatorOverrides parse(String text) {
     Set<String> disabled = new TreeSet<>();
     text.lines()
@@ -29,14 +32,14 @@
     return new OperatorOverrides(text.lines().anyMatch(CLIENTS_DRAINED::equals), disabled);
   }
 
-  /** The text form, as {@link #parse} reads it. */
+  /** Returns the overrides in the text format that {@link #parse} reads. */
   String toText() {
     StringBuilder text = new StringBuilder(clientsDrained ? CLIENTS_DRAINED + "\n" : "");
     disabledWorkers.forEach(id -> text.append(WORKER_DISABLED).append(id).append('\n'));
     return text.toString();
   }
 
-  /** What changes where these are replaced by others. */
+  /** Returns the changes that turn these overrides into others. */
   List<OverrideChange> changesTo(OperatorOverrides next) {
     List<OverrideChange> changes = new ArrayList<>();
     next.disabledWorkers.stream()
@@ -51,7 +54,7 @@
     return changes;
   }
 
-  /** The same with one worker disabled or enabled. */
+  /** Returns a copy in which one worker is disabled or enabled. */
   OperatorOverrides withWorkerDisabled(String id, boolean disabled) {
     Set<String> next = new TreeSet<>(disabledWorkers);
     if (disabled) {
@@ -62,7 +65,7 @@
     return new OperatorOverrides(clientsDrained, next);
   }
 
-  /** The same with clients drained or not. */
+  /** Returns a copy in which clients are drained or not. */
   OperatorOverrides withClientsDrained(boolean drained) {
     return new OperatorOverrides(drained, disabledWorkers);
   }
--- a/src/main/java/loomreel/process/OperatorOverridesStore.java
+++ b/src/main/java/loomreel/process/OperatorOverridesStore.java
@@ -7,21 +7,24 @@
 import java.util.Optional;
 import loomreel.io.RateLimitedLogger;
 
-/** Stores {@link OperatorOverrides} in a file for the next process of this dispatcher. */
+/** Stores {@link OperatorOverrides} in a file that the next process of this dispatcher reads. */
 public final class OperatorOverridesStore {
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.process.operators");
   private final Optional<Path> file;
 
   /**
-   * A store.
+   * Creates a store.
    *
-   * @param file empty where there is no directory for it: then nothing is stored
+   * @param file the file, or empty if there is no directory for it; nothing is stored then
    */
   public OperatorOverridesStore(Optional<Path> file) {
     this.file = file;
   }
 
-  /** As {@link #load}, but a file that cannot be read is logged and overrides nothing. */
+  /**
+   * Returns the stored overrides. If the file cannot be read, this is logged and {@link
+   * OperatorOverrides#NONE} is returned.
+   */
   public OperatorOverrides loadOrNone() {
     try {
       return load();
@@ -32,8 +35,8 @@
   }
 
   /**
-   * Reads what was saved last, also by another process; nothing is overridden where there is no
-   * file.
+   * Returns the overrides that this or another process saved last, or {@link
+   * OperatorOverrides#NONE} if there is no file.
    *
    * @throws IOException if the file cannot be read
    */
@@ -45,16 +48,18 @@
   }
 
   /**
-   * Replaces the file atomically, so that no process reads a part of it.
+   * Replaces the file atomically, so that no process reads an incomplete file. Does nothing if the
+   * store has no file.
    *
-   * @throws IOException if the file cannot be written; the previous one stays then
+   * @throws IOException if the file cannot be written; it keeps its previous content then
    */
   void save(OperatorOverrides overrides) throws IOException {
     if (file.isPresent()) {
       Path path = file.get();
-      Path next = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
-      Files.writeString(next, overrides.toText());
-      Files.move(next, path, StandardCopyOption.ATOMIC_MOVE);
+      Path temporaryFile =
+          path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
+      Files.writeString(temporaryFile, overrides.toText());
+      Files.move(temporaryFile, path, StandardCopyOption.ATOMIC_MOVE);
     }
   }
 }
--- a/src/main/java/loomreel/process/OverrideChange.java
+++ b/src/main/java/loomreel/process/OverrideChange.java
@@ -2,9 +2,13 @@
 
 import java.util.Optional;
 
-/** A change of one override by operators, as the processes of a hot restart exchange it. */
+/** A change of one override by operators, which the processes of a hot restart exchange. */
 sealed interface OverrideChange {
-  /** What operators override: a worker, or the clients of the dispatcher. */
+  /**
+   * The subject of an override: a worker, or the clients of the dispatcher.
+   *
+   * @param worker the id of the worker; empty for the clients
+   */
   record Target(Optional<String> worker) {
     private static final Target CLIENTS = new Target(Optional.empty());
 
@@ -13,7 +17,7 @@
     }
   }
 
-  /** A worker is disabled, or enabled again. */
+  /** Disables a worker or enables it again. */
   record OfWorker(String id, boolean disabled) implements OverrideChange {
     @Override
     public Target target() {
@@ -33,7 +37,7 @@
     }
   }
 
-  /** A client drain is started or stopped. */
+  /** Starts or stops a client drain. */
   record OfClientDrain(boolean drained) implements OverrideChange {
     @Override
     public Target target() {
@@ -55,16 +59,16 @@
     }
   }
 
-  /** What is overridden. */
+  /** Returns the subject of the override that changes. */
   Target target();
 
-  /** The overrides after this change. */
+  /** Returns the overrides after this change. */
   OperatorOverrides applyTo(OperatorOverrides overrides);
 
-  /** The message that reports this change to another process. */
+  /** Returns the message that reports this change to another process. */
   HotRestartMessage toMessage();
 
-  /** The change that a message reports; empty for messages of other kinds. */
+  /** Returns the change that a message reports, or empty if the message reports none. */
   static Optional<OverrideChange> of(HotRestartMessage message) {
     return switch (message.type()) {
       case WORKER_DISABLED -> Optional.of(new OfWorker(message.text(), true));
--- a/src/main/java/loomreel/process/package-info.java
+++ b/src/main/java/loomreel/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What outlives one process of a dispatcher: hot restart, in which a successor process replaces its
- * predecessor, and what operators set by hand.
+ * The parts of a dispatcher that outlast one process: hot restart, in which a successor process
+ * replaces its predecessor, and the overrides that operators set.
  */
 package loomreel.process;
--- a/src/test/java/loomreel/process/ClientDrainStateTest.java
+++ b/src/test/java/loomreel/process/ClientDrainStateTest.java
@@ -13,9 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A client drain: every state with every trigger. */
+/** Verifies the transitions of {@link ClientDrainState} for each state and each trigger. */
 class ClientDrainStateTest {
-  /** The transition table of {@link ClientDrainState}; a missing entry changes nothing. */
+  /**
+   * The transition table of {@link ClientDrainState}. A trigger without an entry leaves the state
+   * unchanged.
+   */
   private static final Map<ClientDrainState, Map<Trigger, ClientDrainState>> TRANSITIONS =
       Map.of(
           ACCEPTING, Map.of(DRAIN_STARTED, NOTIFYING),
@@ -24,7 +27,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachTriggerLeadsToTheStateOfTheTable(ClientDrainState state) {
+  void eachTriggerLeadsToTheStateInTheTransitionTable(ClientDrainState state) {
     for (Trigger trigger : Trigger.values()) {
       assertEquals(
           TRANSITIONS.get(state).getOrDefault(trigger, state), state.next(trigger), trigger.name());
--- a/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
+++ b/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
@@ -12,10 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Operator overrides are stored for later processes, in a format that other versions read. */
+/**
+ * Verifies how operator overrides are stored for later processes, in a format that other versions
+ * read.
+ */
 class OperatorOverridesStoreTest {
-  /** A file as versions up to 0.2 write it. */
-  private static final String FILE = "drained\ndown s-5be2a07c\ndown w 0\n";
+  /** The content of a file as versions up to 0.2 write it. */
+  private static final String FILE_CONTENT = "drained\ndown s-5be2a07c\ndown w 0\n";
 
   private static final OperatorOverrides OVERRIDES =
       new OperatorOverrides(true, Set.of("s-5be2a07c", "w 0"));
@@ -32,12 +35,12 @@
 
   @Test
   void aFileOfAnEarlierVersionIsRead() throws IOException {
-    Files.writeString(file(), FILE);
+    Files.writeString(file(), FILE_CONTENT);
     assertEquals(OVERRIDES, store().load());
   }
 
   @Test
-  void aFileIsWrittenAsEarlierVersionsDid() throws IOException {
+  void aFileIsWrittenInTheFormatOfEarlierVersions() throws IOException {
     store()
         .save(
             OperatorOverrides.NONE
@@ -46,11 +49,11 @@
                 .withWorkerDisabled("s-5be2a07c", true)
                 .withClientsDrained(true)
                 .withWorkerDisabled("w1", false));
-    assertEquals(FILE, Files.readString(file()));
+    assertEquals(FILE_CONTENT, Files.readString(file()));
   }
 
   @Test
-  void savingLeavesNoOtherFileBehind() throws IOException {
+  void savingLeavesNoTemporaryFile() throws IOException {
     store().save(OVERRIDES);
     store().save(OperatorOverrides.NONE);
     assertEquals("", Files.readString(file()));
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void withoutAFileNothingIsOverridden() throws IOException {
+  void withoutAFileThereAreNoOverrides() throws IOException {
     assertEquals(OperatorOverrides.NONE, store().load());
   }
 
