--- a/src/main/java/loomreel/config/AddressParser.java
+++ b/src/main/java/loomreel/config/AddressParser.java
@@ -2,19 +2,19 @@
 
 import java.net.InetSocketAddress;
 
-/** Reads socket addresses as configurations and discovery write them. */
+/** Parses socket addresses as they appear in configurations and in discovery's endpoint lists. */
 public final class AddressParser {
   private static final String NUMERIC_HOST = "[0-9.]+|[0-9a-fA-F:.]*:[0-9a-fA-F:.]*";
   private static final String PORT = "[0-9]{1,5}";
-  private static final int LARGEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private AddressParser() {}
 
   /**
-   * Reads an address of the form 127.0.0.1:8000 or [::1]:8000. Names are not resolved, since there
-   * is no DNS.
+   * Parses an address of the form {@code 127.0.0.1:8000} or {@code [::1]:8000}. Host names are not
+   * resolved, because there is no DNS.
    *
-   * @throws IllegalArgumentException if it is no such address
+   * @throws IllegalArgumentException if the text is not such an address
    */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
@@ -25,7 +25,7 @@
     }
     if (!host.matches(NUMERIC_HOST)
         || !port.matches(PORT)
-        || Integer.parseInt(port) > LARGEST_PORT) {
+        || Integer.parseInt(port) > MAX_PORT) {
       throw notAnAddress(text);
     }
     InetSocketAddress address = new InetSocketAddress(host, Integer.parseInt(port));
--- a/src/main/java/loomreel/config/ConfigException.java
+++ b/src/main/java/loomreel/config/ConfigException.java
@@ -1,15 +1,13 @@
 package loomreel.config;
 
-/**
- * A configuration that the program cannot run with; the message states in one line what is wrong.
- */
+/** Thrown when the program cannot run with a configuration. The message states what is wrong. */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /**
-   * An error in a configuration.
+   * Creates an exception.
    *
-   * @param message names the file or variable, and what is wrong with it
+   * @param message names the file or variable and states what is wrong with it
    */
   public ConfigException(String message) {
     super(message);
--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -9,12 +9,14 @@
 import loomreel.decision.Endpoint;
 
 /**
- * The workers that discovery lists, or the changes to such a list.
+ * The workers that discovery lists, or changes to such a list.
  *
  * @param version the version of the list, or {@link #UNVERSIONED}
- * @param complete whether a worker that is missing from it is removed; otherwise it holds changes
+ * @param complete whether the list is complete, so that a worker which is missing from it is
+ *     removed; otherwise it contains only changes
  * @param endpoints the workers
- * @param addresses where the workers listen, by id; those that are removed may have none
+ * @param addresses the addresses on which the workers listen, by worker id; a removed worker may
+ *     have none
  */
 public record EndpointList(
     long version,
@@ -24,12 +26,14 @@
   /** The version of a list that does not come from discovery. */
   public static final long UNVERSIONED = -1;
 
-  /** The failure domain of a worker for which discovery names none. */
+  /** The failure domain of a worker for which discovery specifies none. */
   private static final int NO_FAILURE_DOMAIN = -1;
 
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** This list with the changes of a later one, or the later one where that is complete. */
+  /**
+   * Returns {@code later} if it is complete, otherwise this list with the changes in {@code later}.
+   */
   public EndpointList updatedBy(EndpointList later) {
     if (later.complete) {
       return later;
@@ -43,10 +47,11 @@
   }
 
   /**
-   * Reads a list in discovery's form.
+   * Parses an endpoint list in discovery's JSON format.
    *
-   * @param json the list as {@link JsonTree} reads it
-   * @throws IllegalArgumentException naming what does not fit
+   * @param json the list as returned by {@link JsonTree}
+   * @throws IllegalArgumentException if a required field is missing or a value is invalid; the
+   *     message names it
    */
   public static EndpointList of(Object json) {
     if (!(json instanceof Map<?, ?> list)
--- a/src/main/java/loomreel/config/EndpointListKeys.java
+++ b/src/main/java/loomreel/config/EndpointListKeys.java
@@ -1,13 +1,16 @@
 package loomreel.config;
 
-/** The names in discovery's endpoint list, by what they mean in this program. */
+/**
+ * The field names and values in discovery's endpoint list. Each constant is named after its meaning
+ * in this program.
+ */
 final class EndpointListKeys {
-  // The list.
+  // Fields of the list.
   static final String VERSION = "seq";
   static final String COMPLETE = "whole";
   static final String ENDPOINTS = "hosts";
 
-  // An entry.
+  // Fields of an entry.
   static final String ID = "host";
   static final String ADDRESS = "dial";
   static final String ZONE = "site";
@@ -16,7 +19,7 @@
   static final String STARTED_AT_MILLIS = "born_ms";
   static final String WEIGHT = "share";
 
-  // The state of an entry.
+  // The field for the state of an entry, and its values.
   static final String STATE = "health";
   static final String READY = "SERVING";
   static final String DRAINING = "DRAINING";
--- a/src/main/java/loomreel/config/JsonTree.java
+++ b/src/main/java/loomreel/config/JsonTree.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON into maps, lists, strings, numbers, booleans and null. */
+/** Parses JSON into maps, lists, strings, numbers, booleans and null. */
 public final class JsonTree {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private JsonTree() {}
 
   /**
-   * Reads one document.
+   * Parses one document.
    *
-   * @throws IOException if it is not JSON
+   * @throws IOException if the document is empty or not JSON
    */
   public static Object read(byte[] document) throws IOException {
     try (JsonParser json = FACTORY.createParser(document)) {
@@ -30,7 +30,8 @@
   }
 
   /**
-   * Reads the value at the parser's current token, up to its last token.
+   * Parses the value at the parser's current token and advances the parser to the last token of the
+   * value.
    *
    * @throws IOException if the stream fails or is not JSON
    */
--- a/src/main/java/loomreel/config/ServeConfig.java
+++ b/src/main/java/loomreel/config/ServeConfig.java
@@ -8,24 +8,28 @@
 import loomreel.decision.Settings;
 
 /**
- * The configuration of a dispatcher process, however it was given.
+ * The configuration of a dispatcher process, independent of its source.
  *
  * @param name the dispatcher's name
- * @param listenAddress where clients and callbacks are accepted
- * @param listenerInherited whether the listener is handed over as descriptor 0; otherwise {@code
- *     listenAddress} is bound
- * @param adminAddress the operators' address, or null where there is none
- * @param stateDirectory where a process leaves what the next one has to know, or null
- * @param discoveryAddress where the endpoint list comes from, or null where it never changes
- * @param seed of the random numbers
- * @param descriptorLimit how many file descriptors the process may hold
- * @param memoryBytes how many bytes it may use
+ * @param listenAddress the address on which clients and callbacks are accepted
+ * @param listenerInherited whether the listening socket is inherited as descriptor 0; otherwise
+ *     {@code listenAddress} is bound
+ * @param adminAddress the address of the server for operators, or null if there is none
+ * @param stateDirectory the directory in which a process stores what the next one reads, or null
+ * @param discoveryAddress the address from which the endpoint list is received, or null if the list
+ *     never changes
+ * @param seed the seed of the random numbers
+ * @param descriptorLimit the maximum number of file descriptors of the process
+ * @param memoryBytes the maximum memory of the process, in bytes
  * @param initialEndpoints the endpoint list as it was last known
- * @param settings what the decision module goes by
- * @param connectTimeoutMicros how long a connection to a worker may take to be established
- * @param idleTimeoutMicros how long a worker keeps an idle connection
- * @param answerSlackMicros how long after a client's deadline an answer still counts
- * @param shutdownLimitMicros how long the process may live on after the request to shut down
+ * @param settings the settings of the decision module
+ * @param connectTimeoutMicros the maximum time to establish a connection to a worker, in
+ *     microseconds
+ * @param idleTimeoutMicros the time for which a worker keeps an idle connection, in microseconds
+ * @param answerGraceMicros the time for which an answer still counts after a client's deadline, in
+ *     microseconds
+ * @param shutdownLimitMicros the maximum time from the request to shut down until the process ends,
+ *     in microseconds
  */
 public record ServeConfig(
     String name,
@@ -41,13 +45,13 @@
     Settings settings,
     long connectTimeoutMicros,
     long idleTimeoutMicros,
-    long answerSlackMicros,
+    long answerGraceMicros,
     long shutdownLimitMicros) {
   /**
-   * What differs from another configuration and cannot change while the process runs. The seed, the
-   * initial endpoints and discovery's address may differ.
+   * Returns the fields that differ from another configuration and cannot change while the process
+   * runs. The seed, the initial endpoints and discovery's address may differ.
    *
-   * @return the names of the fields, as the file has them
+   * @return the names of the fields in the configuration file
    */
   public List<String> changesRequiringRestart(ServeConfig other) {
     List<String> changes = new ArrayList<>();
@@ -69,7 +73,7 @@
     if (!settings.equals(other.settings)
         || connectTimeoutMicros != other.connectTimeoutMicros
         || idleTimeoutMicros != other.idleTimeoutMicros
-        || answerSlackMicros != other.answerSlackMicros) {
+        || answerGraceMicros != other.answerGraceMicros) {
       changes.add(SettingsKeys.SETTINGS);
     }
     return changes;
--- a/src/main/java/loomreel/config/ServeConfigReader.java
+++ b/src/main/java/loomreel/config/ServeConfigReader.java
@@ -9,17 +9,17 @@
 import loomreel.decision.Settings;
 
 /**
- * Reads the platform's configuration: {@code BALANCER_CONFIG} names a JSON file, and the other
- * environment variables override its fields.
+ * Reads the platform's configuration. The environment variable {@code BALANCER_CONFIG} names a JSON
+ * file, and the other variables override its fields.
  */
 public final class ServeConfigReader {
   /**
-   * The platform kills a process no earlier than 0.7 s after the longest deadline, which counts as
-   * 3 s at most.
+   * Maximum duration of a shutdown, in microseconds. The platform kills a process no earlier than
+   * 0.7 s after the longest deadline, which counts as 3 s at most.
    */
   private static final long PLATFORM_SHUTDOWN_LIMIT_MICROS = 3_700_000;
 
-  /** What stands before the name of a field in the name of its environment variable. */
+  /** The prefix of an environment variable. The upper-case name of the field follows it. */
   private static final String VARIABLE_PREFIX = "BALANCER_";
 
   private static final String CONFIG_VARIABLE = VARIABLE_PREFIX + "CONFIG";
@@ -46,7 +46,7 @@
    * Reads the platform's configuration.
    *
    * @param environment the environment variables of the process
-   * @throws ConfigException if something is missing or does not fit
+   * @throws ConfigException if a required value is missing or a value is invalid
    */
   public static ServeConfig read(Map<String, String> environment) throws ConfigException {
     String file = environment.get(CONFIG_VARIABLE);
@@ -54,7 +54,7 @@
       throw new ConfigException(CONFIG_VARIABLE + " is not set");
     }
     String descriptor = environment.getOrDefault(LISTENER_VARIABLE, "");
-    // The platform's own library hands over this one and no other.
+    // The platform's own library passes the listening socket only as this descriptor.
     if (!descriptor.isEmpty() && !descriptor.equals("0")) {
       throw new ConfigException(LISTENER_VARIABLE + " can only be 0, not " + descriptor);
     }
@@ -68,10 +68,11 @@
 
   /**
    * Reads the platform's configuration again while the process runs. {@code BALANCER_DISCOVERY} is
-   * the address of discovery at the start; the one in the file is newer and takes precedence.
+   * ignored: it is discovery's address at the start of the process, and the address in the file is
+   * newer.
    *
    * @param environment the environment variables of the process
-   * @throws ConfigException if something is missing or does not fit
+   * @throws ConfigException if a required value is missing or a value is invalid
    */
   public static ServeConfig reread(Map<String, String> environment) throws ConfigException {
     Map<String, String> others = new HashMap<>(environment);
@@ -113,7 +114,7 @@
             SettingsKeys.CONNECT_TIMEOUT_SECONDS),
         settingMicros(
             DEFAULT_IDLE_TIMEOUT_SECONDS, SettingsKeys.LIMITS, SettingsKeys.IDLE_TIMEOUT_SECONDS),
-        settingMicros(0, SettingsKeys.RULES, SettingsKeys.ANSWER_SLACK_SECONDS),
+        settingMicros(0, SettingsKeys.RULES, SettingsKeys.ANSWER_GRACE_SECONDS),
         PLATFORM_SHUTDOWN_LIMIT_MICROS);
   }
 
@@ -140,7 +141,10 @@
     return VARIABLE_PREFIX + field.toUpperCase(Locale.ROOT);
   }
 
-  /** The environment variable of a field, else the field itself; empty where neither is set. */
+  /**
+   * Returns the value of the field's environment variable or else of the field itself, or an empty
+   * string if neither is set.
+   */
   private String optional(String field) {
     String value = environment.getOrDefault(variable(field), "");
     return value.isEmpty() ? JsonValues.text(json, field) : value;
--- a/src/main/java/loomreel/config/SettingsKeys.java
+++ b/src/main/java/loomreel/config/SettingsKeys.java
@@ -1,11 +1,12 @@
 package loomreel.config;
 
 /**
- * The names in the platform's JSON configuration and its {@code settings} object, by what they mean
- * in this program. A name ends in its unit where the value has one.
+ * The field names and values in the platform's JSON configuration and its {@code settings} object.
+ * Each constant is named after its meaning in this program, and its name ends in the unit of the
+ * value if there is one.
  */
 final class SettingsKeys {
-  // The configuration of the process.
+  // Fields of the process configuration.
   static final String DISPATCHER_NAME = "name";
   static final String LISTEN_ADDRESS = "listen";
   static final String ADMIN_ADDRESS = "mgmt";
@@ -57,7 +58,7 @@
   static final String TENANT_NAME = "Name";
   static final String QUOTA_PER_SECOND = "AllowancePerS";
 
-  // Further settings, of which those of the classes are lists in the order of the classes.
+  // Further settings. Those of the classes are lists in the order of the classes.
   static final String EXTENSIONS = "Specifics";
   static final String REPORTS_JOB_START = "TellsStart";
   static final String CLASS_PRIORITIES = "ClassPriority";
@@ -65,7 +66,7 @@
   static final String CLASS_WORKER_KINDS = "ClassKind";
   static final String WORKER_KINDS = "HostTypes";
 
-  // The rules that every dispatcher has to follow.
+  // The rules that each dispatcher must follow.
   static final String RULES = "Invariants";
   static final String DRAIN_GRACE_SECONDS = "StopSendingWithinS";
   static final String POLL_INTERVAL_SECONDS = "AskWithinS";
@@ -73,9 +74,9 @@
   static final String SLOW_START_SECONDS = "ColdS";
   static final String OVERLOAD_MULTIPLE = "TipMultiple";
   static final String OVERLOAD_WINDOW_SECONDS = "FallS";
-  static final String ANSWER_SLACK_SECONDS = "AnswerSlackS";
+  static final String ANSWER_GRACE_SECONDS = "AnswerSlackS";
 
-  // What the deployment allows.
+  // The limits that the deployment sets, and what it permits.
   static final String LIMITS = "PolicyLimits";
   static final String MAX_ATTEMPTS = "MaxAttempts";
   static final String HEDGING = "SecondCopies";
--- a/src/main/java/loomreel/config/SettingsReader.java
+++ b/src/main/java/loomreel/config/SettingsReader.java
@@ -16,8 +16,8 @@
 import loomreel.decision.Settings;
 
 /**
- * Translates the settings object of the platform's JSON. A setting that is absent takes the value
- * that trusts clients and workers least.
+ * Translates the {@code settings} object of the platform's JSON. The default of an absent setting
+ * is the one that assumes the least of clients and workers.
  */
 public final class SettingsReader {
   private static final double DEFAULT_TICK_SECONDS = 0.001;
@@ -30,18 +30,18 @@
   private final Object root;
 
   /**
-   * A reader of one settings object.
+   * Creates a reader of one settings object.
    *
-   * @param root the object as {@link JsonTree} reads it
+   * @param root the object as returned by {@link JsonTree}
    */
   public SettingsReader(Object root) {
     this.root = root;
   }
 
   /**
-   * Translates the settings.
+   * Returns the translated settings.
    *
-   * @throws IllegalArgumentException if they are not an object
+   * @throws IllegalArgumentException if the root is not a JSON object
    */
   public Settings read() {
     if (!(root instanceof Map<?, ?>)) {
@@ -74,9 +74,10 @@
   }
 
   /**
-   * One class of requests.
+   * Translates one class of requests.
    *
-   * @param index its place in the list, by which the extensions have further settings of it
+   * @param index the position of the class in the list, at which the extensions contain further
+   *     settings of the class
    */
   private Settings.RequestClass requestClass(Object json, int index) {
     return new Settings.RequestClass(
@@ -101,8 +102,8 @@
   }
 
   /**
-   * The kind of worker that a class needs, which is written by name or as an index into the list of
-   * worker kinds; null where any kind will do.
+   * Returns the kind of worker that a class needs, or null if any kind is suitable. The
+   * configuration contains the name of the kind or an index into the list of worker kinds.
    */
   private String workerKind(int classIndex) {
     Object kind =
--- a/src/main/java/loomreel/config/package-info.java
+++ b/src/main/java/loomreel/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration of a dispatcher process, as the platform hands it over in JSON and environment
- * variables, and the endpoint lists that share its form.
+ * The configuration of a dispatcher process, which the platform passes as JSON and environment
+ * variables, and the endpoint lists, which have the same format there and in discovery.
  */
 package loomreel.config;
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -59,7 +59,7 @@
       ServeConfig config, Optional<FaktorySettings> faktorySettings, Optional<TraceWriter> trace)
       throws IOException {
     loop = new EventLoop(bufferPool(config), trace);
-    dispatcher = new Dispatcher(loop, config.settings(), config.seed(), config.answerSlackMicros());
+    dispatcher = new Dispatcher(loop, config.settings(), config.seed(), config.answerGraceMicros());
     workers = workerPool(config, dispatcher);
     dispatcher.addWorkerPool(workers);
     listener = ClientListener.open(config);
