--- a/src/main/java/loomreel/server/ClientListener.java
+++ b/src/main/java/loomreel/server/ClientListener.java
@@ -6,20 +6,21 @@
 import java.nio.channels.ServerSocketChannel;
 import loomreel.config.ServeConfig;
 
-/** Opens the socket at which clients and callbacks are accepted. */
+/** Opens the listening socket for clients and callbacks. */
 final class ClientListener {
   /**
-   * Pending connections in the kernel's queue; a client that finds it full retries after a second.
+   * Maximum number of pending connections in the kernel's accept queue. A client that finds the
+   * queue full retries after a second.
    */
   private static final int BACKLOG = 4096;
 
   private ClientListener() {}
 
   /**
-   * Binds the configured address, or uses the listener that the platform passes. The result does
-   * not block; the caller owns it.
+   * Binds the configured address, or uses the listening socket that the platform passes. The
+   * returned channel does not block and is owned by the caller.
    *
-   * @throws IOException if the address cannot be bound or no listener was passed
+   * @throws IOException if the address cannot be bound or no listening socket was passed
    */
   static ServerSocketChannel open(ServeConfig config) throws IOException {
     ServerSocketChannel listener =
@@ -35,8 +36,8 @@
   }
 
   /**
-   * The listener that the platform holds and passes to each process as descriptor 0. It is never
-   * closed: the library would close standard error with it.
+   * Returns the listening socket that the platform holds and passes to each process as descriptor
+   * 0. It is never closed, because the Java library would close standard error with it.
    */
   private static ServerSocketChannel inherit() throws IOException {
     if (System.inheritedChannel() instanceof ServerSocketChannel listener) {
--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -13,12 +13,12 @@
 import loomreel.upstream.HttpWorkerPool;
 
 /**
- * Applies a configuration that was read again, as after SIGHUP. Only discovery's address can change
- * while the process runs. A configuration that cannot be read, or that changes anything else, may
- * be another installation's: it is rejected completely and counted.
+ * Applies a configuration that is read again, for example after SIGHUP. Only discovery's address
+ * can change while the process runs. A configuration that cannot be read, or that changes anything
+ * else, may belong to another installation, so it is rejected as a whole and counted.
  *
- * <p>Unless said otherwise the methods may be called on any thread; the work is done on the event
- * loop's.
+ * <p>Unless a method says otherwise, it may be called on any thread, and its work is done on the
+ * event loop's thread.
  */
 public final class ConfigReloader {
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
@@ -26,7 +26,7 @@
   private final Dispatcher dispatcher;
   private final HttpWorkerPool workers;
 
-  /** The configuration of the start, which later ones are compared with. */
+  /** The configuration at the start of the process, with which later ones are compared. */
   private final ServeConfig initial;
 
   ConfigReloader(Dispatcher dispatcher, HttpWorkerPool workers, ServeConfig initial) {
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Reads the platform's configuration again and applies it.
+   * Reads the platform's configuration again, and applies or rejects it.
    *
    * @param environment the environment variables of the process
    */
@@ -54,9 +54,10 @@
   }
 
   /**
-   * Applies a configuration that the caller has read again.
+   * Applies or rejects a configuration that the caller has read again.
    *
-   * @param otherChanges the names of changed fields outside {@code next} that require a restart
+   * @param otherChanges the names of changed fields which {@code next} does not contain and which
+   *     require a restart
    */
   public void reload(ServeConfig next, List<String> otherChanges) {
     loop.execute(
@@ -67,7 +68,11 @@
         });
   }
 
-  /** Records that a configuration could not be reloaded, and the reason. */
+  /**
+   * Counts and logs the rejection of a configuration that the caller could not read.
+   *
+   * @param reason the reason, for the log
+   */
   public void reject(String reason) {
     loop.execute(() -> recordRejection(reason));
   }
@@ -84,7 +89,10 @@
     }
   }
 
-  /** Watches the endpoint list at this address from now on. For the loop's thread only. */
+  /**
+   * Watches the endpoint list at another address from now on. Must be called on the event loop's
+   * thread.
+   */
   public void moveDiscovery(InetSocketAddress address) {
     workers.moveDiscovery(address);
   }
--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -13,26 +13,31 @@
 import loomreel.decision.Settings;
 import loomreel.settings.Installation;
 
-/** Translates the settings file of an installation into the configuration of a dispatcher. */
+/**
+ * Translates the settings file of an installation into the configuration of a dispatcher process.
+ */
 public final class DaemonConfig {
-  /** No answer counts after a client's deadline, since clients measure it by their own clocks. */
-  private static final long ANSWER_SLACK_MICROS = 0;
+  /**
+   * The time, in microseconds, for which an answer still counts after a client's deadline. It is 0
+   * because clients measure the deadline by their own clocks.
+   */
+  private static final long ANSWER_GRACE_MICROS = 0;
 
-  /** The least time between two moments at which the decision module is called. */
+  /** Minimum time, in microseconds, between two calls of the decision module. */
   private static final long TICK_MICROS = 1000;
 
   /**
-   * Whoever runs a daemon waits until it has ended, so the deadlines of its classes alone limit a
-   * shutdown.
+   * Maximum duration of a shutdown, in microseconds. There is no limit besides the deadlines of the
+   * request classes, because whoever runs a daemon waits until it has ended.
    */
   private static final long SHUTDOWN_LIMIT_MICROS = Long.MAX_VALUE;
 
   private DaemonConfig() {}
 
   /**
-   * Translates an installation.
+   * Translates the settings of an installation.
    *
-   * @param seed for random numbers; new with each start
+   * @param seed the seed of the random numbers, which differs with each start
    */
   public static ServeConfig of(Installation installation, long seed) {
     return new ServeConfig(
@@ -49,7 +54,7 @@
         settings(installation),
         installation.network().connectTimeout().micros(),
         installation.network().idleTimeout().micros(),
-        ANSWER_SLACK_MICROS,
+        ANSWER_GRACE_MICROS,
         SHUTDOWN_LIMIT_MICROS);
   }
 
--- a/src/main/java/loomreel/server/DescriptorAllocator.java
+++ b/src/main/java/loomreel/server/DescriptorAllocator.java
@@ -6,7 +6,10 @@
 import loomreel.ingress.HttpIngress;
 import loomreel.upstream.HttpWorkerPool;
 
-/** Applies the {@link DescriptorBudget} of the process to the parts that open connections. */
+/**
+ * Applies the {@link DescriptorBudget} of the process to the components that open connections or
+ * accept jobs.
+ */
 final class DescriptorAllocator {
   private final int descriptorLimit;
   private final int reservedForFaktory;
@@ -16,10 +19,12 @@
   private final HttpIngress http;
 
   /**
-   * An allocator that has not allocated anything yet.
+   * Creates an allocator that has not allocated anything yet.
    *
-   * @param descriptorLimit descriptors that the platform grants to the dispatcher
-   * @param reservedForFaktory descriptors of those that HTTP cannot have
+   * @param descriptorLimit the number of file descriptors that the platform grants to the
+   *     dispatcher
+   * @param reservedForFaktory the number of those descriptors that HTTP cannot use
+   * @param faktory empty if Faktory is disabled
    */
   DescriptorAllocator(
       int descriptorLimit,
@@ -37,16 +42,16 @@
   }
 
   /**
-   * Divides the descriptors.
+   * Divides the descriptors and sets the capacity of each component.
    *
-   * @param shared whether another process serves beside this one as the same dispatcher
+   * @param shared whether another process of this dispatcher is connected
    */
   void allocate(boolean shared) {
     DescriptorBudget budget = DescriptorBudget.divide(descriptorLimit, reservedForFaktory, shared);
     workers.setCapacity(budget.upstreamConnections());
     dispatcher.setCapacity(budget.jobs());
     if (faktory.isPresent()) {
-      // No lambda: linking it would load the class also where Faktory is off.
+      // No lambda, because linking it would load FaktoryIngress even if Faktory is disabled.
       faktory.get().setCapacity(budget.jobs());
     }
     http.setCapacity(budget.clientConnections(), budget.granted());
--- a/src/main/java/loomreel/server/DescriptorBudget.java
+++ b/src/main/java/loomreel/server/DescriptorBudget.java
@@ -1,37 +1,43 @@
 package loomreel.server;
 
 /**
- * How the file descriptors that the platform grants are divided among clients, workers and jobs.
+ * The division of the file descriptors that the platform grants among clients, workers and jobs.
  *
- * @param granted descriptors that this process may use for HTTP, those for other purposes included
- * @param upstreamConnections connections to workers that may be open at a time
- * @param jobs jobs that may be in flight at a time
- * @param clientConnections accepted connections that may be open at a time, callbacks included
+ * @param granted the number of descriptors that this process may use for HTTP, including those for
+ *     other purposes
+ * @param upstreamConnections the maximum number of open connections to workers
+ * @param jobs the maximum number of jobs in flight
+ * @param clientConnections the maximum number of open accepted connections, including those of
+ *     callbacks
  */
 record DescriptorBudget(int granted, int upstreamConnections, int jobs, int clientConnections) {
   /**
-   * Descriptors that are neither a client's nor a worker's: files, the selector, the listener,
-   * discovery, the other process of a hot restart and the administrators' address.
+   * Number of descriptors for neither clients nor workers: files, the selector, the listening
+   * socket, discovery, the other process of a hot restart, and the server for operators.
    */
   private static final int OTHER_DESCRIPTORS = 32;
 
-  /** Connections that are budgeted even if fewer descriptors are granted. */
+  /** Minimum number of connections in a budget, even if fewer descriptors are granted. */
   private static final int MIN_CONNECTIONS = 16;
 
-  /** The fraction for workers: a job occupies a connection to one only for a round trip. */
+  /**
+   * Fraction of the connections that is for workers. A job occupies a connection to a worker only
+   * for a round trip.
+   */
   private static final double UPSTREAM_FRACTION = 0.25;
 
   /**
-   * The fraction of accepted connections that jobs may occupy; callbacks, without which no job
-   * ends, need the rest.
+   * Fraction of the accepted connections that jobs may occupy. The rest is for callbacks, without
+   * which no job ends.
    */
   private static final double JOB_FRACTION = 0.75;
 
   /**
    * Divides the descriptors of a process.
    *
-   * @param descriptorLimit descriptors that the platform grants to the dispatcher
-   * @param reservedForFaktory descriptors of those that HTTP cannot have
+   * @param descriptorLimit the number of file descriptors that the platform grants to the
+   *     dispatcher
+   * @param reservedForFaktory the number of those descriptors that HTTP cannot use
    * @param shared whether two processes serve as this dispatcher, each with half of the limit
    */
   static DescriptorBudget divide(int descriptorLimit, int reservedForFaktory, boolean shared) {
--- a/src/main/java/loomreel/server/GracefulShutdown.java
+++ b/src/main/java/loomreel/server/GracefulShutdown.java
@@ -11,36 +11,42 @@
 import loomreel.process.HotRestart;
 
 /**
- * Shuts a dispatcher down without losing a job, and drives the {@link ServerState} of the process.
+ * Shuts a dispatcher process down without losing a job, and triggers the transitions of its {@link
+ * ServerState}.
  *
- * <p>Without a successor the process serves as before for a grace period, since clients reuse the
- * connections that they have and there may be no other dispatcher for them. With a successor this
- * process accepts no connections, and its clients reconnect after their next response. Then idle
- * connections are closed, and the loop is stopped once nothing is pending. Jobs that have not ended
- * by the shutdown deadline fail.
+ * <p>Without a successor, the process serves as before for a grace period, because clients reuse
+ * the connections that they have and there may be no other dispatcher for them. With a successor,
+ * this process accepts no more connections, and its clients reconnect after their next response.
+ * When the grace period ends, idle connections are closed, and the event loop stops as soon as
+ * nothing is pending. Jobs that have not ended by the shutdown deadline fail.
  *
- * <p>All times are in microseconds of the event loop's clock. Confined to the loop's thread.
+ * <p>All times are in microseconds of the event loop's clock. Confined to the event loop's thread.
  */
 final class GracefulShutdown {
   /**
-   * Without a successor connections are used this much longer: another dispatcher may be down as
-   * well.
+   * The grace period without a successor, in microseconds. Connections are used for this much
+   * longer, because another dispatcher may be down as well.
    */
   private static final long GRACE_PERIOD_MICROS = 1_500_000;
 
   /**
-   * With a successor idle connections stay open for this long: a client that uses one meanwhile is
-   * asked to close it with the response, while a close by this side could cross a request.
+   * The grace period with a successor, in microseconds. Idle connections stay open for this long: a
+   * client that uses one in this time is asked to close it with the response, whereas a close by
+   * this process could cross a request.
    */
   private static final long HANDOVER_GRACE_PERIOD_MICROS = 2_300_000;
 
-  /** The platform kills a process no earlier than this after the longest deadline. */
+  /**
+   * Minimum time, in microseconds, from the longest deadline until the platform kills a process.
+   */
   private static final long KILL_DELAY_MICROS = 700_000;
 
-  /** The part of the kill delay that is reserved for writing the last responses. */
-  private static final long LAST_ANSWERS_MICROS = 200_000;
+  /**
+   * The part of the kill delay, in microseconds, that is reserved for writing the last responses.
+   */
+  private static final long LAST_RESPONSES_RESERVE_MICROS = 200_000;
 
-  /** Interval of the check whether anything is pending. */
+  /** The interval, in microseconds, of the check whether anything is pending. */
   private static final long POLL_INTERVAL_MICROS = 20_000;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
@@ -51,19 +57,19 @@
   private final HttpIngress http;
   private final Optional<? extends Ingress> faktory;
   private final long longestDeadlineMicros;
-  private final long limitMicros;
+  private final long maxDurationMicros;
 
-  /** When every job must have its response; set by the shutdown request. */
+  /** The time by which each job must have its response; set when the shutdown is requested. */
   private long answerDeadline = Long.MAX_VALUE;
 
   /**
-   * A shutdown that nobody has requested yet.
+   * Creates a shutdown that has not been requested yet.
    *
-   * @param lifecycle the state of the process, in which the shutdown is recorded
-   * @param hotRestart knows whether a successor serves beside this process
-   * @param faktory the Faktory ingress, if the process has one
-   * @param config holds the deadlines of the request classes, for which the shutdown waits, and the
-   *     maximum duration of the shutdown
+   * @param lifecycle holds the state of the process, which this shutdown changes
+   * @param hotRestart tells whether a successor is connected
+   * @param faktory the Faktory ingress, or empty if the process has none
+   * @param config contains the deadlines of the request classes, for which the shutdown waits, and
+   *     the maximum duration of the shutdown
    */
   GracefulShutdown(
       Dispatcher dispatcher,
@@ -78,7 +84,7 @@
     this.hotRestart = hotRestart;
     this.http = http;
     this.faktory = faktory;
-    limitMicros = config.shutdownLimitMicros();
+    maxDurationMicros = config.shutdownLimitMicros();
     longestDeadlineMicros =
         config.settings().classes().stream()
             .mapToLong(Settings.RequestClass::deadline)
@@ -86,12 +92,12 @@
             .orElse(0);
   }
 
-  /** The first endpoint list was received, and the process is open to clients. */
+  /** Records that the first endpoint list is known and that the process is open to clients. */
   void endpointsKnown() {
     lifecycle.apply(ServerState.Trigger.ENDPOINTS_KNOWN);
   }
 
-  /** Begins the shutdown. A further request changes nothing: time runs since the first. */
+  /** Begins the shutdown. Further requests have no effect: all times count from the first one. */
   void request() {
     if (lifecycle.state().isShutdownRequested()) {
       return;
@@ -106,12 +112,13 @@
     } else {
       lifecycle.apply(ServerState.Trigger.SHUTDOWN_REQUESTED);
     }
-    // Faktory's clients cannot use another dispatcher before their connections close.
+    // The drain of Faktory has no grace period: its clients cannot use another dispatcher before
+    // their connections close.
     faktory.ifPresent(Ingress::beginDrain);
     answerDeadline =
         loop.now()
-            + Math.min(limitMicros, longestDeadlineMicros + KILL_DELAY_MICROS)
-            - LAST_ANSWERS_MICROS;
+            + Math.min(maxDurationMicros, longestDeadlineMicros + KILL_DELAY_MICROS)
+            - LAST_RESPONSES_RESERVE_MICROS;
     dispatcher.setShutdownDeadline(answerDeadline);
     long gracePeriod = hasSuccessor ? HANDOVER_GRACE_PERIOD_MICROS : GRACE_PERIOD_MICROS;
     loop.schedule(
@@ -135,12 +142,12 @@
   }
 
   /**
-   * Whether an HTTP client waits for a response or may not have read it yet. A client that sends
-   * request after request is served until shortly before the process is killed, and does not delay
-   * the end beyond that.
+   * Returns whether an HTTP client waits for a response or may not have read it yet. A client that
+   * sends one request after another is served until shortly before the process is killed, and
+   * cannot delay the end of the process beyond that time.
    */
   private boolean isHttpPending() {
-    return http.hasPendingWork() && loop.now() < answerDeadline + LAST_ANSWERS_MICROS;
+    return http.hasPendingWork() && loop.now() < answerDeadline + LAST_RESPONSES_RESERVE_MICROS;
   }
 
   private boolean isFaktoryPending() {
--- a/src/main/java/loomreel/server/HotRestartHost.java
+++ b/src/main/java/loomreel/server/HotRestartHost.java
@@ -6,7 +6,7 @@
 import loomreel.process.HotRestartCoordinator;
 import loomreel.upstream.JobStatusUpdate;
 
-/** Applies what the other process of a hot restart changes to the parts of this process. */
+/** Applies changes by the other process of a hot restart to the components of this process. */
 final class HotRestartHost implements HotRestartCoordinator.Host {
   private final Dispatcher dispatcher;
   private final DescriptorAllocator descriptors;
--- a/src/main/java/loomreel/server/IngressSummaryLogger.java
+++ b/src/main/java/loomreel/server/IngressSummaryLogger.java
@@ -7,7 +7,7 @@
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
-/** Logs a summary of all ingresses at a fixed interval. */
+/** Logs a summary of all ingresses every {@link Dispatcher#METRICS_LOG_INTERVAL_MICROS}. */
 final class IngressSummaryLogger {
   private final EventLoop loop;
   private final List<Ingress> ingresses;
@@ -19,12 +19,13 @@
     this.log = log;
   }
 
-  /** Logs now and again after each interval, for as long as the loop runs. */
+  /** Logs a summary now and again after each interval, for as long as the event loop runs. */
   void start() {
     log.info(summary());
     loop.schedule(loop.now() + Dispatcher.METRICS_LOG_INTERVAL_MICROS, this::start);
   }
 
+  /** Returns the summaries of all ingresses, separated by semicolons. */
   String summary() {
     return ingresses.stream().map(Ingress::summary).collect(Collectors.joining("; "));
   }
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -27,12 +27,12 @@
 import loomreel.upstream.HttpWorkerPool;
 
 /**
- * One dispatcher process: creates the event loop and the parts that run on it, connects them, and
- * owns them until the process ends. Each of the parts does its own work; nothing is decided here.
+ * One dispatcher process. Creates the event loop and the components that run on it, connects them,
+ * and owns them until the process ends. It makes no decisions: each component does its own work.
  */
 public final class Server {
-  /** Buffers may take the memory divided by this. */
-  private static final int MEMORY_PER_BUFFER_MEMORY = 16;
+  /** Ratio of the memory of the process to the memory that buffers may use. */
+  private static final int MEMORY_TO_BUFFER_RATIO = 16;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
   private final EventLoop loop;
@@ -49,10 +49,10 @@
   private final IngressSummaryLogger ingressSummary;
 
   /**
-   * Opens the ports.
+   * Creates a dispatcher process and opens its ports. Nothing is accepted before {@link #run}.
    *
-   * @param faktorySettings empty where Faktory is off
-   * @param trace empty where events are not traced
+   * @param faktorySettings empty if Faktory is disabled
+   * @param trace the writer of trace events, or empty if events are not traced
    * @throws IOException if a port cannot be opened
    */
   public Server(
@@ -65,9 +65,10 @@
     listener = ClientListener.open(config);
 
     SharedFiles files = sharedFiles(config);
-    // Before anything is accepted: the first callback may be meant for the other process.
+    // Connects before anything is accepted: the first callback may be for the other process.
     hotRestart = HotRestart.connect(dispatcher, hotRestartPort(config, files));
-    // Read once the link is up, over which the predecessor sends all later changes.
+    // Loads the overrides after connecting to the predecessor, which sends all later changes over
+    // the connection.
     OperatorOverridesStore store = new OperatorOverridesStore(files.operatorOverrides());
     OperatorOverrides overrides = store.loadOrNone();
 
@@ -104,7 +105,7 @@
 
   private static BufferPool bufferPool(ServeConfig config) {
     return new BufferPool(
-        (int) (config.memoryBytes() / MEMORY_PER_BUFFER_MEMORY / BufferPool.SIZE));
+        (int) (config.memoryBytes() / MEMORY_TO_BUFFER_RATIO / BufferPool.SIZE));
   }
 
   private static HttpWorkerPool workerPool(ServeConfig config, Dispatcher dispatcher) {
@@ -121,7 +122,10 @@
     return new SharedFiles(Optional.ofNullable(config.stateDirectory()), config.name());
   }
 
-  /** Empty where hot restart is disabled: without a passed listener no successor can accept. */
+  /**
+   * Returns the port file, or empty if hot restart is disabled. It is disabled unless the listening
+   * socket is passed by the platform, because a successor could accept no connections otherwise.
+   */
   private static Optional<Path> hotRestartPort(ServeConfig config, SharedFiles files) {
     return config.listenerInherited() ? files.hotRestartPort() : Optional.empty();
   }
@@ -139,11 +143,13 @@
   }
 
   private static List<Ingress> ingresses(HttpIngress http, Optional<FaktoryIngress> faktory) {
-    // No lambda on Faktory's type: linking it would load the class also where Faktory is off.
+    // No lambda, because linking it would load FaktoryIngress even if Faktory is disabled.
     return faktory.isPresent() ? List.of(http, faktory.get()) : List.of(http);
   }
 
-  /** The file descriptors that HTTP cannot use. */
+  /**
+   * Returns the number of file descriptors that are reserved for Faktory and that HTTP cannot use.
+   */
   private static int reservedDescriptors(Optional<FaktorySettings> faktorySettings) {
     return faktorySettings.isPresent() ? faktorySettings.get().maxConnections() : 0;
   }
@@ -159,37 +165,37 @@
   }
 
   /**
-   * The port at which clients and callbacks are accepted.
+   * Returns the port on which clients and callbacks are accepted.
    *
-   * @throws IOException if the listener is closed
+   * @throws IOException if the listening socket is closed
    */
   public int port() throws IOException {
     return ((InetSocketAddress) listener.getLocalAddress()).getPort();
   }
 
-  /** The event loop on which all parts run. */
+  /** Returns the event loop on which all components run. */
   public EventLoop loop() {
     return loop;
   }
 
-  /** Applies configurations that are read again. */
+  /** Returns the component that applies configurations which are read again. */
   public ConfigReloader configReloader() {
     return configReloader;
   }
 
-  /** Carries out the requests of operators. */
+  /** Returns the component that carries out the requests of operators. */
   public AdminOperations adminOperations() {
     return adminOperations;
   }
 
   /**
-   * Serves until a shutdown is complete.
+   * Serves until a graceful shutdown is complete.
    *
    * @throws IOException if the selector fails
    */
   public void run() throws IOException {
-    // On the loop, whose clock has not advanced since it was created: timers set from here on would
-    // otherwise be overdue at once.
+    // Runs in an iteration of the loop. The loop's clock has not advanced since its creation, so
+    // timers that are set here would be overdue at once.
     loop.execute(this::start);
     ingressSummary.start();
     loop.run();
@@ -200,8 +206,9 @@
   private void start() {
     dispatcher.start(operatorControls.disabledWorkers());
     workers.start(this::endpointsKnown);
-    // A predecessor accepts clients until this process has its endpoint list. Without one, clients
-    // that do not wait for this process to be ready would get no answer at all.
+    // A predecessor accepts clients until this process has its endpoint list. Without a predecessor
+    // this process accepts them now, because clients that do not wait until it is ready would get
+    // no answer at all.
     if (!hotRestart.isShared()) {
       http.open();
     }
@@ -214,7 +221,10 @@
     http.open();
   }
 
-  /** Begins a graceful shutdown, after which {@link #run} returns. Any thread may call this. */
+  /**
+   * Begins a graceful shutdown; {@link #run} returns when it is complete. May be called on any
+   * thread.
+   */
   public void shutDown() {
     loop.execute(shutdown::request);
   }
--- a/src/main/java/loomreel/server/ServerAdmissionGate.java
+++ b/src/main/java/loomreel/server/ServerAdmissionGate.java
@@ -4,7 +4,10 @@
 import loomreel.process.ClientDrain;
 import loomreel.process.HotRestart;
 
-/** Derives what HTTP connections may do from the state of the process and of a client drain. */
+/**
+ * Determines which connections and jobs the HTTP ingress accepts, from the state of the process and
+ * of a client drain.
+ */
 final class ServerAdmissionGate implements HttpIngress.AdmissionGate {
   private final ServerStateMachine lifecycle;
   private final ClientDrain clientDrain;
@@ -32,7 +35,10 @@
     return lifecycle.state().isClosing();
   }
 
-  /** Workers keep their connections during a client drain. */
+  /**
+   * Returns whether a response is the last one on its connection. Workers keep their connections
+   * during a client drain.
+   */
   @Override
   public boolean isFinalResponse(boolean fromWorker) {
     return isClosing() || (clientDrain.isActive() && !fromWorker);
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -1,8 +1,8 @@
 package loomreel.server;
 
 /**
- * The life-cycle states of a dispatcher process. {@link #next} holds all transitions; a trigger for
- * which the table has no entry leaves the state as it is.
+ * The life-cycle states of a dispatcher process. {@link #next} implements the transitions in the
+ * table; a trigger without an entry leaves the state unchanged.
  *
  * <table>
  *   <caption>Transitions</caption>
@@ -20,46 +20,52 @@
  * </table>
  */
 enum ServerState {
-  /** The first endpoint list is awaited: jobs are accepted and wait for workers. */
+  /** The first endpoint list is not known yet. Jobs are accepted and wait for workers. */
   STARTING,
 
-  /** Ready for clients. */
+  /** The process is ready for clients. */
   SERVING,
 
-  /** Shutdown requested in {@link #STARTING}; the list may still arrive in the grace period. */
+  /**
+   * A shutdown was requested in {@link #STARTING}. The first endpoint list may still arrive in the
+   * grace period.
+   */
   DRAINING_UNOPENED,
 
-  /** Shutdown requested without a successor: serves as before until the grace period ends. */
+  /**
+   * A shutdown was requested without a successor. The process serves as before until the grace
+   * period ends.
+   */
   DRAINING,
 
-  /** Shutdown requested with a successor, which accepts all new connections. */
+  /** A shutdown was requested with a successor, which accepts all new connections. */
   HANDING_OVER,
 
-  /** Idle connections are closed; the process ends as soon as nothing is pending. */
+  /** Idle connections are closed. The process ends as soon as nothing is pending. */
   CLOSING,
 
-  /** Nothing is pending: the event loop ends. */
+  /** Nothing is pending, and the event loop stops. */
   STOPPED;
 
-  /** What moves a process from one state to the next. */
+  /** An event that changes the state of a process. */
   enum Trigger {
-    /** The first endpoint list was received: jobs can be sent. */
+    /** The first endpoint list is known, so jobs can be sent. */
     ENDPOINTS_KNOWN,
 
-    /** A shutdown was requested and no successor serves beside this process. */
+    /** A shutdown was requested, and no successor is connected. */
     SHUTDOWN_REQUESTED,
 
-    /** A shutdown was requested and a successor serves beside this process. */
+    /** A shutdown was requested, and a successor is connected. */
     HANDOVER_REQUESTED,
 
-    /** Clients have had the time to notice the shutdown. */
+    /** The grace period, in which clients can notice the shutdown, has ended. */
     GRACE_PERIOD_ENDED,
 
-    /** No job, answer or connection is pending any more, or the process can wait no longer. */
+    /** No job, answer or connection is pending any more, or the process cannot wait any longer. */
     EMPTIED
   }
 
-  /** The state after a trigger, by the table above. */
+  /** Returns the state that follows after a trigger, as listed in the table above. */
   ServerState next(Trigger trigger) {
     return switch (trigger) {
       case ENDPOINTS_KNOWN -> afterEndpointsKnown();
@@ -86,22 +92,22 @@
     };
   }
 
-  /** Whether the process reports itself as ready. */
+  /** Returns whether the process reports itself as ready. */
   boolean isReady() {
     return this == SERVING || this == DRAINING;
   }
 
-  /** Whether the first endpoint list has been received, or is not awaited any more. */
+  /** Returns whether the first endpoint list is known or is no longer awaited. */
   boolean hasEndpoints() {
     return this != STARTING && this != DRAINING_UNOPENED;
   }
 
-  /** Whether every connection closes when it falls idle. */
+  /** Returns whether each connection is closed when it becomes idle. */
   boolean isClosing() {
     return this == HANDING_OVER || this == CLOSING || this == STOPPED;
   }
 
-  /** Whether a shutdown has been requested, which cannot be revoked. */
+  /** Returns whether a shutdown has been requested. A request cannot be revoked. */
   boolean isShutdownRequested() {
     return this != STARTING && this != SERVING;
   }
--- a/src/main/java/loomreel/server/ServerStateMachine.java
+++ b/src/main/java/loomreel/server/ServerStateMachine.java
@@ -1,6 +1,6 @@
 package loomreel.server;
 
-/** Owns the {@link ServerState} of the process. Confined to the event loop's thread. */
+/** Holds the {@link ServerState} of the process. Confined to the event loop's thread. */
 final class ServerStateMachine {
   private ServerState state = ServerState.STARTING;
 
