--- a/src/main/java/loomreel/admin/AdminConnection.java
+++ b/src/main/java/loomreel/admin/AdminConnection.java
@@ -15,13 +15,16 @@
 import loomreel.process.AdminOperations;
 
 /**
- * A connection with one request of an operator: the response is sent at once, and the connection
- * closes.
+ * A connection that serves one request of an operator. The response is sent as soon as the request
+ * is received, and then the connection closes.
  *
- * <p>Owned by {@link AdminServer}, which is notified of its close.
+ * <p>Owned by {@link AdminServer}, which is notified when the connection closes.
  */
 final class AdminConnection extends HttpConnection {
-  /** The time limit of the request, and then of the client's close, in microseconds. */
+  /**
+   * Maximum time, in microseconds, to receive the request, and then for the client to close the
+   * connection.
+   */
   private static final long TIMEOUT_MICROS = 2_000_000;
 
   private static final String NO_BODY = "";
@@ -115,7 +118,10 @@
     respond(HttpStatus.OK, NO_BODY);
   }
 
-  /** Sends the response; if one was sent before, closes: the request timed out. */
+  /**
+   * Sends the response, after which the client has {@link #TIMEOUT_MICROS} to close the connection.
+   * If a response was sent before, closes the connection instead.
+   */
   private void respond(int status, String body, String... headers) {
     if (responded) {
       close();
@@ -138,8 +144,8 @@
   }
 
   /**
-   * Shuts down the output; the client closes. Closing at once would reset the connection if there
-   * is unread input, and the client could lose the response.
+   * Shuts down the output, after which the client closes the connection. If this side closed it
+   * while input is unread, the connection would be reset, and the client could lose the response.
    */
   @Override
   protected void flushed() {
--- a/src/main/java/loomreel/admin/AdminRoute.java
+++ b/src/main/java/loomreel/admin/AdminRoute.java
@@ -2,19 +2,19 @@
 
 import java.util.Optional;
 
-/** The requests that operators may send, by path and method. */
+/** The requests that operators can send, each with its method and path. */
 enum AdminRoute {
-  /** Whether the dispatcher can serve: status 200 or 503. */
+  /** Reports whether the process is ready: status 200 or 503. */
   READINESS("GET", "/ops/readiness"),
-  /** The metrics, as JSON. */
+  /** Returns the metrics as JSON. */
   STATS("GET", "/ops/stats"),
-  /** Send nothing more to the worker that the body names. */
+  /** Disables the worker whose id is the body, so that it receives no more jobs. */
   DISABLE_WORKER("POST", "/ops/copy-workers/down"),
-  /** Send to the worker that the body names again. */
+  /** Enables the worker whose id is the body, so that it receives jobs again. */
   ENABLE_WORKER("POST", "/ops/copy-workers/up"),
-  /** Send clients away. */
+  /** Starts a client drain, which directs clients to other dispatchers. */
   START_DRAIN("POST", "/ops/drain/start"),
-  /** Accept clients again. */
+  /** Stops the client drain, so that clients are accepted again. */
   STOP_DRAIN("POST", "/ops/drain/stop");
 
   private final String method;
@@ -25,7 +25,7 @@
     this.path = path;
   }
 
-  /** Finds the route of a request target, which has to be exactly the path. */
+  /** Returns the route whose path equals a request target, or empty if there is none. */
   static Optional<AdminRoute> of(String target) {
     for (AdminRoute route : values()) {
       if (route.path.equals(target)) {
@@ -35,7 +35,7 @@
     return Optional.empty();
   }
 
-  /** The only method that is allowed. */
+  /** Returns the only method that is allowed. */
   String method() {
     return method;
   }
--- a/src/main/java/loomreel/admin/AdminServer.java
+++ b/src/main/java/loomreel/admin/AdminServer.java
@@ -13,20 +13,20 @@
 import loomreel.process.AdminOperations;
 
 /**
- * The HTTP server for operators, at an address of its own. Its file descriptors are its own as
- * well, so that clients, however many, cannot lock operators out.
+ * The HTTP server for operators. It has its own address and its own file descriptors, so that
+ * clients cannot lock operators out, however many clients there are.
  *
- * <p>Used on the event loop's thread only. It owns its connections; the event loop closes the
+ * <p>Used on the event loop's thread only. Owns its connections; the event loop closes the
  * listening socket.
  */
 public final class AdminServer {
   /**
-   * The connections that may be open; another one replaces the oldest, which has sent no request
-   * yet.
+   * Maximum number of open connections. A further connection replaces the oldest one, which has no
+   * request that awaits a response.
    */
   private static final int MAX_CONNECTIONS = 8;
 
-  /** Connections that wait in the kernel's queue. */
+  /** Maximum number of pending connections in the kernel's accept queue. */
   private static final int BACKLOG = 128;
 
   private final AdminOperations operations;
@@ -35,7 +35,8 @@
   private final Set<AdminConnection> open = new LinkedHashSet<>();
 
   /**
-   * Binds the address and starts accepting; requests are handled once the event loop runs.
+   * Binds the address and starts to accept connections. Requests are handled when the event loop
+   * runs.
    *
    * @throws IOException if the address cannot be bound
    */
@@ -47,7 +48,7 @@
     listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     listener.configureBlocking(false);
     listener.bind(address, BACKLOG);
-    // The queue is short, so it is accepted completely in one iteration.
+    // The queue is short, so all of its connections are accepted in one iteration.
     new Acceptor(loop, listener, Integer.MAX_VALUE, log, this::accept).start();
     log.info("admin server listening address=" + listener.getLocalAddress());
   }
@@ -58,11 +59,11 @@
     }
     AdminConnection connection = new AdminConnection(loop, channel, this, operations, log);
     open.add(connection);
-    // A request that has arrived already is handled before another connection can replace this one.
+    // A request that has arrived is handled before another connection can replace this one.
     connection.readNow();
   }
 
-  /** A connection was closed. */
+  /** Removes a connection that was closed. */
   void remove(AdminConnection connection) {
     open.remove(connection);
   }
--- a/src/main/java/loomreel/admin/MetricsJson.java
+++ b/src/main/java/loomreel/admin/MetricsJson.java
@@ -15,9 +15,9 @@
   private MetricsJson() {}
 
   /**
-   * Writes metrics.
+   * Returns metrics as JSON text.
    *
-   * @param metrics values by name; a value is an integer, or again such a map
+   * @param metrics the values by name; a value is an integer or a nested map
    */
   static String write(Map<?, ?> metrics) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
