--- a/src/test/java/loomreel/admin/AdminRouteTest.java
+++ b/src/test/java/loomreel/admin/AdminRouteTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which paths and methods operators may use: part of the public interface. */
+/** Verifies the paths and methods that operators can use. They are part of the public interface. */
 class AdminRouteTest {
   @ParameterizedTest
   @CsvSource({
@@ -19,7 +19,7 @@
     "POST, /ops/drain/start, START_DRAIN",
     "POST, /ops/drain/stop, STOP_DRAIN"
   })
-  void eachPathHasOneMethod(String method, String path, AdminRoute route) {
+  void eachPathHasItsRouteAndMethod(String method, String path, AdminRoute route) {
     assertEquals(Optional.of(route), AdminRoute.of(path));
     assertEquals(method, route.method());
     assertEquals(path, route.path());
@@ -32,7 +32,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "/", "/ops", "/ops/stats/", "/ops/stats?x=1", "/OPS/stats"})
-  void anyOtherTargetHasNoRoute(String target) {
+  void noRouteIsFoundForAnyOtherTarget(String target) {
     assertEquals(Optional.empty(), AdminRoute.of(target));
   }
 }
--- a/src/test/java/loomreel/config/EndpointListTest.java
+++ b/src/test/java/loomreel/config/EndpointListTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which member each name of discovery's endpoint list sets. */
+/** Verifies which component each key of discovery's endpoint list sets. */
 class EndpointListTest {
-  /** A list with every key and word, each with a value of its own. */
+  /** An endpoint list with each key and state, each of them with a distinct value. */
   private static final String DOCUMENT =
       """
       {"seq": 10, "whole": true, "hosts": [
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void eachKeySetsItsMember() throws Exception {
+  void eachKeySetsItsComponent() throws Exception {
     EndpointList expected =
         new EndpointList(
             10,
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void eachNameOfTheListIsTested() throws Exception {
+  void theDocumentContainsEachKeyAndState() throws Exception {
     for (Field key : EndpointListKeys.class.getDeclaredFields()) {
       if (key.getType() == String.class) {
         assertTrue(DOCUMENT.contains("\"" + key.get(null) + "\""), key + " " + key.get(null));
@@ -68,7 +68,7 @@
         "\"dial\", no dial for w11",
         "SERVING, unknown health other"
       })
-  void aMessageNamesTheMissingKey(String name, String message) {
+  void theErrorMessageNamesTheMissingKeyOrTheUnknownState(String name, String message) {
     String document = DOCUMENT.replace(name, name.replaceAll("\\w+", "other"));
 
     IllegalArgumentException error =
--- a/src/test/java/loomreel/config/EndpointListUpdateTest.java
+++ b/src/test/java/loomreel/config/EndpointListUpdateTest.java
@@ -8,7 +8,7 @@
 import loomreel.decision.Endpoint;
 import org.junit.jupiter.api.Test;
 
-/** A list that is known is replaced by a complete later one, and updated by changes. */
+/** Verifies that a complete list replaces the known list, and that changes update it. */
 class EndpointListUpdateTest {
   private static EndpointList list(int version, boolean complete, String... entries)
       throws IOException {
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aCompleteListTakesThePlaceOfTheKnownOne() throws IOException {
+  void aCompleteListReplacesTheKnownList() throws IOException {
     EndpointList later = list(7, true, entry("w2", "SERVING", 4));
     assertEquals(later, known.updatedBy(later));
   }
--- a/src/test/java/loomreel/config/ServeConfigReaderTest.java
+++ b/src/test/java/loomreel/config/ServeConfigReaderTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which member each name of the platform's configuration sets. */
+/** Verifies which component each key of the platform's configuration sets. */
 class ServeConfigReaderTest {
-  /** A configuration with every key, each with a value of its own. */
+  /** A configuration with each key, each of them with a distinct value. */
   private static final String DOCUMENT =
       """
       {
@@ -49,6 +49,7 @@
       }
       """;
 
+  /** One second in microseconds. */
   private static final long SECOND = 1_000_000;
 
   @TempDir private Path directory;
@@ -59,7 +60,7 @@
   }
 
   @Test
-  void eachKeyOfTheProcessSetsItsMember() throws Exception {
+  void eachKeyOfTheProcessSetsItsComponent() throws Exception {
     ServeConfig config = read(DOCUMENT);
 
     ServeConfig expected =
@@ -83,7 +84,7 @@
   }
 
   @Test
-  void eachKeyOfTheSettingsSetsItsMember() throws Exception {
+  void eachKeyOfTheSettingsSetsItsComponent() throws Exception {
     Settings settings = read(DOCUMENT).settings();
 
     assertEquals(17, settings.dispatchers());
@@ -105,7 +106,7 @@
   }
 
   @Test
-  void eachKeyOfAClassSetsItsMember() throws Exception {
+  void eachKeyOfARequestClassSetsItsComponent() throws Exception {
     List<Settings.RequestClass> expected =
         List.of(
             new Settings.RequestClass(
@@ -156,21 +157,28 @@
     "SecondCopies, false, Cancelling, false, Probing, true, RetryAfter, false, 0010",
     "SecondCopies, false, Cancelling, false, Probing, false, RetryAfter, true, 0001"
   })
-  void eachFlagOfTheLimitsSetsItsMember(
+  void eachFlagOfTheLimitsSetsItsComponent(
       String hedging,
-      boolean hedges,
+      boolean hedgingEnabled,
       String cancellation,
-      boolean cancels,
+      boolean cancellationEnabled,
       String healthChecks,
-      boolean checks,
+      boolean healthChecksEnabled,
       String retryAfter,
-      boolean says,
+      boolean retryAfterEnabled,
       String expected)
       throws Exception {
     String flags =
         "{\"%s\": %s, \"%s\": %s, \"%s\": %s, \"%s\": %s}"
             .formatted(
-                hedging, hedges, cancellation, cancels, healthChecks, checks, retryAfter, says);
+                hedging,
+                hedgingEnabled,
+                cancellation,
+                cancellationEnabled,
+                healthChecks,
+                healthChecksEnabled,
+                retryAfter,
+                retryAfterEnabled);
 
     Settings.Limits limits =
         new SettingsReader(
@@ -192,15 +200,18 @@
 
   @ParameterizedTest
   @CsvSource({"answers, WITH_ANSWERS", "probe, WITH_HEALTH_CHECKS", "other, NONE"})
-  void theModeOfLoadReportingHasItsConstant(String mode, Settings.LoadReporting expected) {
+  void eachLoadReportingModeIsTranslated(String mode, Settings.LoadReporting expected) {
     Settings settings = new SettingsReader(Map.of("Telemetry", Map.of("How", mode))).read();
 
     assertEquals(expected, settings.loadReporting());
   }
 
-  /** The document has every name but the word that the test above has. */
+  /**
+   * The value {@code probe} is not in the document; {@link #eachLoadReportingModeIsTranslated}
+   * tests it.
+   */
   @Test
-  void eachNameOfTheConfigurationIsTested() throws Exception {
+  void theDocumentContainsEachKeyAndValue() throws Exception {
     for (Field key : SettingsKeys.class.getDeclaredFields()) {
       if (key.getType() == String.class) {
         boolean isInDocument = DOCUMENT.contains("\"" + key.get(null) + "\"");
@@ -210,7 +221,7 @@
   }
 
   @Test
-  void aMessageNamesTheFileAndTheMissingField() {
+  void theErrorMessageNamesTheFileAndTheMissingField() {
     ConfigException error =
         assertThrows(
             ConfigException.class, () -> read(DOCUMENT.replace("\"listen\"", "\"other\"")));
--- a/src/test/java/loomreel/server/DaemonConfigTest.java
+++ b/src/test/java/loomreel/server/DaemonConfigTest.java
@@ -14,12 +14,16 @@
 import loomreel.settings.InstallationFile;
 import org.junit.jupiter.api.Test;
 
-/** The configuration to which each member of an installation's settings is translated. */
+/**
+ * Verifies that each setting of an installation is translated into the configuration of the
+ * process.
+ */
 class DaemonConfigTest {
+  /** One second in microseconds. */
   private static final long SECOND = 1_000_000;
 
-  /** Settings with a distinct value for each key that a dispatcher is configured with. */
-  private static final String FILE =
+  /** A settings file with a distinct value for each key that configures a dispatcher. */
+  private static final String FILE_CONTENT =
       """
       name: "d1"
       site: "z2"
@@ -45,8 +49,8 @@
   }
 
   @Test
-  void eachMemberOfTheProcessIsTranslated() throws Exception {
-    ServeConfig config = config(FILE);
+  void eachSettingOfTheProcessIsTranslated() throws Exception {
+    ServeConfig config = config(FILE_CONTENT);
 
     ServeConfig expected =
         new ServeConfig(
@@ -73,12 +77,12 @@
   }
 
   @Test
-  void eachMemberOfTheSettingsIsTranslated() throws Exception {
+  void eachSettingOfTheDecisionModuleIsTranslated() throws Exception {
     Settings expected =
         Settings.builder()
             .dispatchers(3)
             .zone("z2")
-            .classes(config(FILE).settings().classes())
+            .classes(config(FILE_CONTENT).settings().classes())
             .tenants(List.of(new Settings.Tenant("t27", 28)))
             .rules(new Settings.Rules(2 * SECOND, 0, 0.33, 34 * SECOND, 35, 36 * SECOND))
             .limits(new Settings.Limits(2, true, false, true, false, 29 * SECOND))
@@ -90,11 +94,11 @@
             .clientsMarkRetries(false)
             .build();
 
-    assertEquals(expected, config(FILE).settings());
+    assertEquals(expected, config(FILE_CONTENT).settings());
   }
 
   @Test
-  void eachMemberOfAClassIsTranslated() throws Exception {
+  void eachSettingOfARequestClassIsTranslated() throws Exception {
     List<Settings.RequestClass> expected =
         List.of(
             new Settings.RequestClass(
@@ -134,14 +138,15 @@
                 DeduplicationScope.FAILURE_DOMAIN,
                 0));
 
-    assertEquals(expected, config(FILE).settings().classes());
+    assertEquals(expected, config(FILE_CONTENT).settings().classes());
   }
 
   @Test
-  void discoveryIsPolledAtTheIntervalOfTheRules() throws Exception {
-    String worker = FILE.lines().filter(line -> line.startsWith("workers:")).findFirst().get();
+  void discoveryIsPolledAtTheConfiguredInterval() throws Exception {
+    String workersLine =
+        FILE_CONTENT.lines().filter(line -> line.startsWith("workers:")).findFirst().get();
 
-    ServeConfig config = config(FILE.replace(worker, "discovery: \"127.0.0.1:40\""));
+    ServeConfig config = config(FILE_CONTENT.replace(workersLine, "discovery: \"127.0.0.1:40\""));
 
     assertEquals(AddressParser.parse("127.0.0.1:40"), config.discoveryAddress());
     assertEquals(true, config.settings().pollsEndpoints());
--- a/src/test/java/loomreel/server/DescriptorBudgetTest.java
+++ b/src/test/java/loomreel/server/DescriptorBudgetTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The division of the descriptors that the platform grants. */
+/** Verifies how the descriptors that the platform grants are divided. */
 class DescriptorBudgetTest {
   @Test
-  void workersGetAQuarterOfTheConnectionsAndJobsThreeQuartersOfTheRest() {
+  void workersGetAQuarterOfTheConnectionsAndJobsGetThreeQuartersOfTheRest() {
     assertEquals(
         new DescriptorBudget(1024, 248, 558, 744), DescriptorBudget.divide(1024, 0, false));
   }
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void aMinimumOfConnectionsIsBudgetedWhateverIsGranted() {
+  void theMinimumOfConnectionsIsBudgetedIfFewerDescriptorsAreGranted() {
     assertEquals(new DescriptorBudget(10, 4, 9, 12), DescriptorBudget.divide(10, 0, false));
   }
 }
--- a/src/test/java/loomreel/server/ServerStateTest.java
+++ b/src/test/java/loomreel/server/ServerStateTest.java
@@ -24,9 +24,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The life cycle of a process: every state with every trigger. */
+/** Verifies the transitions of {@link ServerState} for each state and each trigger. */
 class ServerStateTest {
-  /** The transition table of {@link ServerState}; what is missing stays as it is. */
+  /**
+   * The transition table of {@link ServerState}. A trigger without an entry leaves the state
+   * unchanged.
+   */
   private static final Map<ServerState, Map<Trigger, ServerState>> TRANSITIONS =
       Map.of(
           STARTING,
@@ -49,7 +52,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachTriggerLeadsWhereTheTableSays(ServerState state) {
+  void eachTriggerLeadsToTheStateInTheTransitionTable(ServerState state) {
     for (Trigger trigger : Trigger.values()) {
       assertEquals(
           TRANSITIONS.get(state).getOrDefault(trigger, state), state.next(trigger), trigger.name());
@@ -57,17 +60,17 @@
   }
 
   @Test
-  void aProcessIsReadyFromItsFirstListUntilItCloses() {
+  void onlyAServingOrDrainingProcessIsReady() {
     assertEquals(EnumSet.of(SERVING, DRAINING), statesThat(ServerState::isReady));
   }
 
   @Test
-  void idleConnectionsCloseFromTheHandOverOrTheEndOfTheGracePeriodOn() {
+  void idleConnectionsAreClosedDuringAHandoverAndAfterTheGracePeriod() {
     assertEquals(EnumSet.of(HANDING_OVER, CLOSING, STOPPED), statesThat(ServerState::isClosing));
   }
 
   @Test
-  void aRequestedShutdownIsNeverTakenBack() {
+  void aShutdownIsRequestedInEachStateExceptStartingAndServing() {
     assertEquals(
         EnumSet.complementOf(EnumSet.of(STARTING, SERVING)),
         statesThat(ServerState::isShutdownRequested));
