--- a/src/main/java/loomreel/config/SettingsKeys.java
+++ b/src/main/java/loomreel/config/SettingsKeys.java
@@ -15,12 +15,12 @@
   static final String INITIAL_ENDPOINTS = "known";
   static final String SETTINGS = "settings";
 
-  // The resources of the process.
+  // Fields of the resources of the process.
   static final String RESOURCES = "limits";
   static final String MAX_DESCRIPTORS = "sockets";
   static final String MEMORY_MEBIBYTES = "memory_mb";
 
-  // The deployment.
+  // Fields and values of the deployment.
   static final String DISPATCHERS = "Balancers";
   static final String ZONE = "Locality";
   static final String TICK_SECONDS = "TickS";
@@ -35,7 +35,7 @@
   static final String LOAD_REPORTING_WITH_ANSWERS = "answers";
   static final String LOAD_REPORTING_WITH_HEALTH_CHECKS = "probe";
 
-  // Request classes.
+  // Fields and values of the request classes.
   static final String REQUEST_CLASSES = "RequestClasses";
   static final String CLASS_NAME = "Name";
   static final String LATENCY_OBJECTIVE_SECONDS = "TargetS";
@@ -53,12 +53,12 @@
   static final String DEDUPLICATION_SCOPE_FAILURE_DOMAIN = "cell";
   static final String DEDUPLICATION_WINDOW_SECONDS = "WindowS";
 
-  // Tenants.
+  // Fields of the tenants.
   static final String TENANTS = "Tenants";
   static final String TENANT_NAME = "Name";
   static final String QUOTA_PER_SECOND = "AllowancePerS";
 
-  // Further settings. Those of the classes are lists in the order of the classes.
+  // Fields of further settings. Those of the classes are lists in the order of the classes.
   static final String EXTENSIONS = "Specifics";
   static final String REPORTS_JOB_START = "TellsStart";
   static final String CLASS_PRIORITIES = "ClassPriority";
@@ -66,7 +66,7 @@
   static final String CLASS_WORKER_KINDS = "ClassKind";
   static final String WORKER_KINDS = "HostTypes";
 
-  // The rules that each dispatcher must follow.
+  // Fields of the rules that each dispatcher must follow.
   static final String RULES = "Invariants";
   static final String DRAIN_GRACE_SECONDS = "StopSendingWithinS";
   static final String POLL_INTERVAL_SECONDS = "AskWithinS";
@@ -76,7 +76,7 @@
   static final String OVERLOAD_WINDOW_SECONDS = "FallS";
   static final String ANSWER_GRACE_SECONDS = "AnswerSlackS";
 
-  // The limits that the deployment sets, and what it permits.
+  // Fields of the limits that the deployment sets, and of what it permits.
   static final String LIMITS = "PolicyLimits";
   static final String MAX_ATTEMPTS = "MaxAttempts";
   static final String HEDGING = "SecondCopies";
--- a/src/main/java/loomreel/server/GracefulShutdown.java
+++ b/src/main/java/loomreel/server/GracefulShutdown.java
@@ -24,20 +24,21 @@
  */
 final class GracefulShutdown {
   /**
-   * The grace period without a successor, in microseconds. Connections are used for this much
-   * longer, because another dispatcher may be down as well.
+   * The grace period without a successor, in microseconds. Connections stay in use for this long
+   * after the request to shut down, because another dispatcher may be down as well.
    */
   private static final long GRACE_PERIOD_MICROS = 1_500_000;
 
   /**
-   * The grace period with a successor, in microseconds. Idle connections stay open for this long: a
-   * client that uses one in this time is asked to close it with the response, whereas a close by
-   * this process could cross a request.
+   * The grace period with a successor, in microseconds. Idle connections stay open for this long
+   * after the request to shut down. A client that uses one in this time is asked to close it with
+   * the response, whereas a close by this process could cross a request.
    */
   private static final long HANDOVER_GRACE_PERIOD_MICROS = 2_300_000;
 
   /**
-   * Minimum time, in microseconds, from the longest deadline until the platform kills a process.
+   * The platform kills a process no earlier than this time, in microseconds, after the longest
+   * deadline.
    */
   private static final long KILL_DELAY_MICROS = 700_000;
 
@@ -46,7 +47,7 @@
    */
   private static final long LAST_RESPONSES_RESERVE_MICROS = 200_000;
 
-  /** The interval, in microseconds, of the check whether anything is pending. */
+  /** The interval, in microseconds, at which the process checks whether anything is pending. */
   private static final long POLL_INTERVAL_MICROS = 20_000;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
