--- a/src/main/java/loomreel/process/AdminOperations.java
+++ b/src/main/java/loomreel/process/AdminOperations.java
@@ -3,7 +3,9 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Operations that operators can request. All methods are called on the event loop's thread. */
+/**
+ * The operations that operators can request. All methods must be called on the event loop's thread.
+ */
 public interface AdminOperations {
   /** Returns whether this process reports itself as ready to serve clients. */
   boolean isReady();
@@ -15,15 +17,20 @@
    * Disables a worker, so that it receives no more jobs, or enables it again.
    *
    * @param id the worker's id
-   * @return false if no worker with this id is listed or disabled
-   * @throws IOException if the change cannot be stored for the next process; it is not applied then
+   * @param disabled true to disable the worker, false to enable it
+   * @return whether the worker is known, that is, listed or already disabled; an unknown worker is
+   *     neither disabled nor enabled
+   * @throws IOException if the change cannot be stored for the next process; in that case, the
+   *     change is not applied
    */
   boolean setWorkerDisabled(String id, boolean disabled) throws IOException;
 
   /**
    * Starts or stops a client drain, which directs clients to other dispatchers.
    *
-   * @throws IOException if the change cannot be stored for the next process; it is not applied then
+   * @param draining true to start the drain, false to stop it
+   * @throws IOException if the change cannot be stored for the next process; in that case, the
+   *     change is not applied
    */
   void setClientDrain(boolean draining) throws IOException;
 }
--- a/src/main/java/loomreel/process/ClientDrain.java
+++ b/src/main/java/loomreel/process/ClientDrain.java
@@ -1,12 +1,15 @@
 package loomreel.process;
 
-/** Holds the {@link ClientDrainState} of a process. Confined to the event loop's thread. */
+/**
+ * The client drain of this process, which operators start and stop. A client drain directs clients
+ * to other dispatchers. Holds the {@link ClientDrainState}. Confined to the event loop's thread.
+ */
 public final class ClientDrain {
   private ClientDrainState state;
 
   /**
-   * Creates a drain that continues one from an earlier process: jobs are rejected from the start if
-   * clients were drained then.
+   * Creates a drain whose initial state follows from the overrides of an earlier process. If
+   * clients are drained according to these overrides, this process rejects jobs from its start.
    *
    * @param initial the overrides that operators set in an earlier process
    */
@@ -19,10 +22,7 @@
     return state != ClientDrainState.ACCEPTING;
   }
 
-  /**
-   * Returns whether a drain is in progress and its notice period is over, so that jobs are
-   * rejected.
-   */
+  /** Returns whether a drain is in progress and jobs are rejected because of it. */
   public boolean isRejectingJobs() {
     return state == ClientDrainState.REJECTING;
   }
--- a/src/main/java/loomreel/process/ClientDrainState.java
+++ b/src/main/java/loomreel/process/ClientDrainState.java
@@ -14,16 +14,21 @@
  * </table>
  */
 enum ClientDrainState {
-  /** No drain is in progress, and clients are served. */
+  /** No client drain is in progress. Clients are served. */
   ACCEPTING,
 
   /**
-   * The readiness check fails and each response closes its client's connection, so that clients
-   * move to other dispatchers. Jobs are still accepted.
+   * A drain is in progress, and its notice period has not ended. The readiness check for clients
+   * fails, and each response to a client is the last one on its connection, so that clients move to
+   * other dispatchers. Jobs are still accepted.
    */
   NOTIFYING,
 
-  /** Jobs are rejected, and idle client connections have been closed. */
+  /**
+   * A drain is in progress, and jobs are rejected. The process enters this state when the notice
+   * period ends, and closes idle client connections at that time. If the drain began in an earlier
+   * process, this is the initial state.
+   */
   REJECTING;
 
   /** An event that changes the state of a client drain. */
@@ -34,11 +39,14 @@
     /** Operators have stopped the drain. */
     DRAIN_STOPPED,
 
-    /** The notice period, in which clients can notice the drain, has ended. */
+    /**
+     * The notice period has ended. It gives clients the time to notice the drain and to move to
+     * other dispatchers.
+     */
     NOTICE_PERIOD_ENDED
   }
 
-  /** Returns the state that follows after a trigger, as listed in the table above. */
+  /** Returns the state after a trigger, as listed in the transition table of this enum. */
   ClientDrainState next(Trigger trigger) {
     return switch (trigger) {
       case DRAIN_STARTED -> this == ACCEPTING ? NOTIFYING : this;
--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -10,29 +10,51 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Manages this process's side of a hot restart. While two processes serve as one dispatcher, it
- * divides the capacity between them, shares the ids of active calls, and forwards callbacks.
+ * Manages this process's side of a hot restart, in which a successor process replaces its
+ * predecessor and both serve as one dispatcher for a time. The predecessor or the successor, if
+ * connected, is called a peer of this process.
  *
- * <p>Without a channel, because hot restart is disabled or no loopback port could be opened, this
- * process keeps all capacity and forwards nothing. Confined to the event loop's thread, except for
- * {@link #connect}.
+ * <p>While a peer is connected, this class does the following:
+ *
+ * <ul>
+ *   <li>It divides the dispatcher's slow-start allowance between the processes. The slow-start
+ *       allowance limits the load that a dispatcher sends to workers which started recently.
+ *   <li>It exchanges the ids of the active calls with the peer, so that no id is active in both
+ *       processes at the same time. A call is a job that the dispatcher has accepted.
+ *   <li>It forwards callbacks, in which workers report the state of a call, if the call is not
+ *       active in this process.
+ * </ul>
+ *
+ * <p>There is no channel to peers if hot restart is disabled or no loopback port could be opened.
+ * In this case, this process uses the full slow-start allowance and forwards nothing.
+ *
+ * <p>Confined to the event loop's thread, except for {@link #connect}.
  */
 public final class HotRestart implements CallIdRegistry {
-  /** The fraction of the dispatcher's slow-start allowance that each of two processes uses. */
-  private static final double HALF_CAPACITY = 0.5;
+  /**
+   * The fraction of the slow-start allowance that this process uses while a peer is connected and
+   * no process has handed over.
+   */
+  private static final double HALF_ALLOWANCE = 0.5;
 
-  /** The fraction that a process uses while no other process uses any. */
-  private static final double FULL_CAPACITY = 1;
+  /**
+   * The fraction of the slow-start allowance that this process uses while no peer is connected or
+   * after the predecessor has handed over.
+   */
+  private static final double FULL_ALLOWANCE = 1;
 
-  /** The fraction that a process uses after it has handed over to its successor. */
-  private static final double NO_CAPACITY = 0;
+  /**
+   * The fraction of the slow-start allowance that this process uses after it has handed over to its
+   * successor.
+   */
+  private static final double NO_ALLOWANCE = 0;
 
   private final Dispatcher dispatcher;
   private final Optional<HotRestartChannel> channel;
 
   /**
-   * The ids of the calls that are active in the other process. An id must not be active in both
-   * processes at the same time.
+   * The ids of the calls that are active in a peer. An id must not be active in two processes at
+   * the same time.
    */
   private final Set<String> idsActiveElsewhere = new HashSet<>();
 
@@ -44,8 +66,8 @@
   /**
    * Connects to the predecessor, if there is one, and listens for a successor.
    *
-   * @param portFile the file in which the newest process publishes its loopback port; empty if hot
-   *     restart is disabled
+   * @param portFile the file to which the newest process of this dispatcher writes its loopback
+   *     port; empty if hot restart is disabled
    */
   public static HotRestart connect(Dispatcher dispatcher, Optional<Path> portFile) {
     HotRestart hotRestart =
@@ -67,14 +89,12 @@
     }
   }
 
-  /**
-   * Sets the receiver of messages from the other processes. Required before the event loop runs.
-   */
+  /** Sets the receiver of messages from peers. Required before the event loop runs. */
   void setListener(HotRestartChannel.Listener listener) {
     channel.ifPresent(open -> open.setListener(listener));
   }
 
-  /** Returns whether another process of this dispatcher is connected. */
+  /** Returns whether a peer, that is, another process of this dispatcher, is connected. */
   public boolean isShared() {
     return channel.isPresent() && channel.get().isConnected();
   }
@@ -84,26 +104,34 @@
     return channel.isPresent() && channel.get().hasSuccessor();
   }
 
-  /** Sends a notice, which is a message that is not answered, to each of the other processes. */
-  void send(HotRestartMessage notice) {
-    channel.ifPresent(restartChannel -> restartChannel.send(notice));
+  /** Sends a one-way message, to which there is no reply, to each peer. */
+  void send(HotRestartMessage oneWayMessage) {
+    channel.ifPresent(restartChannel -> restartChannel.send(oneWayMessage));
   }
 
-  /** Sends a notice to each of the other processes except the one that it came from. */
-  void relay(HotRestartLink source, HotRestartMessage notice) {
-    channel.ifPresent(restartChannel -> restartChannel.relay(source, notice));
+  /**
+   * Sends a one-way message that was received from a peer to each other peer.
+   *
+   * @param source the link on which the message was received
+   */
+  void relay(HotRestartLink source, HotRestartMessage oneWayMessage) {
+    channel.ifPresent(restartChannel -> restartChannel.relay(source, oneWayMessage));
   }
 
-  /** Sends a notice to the successor that connected last; does nothing if there is none. */
-  void sendToSuccessor(HotRestartMessage notice) {
-    channel.ifPresent(restartChannel -> restartChannel.sendToSuccessor(notice));
+  /**
+   * Sends a one-way message to the successor. If several successors are connected, the message goes
+   * to the one that connected last. Does nothing if no successor is connected.
+   */
+  void sendToSuccessor(HotRestartMessage oneWayMessage) {
+    channel.ifPresent(restartChannel -> restartChannel.sendToSuccessor(oneWayMessage));
   }
 
   /**
-   * Forwards a callback whose job is not active in this process to the other process.
+   * Forwards a callback to a peer, because its call is not active in this process.
    *
-   * @param handled run when that process has handled the callback or has disconnected; run at once
-   *     if no other process is connected
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the peer has handled the callback or has disconnected; run at once if
+   *     no peer is connected
    */
   public void forwardCallback(byte[] callback, Runnable handled) {
     if (channel.isPresent()) {
@@ -114,42 +142,45 @@
   }
 
   /**
-   * Sets the capacity that this process uses: half while another process is connected, otherwise
-   * all. Sends the ids of the calls that are active here to the other process, or forgets the ids
-   * that were active there if none is connected. Must be called at the start and whenever a process
-   * connects or disconnects.
+   * Updates the slow-start allowance and the known call ids after the set of connected peers has
+   * changed. Must be called at the start and whenever a peer connects or disconnects.
+   *
+   * <p>If a peer is connected, this process uses half of the slow-start allowance and sends the ids
+   * of its active calls to each peer. Otherwise, this process uses the full allowance and discards
+   * the ids that peers have sent.
    */
-  public void divideCapacity() {
+  public void updateAllowanceAndCallIds() {
     boolean isShared = isShared();
     if (isShared) {
       dispatcher.activeIds().forEach(this::acquired);
     } else {
       idsActiveElsewhere.clear();
     }
-    dispatcher.setCapacityFraction(isShared ? HALF_CAPACITY : FULL_CAPACITY);
+    dispatcher.setCapacityFraction(isShared ? HALF_ALLOWANCE : FULL_ALLOWANCE);
   }
 
   /**
-   * Gives up all capacity and notifies the other processes, so that the successor uses all of it.
+   * Stops using the slow-start allowance and tells each peer, so that the successor uses the full
+   * allowance.
    */
   public void handOver() {
-    dispatcher.setCapacityFraction(NO_CAPACITY);
-    send(HotRestartMessage.notice(HotRestartMessage.Type.HANDING_OVER, ""));
+    dispatcher.setCapacityFraction(NO_ALLOWANCE);
+    send(HotRestartMessage.oneWayMessage(HotRestartMessage.Type.HANDING_OVER, ""));
   }
 
-  /** Takes all capacity, which the predecessor has given up. */
-  void receiveCapacity() {
-    dispatcher.setCapacityFraction(FULL_CAPACITY);
+  /** Uses the full slow-start allowance from now on, because a peer has handed over. */
+  void takeFullAllowance() {
+    dispatcher.setCapacityFraction(FULL_ALLOWANCE);
   }
 
   @Override
   public void acquired(String id) {
-    send(HotRestartMessage.notice(HotRestartMessage.Type.CALL_ID_ACQUIRED, id));
+    send(HotRestartMessage.oneWayMessage(HotRestartMessage.Type.CALL_ID_ACQUIRED, id));
   }
 
   @Override
   public void released(String id) {
-    send(HotRestartMessage.notice(HotRestartMessage.Type.CALL_ID_RELEASED, id));
+    send(HotRestartMessage.oneWayMessage(HotRestartMessage.Type.CALL_ID_RELEASED, id));
   }
 
   @Override
@@ -157,12 +188,12 @@
     return idsActiveElsewhere.contains(id);
   }
 
-  /** Records that a call has become active in the other process. */
+  /** Records that the call with this id has become active in a peer. */
   void acquiredElsewhere(String id) {
     idsActiveElsewhere.add(id);
   }
 
-  /** Records that a call is no longer active in the other process. */
+  /** Records that the call with this id is no longer active in a peer. */
   void releasedElsewhere(String id) {
     idsActiveElsewhere.remove(id);
   }
--- a/src/main/java/loomreel/process/HotRestartChannel.java
+++ b/src/main/java/loomreel/process/HotRestartChannel.java
@@ -18,45 +18,49 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Connects the processes of one dispatcher during a hot restart. Two such processes accept
- * connections at the same address, which clients and workers use, so each of them receives requests
- * that are meant for the other.
+ * Connects this process to its peers, which are the other processes of the same dispatcher during a
+ * hot restart: the predecessor and the successor. All of them accept connections of clients and
+ * workers at the same address. A process can therefore receive a request that is meant for a peer,
+ * such as a callback for a call that is active in the peer.
  *
- * <p>Each process listens on a port of IPv4 loopback. The newest process writes its port to a file
- * in {@code $TMPDIR}, where its successor finds it. Unix domain sockets are not used, because they
- * are not available on every platform: the platform of the full fleet provides only TCP and UDP
- * over IPv4.
+ * <p>Each process listens on a port of the IPv4 loopback interface. The newest process writes its
+ * port to a file in {@code $TMPDIR}, from which its successor reads the port. Unix domain sockets
+ * are not used, because not every platform provides them: the platform that runs the full fleet of
+ * dispatchers provides only TCP and UDP over IPv4.
  *
  * <p>Confined to the event loop's thread, except for {@link #open}. Stays open until the process
  * ends.
  */
 final class HotRestartChannel implements EventLoop.Handler {
-  /** Receives events and messages from the other processes. */
+  /** Receives the messages of peers, and is notified when a peer connects or disconnects. */
   interface Listener {
     /** Called when a successor has connected. */
     void successorConnected();
 
-    /** Called when another process has disconnected. */
-    void processDisconnected();
+    /** Called when a peer, that is, the predecessor or a successor, has disconnected. */
+    void peerDisconnected();
 
     /**
-     * Called with each notice, which is a message that is not answered.
+     * Called with each one-way message, to which there is no reply. These are all messages except
+     * callbacks and their confirmations.
      *
-     * @param source the link on which the notice was received
+     * @param source the link on which the message was received
      */
-    void noticeReceived(HotRestartLink source, HotRestartMessage notice);
+    void oneWayMessageReceived(HotRestartLink source, HotRestartMessage oneWayMessage);
 
     /**
-     * Delivers a callback whose job is not active in the process that sent it.
+     * Delivers a callback that a peer has forwarded, because the callback's call is not active in
+     * the peer.
      *
-     * @return whether the job is active in this process
+     * @param callback the body of the callback as the worker sent it
+     * @return whether the call is active in this process, so that the callback was delivered
      */
     boolean deliverCallback(byte[] callback);
   }
 
   /**
-   * Maximum number of pending connections in the kernel's accept queue. Only a few processes
-   * connect.
+   * Maximum number of pending connections in the kernel's accept queue. It is small, because only
+   * successors of this process connect.
    */
   private static final int BACKLOG = 4;
 
@@ -70,7 +74,7 @@
   private final ServerSocketChannel listeningSocket;
   private final Set<HotRestartLink> links = new LinkedHashSet<>();
 
-  /** Set before the event loop runs, and thus before any message is received. */
+  /** Set before the event loop runs, and thus before a message can be received. */
   private Listener listener;
 
   private HotRestartChannel(EventLoop loop, ServerSocketChannel listeningSocket) {
@@ -81,8 +85,8 @@
   /**
    * Connects to the predecessor, if there is one, and listens for a successor.
    *
-   * @param portFile contains the port of the newest process of this dispatcher; replaced by this
-   *     method
+   * @param portFile the file that contains the port of the newest process of this dispatcher; this
+   *     method replaces it by a file with the port of this process
    * @throws IOException if no port can be opened or the file cannot be written
    */
   static HotRestartChannel open(EventLoop loop, Path portFile) throws IOException {
@@ -112,16 +116,12 @@
     listeningSocket.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
   }
 
-  /**
-   * Sets the receiver of messages from the other processes. Required before the event loop runs.
-   */
+  /** Sets the receiver of messages from peers. Required before the event loop runs. */
   void setListener(Listener listener) {
     this.listener = listener;
   }
 
-  /**
-   * Returns the port in the file, or empty if the file cannot be read or contains no valid port.
-   */
+  /** Returns the port in the file, or empty if it cannot be read or contains no valid port. */
   private static OptionalInt readPort(Path file) {
     try {
       int port = Integer.parseInt(Files.readString(file).trim());
@@ -132,8 +132,8 @@
   }
 
   /**
-   * Replaces the file atomically, so that a process that starts at the same time reads a complete
-   * port.
+   * Replaces the file atomically, so that a successor that starts at the same time never reads an
+   * incomplete port number.
    */
   private static void writePort(Path file, int port) throws IOException {
     Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
@@ -142,7 +142,7 @@
         temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Returns whether another process is connected. */
+  /** Returns whether a peer, that is, the predecessor or a successor, is connected. */
   boolean isConnected() {
     return !links.isEmpty();
   }
@@ -152,30 +152,40 @@
     return links.stream().anyMatch(HotRestartLink::isToSuccessor);
   }
 
-  /** Sends a notice, which is a message that is not answered, to each of the other processes. */
-  void send(HotRestartMessage notice) {
-    new ArrayList<>(links).forEach(link -> link.send(notice));
+  /** Sends a one-way message, to which there is no reply, to each peer. */
+  void send(HotRestartMessage oneWayMessage) {
+    new ArrayList<>(links).forEach(link -> link.send(oneWayMessage));
   }
 
-  /** Sends a notice to each of the other processes except the one that it came from. */
-  void relay(HotRestartLink source, HotRestartMessage notice) {
+  /**
+   * Sends a one-way message that was received from a peer to each other peer.
+   *
+   * @param source the link on which the message was received
+   */
+  void relay(HotRestartLink source, HotRestartMessage oneWayMessage) {
     new ArrayList<>(links)
-        .stream().filter(link -> link != source).forEach(link -> link.send(notice));
+        .stream().filter(link -> link != source).forEach(link -> link.send(oneWayMessage));
   }
 
-  /** Sends a notice to the successor that connected last; does nothing if there is none. */
-  void sendToSuccessor(HotRestartMessage notice) {
+  /**
+   * Sends a one-way message to the successor. If several successors are connected, the message goes
+   * to the one that connected last. Does nothing if no successor is connected.
+   */
+  void sendToSuccessor(HotRestartMessage oneWayMessage) {
     links.stream()
         .filter(HotRestartLink::isToSuccessor)
         .reduce((earlier, later) -> later)
-        .ifPresent(successor -> successor.send(notice));
+        .ifPresent(successor -> successor.send(oneWayMessage));
   }
 
   /**
-   * Forwards a callback whose job is not active in this process.
+   * Forwards a callback that a worker has sent to this process, because the callback's call is not
+   * active in this process. The callback goes to the predecessor if it is connected, and otherwise
+   * to the successor that connected first.
    *
-   * @param handled run when another process has handled the callback or has disconnected; run at
-   *     once if no other process is connected
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the peer has handled the callback or has disconnected; run at once if
+   *     no peer is connected
    */
   void forwardCallback(byte[] callback, Runnable handled) {
     forward(callback, links.stream().findFirst(), handled);
@@ -205,12 +215,16 @@
   }
 
   /**
-   * Handles a callback from another process. If its job is not active in this process, it may be
-   * active in a third process, which still drains after an earlier upgrade, so the callback is
-   * forwarded to that process. It is never sent back to its source.
+   * Handles a callback that a peer has forwarded.
    *
-   * @param handled run when a process has handled the callback, or at once if there is no third
-   *     process
+   * <p>If the callback's call is not active in this process, the callback is forwarded to another
+   * peer: the call may be active in a process that still drains after an earlier hot restart. A
+   * callback is never sent back to the peer that it was received from.
+   *
+   * @param source the link on which the callback was received
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the callback was delivered in this process, or when the other peer has
+   *     handled it or has disconnected; run at once if there is no other peer
    */
   void callbackReceived(HotRestartLink source, byte[] callback, Runnable handled) {
     if (listener.deliverCallback(callback)) {
@@ -220,18 +234,21 @@
     }
   }
 
-  /** Passes a notice to the listener. */
-  void noticeReceived(HotRestartLink source, HotRestartMessage notice) {
-    listener.noticeReceived(source, notice);
+  /** Passes a one-way message to the listener. */
+  void oneWayMessageReceived(HotRestartLink source, HotRestartMessage oneWayMessage) {
+    listener.oneWayMessageReceived(source, oneWayMessage);
   }
 
-  /** Removes a link that is closing. Called before the callbacks of the link count as handled. */
+  /**
+   * Removes a link that is closing. The link calls this method before it runs the tasks of its
+   * unhandled callbacks.
+   */
   void detach(HotRestartLink link) {
     links.remove(link);
   }
 
-  /** Notifies the listener that a link has been detached and closed. */
+  /** Tells the listener that the peer of a link has disconnected. The link was removed before. */
   void linkClosed() {
-    listener.processDisconnected();
+    listener.peerDisconnected();
   }
 }
--- a/src/main/java/loomreel/process/HotRestartCoordinator.java
+++ b/src/main/java/loomreel/process/HotRestartCoordinator.java
@@ -1,30 +1,34 @@
 package loomreel.process;
 
 /**
- * Handles the events and messages from the other process of a hot restart: divides descriptors and
- * capacity when a process connects or disconnects, and applies the messages that it sends. Confined
- * to the event loop's thread.
+ * Coordinates this process with its peers during a hot restart. A peer is the predecessor or a
+ * successor that is connected to this process. When a peer connects or disconnects, the coordinator
+ * divides the file descriptors and the slow-start allowance again. It also applies the messages
+ * that peers send. Confined to the event loop's thread.
  */
 public final class HotRestartCoordinator implements HotRestartChannel.Listener {
-  /** The components of this process that the other process affects. */
+  /** The components of this process that are affected by peers. */
   public interface Host {
     /**
-     * Divides the file descriptors between the processes.
+     * Sets the number of file descriptors that this process may use: all file descriptors of the
+     * dispatcher, or half of them while a peer is connected.
      *
-     * @param shared whether another process of this dispatcher is connected
+     * @param shared whether a peer is connected
      */
     void divideDescriptors(boolean shared);
 
     /**
-     * Starts to accept clients, because no other process does. Does nothing if this process accepts
-     * them already.
+     * Starts to accept connections, because no peer accepts them any more. Does nothing if this
+     * process accepts connections already or has stopped accepting them for its own shutdown.
      */
     void acceptClients();
 
     /**
-     * Delivers a callback that the other process received.
+     * Delivers a callback that a peer has received and forwarded.
      *
-     * @return whether its job is active in this process
+     * @param callback the body of the callback as the worker sent it
+     * @return whether the callback's call is active in this process, so that the callback was
+     *     delivered
      */
     boolean deliverCallback(byte[] callback);
   }
@@ -41,7 +45,7 @@
   }
 
   /**
-   * Registers a coordinator for all events and messages from the other processes. Required before
+   * Creates a coordinator and registers it as the receiver of messages from peers. Required before
    * the event loop runs.
    */
   public static void attach(HotRestart hotRestart, OperatorControls operatorControls, Host host) {
@@ -55,7 +59,7 @@
   }
 
   @Override
-  public void processDisconnected() {
+  public void peerDisconnected() {
     divideResources();
     if (!hotRestart.isShared()) {
       host.acceptClients();
@@ -64,34 +68,38 @@
 
   private void divideResources() {
     host.divideDescriptors(hotRestart.isShared());
-    hotRestart.divideCapacity();
+    hotRestart.updateAllowanceAndCallIds();
   }
 
   @Override
-  public void noticeReceived(HotRestartLink source, HotRestartMessage notice) {
-    switch (notice.type()) {
-      case CALL_ID_ACQUIRED -> hotRestart.acquiredElsewhere(notice.text());
-      case CALL_ID_RELEASED -> hotRestart.releasedElsewhere(notice.text());
+  public void oneWayMessageReceived(HotRestartLink source, HotRestartMessage oneWayMessage) {
+    switch (oneWayMessage.type()) {
+      case CALL_ID_ACQUIRED -> hotRestart.acquiredElsewhere(oneWayMessage.text());
+      case CALL_ID_RELEASED -> hotRestart.releasedElsewhere(oneWayMessage.text());
       case HANDING_OVER -> {
-        hotRestart.receiveCapacity();
+        hotRestart.takeFullAllowance();
         host.acceptClients();
       }
       case WORKER_DISABLED, WORKER_ENABLED, CLIENT_DRAIN_STARTED, CLIENT_DRAIN_STOPPED ->
-          overrideReceived(source, OverrideChange.of(notice).orElseThrow());
+          overrideReceived(source, OverrideChange.of(oneWayMessage).orElseThrow());
       case OPERATOR_OVERRIDES ->
           operatorControls
-              .snapshotReceived(OperatorOverrides.parse(notice.text()))
+              .snapshotReceived(OperatorOverrides.parse(oneWayMessage.text()))
               .forEach(change -> hotRestart.relay(source, change.toMessage()));
       case CALLBACK, CALLBACK_HANDLED ->
-          throw new IllegalArgumentException("not a notice: " + notice.type());
+          throw new IllegalArgumentException("not a one-way message: " + oneWayMessage.type());
     }
   }
 
   /**
-   * Applies a change of an override by another process and relays it. If the two processes of a
-   * link change the same override at the same time, the change by the successor takes effect in
-   * both. The predecessor therefore sends the successor's change back, because the successor may
-   * have replaced it by the predecessor's change in the meantime.
+   * Applies a change of an override that a peer has sent. If the change alters an override of this
+   * process, it is relayed to the other peers.
+   *
+   * <p>A predecessor and its successor may change the same override at the same time, so that their
+   * messages cross. Each process then replaces its own change by the change that it receives, and
+   * the processes disagree. To resolve the conflict, the successor's change takes effect in both
+   * processes: if the predecessor has sent a change of the same override before, it sends the
+   * successor's change back, and the successor applies its own change again.
    */
   private void overrideReceived(HotRestartLink source, OverrideChange change) {
     if (operatorControls.changeReceived(change)) {
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -14,26 +14,30 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * A connection to one other process of this dispatcher. Both sides send requests on it, and neither
- * sends a response. Owned by its {@link HotRestartChannel}.
+ * A connection to a peer, which is the predecessor or a successor of this process in a hot restart.
+ * Both processes send {@link HotRestartMessage}s as HTTP requests on the connection. Neither sends
+ * HTTP responses. Owned by its {@link HotRestartChannel}.
  */
 final class HotRestartLink extends HttpConnection {
   private final HotRestartChannel owner;
   private final RateLimitedLogger log;
   private final boolean toSuccessor;
 
-  /** The tasks to run when the other process has handled a callback, by callback number. */
+  /**
+   * The forwarded callbacks that the peer has not handled yet: the task to run when a callback has
+   * been handled, by callback number.
+   */
   private final Map<Long, Runnable> unhandledCallbacks = new HashMap<>();
 
   private long lastCallbackNumber;
 
-  /** The overrides of which this process has sent a change on this link. */
+  /** The overrides that this process has changed by a message on this link. */
   private final Set<OverrideChange.Target> overridesSent = new HashSet<>();
 
   /**
-   * Creates a link over a connected socket and takes ownership of the socket.
+   * Creates a link on a connected socket and takes ownership of the socket.
    *
-   * @param toSuccessor whether the other process is the successor
+   * @param toSuccessor true if the peer is a successor, false if the peer is the predecessor
    * @param owner receives the messages of the link, and is notified when the link closes
    * @throws IOException if the socket cannot be registered with the event loop
    */
@@ -55,12 +59,12 @@
     return socket;
   }
 
-  /** Returns whether the other process is the successor. */
+  /** Returns true if the peer is a successor, false if the peer is the predecessor. */
   boolean isToSuccessor() {
     return toSuccessor;
   }
 
-  /** Sends a message, or discards it if the link is closed. */
+  /** Sends a message to the peer. If the link is closed, the message is discarded. */
   void send(HotRestartMessage message) {
     if (!isClosed()) {
       OverrideChange.of(message).ifPresent(change -> overridesSent.add(change.target()));
@@ -71,17 +75,18 @@
   }
 
   /**
-   * Returns whether this process has sent a change of an override on this link. If so, a change of
-   * the same override by the other process may have crossed it.
+   * Returns whether this process has sent a change of the override of a target on this link. If it
+   * has, a change of the same override by the peer may have crossed the message.
    */
   boolean hasSentOverride(OverrideChange.Target target) {
     return overridesSent.contains(target);
   }
 
   /**
-   * Sends a callback under a new callback number.
+   * Forwards a callback to the peer with a new callback number.
    *
-   * @param handled run when the other process has handled the callback or has disconnected
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the peer has handled the callback or has disconnected
    */
   void sendCallback(byte[] callback, Runnable handled) {
     long callbackNumber = ++lastCallbackNumber;
@@ -109,7 +114,7 @@
               message.body(),
               () -> send(HotRestartMessage.callbackHandled(message.callbackNumber())));
       case CALLBACK_HANDLED -> unhandledCallbacks.remove(message.callbackNumber()).run();
-      default -> owner.noticeReceived(this, message);
+      default -> owner.oneWayMessageReceived(this, message);
     }
   }
 
@@ -126,8 +131,9 @@
   protected void flushed() {}
 
   /**
-   * Closes the link. Its unhandled callbacks count as handled, because their jobs have ended with
-   * the other process.
+   * Closes the link. The callbacks that the peer has not handled count as handled from now on: if
+   * the peer process has ended, the calls of these callbacks have ended as well. The same applies
+   * if the link closes because of a malformed message, although the peer may still be running.
    */
   @Override
   public void close() {
--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -6,29 +6,45 @@
 import loomreel.http.HttpHeaders;
 
 /**
- * A message between the two processes of a hot restart.
+ * A message that a process sends to its predecessor or successor during a hot restart.
  *
- * <p>It is sent as an HTTP request {@code POST /NAME}, where {@code NAME} is the wire name of its
- * type. The header {@code X-Number} contains a callback number, and the body is the content. There
- * are no responses. Processes of different versions exchange these messages, so the wire names and
+ * <p>A message is sent as an HTTP request {@code POST /NAME}, where {@code NAME} is the wire name
+ * of the message type. The header {@code X-Number} contains a callback number, and the body is the
+ * content. No HTTP responses are sent.
+ *
+ * <p>The receiver of a {@link Type#CALLBACK} replies with a {@link Type#CALLBACK_HANDLED} that has
+ * the same callback number. Messages of all other types are one-way messages: there is no reply to
+ * them, and their callback number is 0.
+ *
+ * <p>Processes of different versions exchange these messages. For this reason, the wire names and
  * the format must not change.
  */
 final class HotRestartMessage {
-  /** The type of a message. Its wire name must not change, because versions in service use it. */
+  /**
+   * The type of a message. The wire name of a type must not change, because earlier versions that
+   * are still in service use it.
+   */
   enum Type {
-    /** A callback whose job is not active at the sender. The body is that of the callback. */
+    /**
+     * Forwards a callback, in which a worker reports the state of a call. The call is not active at
+     * the sender of the message. The body is the body of the callback.
+     */
     CALLBACK("news"),
 
-    /** The callback with this number was handled. */
+    /** Confirms that the callback with the callback number was handled. The body is empty. */
     CALLBACK_HANDLED("taken"),
 
-    /** A call with the id in the body has become active at the sender. */
+    /** The call whose id is in the body has become active at the sender. */
     CALL_ID_ACQUIRED("holds"),
 
-    /** The call with the id in the body is no longer active at the sender. */
+    /** The call whose id is in the body is no longer active at the sender. */
     CALL_ID_RELEASED("frees"),
 
-    /** The sender shuts down and leaves all capacity to the receiver. */
+    /**
+     * The sender shuts down. It accepts no more connections, and it leaves the full slow-start
+     * allowance to the receiver. The allowance limits the load that a dispatcher sends to workers
+     * which started recently. The body is empty.
+     */
     HANDING_OVER("leaving"),
 
     /** Operators have disabled the worker whose id is in the body. */
@@ -37,14 +53,14 @@
     /** Operators have enabled the worker whose id is in the body. */
     WORKER_ENABLED("up"),
 
-    /** Operators have started a client drain. */
+    /** Operators have started a client drain. The body is empty. */
     CLIENT_DRAIN_STARTED("drain"),
 
-    /** Operators have stopped the client drain. */
+    /** Operators have stopped the client drain. The body is empty. */
     CLIENT_DRAIN_STOPPED("serve"),
 
     /**
-     * All overrides that operators have set. The body is the text format of {@link
+     * The body contains all overrides that operators have set, in the text format of {@link
      * OperatorOverrides}.
      */
     OPERATOR_OVERRIDES("state");
@@ -60,7 +76,7 @@
     }
   }
 
-  /** The name of the header that contains the callback number. */
+  /** The name of the HTTP header that contains the callback number. */
   static final String CALLBACK_NUMBER_HEADER = "x-number";
 
   private static final String HOST = "sibling";
@@ -77,22 +93,28 @@
   }
 
   /**
-   * Creates a message that forwards a callback to the other process.
+   * Creates a message that forwards a callback to the predecessor or successor.
    *
-   * @param callbackNumber identifies the callback on its connection until it is handled
-   * @param callback the body of the callback, which is not copied
+   * @param callbackNumber identifies the callback on the connection to the receiver until the
+   *     callback is handled
+   * @param callback the body of the callback; the array is not copied
    */
   static HotRestartMessage callback(long callbackNumber, byte[] callback) {
     return new HotRestartMessage(Type.CALLBACK, callbackNumber, callback);
   }
 
-  /** Creates the message which confirms that the callback with this number was handled. */
+  /** Creates a message that confirms that the callback with this number was handled. */
   static HotRestartMessage callbackHandled(long callbackNumber) {
     return new HotRestartMessage(Type.CALLBACK_HANDLED, callbackNumber, EMPTY_BODY);
   }
 
-  /** Creates a notice, which is a message that is not answered. */
-  static HotRestartMessage notice(Type type, String text) {
+  /**
+   * Creates a one-way message, to which there is no reply.
+   *
+   * @param type any type except {@link Type#CALLBACK} and {@link Type#CALLBACK_HANDLED}
+   * @param text the body
+   */
+  static HotRestartMessage oneWayMessage(Type type, String text) {
     return new HotRestartMessage(type, 0, text.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -100,10 +122,11 @@
    * Decodes a received message.
    *
    * @param target the request target
-   * @param callbackNumber the value of {@link #CALLBACK_NUMBER_HEADER}
-   * @param body the request body, which is not copied
-   * @throws IllegalArgumentException if the target names no type or the number is missing or
-   *     invalid
+   * @param callbackNumber the value of the header {@link #CALLBACK_NUMBER_HEADER}, or null if the
+   *     header is missing
+   * @param body the request body; the array is not copied
+   * @throws IllegalArgumentException if the target is not the wire name of a type, or if the
+   *     callback number is missing or invalid
    */
   static HotRestartMessage decode(String target, String callbackNumber, byte[] body) {
     Type type =
@@ -112,9 +135,7 @@
     return new HotRestartMessage(type, Long.parseLong(callbackNumber), body);
   }
 
-  /**
-   * Returns the head of the HTTP request that carries the message. The {@link #body} follows it.
-   */
+  /** Returns the head of the HTTP request as which the message is sent, without the body. */
   String head() {
     return HttpHeaders.request(
         "POST", "/" + type.wireName, HOST, body.length, "X-Number: " + callbackNumber);
@@ -124,7 +145,7 @@
     return type;
   }
 
-  /** Returns the callback number, or 0 if the message does not concern a callback. */
+  /** Returns the callback number, or 0 if this is a one-way message. */
   long callbackNumber() {
     return callbackNumber;
   }
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -11,15 +11,17 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Applies the overrides that operators set, stores them for the next process, and sends them to the
- * other process of a hot restart. Owns the {@link OperatorOverrides} and triggers the transitions
- * of the {@link ClientDrain}. Confined to the event loop's thread.
+ * Applies the overrides that operators set, and stores them for the next process. During a hot
+ * restart, exchanges changes of overrides with the peers, that is, with the predecessor and the
+ * successor while they are connected. Owns the {@link OperatorOverrides} and triggers the
+ * transitions of the {@link ClientDrain}. Confined to the event loop's thread.
  */
 public final class OperatorControls {
   /**
-   * The time, in microseconds, for which idle connections stay open and jobs are accepted after the
-   * start of a client drain. Load balancers in front of the dispatcher need 0.2 s to notice the
-   * drain, and after 2 s no job may be accepted.
+   * The notice period of a client drain, in microseconds. For this time after the start of the
+   * drain, idle connections stay open and jobs are accepted. The period must be longer than 0.2 s,
+   * the time that load balancers in front of the dispatcher need to notice the drain. It must be
+   * shorter than 2 s, the time after which no job may be accepted.
    */
   private static final long NOTICE_PERIOD_MICROS = 1_800_000;
 
@@ -32,23 +34,30 @@
   private final Runnable closeIdleClients;
   private OperatorOverrides overrides;
 
-  /** Whether the overrides of the predecessor have not been received yet. */
+  /**
+   * Whether a predecessor was connected at the start and has not sent a snapshot of its overrides
+   * yet. False if no predecessor was connected at the start.
+   */
   private boolean awaitsSnapshot;
 
   /**
-   * The last change of each override in this process while the predecessor's overrides are awaited.
+   * The changes that operators have made in this process while the snapshot of the predecessor is
+   * awaited. For each override, only the last change is kept.
    */
   private final Map<OverrideChange.Target, OverrideChange> changesBeforeSnapshot =
       new LinkedHashMap<>();
 
-  /** Ends the notice period; pending while the state is {@link ClientDrainState#NOTIFYING}. */
+  /**
+   * The timer that ends the notice period. It is pending while the state of the client drain is
+   * {@link ClientDrainState#NOTIFYING}.
+   */
   private Optional<EventLoop.Timer> noticePeriodTimer = Optional.empty();
 
   /**
-   * Creates controls that start with the overrides which operators set in an earlier process.
+   * Creates controls with the overrides that operators set in an earlier process.
    *
    * @param initial the overrides that the store contained at the start
-   * @param clientDrain a drain in the state that corresponds to {@code initial}
+   * @param clientDrain the client drain, whose state corresponds to {@code initial}
    * @param closeIdleClients closes the idle connections of clients; run when the notice period of a
    *     client drain ends
    */
@@ -75,9 +84,9 @@
   }
 
   /**
-   * Does what {@link AdminOperations#setWorkerDisabled} specifies.
+   * Implements {@link AdminOperations#setWorkerDisabled}.
    *
-   * @throws IOException if the change cannot be stored; it is not applied then
+   * @throws IOException if the change cannot be stored; in that case, the change is not applied
    */
   public boolean setWorkerDisabled(String id, boolean disabled) throws IOException {
     boolean isDisabled = overrides.disabledWorkers().contains(id);
@@ -89,9 +98,9 @@
   }
 
   /**
-   * Does what {@link AdminOperations#setClientDrain} specifies.
+   * Implements {@link AdminOperations#setClientDrain}.
    *
-   * @throws IOException if the change cannot be stored; it is not applied then
+   * @throws IOException if the change cannot be stored; in that case, the change is not applied
    */
   public void setClientDrain(boolean draining) throws IOException {
     if (overrides.clientsDrained() != draining || hotRestart.isShared()) {
@@ -100,9 +109,9 @@
   }
 
   /**
-   * Changes an override in this process and in the other processes. A change that has no effect
-   * here is sent as well, because another process may have sent the opposite change, which has not
-   * arrived yet.
+   * Stores and applies a change that operators have made in this process, and sends it to the
+   * peers. While a peer is connected, callers also pass a change that has no effect in this
+   * process: a peer may have sent the opposite change, which has not been received yet.
    */
   private void change(OverrideChange change) throws IOException {
     OperatorOverrides next = change.applyTo(overrides);
@@ -115,28 +124,32 @@
   }
 
   /**
-   * Sends all overrides to the successor, which may have read the file just before the last change.
+   * Sends a snapshot, that is, all overrides of this process, to the successor. The overrides that
+   * the successor has read from the file may lack the last change.
    */
   void sendSnapshot() {
     hotRestart.sendToSuccessor(
-        HotRestartMessage.notice(HotRestartMessage.Type.OPERATOR_OVERRIDES, overrides.toText()));
+        HotRestartMessage.oneWayMessage(
+            HotRestartMessage.Type.OPERATOR_OVERRIDES, overrides.toText()));
   }
 
   /**
-   * Applies a change that operators made in another process.
+   * Stores and applies a change that a peer has sent. If the change cannot be stored, this is
+   * logged, and the change is applied nevertheless.
    *
-   * @return whether this changes an override in this process
+   * @return whether the change alters an override of this process
    */
   boolean changeReceived(OverrideChange change) {
     return !replace(change.applyTo(overrides)).isEmpty();
   }
 
   /**
-   * Applies all overrides of the predecessor. The changes that operators have made in this process
-   * since its start are newer and take precedence: the predecessor receives them only after it has
-   * sent its overrides.
+   * Merges a snapshot of the predecessor's overrides with the changes that operators have made in
+   * this process since its start, and applies and stores the result. The changes take precedence
+   * over the snapshot because they are newer: the predecessor sends the snapshot before it receives
+   * any of the changes.
    *
-   * @return the changes to the overrides of this process
+   * @return the differences between the previous and the new overrides of this process
    */
   List<OverrideChange> snapshotReceived(OperatorOverrides predecessorOverrides) {
     OperatorOverrides next = predecessorOverrides;
@@ -150,7 +163,8 @@
 
   private List<OverrideChange> replace(OperatorOverrides next) {
     try {
-      // Both processes write the file: if two changes cross, it must contain both of them.
+      // The peer stores its own changes in the same file. If a change of the peer and a change of
+      // this process cross, the file must contain both of them in the end.
       store.save(next);
     } catch (IOException e) {
       log.warn("operator overrides of the other process not saved reason=" + e.getMessage());
--- a/src/main/java/loomreel/process/OperatorOverrides.java
+++ b/src/main/java/loomreel/process/OperatorOverrides.java
@@ -6,23 +6,24 @@
 import java.util.TreeSet;
 
 /**
- * The overrides that operators have set. They stay in force until operators change them, across
- * restarts of the dispatcher.
+ * The overrides that operators have set. An override stays in force until operators change it, even
+ * if the dispatcher is restarted.
  *
  * @param clientsDrained whether clients are drained, which directs them to other dispatchers
  * @param disabledWorkers the ids of the workers that receive no jobs
  */
 public record OperatorOverrides(boolean clientsDrained, Set<String> disabledWorkers) {
-  /** The overrides if operators have set none. */
+  /** No overrides: clients are not drained, and no worker is disabled. */
   public static final OperatorOverrides NONE = new OperatorOverrides(false, Set.of());
 
-  // Keywords of the text format, which is stored in files and exchanged with other versions.
+  // Keywords of the text format. They must not change, because processes of other versions read
+  // the same files and receive the same messages.
   private static final String CLIENTS_DRAINED = "drained";
   private static final String WORKER_DISABLED = "down ";
 
   /**
-   * Parses the text format: a line for each disabled worker, and a line if clients are drained.
-   * Other lines are ignored.
+   * Parses the text format. It consists of a line {@code down ID} for each disabled worker, and a
+   * line {@code drained} if clients are drained. Other lines are ignored.
    */
   static OperatorOverrides parse(String text) {
     Set<String> disabled = new TreeSet<>();
@@ -39,7 +40,7 @@
     return text.toString();
   }
 
-  /** Returns the changes that turn these overrides into others. */
+  /** Returns the changes that turn these overrides into {@code next}. */
   List<OverrideChange> changesTo(OperatorOverrides next) {
     List<OverrideChange> changes = new ArrayList<>();
     next.disabledWorkers.stream()
@@ -54,7 +55,11 @@
     return changes;
   }
 
-  /** Returns a copy in which one worker is disabled or enabled. */
+  /**
+   * Returns a copy of these overrides in which one worker is disabled or enabled.
+   *
+   * @param disabled true to disable the worker, false to enable it
+   */
   OperatorOverrides withWorkerDisabled(String id, boolean disabled) {
     Set<String> next = new TreeSet<>(disabledWorkers);
     if (disabled) {
@@ -65,7 +70,11 @@
     return new OperatorOverrides(clientsDrained, next);
   }
 
-  /** Returns a copy in which clients are drained or not. */
+  /**
+   * Returns a copy of these overrides in which clients are drained or not.
+   *
+   * @param drained whether clients are drained in the copy
+   */
   OperatorOverrides withClientsDrained(boolean drained) {
     return new OperatorOverrides(drained, disabledWorkers);
   }
--- a/src/main/java/loomreel/process/OperatorOverridesStore.java
+++ b/src/main/java/loomreel/process/OperatorOverridesStore.java
@@ -15,15 +15,15 @@
   /**
    * Creates a store.
    *
-   * @param file the file, or empty if there is no directory for it; nothing is stored then
+   * @param file the file in which the overrides are stored; if empty, nothing is stored
    */
   public OperatorOverridesStore(Optional<Path> file) {
     this.file = file;
   }
 
   /**
-   * Returns the stored overrides. If the file cannot be read, this is logged and {@link
-   * OperatorOverrides#NONE} is returned.
+   * Returns the stored overrides. If the file cannot be read, logs the error and returns {@link
+   * OperatorOverrides#NONE}.
    */
   public OperatorOverrides loadOrNone() {
     try {
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Returns the overrides that this or another process saved last, or {@link
+   * Returns the overrides that any process of this dispatcher saved last, or {@link
    * OperatorOverrides#NONE} if there is no file.
    *
    * @throws IOException if the file cannot be read
@@ -48,10 +48,11 @@
   }
 
   /**
-   * Replaces the file atomically, so that no process reads an incomplete file. Does nothing if the
-   * store has no file.
+   * Stores the overrides. The file is replaced atomically, so that no process reads an incomplete
+   * file. Does nothing if the store has no file.
    *
-   * @throws IOException if the file cannot be written; it keeps its previous content then
+   * @throws IOException if the file cannot be written; in that case, the file keeps its previous
+   *     content
    */
   void save(OperatorOverrides overrides) throws IOException {
     if (file.isPresent()) {
--- a/src/main/java/loomreel/process/OverrideChange.java
+++ b/src/main/java/loomreel/process/OverrideChange.java
@@ -2,12 +2,15 @@
 
 import java.util.Optional;
 
-/** A change of one override by operators, which the processes of a hot restart exchange. */
+/**
+ * A change that operators make to one override. During a hot restart, the processes of a dispatcher
+ * send such changes to each other.
+ */
 sealed interface OverrideChange {
   /**
-   * The subject of an override: a worker, or the clients of the dispatcher.
+   * The target of an override: one worker, or all clients of the dispatcher.
    *
-   * @param worker the id of the worker; empty for the clients
+   * @param worker the id of the worker; empty if the target is the clients
    */
   record Target(Optional<String> worker) {
     private static final Target CLIENTS = new Target(Optional.empty());
@@ -17,7 +20,12 @@
     }
   }
 
-  /** Disables a worker or enables it again. */
+  /**
+   * Disables or enables a worker.
+   *
+   * @param id the worker's id
+   * @param disabled true to disable the worker, false to enable it again
+   */
   record OfWorker(String id, boolean disabled) implements OverrideChange {
     @Override
     public Target target() {
@@ -31,13 +39,17 @@
 
     @Override
     public HotRestartMessage toMessage() {
-      return HotRestartMessage.notice(
+      return HotRestartMessage.oneWayMessage(
           disabled ? HotRestartMessage.Type.WORKER_DISABLED : HotRestartMessage.Type.WORKER_ENABLED,
           id);
     }
   }
 
-  /** Starts or stops a client drain. */
+  /**
+   * Starts or stops a client drain.
+   *
+   * @param drained true to start the drain, false to stop it
+   */
   record OfClientDrain(boolean drained) implements OverrideChange {
     @Override
     public Target target() {
@@ -51,7 +63,7 @@
 
     @Override
     public HotRestartMessage toMessage() {
-      return HotRestartMessage.notice(
+      return HotRestartMessage.oneWayMessage(
           drained
               ? HotRestartMessage.Type.CLIENT_DRAIN_STARTED
               : HotRestartMessage.Type.CLIENT_DRAIN_STOPPED,
@@ -59,16 +71,16 @@
     }
   }
 
-  /** Returns the subject of the override that changes. */
+  /** Returns the target of the override that is changed. */
   Target target();
 
-  /** Returns the overrides after this change. */
+  /** Returns a copy of the overrides with this change applied. */
   OperatorOverrides applyTo(OperatorOverrides overrides);
 
-  /** Returns the message that reports this change to another process. */
+  /** Returns the message that sends this change to another process of the dispatcher. */
   HotRestartMessage toMessage();
 
-  /** Returns the change that a message reports, or empty if the message reports none. */
+  /** Returns the change that a message contains, or empty if the message is of another type. */
   static Optional<OverrideChange> of(HotRestartMessage message) {
     return switch (message.type()) {
       case WORKER_DISABLED -> Optional.of(new OfWorker(message.text(), true));
--- a/src/main/java/loomreel/process/SharedFiles.java
+++ b/src/main/java/loomreel/process/SharedFiles.java
@@ -4,7 +4,8 @@
 import java.util.Optional;
 
 /**
- * Locates the files that the processes of one dispatcher share, if there is a directory for them.
+ * Returns the paths of the files that the processes of one dispatcher share. A process reads what
+ * an earlier process has written. There are no files if no directory is configured.
  */
 public final class SharedFiles {
   private static final String PORT_SUFFIX = ".tie";
@@ -15,10 +16,10 @@
   private final String baseName;
 
   /**
-   * Creates the locations of a dispatcher's files.
+   * Creates the paths of a dispatcher's files.
    *
-   * @param directory the directory of the files, or empty if nothing can be stored
-   * @param dispatcherName the name that all processes of the dispatcher have in common
+   * @param directory the directory of the files, or empty if no directory is configured
+   * @param dispatcherName the name of the dispatcher, which is the same for all its processes
    */
   public SharedFiles(Optional<Path> directory, String dispatcherName) {
     this.directory = directory;
@@ -26,15 +27,16 @@
   }
 
   /**
-   * Returns the file that contains the loopback port of the newest process, to which its successor
-   * connects, or empty if there is no directory.
+   * Returns the path of the port file, or empty if no directory is configured. The file contains
+   * the loopback port of the newest process. The successor connects to this port in a hot restart.
    */
   public Optional<Path> hotRestartPort() {
     return directory.map(path -> path.resolve(baseName + PORT_SUFFIX));
   }
 
   /**
-   * Returns the file that contains the overrides of operators, or empty if there is no directory.
+   * Returns the path of the file that contains the overrides of operators, or empty if no directory
+   * is configured.
    */
   public Optional<Path> operatorOverrides() {
     return directory.map(path -> path.resolve(baseName + OVERRIDES_SUFFIX));
--- a/src/main/java/loomreel/server/ClientListener.java
+++ b/src/main/java/loomreel/server/ClientListener.java
@@ -6,19 +6,19 @@
 import java.nio.channels.ServerSocketChannel;
 import loomreel.config.ServeConfig;
 
-/** Opens the listening socket for clients and callbacks. */
+/** Opens the listening socket for the connections of clients and for callbacks of workers. */
 final class ClientListener {
   /**
-   * Maximum number of pending connections in the kernel's accept queue. A client that finds the
-   * queue full retries after a second.
+   * Maximum number of pending connections in the kernel's accept queue. If the queue is full, a
+   * client that tries to connect retries after one second.
    */
   private static final int BACKLOG = 4096;
 
   private ClientListener() {}
 
   /**
-   * Binds the configured address, or uses the listening socket that the platform passes. The
-   * returned channel does not block and is owned by the caller.
+   * Binds the configured address, or uses the listening socket that the platform passes to the
+   * process. The returned channel is non-blocking and is owned by the caller.
    *
    * @throws IOException if the address cannot be bound or no listening socket was passed
    */
@@ -36,8 +36,9 @@
   }
 
   /**
-   * Returns the listening socket that the platform holds and passes to each process as descriptor
-   * 0. It is never closed, because the Java library would close standard error with it.
+   * Returns the listening socket that the platform keeps open and passes to each process as
+   * descriptor 0. This process must never close the socket, because the Java library would close
+   * standard error as well.
    */
   private static ServerSocketChannel inherit() throws IOException {
     if (System.inheritedChannel() instanceof ServerSocketChannel listener) {
--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -13,12 +13,15 @@
 import loomreel.upstream.HttpWorkerPool;
 
 /**
- * Applies a configuration that is read again, for example after SIGHUP. Only discovery's address
- * can change while the process runs. A configuration that cannot be read, or that changes anything
- * else, may belong to another installation, so it is rejected as a whole and counted.
+ * Reloads the configuration while the process runs, for example after SIGHUP.
  *
- * <p>Unless a method says otherwise, it may be called on any thread, and its work is done on the
- * event loop's thread.
+ * <p>A new configuration is applied only if it differs from the initial one in nothing but the
+ * address of discovery, the service that provides the endpoint list. A configuration that changes
+ * anything else or cannot be read is rejected as a whole, because it may belong to another
+ * installation. Applied and rejected configurations are counted in the metrics.
+ *
+ * <p>Unless stated otherwise, a method may be called on any thread. Its work is done on the event
+ * loop's thread.
  */
 public final class ConfigReloader {
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
@@ -26,7 +29,7 @@
   private final Dispatcher dispatcher;
   private final HttpWorkerPool workers;
 
-  /** The configuration at the start of the process, with which later ones are compared. */
+  /** The configuration at the start of the process. Later configurations are compared with it. */
   private final ServeConfig initial;
 
   ConfigReloader(Dispatcher dispatcher, HttpWorkerPool workers, ServeConfig initial) {
@@ -37,7 +40,7 @@
   }
 
   /**
-   * Reads the platform's configuration again, and applies or rejects it.
+   * Reads the platform's configuration again, and applies or rejects the result.
    *
    * @param environment the environment variables of the process
    */
@@ -56,8 +59,9 @@
   /**
    * Applies or rejects a configuration that the caller has read again.
    *
-   * @param otherChanges the names of changed fields which {@code next} does not contain and which
-   *     require a restart
+   * @param otherChanges the names of further settings that have changed and are not part of a
+   *     {@link ServeConfig}. If the list is not empty, the configuration is rejected, because these
+   *     settings cannot change without a restart.
    */
   public void reload(ServeConfig next, List<String> otherChanges) {
     loop.execute(
@@ -71,7 +75,7 @@
   /**
    * Counts and logs the rejection of a configuration that the caller could not read.
    *
-   * @param reason the reason, for the log
+   * @param reason the reason of the rejection, which is logged
    */
   public void reject(String reason) {
     loop.execute(() -> recordRejection(reason));
@@ -90,8 +94,8 @@
   }
 
   /**
-   * Watches the endpoint list at another address from now on. Must be called on the event loop's
-   * thread.
+   * Changes the address of discovery, from which the endpoint list is requested. Must be called on
+   * the event loop's thread.
    */
   public void moveDiscovery(InetSocketAddress address) {
     workers.moveDiscovery(address);
--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -14,12 +14,13 @@
 import loomreel.settings.Installation;
 
 /**
- * Translates the settings file of an installation into the configuration of a dispatcher process.
+ * Translates the settings of an installation, which the {@code daemon} command reads from a file,
+ * into the configuration of a dispatcher process.
  */
 public final class DaemonConfig {
   /**
-   * The time, in microseconds, for which an answer still counts after a client's deadline. It is 0
-   * because clients measure the deadline by their own clocks.
+   * The time, in microseconds, for which an answer still counts after a client's deadline. It is 0:
+   * an answer after the deadline does not count. Clients measure the deadline by their own clocks.
    */
   private static final long ANSWER_GRACE_MICROS = 0;
 
@@ -27,8 +28,9 @@
   private static final long TICK_MICROS = 1000;
 
   /**
-   * Maximum duration of a shutdown, in microseconds. There is no limit besides the deadlines of the
-   * request classes, because whoever runs a daemon waits until it has ended.
+   * Maximum duration of a shutdown, in microseconds. The value means that there is no maximum:
+   * whoever runs a daemon waits until the process has ended. The duration is still limited by the
+   * longest deadline of the request classes; see {@link GracefulShutdown}.
    */
   private static final long SHUTDOWN_LIMIT_MICROS = Long.MAX_VALUE;
 
@@ -37,7 +39,7 @@
   /**
    * Translates the settings of an installation.
    *
-   * @param seed the seed of the random numbers, which differs with each start
+   * @param seed the seed of the random numbers; callers pass another value at each start
    */
   public static ServeConfig of(Installation installation, long seed) {
     return new ServeConfig(
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -213,7 +213,7 @@
       http.open();
     }
     dispatcher.startPeriodicTasks();
-    hotRestart.divideCapacity();
+    hotRestart.updateAllowanceAndCallIds();
   }
 
   private void endpointsKnown() {
--- a/src/test/java/loomreel/process/HotRestartMessageTest.java
+++ b/src/test/java/loomreel/process/HotRestartMessageTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Verifies the bytes of messages, which processes of different versions exchange and which must not
- * change.
+ * Verifies the format of messages. The format must not change, because processes of different
+ * versions exchange messages.
  */
 class HotRestartMessageTest {
-  /** Returns a message in the format of versions up to 0.2. */
+  /** Returns the bytes of a message, as text, that versions up to 0.2 send. */
   private static String wireFormat(String wireName, long callbackNumber, String body) {
     return "POST /"
         + wireName
@@ -41,9 +41,10 @@
     "CLIENT_DRAIN_STOPPED, serve, ''",
     "OPERATOR_OVERRIDES, state, 'down wé'"
   })
-  void aNoticeIsEncodedAndDecodedInTheFormatOfEarlierVersions(
+  void aOneWayMessageIsEncodedAndDecodedInTheFormatOfEarlierVersions(
       HotRestartMessage.Type type, String wireName, String body) {
-    assertEquals(wireFormat(wireName, 0, body), encoded(HotRestartMessage.notice(type, body)));
+    assertEquals(
+        wireFormat(wireName, 0, body), encoded(HotRestartMessage.oneWayMessage(type, body)));
     HotRestartMessage read =
         HotRestartMessage.decode("/" + wireName, "0", body.getBytes(StandardCharsets.UTF_8));
     assertEquals(type, read.type());
@@ -51,7 +52,7 @@
   }
 
   @Test
-  void aCallbackIsEncodedAndDecodedWithItsNumberAndBytes() {
+  void aCallbackIsEncodedAndDecodedWithItsCallbackNumberAndBody() {
     byte[] callback = {'{', (byte) 0xff, '}'};
     HotRestartMessage message = HotRestartMessage.callback(7, callback);
     assertEquals(
@@ -64,7 +65,7 @@
   }
 
   @Test
-  void theConfirmationOfACallbackIsEncodedAndDecodedWithItsNumber() {
+  void theConfirmationOfACallbackIsEncodedAndDecodedWithTheCallbackNumber() {
     assertEquals(wireFormat("taken", 7, ""), encoded(HotRestartMessage.callbackHandled(7)));
     HotRestartMessage read = HotRestartMessage.decode("/taken", "7", new byte[0]);
     assertEquals(HotRestartMessage.Type.CALLBACK_HANDLED, read.type());
--- a/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
+++ b/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Verifies how operator overrides are stored for later processes, in a format that other versions
- * read.
+ * Verifies how operator overrides are stored for later processes. The format of the file must not
+ * change, because processes of other versions read the file.
  */
 class OperatorOverridesStoreTest {
-  /** The content of a file as versions up to 0.2 write it. */
+  /** The content of the file that versions up to 0.2 write for {@link #OVERRIDES}. */
   private static final String FILE_CONTENT = "drained\ndown s-5be2a07c\ndown w 0\n";
 
   private static final OperatorOverrides OVERRIDES =
