--- a/src/main/java/loomreel/admin/AdminConnection.java
+++ b/src/main/java/loomreel/admin/AdminConnection.java
@@ -15,15 +15,15 @@
 import loomreel.process.AdminOperations;
 
 /**
- * A connection that serves one request of an operator. The response is sent as soon as the request
- * is received, and then the connection closes.
+ * A connection on which an operator sends one request. The response is sent as soon as the request
+ * has been received, and the connection is closed after the response.
  *
  * <p>Owned by {@link AdminServer}, which is notified when the connection closes.
  */
 final class AdminConnection extends HttpConnection {
   /**
-   * Maximum time, in microseconds, to receive the request, and then for the client to close the
-   * connection.
+   * Maximum time, in microseconds, from the start of the connection until the request is received.
+   * It is also the maximum time from the response until the client closes the connection.
    */
   private static final long TIMEOUT_MICROS = 2_000_000;
 
@@ -38,7 +38,7 @@
   /**
    * Takes ownership of an accepted channel.
    *
-   * @throws IOException if it cannot be registered with the event loop
+   * @throws IOException if the channel cannot be registered with the event loop
    */
   AdminConnection(
       EventLoop loop,
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Sends the response, after which the client has {@link #TIMEOUT_MICROS} to close the connection.
-   * If a response was sent before, closes the connection instead.
+   * Sends the response. The client then has {@link #TIMEOUT_MICROS} to close the connection. If a
+   * response was sent before, this method sends nothing and closes the connection at once.
    */
   private void respond(int status, String body, String... headers) {
     if (responded) {
@@ -144,8 +144,9 @@
   }
 
   /**
-   * Shuts down the output, after which the client closes the connection. If this side closed it
-   * while input is unread, the connection would be reset, and the client could lose the response.
+   * Shuts down the output after the response, so that the client closes the connection. If the
+   * server closed the connection while it has unread input, the connection would be reset, and the
+   * client could lose the response.
    */
   @Override
   protected void flushed() {
--- a/src/main/java/loomreel/admin/AdminRoute.java
+++ b/src/main/java/loomreel/admin/AdminRoute.java
@@ -2,19 +2,19 @@
 
 import java.util.Optional;
 
-/** The requests that operators can send, each with its method and path. */
+/** The requests that operators can send. Each route has an HTTP method and a path. */
 enum AdminRoute {
-  /** Reports whether the process is ready: status 200 or 503. */
+  /** Returns status 200 if the process is ready, and status 503 otherwise. */
   READINESS("GET", "/ops/readiness"),
   /** Returns the metrics as JSON. */
   STATS("GET", "/ops/stats"),
-  /** Disables the worker whose id is the body, so that it receives no more jobs. */
+  /** Disables a worker, so that it receives no more jobs. The body is the worker's id. */
   DISABLE_WORKER("POST", "/ops/copy-workers/down"),
-  /** Enables the worker whose id is the body, so that it receives jobs again. */
+  /** Enables a disabled worker, so that it receives jobs again. The body is the worker's id. */
   ENABLE_WORKER("POST", "/ops/copy-workers/up"),
   /** Starts a client drain, which directs clients to other dispatchers. */
   START_DRAIN("POST", "/ops/drain/start"),
-  /** Stops the client drain, so that clients are accepted again. */
+  /** Stops the client drain, so that jobs of clients are accepted again. */
   STOP_DRAIN("POST", "/ops/drain/stop");
 
   private final String method;
@@ -25,7 +25,7 @@
     this.path = path;
   }
 
-  /** Returns the route whose path equals a request target, or empty if there is none. */
+  /** Returns the route whose path is equal to a request target, or empty if there is none. */
   static Optional<AdminRoute> of(String target) {
     for (AdminRoute route : values()) {
       if (route.path.equals(target)) {
@@ -35,7 +35,7 @@
     return Optional.empty();
   }
 
-  /** Returns the only method that is allowed. */
+  /** Returns the only HTTP method that is allowed for the path. */
   String method() {
     return method;
   }
--- a/src/main/java/loomreel/admin/AdminServer.java
+++ b/src/main/java/loomreel/admin/AdminServer.java
@@ -13,16 +13,17 @@
 import loomreel.process.AdminOperations;
 
 /**
- * The HTTP server for operators. It has its own address and its own file descriptors, so that
- * clients cannot lock operators out, however many clients there are.
+ * The HTTP server for operators. It has its own address and its own file descriptors. Operators can
+ * therefore connect even if clients use all connections that are available to clients.
  *
- * <p>Used on the event loop's thread only. Owns its connections; the event loop closes the
- * listening socket.
+ * <p>Used on the event loop's thread only. Owns its connections. The listening socket is closed by
+ * the event loop.
  */
 public final class AdminServer {
   /**
-   * Maximum number of open connections. A further connection replaces the oldest one, which has no
-   * request that awaits a response.
+   * Maximum number of open connections. If a further connection is accepted, the oldest connection
+   * is closed. The oldest connection has no request that awaits a response, because the server
+   * responds to a request as soon as it has received the request.
    */
   private static final int MAX_CONNECTIONS = 8;
 
@@ -35,7 +36,7 @@
   private final Set<AdminConnection> open = new LinkedHashSet<>();
 
   /**
-   * Binds the address and starts to accept connections. Requests are handled when the event loop
+   * Binds the address and starts to accept connections. Requests are handled while the event loop
    * runs.
    *
    * @throws IOException if the address cannot be bound
@@ -48,7 +49,8 @@
     listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     listener.configureBlocking(false);
     listener.bind(address, BACKLOG);
-    // The queue is short, so all of its connections are accepted in one iteration.
+    // The accept queue is short. All connections in the queue are accepted in one iteration of the
+    // event loop.
     new Acceptor(loop, listener, Integer.MAX_VALUE, log, this::accept).start();
     log.info("admin server listening address=" + listener.getLocalAddress());
   }
@@ -59,11 +61,12 @@
     }
     AdminConnection connection = new AdminConnection(loop, channel, this, operations, log);
     open.add(connection);
-    // A request that has arrived is handled before another connection can replace this one.
+    // If the request has arrived already, handle it now, before a further connection can cause this
+    // connection to be closed.
     connection.readNow();
   }
 
-  /** Removes a connection that was closed. */
+  /** Removes a connection that has been closed. */
   void remove(AdminConnection connection) {
     open.remove(connection);
   }
--- a/src/main/java/loomreel/admin/MetricsJson.java
+++ b/src/main/java/loomreel/admin/MetricsJson.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes the metrics as a JSON object, in the order of the map. */
+/** Writes metrics as a JSON object. The fields have the same order as the entries of the map. */
 final class MetricsJson {
   private static final JsonFactory FACTORY = new JsonFactory();
 
@@ -17,7 +17,8 @@
   /**
    * Returns metrics as JSON text.
    *
-   * @param metrics the values by name; a value is an integer or a nested map
+   * @param metrics the values by name; a value is a number, which is written as an integer, or a
+   *     nested map
    */
   static String write(Map<?, ?> metrics) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/src/main/java/loomreel/config/AddressParser.java
+++ b/src/main/java/loomreel/config/AddressParser.java
@@ -11,10 +11,10 @@
   private AddressParser() {}
 
   /**
-   * Parses an address of the form {@code 127.0.0.1:8000} or {@code [::1]:8000}. Host names are not
-   * resolved, because there is no DNS.
+   * Parses an IP address and a port, in the form {@code 127.0.0.1:8000} or {@code [::1]:8000}. Host
+   * names are rejected, because there is no DNS.
    *
-   * @throws IllegalArgumentException if the text is not such an address
+   * @throws IllegalArgumentException if the text does not have this form
    */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -9,14 +9,14 @@
 import loomreel.decision.Endpoint;
 
 /**
- * The workers that discovery lists, or changes to such a list.
+ * A list of workers, as discovery returns it, or the changes to a previous list.
  *
  * @param version the version of the list, or {@link #UNVERSIONED}
- * @param complete whether the list is complete, so that a worker which is missing from it is
- *     removed; otherwise it contains only changes
- * @param endpoints the workers
- * @param addresses the addresses on which the workers listen, by worker id; a removed worker may
- *     have none
+ * @param complete true if the list contains all workers, so that a known worker that the list does
+ *     not contain is removed; false if the list contains only workers that have changed
+ * @param endpoints the listed workers
+ * @param addresses the addresses on which the workers listen, by worker id; a worker in the state
+ *     {@link Endpoint.State#REMOVED} may have no address
  */
 public record EndpointList(
     long version,
@@ -26,13 +26,14 @@
   /** The version of a list that does not come from discovery. */
   public static final long UNVERSIONED = -1;
 
-  /** The failure domain of a worker for which discovery specifies none. */
+  /** The failure domain of a worker if its entry contains none. */
   private static final int NO_FAILURE_DOMAIN = -1;
 
   private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * Returns {@code later} if it is complete, otherwise this list with the changes in {@code later}.
+   * Returns the list that results from a later list. If {@code later} is complete, the result is
+   * {@code later}. Otherwise, the result is this list with the changes in {@code later} applied.
    */
   public EndpointList updatedBy(EndpointList later) {
     if (later.complete) {
@@ -49,9 +50,9 @@
   /**
    * Parses an endpoint list in discovery's JSON format.
    *
-   * @param json the list as returned by {@link JsonTree}
+   * @param json the list as a tree that {@link JsonTree} has returned
    * @throws IllegalArgumentException if a required field is missing or a value is invalid; the
-   *     message names it
+   *     message contains the name of the field or the invalid value
    */
   public static EndpointList of(Object json) {
     if (!(json instanceof Map<?, ?> list)
--- a/src/main/java/loomreel/config/EndpointListKeys.java
+++ b/src/main/java/loomreel/config/EndpointListKeys.java
@@ -1,8 +1,8 @@
 package loomreel.config;
 
 /**
- * The field names and values in discovery's endpoint list. Each constant is named after its meaning
- * in this program.
+ * The field names and values in the JSON format of discovery's endpoint list. Each constant has the
+ * name that this program uses for the field or value.
  */
 final class EndpointListKeys {
   // Fields of the list.
@@ -10,7 +10,7 @@
   static final String COMPLETE = "whole";
   static final String ENDPOINTS = "hosts";
 
-  // Fields of an entry.
+  // Fields of an entry, which describes one worker.
   static final String ID = "host";
   static final String ADDRESS = "dial";
   static final String ZONE = "site";
@@ -19,7 +19,7 @@
   static final String STARTED_AT_MILLIS = "born_ms";
   static final String WEIGHT = "share";
 
-  // The field for the state of an entry, and its values.
+  // The field of an entry that contains the state of the worker, and the values of this field.
   static final String STATE = "health";
   static final String READY = "SERVING";
   static final String DRAINING = "DRAINING";
--- a/src/main/java/loomreel/config/JsonTree.java
+++ b/src/main/java/loomreel/config/JsonTree.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses JSON into maps, lists, strings, numbers, booleans and null. */
+/**
+ * Parses JSON into a tree of Java objects: an object becomes a {@link Map}, an array becomes a
+ * {@link List}, and other values become strings, numbers, booleans or null.
+ */
 public final class JsonTree {
   private static final JsonFactory FACTORY = new JsonFactory();
 
@@ -30,10 +33,10 @@
   }
 
   /**
-   * Parses the value at the parser's current token and advances the parser to the last token of the
-   * value.
+   * Parses the value that begins at the current token of the parser. Afterwards, the current token
+   * is the last token of the value.
    *
-   * @throws IOException if the stream fails or is not JSON
+   * @throws IOException if the input cannot be read or is not JSON
    */
   public static Object read(JsonParser json) throws IOException {
     return switch (json.currentToken()) {
--- a/src/main/java/loomreel/config/JsonValues.java
+++ b/src/main/java/loomreel/config/JsonValues.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Looks up values in the trees that {@link JsonTree} returns. If a value is absent or does not have
- * the requested type, a default is returned.
+ * Looks up values in the trees that {@link JsonTree} returns. If a value is absent or is not of the
+ * requested type, the methods return a default.
  */
 final class JsonValues {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -14,9 +14,11 @@
   private JsonValues() {}
 
   /**
-   * Returns the value at a path of field names, or null if there is none.
+   * Returns the value at a path of field names, or null if the path does not exist.
    *
-   * @param root the value at which the path starts; a value that is not an object has no fields
+   * @param root the value at which the path starts; if it is not an object, no path exists
+   * @param path the names of the fields that lead from {@code root} to the value, the outermost
+   *     field first
    */
   static Object get(Object root, String... path) {
     Object value = root;
@@ -26,7 +28,7 @@
     return value;
   }
 
-  /** Returns a copy of the list at a path, or an empty list by default. */
+  /** Returns a copy of the list at a path, or an empty list if there is no list at the path. */
   static List<Object> list(Object root, String... path) {
     return get(root, path) instanceof List<?> list ? new ArrayList<>(list) : List.of();
   }
@@ -36,25 +38,25 @@
     return index >= 0 && index < list.size() ? list.get(index) : null;
   }
 
-  /** Returns the string at a path, or an empty string by default. */
+  /** Returns the string at a path, or an empty string if there is no string at the path. */
   static String text(Object root, String... path) {
     return get(root, path) instanceof String text ? text : "";
   }
 
-  /** Returns the boolean at a path, or false by default. */
+  /** Returns the boolean at a path, or false if there is no boolean at the path. */
   static boolean flag(Object root, String... path) {
     return Boolean.TRUE.equals(get(root, path));
   }
 
-  /** Returns a value as a number. */
+  /** Returns a value as a number, or {@code defaultValue} if the value is not a number. */
   static double number(Object value, double defaultValue) {
     return value instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
   /**
-   * Returns the number of seconds at a path, converted to microseconds and rounded.
+   * Reads a number of seconds at a path and returns it in microseconds, rounded to an integer.
    *
-   * @param defaultSeconds used if there is no number at the path
+   * @param defaultSeconds the number of seconds that is used if there is no number at the path
    */
   static long micros(double defaultSeconds, Object root, String... path) {
     return Math.round(number(get(root, path), defaultSeconds) * MICROS_PER_SECOND);
--- a/src/main/java/loomreel/config/ServeConfig.java
+++ b/src/main/java/loomreel/config/ServeConfig.java
@@ -8,28 +8,32 @@
 import loomreel.decision.Settings;
 
 /**
- * The configuration of a dispatcher process, independent of its source.
+ * The configuration of a dispatcher process. It does not depend on whether the configuration comes
+ * from the platform or from a settings file.
  *
  * @param name the dispatcher's name
- * @param listenAddress the address on which clients and callbacks are accepted
- * @param listenerInherited whether the listening socket is inherited as descriptor 0; otherwise
- *     {@code listenAddress} is bound
- * @param adminAddress the address of the server for operators, or null if there is none
- * @param stateDirectory the directory in which a process stores what the next one reads, or null
- * @param discoveryAddress the address from which the endpoint list is received, or null if the list
- *     never changes
+ * @param listenAddress the address on which the connections of clients and the callbacks of workers
+ *     are accepted
+ * @param listenerInherited true if the process inherits the listening socket as descriptor 0; false
+ *     if the process binds {@code listenAddress} itself
+ * @param adminAddress the address of the server for operators, or null if there is no such server
+ * @param stateDirectory the directory in which a process of the dispatcher stores what the next
+ *     process reads, or null if nothing is stored
+ * @param discoveryAddress the address of discovery, from which the endpoint list is received, or
+ *     null if the list never changes
  * @param seed the seed of the random numbers
- * @param descriptorLimit the maximum number of file descriptors of the process
+ * @param descriptorLimit the maximum number of file descriptors of the dispatcher; during a hot
+ *     restart, its processes share them
  * @param memoryBytes the maximum memory of the process, in bytes
- * @param initialEndpoints the endpoint list as it was last known
+ * @param initialEndpoints the last known endpoint list
  * @param settings the settings of the decision module
  * @param connectTimeoutMicros the maximum time to establish a connection to a worker, in
  *     microseconds
- * @param idleTimeoutMicros the time for which a worker keeps an idle connection, in microseconds
- * @param answerGraceMicros the time for which an answer still counts after a client's deadline, in
+ * @param idleTimeoutMicros the time after which a worker closes an idle connection, in microseconds
+ * @param answerGraceMicros the time after a client's deadline in which an answer still counts, in
  *     microseconds
- * @param shutdownLimitMicros the maximum time from the request to shut down until the process ends,
- *     in microseconds
+ * @param shutdownLimitMicros the maximum duration of a graceful shutdown, in microseconds; {@link
+ *     Long#MAX_VALUE} if there is no maximum
  */
 public record ServeConfig(
     String name,
@@ -48,10 +52,11 @@
     long answerGraceMicros,
     long shutdownLimitMicros) {
   /**
-   * Returns the fields that differ from another configuration and cannot change while the process
-   * runs. The seed, the initial endpoints and discovery's address may differ.
+   * Returns the fields in which this configuration differs from another one and which cannot change
+   * while the process runs. Differences in the seed, the initial endpoints and the address of
+   * discovery are permitted and are not returned.
    *
-   * @return the names of the fields in the configuration file
+   * @return the names that the fields have in the platform's configuration file
    */
   public List<String> changesRequiringRestart(ServeConfig other) {
     List<String> changes = new ArrayList<>();
--- a/src/main/java/loomreel/config/ServeConfigReader.java
+++ b/src/main/java/loomreel/config/ServeConfigReader.java
@@ -9,17 +9,23 @@
 import loomreel.decision.Settings;
 
 /**
- * Reads the platform's configuration. The environment variable {@code BALANCER_CONFIG} names a JSON
- * file, and the other variables override its fields.
+ * Reads the platform's configuration. The environment variable {@code BALANCER_CONFIG} contains the
+ * path of a JSON file. The environment variables {@code BALANCER_NAME}, {@code BALANCER_LISTEN},
+ * {@code BALANCER_MGMT} and {@code BALANCER_DISCOVERY} override the fields {@code name}, {@code
+ * listen}, {@code mgmt} and {@code discovery} of the file.
  */
 public final class ServeConfigReader {
   /**
    * Maximum duration of a shutdown, in microseconds. The platform kills a process no earlier than
-   * 0.7 s after the longest deadline, which counts as 3 s at most.
+   * 0.7 s after the longest deadline of the request classes. It treats a longest deadline of more
+   * than 3 s as 3 s, so the maximum is 3.7 s.
    */
   private static final long PLATFORM_SHUTDOWN_LIMIT_MICROS = 3_700_000;
 
-  /** The prefix of an environment variable. The upper-case name of the field follows it. */
+  /**
+   * The prefix of the environment variables. The variable that overrides a field consists of this
+   * prefix and the name of the field in upper case.
+   */
   private static final String VARIABLE_PREFIX = "BALANCER_";
 
   private static final String CONFIG_VARIABLE = VARIABLE_PREFIX + "CONFIG";
@@ -54,7 +60,8 @@
       throw new ConfigException(CONFIG_VARIABLE + " is not set");
     }
     String descriptor = environment.getOrDefault(LISTENER_VARIABLE, "");
-    // The platform's own library passes the listening socket only as this descriptor.
+    // Java's System.inheritedChannel() can use an inherited listening socket only if it is
+    // descriptor 0.
     if (!descriptor.isEmpty() && !descriptor.equals("0")) {
       throw new ConfigException(LISTENER_VARIABLE + " can only be 0, not " + descriptor);
     }
@@ -67,9 +74,9 @@
   }
 
   /**
-   * Reads the platform's configuration again while the process runs. {@code BALANCER_DISCOVERY} is
-   * ignored: it is discovery's address at the start of the process, and the address in the file is
-   * newer.
+   * Reads the platform's configuration again while the process runs. The environment variable
+   * {@code BALANCER_DISCOVERY} is ignored: it contains the address of discovery at the start of the
+   * process, and the address in the file is newer.
    *
    * @param environment the environment variables of the process
    * @throws ConfigException if a required value is missing or a value is invalid
@@ -142,8 +149,9 @@
   }
 
   /**
-   * Returns the value of the field's environment variable or else of the field itself, or an empty
-   * string if neither is set.
+   * Returns the value of the environment variable that overrides a field. If the variable is not
+   * set or is empty, returns the text in the field, or an empty string if the field contains no
+   * text.
    */
   private String optional(String field) {
     String value = environment.getOrDefault(variable(field), "");
--- a/src/main/java/loomreel/config/SettingsKeys.java
+++ b/src/main/java/loomreel/config/SettingsKeys.java
@@ -1,12 +1,12 @@
 package loomreel.config;
 
 /**
- * The field names and values in the platform's JSON configuration and its {@code settings} object.
- * Each constant is named after its meaning in this program, and its name ends in the unit of the
- * value if there is one.
+ * The field names and values in the platform's JSON configuration. Each constant has the name that
+ * this program uses for the field or value. If the value of a field has a unit, the name of the
+ * constant ends in this unit.
  */
 final class SettingsKeys {
-  // Fields of the process configuration.
+  // Fields of the root object.
   static final String DISPATCHER_NAME = "name";
   static final String LISTEN_ADDRESS = "listen";
   static final String ADMIN_ADDRESS = "mgmt";
@@ -15,12 +15,15 @@
   static final String INITIAL_ENDPOINTS = "known";
   static final String SETTINGS = "settings";
 
-  // Fields of the resources of the process.
+  // RESOURCES, a field of the root object, is an object with the resources of the process. The other
+  // constants are its fields.
   static final String RESOURCES = "limits";
   static final String MAX_DESCRIPTORS = "sockets";
   static final String MEMORY_MEBIBYTES = "memory_mb";
 
-  // Fields and values of the deployment.
+  // Fields of the settings object, and values of these fields. Two of the fields are objects:
+  // CLIENTS_MARK_RETRIES is a field of CLIENTS, and LOAD_REPORTING_MODE is a field of
+  // LOAD_REPORTING.
   static final String DISPATCHERS = "Balancers";
   static final String ZONE = "Locality";
   static final String TICK_SECONDS = "TickS";
@@ -35,7 +38,8 @@
   static final String LOAD_REPORTING_WITH_ANSWERS = "answers";
   static final String LOAD_REPORTING_WITH_HEALTH_CHECKS = "probe";
 
-  // Fields and values of the request classes.
+  // REQUEST_CLASSES, a field of the settings object, is the list of request classes. The other
+  // constants are the fields of a request class, and values of these fields.
   static final String REQUEST_CLASSES = "RequestClasses";
   static final String CLASS_NAME = "Name";
   static final String LATENCY_OBJECTIVE_SECONDS = "TargetS";
@@ -53,12 +57,16 @@
   static final String DEDUPLICATION_SCOPE_FAILURE_DOMAIN = "cell";
   static final String DEDUPLICATION_WINDOW_SECONDS = "WindowS";
 
-  // Fields of the tenants.
+  // TENANTS, a field of the settings object, is the list of tenants. The other constants are the
+  // fields of a tenant.
   static final String TENANTS = "Tenants";
   static final String TENANT_NAME = "Name";
   static final String QUOTA_PER_SECOND = "AllowancePerS";
 
-  // Fields of further settings. Those of the classes are lists in the order of the classes.
+  // EXTENSIONS, a field of the settings object, is an object with further settings. The other
+  // constants are its fields, except WORKER_KINDS, which is a field of the settings object itself.
+  // Each field whose constant begins with CLASS is a list. An element of such a list applies to the
+  // request class at the same position in REQUEST_CLASSES.
   static final String EXTENSIONS = "Specifics";
   static final String REPORTS_JOB_START = "TellsStart";
   static final String CLASS_PRIORITIES = "ClassPriority";
@@ -66,7 +74,8 @@
   static final String CLASS_WORKER_KINDS = "ClassKind";
   static final String WORKER_KINDS = "HostTypes";
 
-  // Fields of the rules that each dispatcher must follow.
+  // RULES, a field of the settings object, is an object with the rules that each dispatcher must
+  // follow. The other constants are its fields.
   static final String RULES = "Invariants";
   static final String DRAIN_GRACE_SECONDS = "StopSendingWithinS";
   static final String POLL_INTERVAL_SECONDS = "AskWithinS";
@@ -76,7 +85,8 @@
   static final String OVERLOAD_WINDOW_SECONDS = "FallS";
   static final String ANSWER_GRACE_SECONDS = "AnswerSlackS";
 
-  // Fields of the limits that the deployment sets, and of what it permits.
+  // LIMITS, a field of the settings object, is an object with the limits that the deployment sets
+  // and the features that the deployment permits. The other constants are its fields.
   static final String LIMITS = "PolicyLimits";
   static final String MAX_ATTEMPTS = "MaxAttempts";
   static final String HEDGING = "SecondCopies";
--- a/src/main/java/loomreel/config/SettingsReader.java
+++ b/src/main/java/loomreel/config/SettingsReader.java
@@ -16,8 +16,13 @@
 import loomreel.decision.Settings;
 
 /**
- * Translates the {@code settings} object of the platform's JSON. The default of an absent setting
- * is the one that assumes the least of clients and workers.
+ * Translates the {@code settings} object of the platform's JSON configuration into {@link
+ * Settings}.
+ *
+ * <p>An absent setting has a default. Most defaults assume that clients and workers support as
+ * little as possible: requests are not idempotent, a request has one attempt, workers deduplicate
+ * requests only within one failure domain, clients do not mark retries, and workers report neither
+ * their load nor the start of a job. The weights of workers are assumed not to change.
  */
 public final class SettingsReader {
   private static final double DEFAULT_TICK_SECONDS = 0.001;
@@ -32,7 +37,7 @@
   /**
    * Creates a reader of one settings object.
    *
-   * @param root the object as returned by {@link JsonTree}
+   * @param root the settings object, as a tree that {@link JsonTree} has returned
    */
   public SettingsReader(Object root) {
     this.root = root;
@@ -74,10 +79,11 @@
   }
 
   /**
-   * Translates one class of requests.
+   * Translates one request class.
    *
-   * @param index the position of the class in the list, at which the extensions contain further
-   *     settings of the class
+   * @param json the entry of the class in the list of request classes
+   * @param index the position of the entry in the list. The lists in {@link
+   *     SettingsKeys#EXTENSIONS} contain further settings of the class at the same position.
    */
   private Settings.RequestClass requestClass(Object json, int index) {
     return new Settings.RequestClass(
@@ -102,8 +108,9 @@
   }
 
   /**
-   * Returns the kind of worker that a class needs, or null if any kind is suitable. The
-   * configuration contains the name of the kind or an index into the list of worker kinds.
+   * Returns the kind of worker that a request class needs, or null if any kind is suitable. The
+   * configuration contains the name of the kind, or the position of the name in {@link
+   * SettingsKeys#WORKER_KINDS}.
    */
   private String workerKind(int classIndex) {
     Object kind =
--- a/src/main/java/loomreel/config/package-info.java
+++ b/src/main/java/loomreel/config/package-info.java
@@ -1,5 +1,7 @@
 /**
- * The configuration of a dispatcher process, which the platform passes as JSON and environment
- * variables, and the endpoint lists, which have the same format there and in discovery.
+ * The configuration of a dispatcher process and the endpoint lists. The platform passes the
+ * configuration as a JSON file and environment variables. Endpoint lists, which name the workers,
+ * are received from discovery, and the configuration contains one as well. Both have the same JSON
+ * format.
  */
 package loomreel.config;
--- a/src/main/java/loomreel/process/ClientDrainState.java
+++ b/src/main/java/loomreel/process/ClientDrainState.java
@@ -1,8 +1,9 @@
 package loomreel.process;
 
 /**
- * The states of a client drain, which operators start and stop. {@link #next} implements the
- * transitions in the table; a trigger without an entry leaves the state unchanged.
+ * The states of a client drain, which operators start and stop to direct clients to other
+ * dispatchers. {@link #next} implements the transitions in the following table. A trigger that has
+ * no entry for a state leaves the state unchanged.
  *
  * <table>
  *   <caption>Transitions</caption>
--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -15,10 +15,10 @@
 /**
  * Reloads the configuration while the process runs, for example after SIGHUP.
  *
- * <p>A new configuration is applied only if it differs from the initial one in nothing but the
- * address of discovery, the service that provides the endpoint list. A configuration that changes
- * anything else or cannot be read is rejected as a whole, because it may belong to another
- * installation. Applied and rejected configurations are counted in the metrics.
+ * <p>Only the address of discovery, the service that provides the endpoint list, can change without
+ * a restart. If a new configuration cannot be read, or if it differs from the initial one in a
+ * setting that requires a restart, it may belong to another installation, so it is rejected as a
+ * whole. Applied and rejected configurations are counted in the metrics.
  *
  * <p>Unless stated otherwise, a method may be called on any thread. Its work is done on the event
  * loop's thread.
--- a/src/main/java/loomreel/server/DaemonConfig.java
+++ b/src/main/java/loomreel/server/DaemonConfig.java
@@ -39,7 +39,7 @@
   /**
    * Translates the settings of an installation.
    *
-   * @param seed the seed of the random numbers; callers pass another value at each start
+   * @param seed the seed of the random numbers; a daemon uses a different seed for each start
    */
   public static ServeConfig of(Installation installation, long seed) {
     return new ServeConfig(
--- a/src/main/java/loomreel/server/DescriptorAllocator.java
+++ b/src/main/java/loomreel/server/DescriptorAllocator.java
@@ -7,8 +7,8 @@
 import loomreel.upstream.HttpWorkerPool;
 
 /**
- * Applies the {@link DescriptorBudget} of the process to the components that open connections or
- * accept jobs.
+ * Limits the connections and jobs of each component, so that the process stays within its {@link
+ * DescriptorBudget}.
  */
 final class DescriptorAllocator {
   private final int descriptorLimit;
@@ -19,12 +19,13 @@
   private final HttpIngress http;
 
   /**
-   * Creates an allocator that has not allocated anything yet.
+   * Creates an allocator. It sets no limits before the first call of {@link #allocate}.
    *
    * @param descriptorLimit the number of file descriptors that the platform grants to the
-   *     dispatcher
-   * @param reservedForFaktory the number of those descriptors that HTTP cannot use
-   * @param faktory empty if Faktory is disabled
+   *     dispatcher; all processes of the dispatcher share them
+   * @param reservedForFaktory the number of these descriptors that are reserved for Faktory
+   *     connections
+   * @param faktory the Faktory ingress, or empty if Faktory is disabled
    */
   DescriptorAllocator(
       int descriptorLimit,
@@ -42,18 +43,21 @@
   }
 
   /**
-   * Divides the descriptors and sets the capacity of each component.
+   * Computes the descriptor budget and sets the maximum number of connections or jobs of each
+   * component.
    *
-   * @param shared whether another process of this dispatcher is connected
+   * @param shared whether another process of this dispatcher is connected, as during a hot restart;
+   *     if so, this process uses half of the descriptors
    */
   void allocate(boolean shared) {
     DescriptorBudget budget = DescriptorBudget.divide(descriptorLimit, reservedForFaktory, shared);
     workers.setCapacity(budget.upstreamConnections());
     dispatcher.setCapacity(budget.jobs());
     if (faktory.isPresent()) {
-      // No lambda, because linking it would load FaktoryIngress even if Faktory is disabled.
+      // Optional.ifPresent is not used here. It would take a lambda, and the JVM would load the
+      // class FaktoryIngress to link the lambda, even if Faktory is disabled.
       faktory.get().setCapacity(budget.jobs());
     }
-    http.setCapacity(budget.clientConnections(), budget.granted());
+    http.setCapacity(budget.clientConnections(), budget.nonFaktoryDescriptors());
   }
 }
--- a/src/main/java/loomreel/server/DescriptorBudget.java
+++ b/src/main/java/loomreel/server/DescriptorBudget.java
@@ -1,51 +1,60 @@
 package loomreel.server;
 
 /**
- * The division of the file descriptors that the platform grants among clients, workers and jobs.
+ * The file descriptors of a process, and the limits of HTTP connections and jobs that follow from
+ * them.
  *
- * @param granted the number of descriptors that this process may use for HTTP, including those for
- *     other purposes
+ * @param nonFaktoryDescriptors the number of descriptors of this process that are not reserved for
+ *     Faktory. They include the descriptors for purposes other than connections with clients and
+ *     workers
  * @param upstreamConnections the maximum number of open connections to workers
- * @param jobs the maximum number of jobs in flight
- * @param clientConnections the maximum number of open accepted connections, including those of
- *     callbacks
+ * @param jobs the maximum number of accepted jobs that have not ended
+ * @param clientConnections the maximum number of open connections that this process has accepted;
+ *     clients send jobs on them, and workers send callbacks
  */
-record DescriptorBudget(int granted, int upstreamConnections, int jobs, int clientConnections) {
+record DescriptorBudget(
+    int nonFaktoryDescriptors, int upstreamConnections, int jobs, int clientConnections) {
   /**
-   * Number of descriptors for neither clients nor workers: files, the selector, the listening
-   * socket, discovery, the other process of a hot restart, and the server for operators.
+   * Number of descriptors for purposes other than connections with clients and workers: files, the
+   * selector, the listening socket, discovery, the connections to other processes of the dispatcher
+   * during a hot restart, and the server for operators.
    */
   private static final int OTHER_DESCRIPTORS = 32;
 
-  /** Minimum number of connections in a budget, even if fewer descriptors are granted. */
+  /**
+   * Minimum number of connections for which limits are computed, even if the process has fewer
+   * descriptors.
+   */
   private static final int MIN_CONNECTIONS = 16;
 
   /**
-   * Fraction of the connections that is for workers. A job occupies a connection to a worker only
-   * for a round trip.
+   * Fraction of the connections that are connections to workers. It is small, because a job
+   * occupies a connection to a worker only for one round trip.
    */
   private static final double UPSTREAM_FRACTION = 0.25;
 
   /**
-   * Fraction of the accepted connections that jobs may occupy. The rest is for callbacks, without
-   * which no job ends.
+   * Fraction of the accepted connections that jobs may occupy. The other connections remain free
+   * for the callbacks of workers, without which no job is completed.
    */
   private static final double JOB_FRACTION = 0.75;
 
   /**
-   * Divides the descriptors of a process.
+   * Computes the budget of a process.
    *
    * @param descriptorLimit the number of file descriptors that the platform grants to the
    *     dispatcher
-   * @param reservedForFaktory the number of those descriptors that HTTP cannot use
-   * @param shared whether two processes serve as this dispatcher, each with half of the limit
+   * @param reservedForFaktory the number of these descriptors that are reserved for Faktory
+   * @param shared whether two processes serve as this dispatcher during a hot restart; each of them
+   *     then uses half of the descriptors that are not reserved for Faktory
    */
   static DescriptorBudget divide(int descriptorLimit, int reservedForFaktory, boolean shared) {
-    int granted = (descriptorLimit - reservedForFaktory) / (shared ? 2 : 1);
-    int connections = Math.max(MIN_CONNECTIONS, granted - OTHER_DESCRIPTORS);
+    int nonFaktoryDescriptors = (descriptorLimit - reservedForFaktory) / (shared ? 2 : 1);
+    int connections = Math.max(MIN_CONNECTIONS, nonFaktoryDescriptors - OTHER_DESCRIPTORS);
     int upstreamConnections = (int) (connections * UPSTREAM_FRACTION);
     int clientConnections = connections - upstreamConnections;
     int jobs = (int) (clientConnections * JOB_FRACTION);
-    return new DescriptorBudget(granted, upstreamConnections, jobs, clientConnections);
+    return new DescriptorBudget(
+        nonFaktoryDescriptors, upstreamConnections, jobs, clientConnections);
   }
 }
--- a/src/main/java/loomreel/server/GracefulShutdown.java
+++ b/src/main/java/loomreel/server/GracefulShutdown.java
@@ -11,43 +11,51 @@
 import loomreel.process.HotRestart;
 
 /**
- * Shuts a dispatcher process down without losing a job, and triggers the transitions of its {@link
- * ServerState}.
+ * Shuts a dispatcher process down without losing a job, and triggers the transitions of the
+ * process's {@link ServerState}.
  *
- * <p>Without a successor, the process serves as before for a grace period, because clients reuse
- * the connections that they have and there may be no other dispatcher for them. With a successor,
- * this process accepts no more connections, and its clients reconnect after their next response.
- * When the grace period ends, idle connections are closed, and the event loop stops as soon as
- * nothing is pending. Jobs that have not ended by the shutdown deadline fail.
+ * <p>A shutdown begins with a grace period. If no successor is connected, the process serves as
+ * before until the grace period ends: clients reuse their open connections, and there may be no
+ * other dispatcher to which they can move. If a successor is connected, the shutdown is the end of
+ * a hot restart, in which the successor replaces this process. This process then accepts no more
+ * connections, and each client reconnects to the successor after its next response.
+ *
+ * <p>When the grace period ends, idle connections are closed. The event loop stops as soon as each
+ * accepted job has its answer, no HTTP connection is open and no Faktory job is pending. These
+ * conditions have time limits: a job that has no answer by the answer deadline fails, and the wait
+ * for connections and Faktory jobs ends.
  *
  * <p>All times are in microseconds of the event loop's clock. Confined to the event loop's thread.
  */
 final class GracefulShutdown {
   /**
-   * The grace period without a successor, in microseconds. Connections stay in use for this long
-   * after the request to shut down, because another dispatcher may be down as well.
+   * The grace period if no successor is connected, in microseconds. The process continues to serve
+   * its connections for this time after the request to shut down, because the other dispatchers may
+   * be down as well.
    */
   private static final long GRACE_PERIOD_MICROS = 1_500_000;
 
   /**
-   * The grace period with a successor, in microseconds. Idle connections stay open for this long
-   * after the request to shut down. A client that uses one in this time is asked to close it with
-   * the response, whereas a close by this process could cross a request.
+   * The grace period if a successor is connected, in microseconds. A connection that is idle when
+   * the shutdown is requested stays open for this time. If the client sends a request on the
+   * connection in this time, the response tells the client to close the connection. If this process
+   * closed the idle connection instead, the close could cross a request of the client.
    */
   private static final long HANDOVER_GRACE_PERIOD_MICROS = 2_300_000;
 
   /**
-   * The platform kills a process no earlier than this time, in microseconds, after the longest
-   * deadline.
+   * Minimum time, in microseconds, between the longest deadline of the request classes and the time
+   * at which the platform kills the process. The deadline counts from the request to shut down.
    */
   private static final long KILL_DELAY_MICROS = 700_000;
 
   /**
-   * The part of the kill delay, in microseconds, that is reserved for writing the last responses.
+   * The time, in microseconds, at the end of the shutdown that is reserved for writing the last
+   * responses.
    */
   private static final long LAST_RESPONSES_RESERVE_MICROS = 200_000;
 
-  /** The interval, in microseconds, at which the process checks whether anything is pending. */
+  /** The interval, in microseconds, at which the shutdown checks whether the process may stop. */
   private static final long POLL_INTERVAL_MICROS = 20_000;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
@@ -60,17 +68,20 @@
   private final long longestDeadlineMicros;
   private final long maxDurationMicros;
 
-  /** The time by which each job must have its response; set when the shutdown is requested. */
+  /**
+   * The time by which each job must have its answer. It is set when the shutdown is requested;
+   * before that, there is no limit.
+   */
   private long answerDeadline = Long.MAX_VALUE;
 
   /**
    * Creates a shutdown that has not been requested yet.
    *
    * @param lifecycle holds the state of the process, which this shutdown changes
-   * @param hotRestart tells whether a successor is connected
-   * @param faktory the Faktory ingress, or empty if the process has none
-   * @param config contains the deadlines of the request classes, for which the shutdown waits, and
-   *     the maximum duration of the shutdown
+   * @param hotRestart used to determine whether a successor is connected, and to hand over to it
+   * @param faktory the Faktory ingress, or empty if Faktory is disabled
+   * @param config provides the maximum duration of the shutdown and the deadlines of the request
+   *     classes; the longest deadline limits the duration as well
    */
   GracefulShutdown(
       Dispatcher dispatcher,
@@ -93,12 +104,15 @@
             .orElse(0);
   }
 
-  /** Records that the first endpoint list is known and that the process is open to clients. */
+  /**
+   * Changes the state of the process, because the first endpoint list is known or is no longer
+   * awaited.
+   */
   void endpointsKnown() {
     lifecycle.apply(ServerState.Trigger.ENDPOINTS_KNOWN);
   }
 
-  /** Begins the shutdown. Further requests have no effect: all times count from the first one. */
+  /** Begins the shutdown. Further calls have no effect: all times count from the first call. */
   void request() {
     if (lifecycle.state().isShutdownRequested()) {
       return;
@@ -113,8 +127,8 @@
     } else {
       lifecycle.apply(ServerState.Trigger.SHUTDOWN_REQUESTED);
     }
-    // The drain of Faktory has no grace period: its clients cannot use another dispatcher before
-    // their connections close.
+    // Faktory is drained at once, without a grace period: a Faktory client cannot use another
+    // dispatcher before its connection closes.
     faktory.ifPresent(Ingress::beginDrain);
     answerDeadline =
         loop.now()
@@ -143,14 +157,21 @@
   }
 
   /**
-   * Returns whether an HTTP client waits for a response or may not have read it yet. A client that
-   * sends one request after another is served until shortly before the process is killed, and
-   * cannot delay the end of the process beyond that time.
+   * Returns whether the shutdown must still wait for HTTP connections. A client with an open
+   * connection may wait for a response or may not have read the response yet.
+   *
+   * <p>The wait ends {@link #LAST_RESPONSES_RESERVE_MICROS} after the answer deadline at the
+   * latest. The platform does not kill the process before that time. A client that sends one
+   * request after another is served until then, and cannot delay the end of the process further.
    */
   private boolean isHttpPending() {
     return http.hasPendingWork() && loop.now() < answerDeadline + LAST_RESPONSES_RESERVE_MICROS;
   }
 
+  /**
+   * Returns whether the shutdown must still wait for Faktory jobs. It waits until the answer
+   * deadline at most.
+   */
   private boolean isFaktoryPending() {
     return faktory.isPresent() && faktory.get().hasPendingWork() && loop.now() < answerDeadline;
   }
--- a/src/main/java/loomreel/server/HotRestartHost.java
+++ b/src/main/java/loomreel/server/HotRestartHost.java
@@ -6,7 +6,10 @@
 import loomreel.process.HotRestartCoordinator;
 import loomreel.upstream.JobStatusUpdate;
 
-/** Applies changes by the other process of a hot restart to the components of this process. */
+/**
+ * Implements what {@link HotRestartCoordinator} needs from the components of this process during a
+ * hot restart, in which two processes serve as one dispatcher.
+ */
 final class HotRestartHost implements HotRestartCoordinator.Host {
   private final Dispatcher dispatcher;
   private final DescriptorAllocator descriptors;
--- a/src/main/java/loomreel/server/IngressSummaryLogger.java
+++ b/src/main/java/loomreel/server/IngressSummaryLogger.java
@@ -7,7 +7,9 @@
 import loomreel.io.EventLoop;
 import loomreel.io.RateLimitedLogger;
 
-/** Logs a summary of all ingresses every {@link Dispatcher#METRICS_LOG_INTERVAL_MICROS}. */
+/**
+ * Logs a summary of all ingresses at intervals of {@link Dispatcher#METRICS_LOG_INTERVAL_MICROS}.
+ */
 final class IngressSummaryLogger {
   private final EventLoop loop;
   private final List<Ingress> ingresses;
@@ -19,7 +21,7 @@
     this.log = log;
   }
 
-  /** Logs a summary now and again after each interval, for as long as the event loop runs. */
+  /** Logs a summary now and after each interval, for as long as the event loop runs. */
   void start() {
     log.info(summary());
     loop.schedule(loop.now() + Dispatcher.METRICS_LOG_INTERVAL_MICROS, this::start);
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -27,11 +27,12 @@
 import loomreel.upstream.HttpWorkerPool;
 
 /**
- * One dispatcher process. Creates the event loop and the components that run on it, connects them,
- * and owns them until the process ends. It makes no decisions: each component does its own work.
+ * One dispatcher process. Creates the event loop and the components that run on the event loop,
+ * connects the components with each other, and owns them until the process ends. All decisions are
+ * made in the components.
  */
 public final class Server {
-  /** Ratio of the memory of the process to the memory that buffers may use. */
+  /** Buffers may use the memory of the process divided by this number. */
   private static final int MEMORY_TO_BUFFER_RATIO = 16;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
@@ -49,9 +50,10 @@
   private final IngressSummaryLogger ingressSummary;
 
   /**
-   * Creates a dispatcher process and opens its ports. Nothing is accepted before {@link #run}.
+   * Creates a dispatcher process and opens its ports. No connection is accepted before {@link
+   * #run}.
    *
-   * @param faktorySettings empty if Faktory is disabled
+   * @param faktorySettings the settings of Faktory, or empty if Faktory is disabled
    * @param trace the writer of trace events, or empty if events are not traced
    * @throws IOException if a port cannot be opened
    */
@@ -65,10 +67,11 @@
     listener = ClientListener.open(config);
 
     SharedFiles files = sharedFiles(config);
-    // Connects before anything is accepted: the first callback may be for the other process.
+    // Connect to the predecessor before any connection is accepted: the first callback that this
+    // process receives may report on a job of the predecessor.
     hotRestart = HotRestart.connect(dispatcher, hotRestartPort(config, files));
-    // Loads the overrides after connecting to the predecessor, which sends all later changes over
-    // the connection.
+    // Load the overrides after connecting to the predecessor. Changes that operators make later
+    // are received from the predecessor on the connection.
     OperatorOverridesStore store = new OperatorOverridesStore(files.operatorOverrides());
     OperatorOverrides overrides = store.loadOrNone();
 
@@ -123,8 +126,10 @@
   }
 
   /**
-   * Returns the port file, or empty if hot restart is disabled. It is disabled unless the listening
-   * socket is passed by the platform, because a successor could accept no connections otherwise.
+   * Returns the path of the file that contains the port for hot restarts, or empty if hot restart
+   * is disabled. Hot restart is disabled unless the platform passes the listening socket to the
+   * process, because otherwise a successor could not accept connections. It is also disabled if no
+   * directory for the file is configured.
    */
   private static Optional<Path> hotRestartPort(ServeConfig config, SharedFiles files) {
     return config.listenerInherited() ? files.hotRestartPort() : Optional.empty();
@@ -143,13 +148,12 @@
   }
 
   private static List<Ingress> ingresses(HttpIngress http, Optional<FaktoryIngress> faktory) {
-    // No lambda, because linking it would load FaktoryIngress even if Faktory is disabled.
+    // No method of Optional that takes a lambda is used here. The JVM would load the class
+    // FaktoryIngress to link the lambda, even if Faktory is disabled.
     return faktory.isPresent() ? List.of(http, faktory.get()) : List.of(http);
   }
 
-  /**
-   * Returns the number of file descriptors that are reserved for Faktory and that HTTP cannot use.
-   */
+  /** Returns the number of file descriptors that are reserved for Faktory connections. */
   private static int reservedDescriptors(Optional<FaktorySettings> faktorySettings) {
     return faktorySettings.isPresent() ? faktorySettings.get().maxConnections() : 0;
   }
@@ -165,7 +169,8 @@
   }
 
   /**
-   * Returns the port on which clients and callbacks are accepted.
+   * Returns the TCP port on which the connections of clients and the callbacks of workers are
+   * accepted.
    *
    * @throws IOException if the listening socket is closed
    */
@@ -178,12 +183,12 @@
     return loop;
   }
 
-  /** Returns the component that applies configurations which are read again. */
+  /** Returns the component that reloads the configuration. */
   public ConfigReloader configReloader() {
     return configReloader;
   }
 
-  /** Returns the component that carries out the requests of operators. */
+  /** Returns the operations that operators can request. */
   public AdminOperations adminOperations() {
     return adminOperations;
   }
@@ -194,8 +199,9 @@
    * @throws IOException if the selector fails
    */
   public void run() throws IOException {
-    // Runs in an iteration of the loop. The loop's clock has not advanced since its creation, so
-    // timers that are set here would be overdue at once.
+    // Run start() in the first iteration of the event loop. The loop reads the clock in each
+    // iteration, and until then its time is the time of its creation. Timers that were set relative
+    // to that time would already be due.
     loop.execute(this::start);
     ingressSummary.start();
     loop.run();
@@ -206,9 +212,9 @@
   private void start() {
     dispatcher.start(operatorControls.disabledWorkers());
     workers.start(this::endpointsKnown);
-    // A predecessor accepts clients until this process has its endpoint list. Without a predecessor
-    // this process accepts them now, because clients that do not wait until it is ready would get
-    // no answer at all.
+    // If a predecessor is connected, it accepts connections until this process has its endpoint
+    // list. Otherwise, this process accepts connections now: clients that connect before the
+    // process is ready would get no answer if it did not.
     if (!hotRestart.isShared()) {
       http.open();
     }
@@ -222,8 +228,8 @@
   }
 
   /**
-   * Begins a graceful shutdown; {@link #run} returns when it is complete. May be called on any
-   * thread.
+   * Begins a graceful shutdown. {@link #run} returns when the shutdown is complete. May be called
+   * on any thread.
    */
   public void shutDown() {
     loop.execute(shutdown::request);
--- a/src/main/java/loomreel/server/ServerAdminOperations.java
+++ b/src/main/java/loomreel/server/ServerAdminOperations.java
@@ -6,7 +6,7 @@
 import loomreel.process.AdminOperations;
 import loomreel.process.OperatorControls;
 
-/** Carries out the requests of operators on the components of this process. */
+/** Applies the operations that operators request to the components of this process. */
 final class ServerAdminOperations implements AdminOperations {
   private final Dispatcher dispatcher;
   private final ServerStateMachine lifecycle;
--- a/src/main/java/loomreel/server/ServerAdmissionGate.java
+++ b/src/main/java/loomreel/server/ServerAdmissionGate.java
@@ -5,8 +5,9 @@
 import loomreel.process.HotRestart;
 
 /**
- * Determines which connections and jobs the HTTP ingress accepts, from the state of the process and
- * of a client drain.
+ * Determines which jobs the HTTP ingress accepts and which connections it closes. This depends on
+ * the state of the process and on the state of the client drain, with which operators direct
+ * clients to other dispatchers.
  */
 final class ServerAdmissionGate implements HttpIngress.AdmissionGate {
   private final ServerStateMachine lifecycle;
@@ -36,12 +37,16 @@
   }
 
   /**
-   * Returns whether a response is the last one on its connection. Workers keep their connections
-   * during a client drain.
+   * Returns whether a connection is closed after a response. Workers connect to this process as
+   * well, to send callbacks. During a client drain, the connections of clients are closed, and the
+   * connections of workers stay open. If {@link #isClosing} returns true, all connections are
+   * closed.
+   *
+   * @param toWorker whether the response is sent to a worker, in reply to a callback
    */
   @Override
-  public boolean isFinalResponse(boolean fromWorker) {
-    return isClosing() || (clientDrain.isActive() && !fromWorker);
+  public boolean isFinalResponse(boolean toWorker) {
+    return isClosing() || (clientDrain.isActive() && !toWorker);
   }
 
   @Override
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -2,7 +2,10 @@
 
 /**
  * The life-cycle states of a dispatcher process. {@link #next} implements the transitions in the
- * table; a trigger without an entry leaves the state unchanged.
+ * following table. A trigger that has no entry for a state leaves the state unchanged.
+ *
+ * <p>A successor is a new process that replaces this process in a hot restart. A predecessor is the
+ * process that this process replaces.
  *
  * <table>
  *   <caption>Transitions</caption>
@@ -20,52 +23,71 @@
  * </table>
  */
 enum ServerState {
-  /** The first endpoint list is not known yet. Jobs are accepted and wait for workers. */
+  /**
+   * The first endpoint list is awaited, and the process reports itself as not ready. If no
+   * predecessor is connected, the process accepts connections and jobs nevertheless, and the jobs
+   * wait for workers. Otherwise, the predecessor accepts connections until it shuts down.
+   */
   STARTING,
 
   /** The process is ready for clients. */
   SERVING,
 
   /**
-   * A shutdown was requested in {@link #STARTING}. The first endpoint list may still arrive in the
-   * grace period.
+   * A shutdown was requested in {@link #STARTING}, and no successor was connected. The process has
+   * not become ready for clients. It becomes ready if the first endpoint list is received before
+   * the grace period ends.
    */
   DRAINING_UNOPENED,
 
   /**
-   * A shutdown was requested without a successor. The process serves as before until the grace
-   * period ends.
+   * A shutdown was requested, and no successor was connected. The process serves as before until
+   * the grace period ends.
    */
   DRAINING,
 
-  /** A shutdown was requested with a successor, which accepts all new connections. */
+  /**
+   * A shutdown was requested, and a successor was connected. The successor accepts all new
+   * connections.
+   */
   HANDING_OVER,
 
-  /** Idle connections are closed. The process ends as soon as nothing is pending. */
+  /**
+   * The grace period has ended, and idle connections are closed. The process stops as soon as no
+   * job, answer or connection is pending, or at the time limit of the shutdown.
+   */
   CLOSING,
 
-  /** Nothing is pending, and the event loop stops. */
+  /**
+   * The event loop stops. Each accepted job has its answer. If the time limit of the shutdown was
+   * reached, connections may still be open, and Faktory jobs may be pending.
+   */
   STOPPED;
 
   /** An event that changes the state of a process. */
   enum Trigger {
-    /** The first endpoint list is known, so jobs can be sent. */
+    /**
+     * The first endpoint list is known, or discovery is unavailable and the last known list is used
+     * instead. Jobs can be sent to workers.
+     */
     ENDPOINTS_KNOWN,
 
-    /** A shutdown was requested, and no successor is connected. */
+    /** A shutdown was requested while no successor is connected. */
     SHUTDOWN_REQUESTED,
 
-    /** A shutdown was requested, and a successor is connected. */
+    /** A shutdown was requested while a successor is connected. */
     HANDOVER_REQUESTED,
 
-    /** The grace period, in which clients can notice the shutdown, has ended. */
+    /** The grace period of the shutdown, in which clients can move elsewhere, has ended. */
     GRACE_PERIOD_ENDED,
 
-    /** No job, answer or connection is pending any more, or the process cannot wait any longer. */
+    /**
+     * No job, answer or connection is pending, or the time limit of the shutdown has been reached.
+     */
     EMPTIED
   }
 
-  /** Returns the state that follows after a trigger, as listed in the table above. */
+  /** Returns the state after a trigger, as listed in the transition table of this enum. */
   ServerState next(Trigger trigger) {
     return switch (trigger) {
       case ENDPOINTS_KNOWN -> afterEndpointsKnown();
@@ -92,22 +114,31 @@
     };
   }
 
-  /** Returns whether the process reports itself as ready. */
+  /** Returns whether the process reports itself to operators as ready. */
   boolean isReady() {
     return this == SERVING || this == DRAINING;
   }
 
-  /** Returns whether the first endpoint list is known or is no longer awaited. */
+  /**
+   * Returns whether the process does not wait for the first endpoint list: either the list is
+   * known, or a shutdown has ended the wait.
+   */
   boolean hasEndpoints() {
     return this != STARTING && this != DRAINING_UNOPENED;
   }
 
-  /** Returns whether each connection is closed when it becomes idle. */
+  /**
+   * Returns whether a connection that becomes idle is closed. In {@link #HANDING_OVER}, a
+   * connection that was idle before stays open until the grace period ends.
+   */
   boolean isClosing() {
     return this == HANDING_OVER || this == CLOSING || this == STOPPED;
   }
 
-  /** Returns whether a shutdown has been requested. A request cannot be revoked. */
+  /**
+   * Returns whether a shutdown has been requested, no matter whether a successor was connected. A
+   * requested shutdown cannot be cancelled.
+   */
   boolean isShutdownRequested() {
     return this != STARTING && this != SERVING;
   }
--- a/src/test/java/loomreel/admin/AdminRouteTest.java
+++ b/src/test/java/loomreel/admin/AdminRouteTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Verifies the paths and methods that operators can use. They are part of the public interface. */
+/**
+ * Verifies the paths and HTTP methods of the requests for operators. They are part of the public
+ * interface.
+ */
 class AdminRouteTest {
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/loomreel/config/EndpointListTest.java
+++ b/src/test/java/loomreel/config/EndpointListTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Verifies which component each key of discovery's endpoint list sets. */
+/** Verifies from which JSON key each value of an {@link EndpointList} is read. */
 class EndpointListTest {
-  /** An endpoint list with each key and state, each of them with a distinct value. */
+  /** An endpoint list that contains each key and each state. The values are distinct. */
   private static final String DOCUMENT =
       """
       {"seq": 10, "whole": true, "hosts": [
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void eachKeySetsItsComponent() throws Exception {
+  void eachValueIsReadFromItsKey() throws Exception {
     EndpointList expected =
         new EndpointList(
             10,
--- a/src/test/java/loomreel/config/EndpointListUpdateTest.java
+++ b/src/test/java/loomreel/config/EndpointListUpdateTest.java
@@ -8,7 +8,10 @@
 import loomreel.decision.Endpoint;
 import org.junit.jupiter.api.Test;
 
-/** Verifies that a complete list replaces the known list, and that changes update it. */
+/**
+ * Verifies that a complete list replaces the known list, and that a list of changes updates the
+ * known list.
+ */
 class EndpointListUpdateTest {
   private static EndpointList list(int version, boolean complete, String... entries)
       throws IOException {
--- a/src/test/java/loomreel/config/ServeConfigReaderTest.java
+++ b/src/test/java/loomreel/config/ServeConfigReaderTest.java
@@ -18,9 +18,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Verifies which component each key of the platform's configuration sets. */
+/**
+ * Verifies from which key of the platform's JSON configuration each value of a {@link ServeConfig}
+ * is read.
+ */
 class ServeConfigReaderTest {
-  /** A configuration with each key, each of them with a distinct value. */
+  /**
+   * A configuration that contains each key. The values other than flags are distinct, so that a
+   * test detects a value that is read from the wrong key.
+   */
   private static final String DOCUMENT =
       """
       {
@@ -60,7 +66,7 @@
   }
 
   @Test
-  void eachKeyOfTheProcessSetsItsComponent() throws Exception {
+  void eachValueOfServeConfigIsReadFromItsKey() throws Exception {
     ServeConfig config = read(DOCUMENT);
 
     ServeConfig expected =
@@ -84,7 +90,7 @@
   }
 
   @Test
-  void eachKeyOfTheSettingsSetsItsComponent() throws Exception {
+  void eachValueOfSettingsIsReadFromItsKey() throws Exception {
     Settings settings = read(DOCUMENT).settings();
 
     assertEquals(17, settings.dispatchers());
@@ -106,7 +112,7 @@
   }
 
   @Test
-  void eachKeyOfARequestClassSetsItsComponent() throws Exception {
+  void eachValueOfARequestClassIsReadFromItsKey() throws Exception {
     List<Settings.RequestClass> expected =
         List.of(
             new Settings.RequestClass(
@@ -149,6 +155,10 @@
     assertEquals(expected, read(DOCUMENT).settings().classes());
   }
 
+  /**
+   * Enables at most one flag at a time. The parameters are four pairs of a JSON key and its value,
+   * followed by the expected flags, in the same order, as digits.
+   */
   @ParameterizedTest
   @CsvSource({
     "SecondCopies, false, Cancelling, false, Probing, false, RetryAfter, false, 0000",
@@ -157,7 +167,7 @@
     "SecondCopies, false, Cancelling, false, Probing, true, RetryAfter, false, 0010",
     "SecondCopies, false, Cancelling, false, Probing, false, RetryAfter, true, 0001"
   })
-  void eachFlagOfTheLimitsSetsItsComponent(
+  void eachFlagOfTheLimitsIsReadFromItsKey(
       String hedging,
       boolean hedgingEnabled,
       String cancellation,
@@ -207,8 +217,9 @@
   }
 
   /**
-   * The value {@code probe} is not in the document; {@link #eachLoadReportingModeIsTranslated}
-   * tests it.
+   * Verifies that {@link #DOCUMENT} contains each constant of {@link SettingsKeys}, so that no key
+   * is untested. The value {@code probe} is not in the document; {@link
+   * #eachLoadReportingModeIsTranslated} tests it.
    */
   @Test
   void theDocumentContainsEachKeyAndValue() throws Exception {
--- a/src/test/java/loomreel/process/ClientDrainStateTest.java
+++ b/src/test/java/loomreel/process/ClientDrainStateTest.java
@@ -16,8 +16,8 @@
 /** Verifies the transitions of {@link ClientDrainState} for each state and each trigger. */
 class ClientDrainStateTest {
   /**
-   * The transition table of {@link ClientDrainState}. A trigger without an entry leaves the state
-   * unchanged.
+   * The transition table of {@link ClientDrainState}: the next state by state and trigger. A
+   * trigger that has no entry for a state leaves the state unchanged.
    */
   private static final Map<ClientDrainState, Map<Trigger, ClientDrainState>> TRANSITIONS =
       Map.of(
--- a/src/test/java/loomreel/process/HotRestartMessageTest.java
+++ b/src/test/java/loomreel/process/HotRestartMessageTest.java
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void aCallbackIsEncodedAndDecodedWithItsCallbackNumberAndBody() {
+  void aCallbackIsEncodedAndDecodedWithItsNumberAndBytes() {
     byte[] callback = {'{', (byte) 0xff, '}'};
     HotRestartMessage message = HotRestartMessage.callback(7, callback);
     assertEquals(
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void theConfirmationOfACallbackIsEncodedAndDecodedWithTheCallbackNumber() {
+  void theConfirmationOfACallbackIsEncodedAndDecodedWithItsNumber() {
     assertEquals(wireFormat("taken", 7, ""), encoded(HotRestartMessage.callbackHandled(7)));
     HotRestartMessage read = HotRestartMessage.decode("/taken", "7", new byte[0]);
     assertEquals(HotRestartMessage.Type.CALLBACK_HANDLED, read.type());
--- a/src/test/java/loomreel/server/DaemonConfigTest.java
+++ b/src/test/java/loomreel/server/DaemonConfigTest.java
@@ -15,14 +15,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Verifies that each setting of an installation is translated into the configuration of the
- * process.
+ * Verifies that each setting of an installation is translated into the configuration of a
+ * dispatcher process.
  */
 class DaemonConfigTest {
   /** One second in microseconds. */
   private static final long SECOND = 1_000_000;
 
-  /** A settings file with a distinct value for each key that configures a dispatcher. */
+  /**
+   * A settings file with a value for each key that configures a dispatcher process, except {@code
+   * discovery}. The values are distinct as far as possible, so that a test detects a value that is
+   * read from the wrong key.
+   */
   private static final String FILE_CONTENT =
       """
       name: "d1"
--- a/src/test/java/loomreel/server/DescriptorBudgetTest.java
+++ b/src/test/java/loomreel/server/DescriptorBudgetTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Verifies how the descriptors that the platform grants are divided. */
+/** Verifies how the limits of connections and jobs follow from the number of file descriptors. */
 class DescriptorBudgetTest {
   @Test
   void workersGetAQuarterOfTheConnectionsAndJobsGetThreeQuartersOfTheRest() {
@@ -13,7 +13,7 @@
   }
 
   @Test
-  void eachOfTwoProcessesGetsHalf() {
+  void eachOfTwoProcessesGetsHalfOfTheDescriptors() {
     assertEquals(new DescriptorBudget(512, 120, 270, 360), DescriptorBudget.divide(1024, 0, true));
   }
 
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void theMinimumOfConnectionsIsBudgetedIfFewerDescriptorsAreGranted() {
+  void theMinimumNumberOfConnectionsIsBudgetedIfThereAreFewerDescriptors() {
     assertEquals(new DescriptorBudget(10, 4, 9, 12), DescriptorBudget.divide(10, 0, false));
   }
 }
--- a/src/test/java/loomreel/server/ServerStateTest.java
+++ b/src/test/java/loomreel/server/ServerStateTest.java
@@ -27,8 +27,8 @@
 /** Verifies the transitions of {@link ServerState} for each state and each trigger. */
 class ServerStateTest {
   /**
-   * The transition table of {@link ServerState}. A trigger without an entry leaves the state
-   * unchanged.
+   * The transition table of {@link ServerState}: the next state by state and trigger. A
+   * trigger that has no entry for a state leaves the state unchanged.
    */
   private static final Map<ServerState, Map<Trigger, ServerState>> TRANSITIONS =
       Map.of(
@@ -65,12 +65,12 @@
   }
 
   @Test
-  void idleConnectionsAreClosedDuringAHandoverAndAfterTheGracePeriod() {
+  void connectionsThatBecomeIdleAreClosedDuringAHandoverAndAfterTheGracePeriod() {
     assertEquals(EnumSet.of(HANDING_OVER, CLOSING, STOPPED), statesThat(ServerState::isClosing));
   }
 
   @Test
-  void aShutdownIsRequestedInEachStateExceptStartingAndServing() {
+  void aShutdownHasBeenRequestedInEachStateExceptStartingAndServing() {
     assertEquals(
         EnumSet.complementOf(EnumSet.of(STARTING, SERVING)),
         statesThat(ServerState::isShutdownRequested));
