--- a/src/main/java/loomreel/config/ServeConfig.java
+++ b/src/main/java/loomreel/config/ServeConfig.java
@@ -54,7 +54,8 @@
   /**
    * Returns the fields in which this configuration differs from another one and which cannot change
    * while the process runs. Differences in the seed, the initial endpoints and the address of
-   * discovery are permitted and are not returned.
+   * discovery are permitted and are not returned. The fields {@code listenerInherited}, {@code
+   * stateDirectory} and {@code shutdownLimitMicros} are not compared.
    *
    * @return the names that the fields have in the platform's configuration file
    */
--- a/src/main/java/loomreel/config/SettingsKeys.java
+++ b/src/main/java/loomreel/config/SettingsKeys.java
@@ -15,8 +15,8 @@
   static final String INITIAL_ENDPOINTS = "known";
   static final String SETTINGS = "settings";
 
-  // RESOURCES, a field of the root object, is an object with the resources of the process. The other
-  // constants are its fields.
+  // RESOURCES, a field of the root object, is an object with the resources of the process. The
+  // other constants are its fields.
   static final String RESOURCES = "limits";
   static final String MAX_DESCRIPTORS = "sockets";
   static final String MEMORY_MEBIBYTES = "memory_mb";
--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -95,7 +95,7 @@
   }
 
   /** Returns whether a peer, that is, another process of this dispatcher, is connected. */
-  public boolean isShared() {
+  public boolean isPeerConnected() {
     return channel.isPresent() && channel.get().isConnected();
   }
 
@@ -127,7 +127,7 @@
   }
 
   /**
-   * Forwards a callback to a peer, because its call is not active in this process.
+   * Forwards a callback to a peer, because the callback's call is not active in this process.
    *
    * @param callback the body of the callback as the worker sent it
    * @param handled run when the peer has handled the callback or has disconnected; run at once if
@@ -150,13 +150,13 @@
    * the ids that peers have sent.
    */
   public void updateAllowanceAndCallIds() {
-    boolean isShared = isShared();
-    if (isShared) {
+    boolean isPeerConnected = isPeerConnected();
+    if (isPeerConnected) {
       dispatcher.activeIds().forEach(this::acquired);
     } else {
       idsActiveElsewhere.clear();
     }
-    dispatcher.setCapacityFraction(isShared ? HALF_ALLOWANCE : FULL_ALLOWANCE);
+    dispatcher.setCapacityFraction(isPeerConnected ? HALF_ALLOWANCE : FULL_ALLOWANCE);
   }
 
   /**
--- a/src/main/java/loomreel/process/HotRestartChannel.java
+++ b/src/main/java/loomreel/process/HotRestartChannel.java
@@ -21,7 +21,8 @@
  * Connects this process to its peers, which are the other processes of the same dispatcher during a
  * hot restart: the predecessor and the successor. All of them accept connections of clients and
  * workers at the same address. A process can therefore receive a request that is meant for a peer,
- * such as a callback for a call that is active in the peer.
+ * such as a callback about a call that is active in the peer. A call is a job that the dispatcher
+ * has accepted.
  *
  * <p>Each process listens on a port of the IPv4 loopback interface. The newest process writes its
  * port to a file in {@code $TMPDIR}, from which its successor reads the port. Unix domain sockets
--- a/src/main/java/loomreel/process/HotRestartCoordinator.java
+++ b/src/main/java/loomreel/process/HotRestartCoordinator.java
@@ -3,8 +3,8 @@
 /**
  * Coordinates this process with its peers during a hot restart. A peer is the predecessor or a
  * successor that is connected to this process. When a peer connects or disconnects, the coordinator
- * divides the file descriptors and the slow-start allowance again. It also applies the messages
- * that peers send. Confined to the event loop's thread.
+ * divides the file descriptors and the slow-start allowance (see {@link HotRestart}) again. It also
+ * applies the messages that peers send. Confined to the event loop's thread.
  */
 public final class HotRestartCoordinator implements HotRestartChannel.Listener {
   /** The components of this process that are affected by peers. */
@@ -61,13 +61,13 @@
   @Override
   public void peerDisconnected() {
     divideResources();
-    if (!hotRestart.isShared()) {
+    if (!hotRestart.isPeerConnected()) {
       host.acceptClients();
     }
   }
 
   private void divideResources() {
-    host.divideDescriptors(hotRestart.isShared());
+    host.divideDescriptors(hotRestart.isPeerConnected());
     hotRestart.updateAllowanceAndCallIds();
   }
 
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -31,7 +31,7 @@
 
   private long lastCallbackNumber;
 
-  /** The overrides that this process has changed by a message on this link. */
+  /** The targets of the override changes that this process has sent on this link. */
   private final Set<OverrideChange.Target> overridesSent = new HashSet<>();
 
   /**
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Returns whether this process has sent a change of the override of a target on this link. If it
-   * has, a change of the same override by the peer may have crossed the message.
+   * Returns whether this process has sent a change of the override of a target on this link. If so,
+   * a change of the same override that the peer sends may cross the message of this process.
    */
   boolean hasSentOverride(OverrideChange.Target target) {
     return overridesSent.contains(target);
@@ -132,8 +132,9 @@
 
   /**
    * Closes the link. The callbacks that the peer has not handled count as handled from now on: if
-   * the peer process has ended, the calls of these callbacks have ended as well. The same applies
-   * if the link closes because of a malformed message, although the peer may still be running.
+   * the peer process has ended, the calls of these callbacks have ended as well. The callbacks also
+   * count as handled if the link closes because of a malformed message, although the peer may still
+   * be running.
    */
   @Override
   public void close() {
--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -18,6 +18,9 @@
  *
  * <p>Processes of different versions exchange these messages. For this reason, the wire names and
  * the format must not change.
+ *
+ * <p>In this class, a call is a job that the dispatcher has accepted, and a callback is a request in
+ * which a worker reports the state of a call.
  */
 final class HotRestartMessage {
   /**
@@ -26,8 +29,8 @@
    */
   enum Type {
     /**
-     * Forwards a callback, in which a worker reports the state of a call. The call is not active at
-     * the sender of the message. The body is the body of the callback.
+     * Forwards a callback of a worker, because the callback's call is not active at the sender. The
+     * body of the message is the body of the callback.
      */
     CALLBACK("news"),
 
@@ -135,7 +138,7 @@
     return new HotRestartMessage(type, Long.parseLong(callbackNumber), body);
   }
 
-  /** Returns the head of the HTTP request as which the message is sent, without the body. */
+  /** Returns the head of the HTTP request. The message is sent as this head and {@link #body}. */
   String head() {
     return HttpHeaders.request(
         "POST", "/" + type.wireName, HOST, body.length, "X-Number: " + callbackNumber);
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -74,7 +74,7 @@
     this.overrides = initial;
     this.clientDrain = clientDrain;
     this.hotRestart = hotRestart;
-    awaitsSnapshot = hotRestart.isShared();
+    awaitsSnapshot = hotRestart.isPeerConnected();
     this.closeIdleClients = closeIdleClients;
   }
 
@@ -91,7 +91,7 @@
   public boolean setWorkerDisabled(String id, boolean disabled) throws IOException {
     boolean isDisabled = overrides.disabledWorkers().contains(id);
     boolean known = dispatcher.isListed(id) || isDisabled;
-    if (known && (isDisabled != disabled || hotRestart.isShared())) {
+    if (known && (isDisabled != disabled || hotRestart.isPeerConnected())) {
       change(new OverrideChange.OfWorker(id, disabled));
     }
     return known;
@@ -103,7 +103,7 @@
    * @throws IOException if the change cannot be stored; in that case, the change is not applied
    */
   public void setClientDrain(boolean draining) throws IOException {
-    if (overrides.clientsDrained() != draining || hotRestart.isShared()) {
+    if (overrides.clientsDrained() != draining || hotRestart.isPeerConnected()) {
       change(new OverrideChange.OfClientDrain(draining));
     }
   }
--- a/src/main/java/loomreel/process/SharedFiles.java
+++ b/src/main/java/loomreel/process/SharedFiles.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Returns the paths of the files that the processes of one dispatcher share. A process reads what
- * an earlier process has written. There are no files if no directory is configured.
+ * The paths of the files that the processes of one dispatcher share. A process reads what an
+ * earlier process has written. There are no files if no directory is configured.
  */
 public final class SharedFiles {
   private static final String PORT_SUFFIX = ".tie";
--- a/src/main/java/loomreel/server/DescriptorBudget.java
+++ b/src/main/java/loomreel/server/DescriptorBudget.java
@@ -1,12 +1,11 @@
 package loomreel.server;
 
 /**
- * The file descriptors of a process, and the limits of HTTP connections and jobs that follow from
- * them.
+ * The number of file descriptors that a process may use, and the maximum numbers of connections and
+ * jobs that follow from it.
  *
  * @param nonFaktoryDescriptors the number of descriptors of this process that are not reserved for
- *     Faktory. They include the descriptors for purposes other than connections with clients and
- *     workers
+ *     Faktory; some of them are used for purposes other than connections with clients and workers
  * @param upstreamConnections the maximum number of open connections to workers
  * @param jobs the maximum number of accepted jobs that have not ended
  * @param clientConnections the maximum number of open connections that this process has accepted;
--- a/src/main/java/loomreel/server/GracefulShutdown.java
+++ b/src/main/java/loomreel/server/GracefulShutdown.java
@@ -18,12 +18,14 @@
  * before until the grace period ends: clients reuse their open connections, and there may be no
  * other dispatcher to which they can move. If a successor is connected, the shutdown is the end of
  * a hot restart, in which the successor replaces this process. This process then accepts no more
- * connections, and each client reconnects to the successor after its next response.
+ * connections, and each client reconnects to the successor after its next response. If the longest
+ * deadline of the request classes is shorter than the grace period, the grace period ends at this
+ * deadline.
  *
  * <p>When the grace period ends, idle connections are closed. The event loop stops as soon as each
- * accepted job has its answer, no HTTP connection is open and no Faktory job is pending. These
- * conditions have time limits: a job that has no answer by the answer deadline fails, and the wait
- * for connections and Faktory jobs ends.
+ * accepted job has its answer, no HTTP connection is open and no Faktory job is pending. This wait
+ * is limited: at the answer deadline, each job without an answer fails, and the wait for Faktory
+ * jobs ends. The wait for HTTP connections ends {@link #LAST_RESPONSES_RESERVE_MICROS} later.
  *
  * <p>All times are in microseconds of the event loop's clock. Confined to the event loop's thread.
  */
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -70,8 +70,8 @@
     // Connect to the predecessor before any connection is accepted: the first callback that this
     // process receives may report on a job of the predecessor.
     hotRestart = HotRestart.connect(dispatcher, hotRestartPort(config, files));
-    // Load the overrides after connecting to the predecessor. Changes that operators make later
-    // are received from the predecessor on the connection.
+    // Load the overrides after connecting to the predecessor. The predecessor sends all later
+    // changes of overrides on the connection.
     OperatorOverridesStore store = new OperatorOverridesStore(files.operatorOverrides());
     OperatorOverrides overrides = store.loadOrNone();
 
@@ -102,7 +102,7 @@
             http);
     HotRestartCoordinator.attach(
         hotRestart, operatorControls, new HotRestartHost(dispatcher, descriptors, http));
-    descriptors.allocate(hotRestart.isShared());
+    descriptors.allocate(hotRestart.isPeerConnected());
     logListening(config);
   }
 
@@ -215,7 +215,7 @@
     // If a predecessor is connected, it accepts connections until this process has its endpoint
     // list. Otherwise, this process accepts connections now: clients that connect before the
     // process is ready would get no answer if it did not.
-    if (!hotRestart.isShared()) {
+    if (!hotRestart.isPeerConnected()) {
       http.open();
     }
     dispatcher.startPeriodicTasks();
--- a/src/main/java/loomreel/server/ServerAdmissionGate.java
+++ b/src/main/java/loomreel/server/ServerAdmissionGate.java
@@ -23,7 +23,7 @@
 
   @Override
   public boolean acceptsClients() {
-    return lifecycle.state().hasEndpoints() && !clientDrain.isActive();
+    return lifecycle.state().isStartupOver() && !clientDrain.isActive();
   }
 
   @Override
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -26,7 +26,8 @@
   /**
    * The first endpoint list is awaited, and the process reports itself as not ready. If no
    * predecessor is connected, the process accepts connections and jobs nevertheless, and the jobs
-   * wait for workers. Otherwise, the predecessor accepts connections until it shuts down.
+   * wait for workers. If a predecessor is connected, only the predecessor accepts connections,
+   * until it shuts down.
    */
   STARTING,
 
@@ -34,20 +35,20 @@
   SERVING,
 
   /**
-   * A shutdown was requested in {@link #STARTING}, and no successor was connected. The process has
-   * not become ready for clients. It becomes ready if the first endpoint list is received before
-   * the grace period ends.
+   * A shutdown was requested in {@link #STARTING}, while no successor was connected. The process is
+   * not ready for clients yet. It becomes ready if the first endpoint list is received before the
+   * grace period ends.
    */
   DRAINING_UNOPENED,
 
   /**
-   * A shutdown was requested, and no successor was connected. The process serves as before until
+   * A shutdown was requested while no successor was connected. The process serves as before until
    * the grace period ends.
    */
   DRAINING,
 
   /**
-   * A shutdown was requested, and a successor was connected. The successor accepts all new
+   * A shutdown was requested while a successor was connected. The successor accepts all new
    * connections.
    */
   HANDING_OVER,
@@ -72,10 +73,10 @@
      */
     ENDPOINTS_KNOWN,
 
-    /** A shutdown was requested while no successor is connected. */
+    /** A shutdown was requested while no successor was connected. */
     SHUTDOWN_REQUESTED,
 
-    /** A shutdown was requested while a successor is connected. */
+    /** A shutdown was requested while a successor was connected. */
     HANDOVER_REQUESTED,
 
     /** The grace period of the shutdown, in which clients can move elsewhere, has ended. */
@@ -120,10 +121,10 @@
   }
 
   /**
-   * Returns whether the process does not wait for the first endpoint list: either the list is
-   * known, or a shutdown has ended the wait.
+   * Returns whether the startup of the process is over. It is over if the process does not wait for
+   * the first endpoint list: either the list is known, or a shutdown has ended the wait.
    */
-  boolean hasEndpoints() {
+  boolean isStartupOver() {
     return this != STARTING && this != DRAINING_UNOPENED;
   }
 
