--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -19,7 +19,7 @@
  * <p>Processes of different versions exchange these messages. For this reason, the wire names and
  * the format must not change.
  *
- * <p>In this class, a call is a job that the dispatcher has accepted, and a callback is a request in
+ * <p>In this class, a call is a job that the dispatcher has accepted. A callback is a request in
  * which a worker reports the state of a call.
  */
 final class HotRestartMessage {
--- a/src/test/java/loomreel/process/HotRestartMessageTest.java
+++ b/src/test/java/loomreel/process/HotRestartMessageTest.java
@@ -14,7 +14,7 @@
  * versions exchange messages.
  */
 class HotRestartMessageTest {
-  /** Returns the HTTP request as which versions up to 0.2 send a message. */
+  /** Returns the HTTP request that versions up to 0.2 send for a message. */
   private static String wireFormat(String wireName, long callbackNumber, String body) {
     return "POST /"
         + wireName
