--- a/src/main/java/loomreel/admin/AdminConnection.java
+++ b/src/main/java/loomreel/admin/AdminConnection.java
@@ -15,13 +15,16 @@
 import loomreel.process.AdminOperations;
 
 /**
- * A connection with one request of an operator: the response is sent at once, and the connection
- * closes.
+ * A connection on which an operator sends one request. The response is sent as soon as the request
+ * has been received, and the connection is closed after the response.
  *
- * <p>Owned by {@link AdminServer}, which is notified of its close.
+ * <p>Owned by {@link AdminServer}, which is notified when the connection closes.
  */
 final class AdminConnection extends HttpConnection {
-  /** The time limit of the request, and then of the client's close, in microseconds. */
+  /**
+   * Maximum time, in microseconds, from the start of the connection until the request is received.
+   * It is also the maximum time from the response until the client closes the connection.
+   */
   private static final long TIMEOUT_MICROS = 2_000_000;
 
   private static final String NO_BODY = "";
@@ -35,7 +38,7 @@
   /**
    * Takes ownership of an accepted channel.
    *
-   * @throws IOException if it cannot be registered with the event loop
+   * @throws IOException if the channel cannot be registered with the event loop
    */
   AdminConnection(
       EventLoop loop,
@@ -115,7 +118,10 @@
     respond(HttpStatus.OK, NO_BODY);
   }
 
-  /** Sends the response; if one was sent before, closes: the request timed out. */
+  /**
+   * Sends the response. The client then has {@link #TIMEOUT_MICROS} to close the connection. If a
+   * response was sent before, this method sends nothing and closes the connection at once.
+   */
   private void respond(int status, String body, String... headers) {
     if (responded) {
       close();
@@ -138,8 +144,9 @@
   }
 
   /**
-   * Shuts down the output; the client closes. Closing at once would reset the connection if there
-   * is unread input, and the client could lose the response.
+   * Shuts down the output after the response, so that the client closes the connection. If the
+   * server closed the connection while it has unread input, the connection would be reset, and the
+   * client could lose the response.
    */
   @Override
   protected void flushed() {
--- a/src/main/java/loomreel/admin/AdminRoute.java
+++ b/src/main/java/loomreel/admin/AdminRoute.java
@@ -2,19 +2,19 @@
 
 import java.util.Optional;
 
-/** The requests that operators may send, by path and method. */
+/** The requests that operators can send. Each route has an HTTP method and a path. */
 enum AdminRoute {
-  /** Whether the dispatcher can serve: status 200 or 503. */
+  /** Returns status 200 if the process is ready, and status 503 otherwise. */
   READINESS("GET", "/ops/readiness"),
-  /** The metrics, as JSON. */
+  /** Returns the metrics as JSON. */
   STATS("GET", "/ops/stats"),
-  /** Send nothing more to the worker that the body names. */
+  /** Disables a worker, so that it receives no more jobs. The body is the worker's id. */
   DISABLE_WORKER("POST", "/ops/copy-workers/down"),
-  /** Send to the worker that the body names again. */
+  /** Enables a disabled worker, so that it receives jobs again. The body is the worker's id. */
   ENABLE_WORKER("POST", "/ops/copy-workers/up"),
-  /** Send clients away. */
+  /** Starts a client drain, which directs clients to other dispatchers. */
   START_DRAIN("POST", "/ops/drain/start"),
-  /** Accept clients again. */
+  /** Stops the client drain, so that jobs of clients are accepted again. */
   STOP_DRAIN("POST", "/ops/drain/stop");
 
   private final String method;
@@ -25,7 +25,7 @@
     this.path = path;
   }
 
-  /** Finds the route of a request target, which has to be exactly the path. */
+  /** Returns the route whose path is equal to a request target, or empty if there is none. */
   static Optional<AdminRoute> of(String target) {
     for (AdminRoute route : values()) {
       if (route.path.equals(target)) {
@@ -35,7 +35,7 @@
     return Optional.empty();
   }
 
-  /** The only method that is allowed. */
+  /** Returns the only HTTP method that is allowed for the path. */
   String method() {
     return method;
   }
--- a/src/main/java/loomreel/admin/AdminServer.java
+++ b/src/main/java/loomreel/admin/AdminServer.java
@@ -13,20 +13,21 @@
 import loomreel.process.AdminOperations;
 
 /**
- * The HTTP server for operators, at an address of its own. Its file descriptors are its own as
- * well, so that clients, however many, cannot lock operators out.
+ * The HTTP server for operators. It has its own address and its own file descriptors. Operators can
+ * therefore connect even if clients use all connections that are available to clients.
  *
- * <p>Used on the event loop's thread only. It owns its connections; the event loop closes the
- * listening socket.
+ * <p>Used on the event loop's thread only. Owns its connections. The listening socket is closed by
+ * the event loop.
  */
 public final class AdminServer {
   /**
-   * The connections that may be open; another one replaces the oldest, which has sent no request
-   * yet.
+   * Maximum number of open connections. If a further connection is accepted, the oldest connection
+   * is closed. The oldest connection has no request that awaits a response, because the server
+   * responds to a request as soon as it has received the request.
    */
   private static final int MAX_CONNECTIONS = 8;
 
-  /** Connections that wait in the kernel's queue. */
+  /** Maximum number of pending connections in the kernel's accept queue. */
   private static final int BACKLOG = 128;
 
   private final AdminOperations operations;
@@ -35,7 +36,8 @@
   private final Set<AdminConnection> open = new LinkedHashSet<>();
 
   /**
-   * Binds the address and starts accepting; requests are handled once the event loop runs.
+   * Binds the address and starts to accept connections. Requests are handled while the event loop
+   * runs.
    *
    * @throws IOException if the address cannot be bound
    */
@@ -47,7 +49,8 @@
     listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     listener.configureBlocking(false);
     listener.bind(address, BACKLOG);
-    // The queue is short, so it is accepted completely in one iteration.
+    // The accept queue is short. All connections in the queue are accepted in one iteration of the
+    // event loop.
     new Acceptor(loop, listener, Integer.MAX_VALUE, log, this::accept).start();
     log.info("admin server listening address=" + listener.getLocalAddress());
   }
@@ -58,11 +61,12 @@
     }
     AdminConnection connection = new AdminConnection(loop, channel, this, operations, log);
     open.add(connection);
-    // A request that has arrived already is handled before another connection can replace this one.
+    // If the request has arrived already, handle it now, before a further connection can cause this
+    // connection to be closed.
     connection.readNow();
   }
 
-  /** A connection was closed. */
+  /** Removes a connection that has been closed. */
   void remove(AdminConnection connection) {
     open.remove(connection);
   }
--- a/src/main/java/loomreel/admin/MetricsJson.java
+++ b/src/main/java/loomreel/admin/MetricsJson.java
@@ -8,16 +8,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes the metrics as a JSON object, in the order of the map. */
+/** Writes metrics as a JSON object. The fields have the same order as the entries of the map. */
 final class MetricsJson {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private MetricsJson() {}
 
   /**
-   * Writes metrics.
+   * Returns metrics as JSON text.
    *
-   * @param metrics values by name; a value is an integer, or again such a map
+   * @param metrics the values by name; a value is a number, which is written as an integer, or a
+   *     nested map
    */
   static String write(Map<?, ?> metrics) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -9,12 +9,14 @@
 import loomreel.decision.Endpoint;
 
 /**
- * The workers that discovery lists, or the changes to such a list.
+ * A list of workers, as discovery returns it, or the changes to a previous list.
  *
  * @param version the version of the list, or {@link #UNVERSIONED}
- * @param complete whether a worker that is missing from it is removed; otherwise it holds changes
- * @param endpoints the workers
- * @param addresses where the workers listen, by id; those that are removed may have none
+ * @param complete true if the list contains all workers, so that a known worker that the list does
+ *     not contain is removed; false if the list contains only workers that have changed
+ * @param endpoints the listed workers
+ * @param addresses the addresses on which the workers listen, by worker id; a worker in the state
+ *     {@link Endpoint.State#REMOVED} may have no address
  */
 public record EndpointList(
     long version,
@@ -24,12 +26,15 @@
   /** The version of a list that does not come from discovery. */
   public static final long UNVERSIONED = -1;
 
-  /** The failure domain of a worker for which discovery names none. */
+  /** The failure domain of a worker if its entry contains none. */
   private static final int NO_FAILURE_DOMAIN = -1;
 
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** This list with the changes of a later one, or the later one where that is complete. */
+  /**
+   * Returns the list that results from a later list. If {@code later} is complete, the result is
+   * {@code later}. Otherwise, the result is this list with the changes in {@code later} applied.
+   */
   public EndpointList updatedBy(EndpointList later) {
     if (later.complete) {
       return later;
@@ -43,10 +48,11 @@
   }
 
   /**
-   * Reads a list in discovery's form.
+   * Parses an endpoint list in discovery's JSON format.
    *
-   * @param json the list as {@link JsonTree} reads it
-   * @throws IllegalArgumentException naming what does not fit
+   * @param json the list as a tree that {@link JsonTree} has returned
+   * @throws IllegalArgumentException if a required field is missing or a value is invalid; the
+   *     message contains the name of the field or the invalid value
    */
   public static EndpointList of(Object json) {
     if (!(json instanceof Map<?, ?> list)
--- a/src/main/java/loomreel/config/EndpointListKeys.java
+++ b/src/main/java/loomreel/config/EndpointListKeys.java
@@ -1,13 +1,16 @@
 package loomreel.config;
 
-/** The names in discovery's endpoint list, by what they mean in this program. */
+/**
+ * The field names and values in the JSON format of discovery's endpoint list. Each constant has the
+ * name that this program uses for the field or value.
+ */
 final class EndpointListKeys {
-  // The list.
+  // Fields of the list.
   static final String VERSION = "seq";
   static final String COMPLETE = "whole";
   static final String ENDPOINTS = "hosts";
 
-  // An entry.
+  // Fields of an entry, which describes one worker.
   static final String ID = "host";
   static final String ADDRESS = "dial";
   static final String ZONE = "site";
@@ -16,7 +19,7 @@
   static final String STARTED_AT_MILLIS = "born_ms";
   static final String WEIGHT = "share";
 
-  // The state of an entry.
+  // The field of an entry that contains the state of the worker, and the values of this field.
   static final String STATE = "health";
   static final String READY = "SERVING";
   static final String DRAINING = "DRAINING";
--- a/src/main/java/loomreel/config/JsonTree.java
+++ b/src/main/java/loomreel/config/JsonTree.java
@@ -9,16 +9,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON into maps, lists, strings, numbers, booleans and null. */
+/**
+ * Parses JSON into a tree of Java objects: an object becomes a {@link Map}, an array becomes a
+ * {@link List}, and other values become strings, numbers, booleans or null.
+ */
 public final class JsonTree {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private JsonTree() {}
 
   /**
-   * Reads one document.
+   * Parses one document.
    *
-   * @throws IOException if it is not JSON
+   * @throws IOException if the document is empty or not JSON
    */
   public static Object read(byte[] document) throws IOException {
     try (JsonParser json = FACTORY.createParser(document)) {
@@ -30,9 +33,10 @@
   }
 
   /**
-   * Reads the value at the parser's current token, up to its last token.
+   * Parses the value that begins at the current token of the parser. Afterwards, the current token
+   * is the last token of the value.
    *
-   * @throws IOException if the stream fails or is not JSON
+   * @throws IOException if the input cannot be read or is not JSON
    */
   public static Object read(JsonParser json) throws IOException {
     return switch (json.currentToken()) {
--- a/src/main/java/loomreel/config/ServeConfig.java
+++ b/src/main/java/loomreel/config/ServeConfig.java
@@ -8,24 +8,32 @@
 import loomreel.decision.Settings;
 
 /**
- * The configuration of a dispatcher process, however it was given.
+ * The configuration of a dispatcher process. It does not depend on whether the configuration comes
+ * from the platform or from a settings file.
  *
  * @param name the dispatcher's name
- * @param listenAddress where clients and callbacks are accepted
- * @param listenerInherited whether the listener is handed over as descriptor 0; otherwise {@code
- *     listenAddress} is bound
- * @param adminAddress the operators' address, or null where there is none
- * @param stateDirectory where a process leaves what the next one has to know, or null
- * @param discoveryAddress where the endpoint list comes from, or null where it never changes
- * @param seed of the random numbers
- * @param descriptorLimit how many file descriptors the process may hold
- * @param memoryBytes how many bytes it may use
- * @param initialEndpoints the endpoint list as it was last known
- * @param settings what the decision module goes by
- * @param connectTimeoutMicros how long a connection to a worker may take to be established
- * @param idleTimeoutMicros how long a worker keeps an idle connection
- * @param answerSlackMicros how long after a client's deadline an answer still counts
- * @param shutdownLimitMicros how long the process may live on after the request to shut down
+ * @param listenAddress the address on which the connections of clients and the callbacks of workers
+ *     are accepted
+ * @param listenerInherited true if the process inherits the listening socket as descriptor 0; false
+ *     if the process binds {@code listenAddress} itself
+ * @param adminAddress the address of the server for operators, or null if there is no such server
+ * @param stateDirectory the directory in which a process of the dispatcher stores what the next
+ *     process reads, or null if nothing is stored
+ * @param discoveryAddress the address of discovery, from which the endpoint list is received, or
+ *     null if the list never changes
+ * @param seed the seed of the random numbers
+ * @param descriptorLimit the maximum number of file descriptors of the dispatcher; during a hot
+ *     restart, its processes share them
+ * @param memoryBytes the maximum memory of the process, in bytes
+ * @param initialEndpoints the last known endpoint list
+ * @param settings the settings of the decision module
+ * @param connectTimeoutMicros the maximum time to establish a connection to a worker, in
+ *     microseconds
+ * @param idleTimeoutMicros the time after which a worker closes an idle connection, in microseconds
+ * @param answerGraceMicros the time after a client's deadline in which an answer still counts, in
+ *     microseconds
+ * @param shutdownLimitMicros the maximum duration of a graceful shutdown, in microseconds; {@link
+ *     Long#MAX_VALUE} if there is no maximum
  */
 public record ServeConfig(
     String name,
@@ -41,13 +49,15 @@
     Settings settings,
     long connectTimeoutMicros,
     long idleTimeoutMicros,
-    long answerSlackMicros,
+    long answerGraceMicros,
     long shutdownLimitMicros) {
   /**
-   * What differs from another configuration and cannot change while the process runs. The seed, the
-   * initial endpoints and discovery's address may differ.
+   * Returns the fields in which this configuration differs from another one and which cannot change
+   * while the process runs. Differences in the seed, the initial endpoints and the address of
+   * discovery are permitted and are not returned. The fields {@code listenerInherited}, {@code
+   * stateDirectory} and {@code shutdownLimitMicros} are not compared.
    *
-   * @return the names of the fields, as the file has them
+   * @return the names that the fields have in the platform's configuration file
    */
   public List<String> changesRequiringRestart(ServeConfig other) {
     List<String> changes = new ArrayList<>();
@@ -69,7 +79,7 @@
     if (!settings.equals(other.settings)
         || connectTimeoutMicros != other.connectTimeoutMicros
         || idleTimeoutMicros != other.idleTimeoutMicros
-        || answerSlackMicros != other.answerSlackMicros) {
+        || answerGraceMicros != other.answerGraceMicros) {
       changes.add(SettingsKeys.SETTINGS);
     }
     return changes;
--- a/src/main/java/loomreel/config/ServeConfigReader.java
+++ b/src/main/java/loomreel/config/ServeConfigReader.java
@@ -9,17 +9,23 @@
 import loomreel.decision.Settings;
 
 /**
- * Reads the platform's configuration: {@code BALANCER_CONFIG} names a JSON file, and the other
- * environment variables override its fields.
+ * Reads the platform's configuration. The environment variable {@code BALANCER_CONFIG} contains the
+ * path of a JSON file. The environment variables {@code BALANCER_NAME}, {@code BALANCER_LISTEN},
+ * {@code BALANCER_MGMT} and {@code BALANCER_DISCOVERY} override the fields {@code name}, {@code
+ * listen}, {@code mgmt} and {@code discovery} of the file.
  */
 public final class ServeConfigReader {
   /**
-   * The platform kills a process no earlier than 0.7 s after the longest deadline, which counts as
-   * 3 s at most.
+   * Maximum duration of a shutdown, in microseconds. The platform kills a process no earlier than
+   * 0.7 s after the longest deadline of the request classes. The platform counts a longer deadline
+   * than 3 s as 3 s, so the maximum is 3.7 s.
    */
   private static final long PLATFORM_SHUTDOWN_LIMIT_MICROS = 3_700_000;
 
-  /** What stands before the name of a field in the name of its environment variable. */
+  /**
+   * The prefix of the environment variables. The variable that overrides a field consists of this
+   * prefix and the name of the field in upper case.
+   */
   private static final String VARIABLE_PREFIX = "BALANCER_";
 
   private static final String CONFIG_VARIABLE = VARIABLE_PREFIX + "CONFIG";
@@ -46,7 +52,7 @@
    * Reads the platform's configuration.
    *
    * @param environment the environment variables of the process
-   * @throws ConfigException if something is missing or does not fit
+   * @throws ConfigException if a required value is missing or a value is invalid
    */
   public static ServeConfig read(Map<String, String> environment) throws ConfigException {
     String file = environment.get(CONFIG_VARIABLE);
@@ -54,7 +60,8 @@
       throw new ConfigException(CONFIG_VARIABLE + " is not set");
     }
     String descriptor = environment.getOrDefault(LISTENER_VARIABLE, "");
-    // The platform's own library hands over this one and no other.
+    // Java's System.inheritedChannel() can use an inherited listening socket only if it is
+    // descriptor 0.
     if (!descriptor.isEmpty() && !descriptor.equals("0")) {
       throw new ConfigException(LISTENER_VARIABLE + " can only be 0, not " + descriptor);
     }
@@ -67,11 +74,12 @@
   }
 
   /**
-   * Reads the platform's configuration again while the process runs. {@code BALANCER_DISCOVERY} is
-   * the address of discovery at the start; the one in the file is newer and takes precedence.
+   * Reads the platform's configuration again while the process runs. The environment variable
+   * {@code BALANCER_DISCOVERY} is ignored: it contains the address of discovery at the start of the
+   * process, and the address in the file is newer.
    *
    * @param environment the environment variables of the process
-   * @throws ConfigException if something is missing or does not fit
+   * @throws ConfigException if a required value is missing or a value is invalid
    */
   public static ServeConfig reread(Map<String, String> environment) throws ConfigException {
     Map<String, String> others = new HashMap<>(environment);
@@ -113,7 +121,7 @@
             SettingsKeys.CONNECT_TIMEOUT_SECONDS),
         settingMicros(
             DEFAULT_IDLE_TIMEOUT_SECONDS, SettingsKeys.LIMITS, SettingsKeys.IDLE_TIMEOUT_SECONDS),
-        settingMicros(0, SettingsKeys.RULES, SettingsKeys.ANSWER_SLACK_SECONDS),
+        settingMicros(0, SettingsKeys.RULES, SettingsKeys.ANSWER_GRACE_SECONDS),
         PLATFORM_SHUTDOWN_LIMIT_MICROS);
   }
 
@@ -140,7 +148,11 @@
     return VARIABLE_PREFIX + field.toUpperCase(Locale.ROOT);
   }
 
-  /** The environment variable of a field, else the field itself; empty where neither is set. */
+  /**
+   * Returns the value of the environment variable that overrides a field. If the variable is not
+   * set or is empty, returns the text in the field, or an empty string if the field contains no
+   * text.
+   */
   private String optional(String field) {
     String value = environment.getOrDefault(variable(field), "");
     return value.isEmpty() ? JsonValues.text(json, field) : value;
--- a/src/main/java/loomreel/config/SettingsReader.java
+++ b/src/main/java/loomreel/config/SettingsReader.java
@@ -16,8 +16,13 @@
 import loomreel.decision.Settings;
 
 /**
- * Translates the settings object of the platform's JSON. A setting that is absent takes the value
- * that trusts clients and workers least.
+ * Translates the {@code settings} object of the platform's JSON configuration into {@link
+ * Settings}.
+ *
+ * <p>An absent setting has a default. Most defaults assume that clients and workers support as
+ * little as possible: requests are not idempotent, a request has one attempt, workers deduplicate
+ * requests only within one failure domain, clients do not mark retries, and workers report neither
+ * their load nor the start of a job. The weights of workers are assumed not to change.
  */
 public final class SettingsReader {
   private static final double DEFAULT_TICK_SECONDS = 0.001;
@@ -30,18 +35,18 @@
   private final Object root;
 
   /**
-   * A reader of one settings object.
+   * Creates a reader of one settings object.
    *
-   * @param root the object as {@link JsonTree} reads it
+   * @param root the settings object, as a tree that {@link JsonTree} has returned
    */
   public SettingsReader(Object root) {
     this.root = root;
   }
 
   /**
-   * Translates the settings.
+   * Returns the translated settings.
    *
-   * @throws IllegalArgumentException if they are not an object
+   * @throws IllegalArgumentException if the root is not a JSON object
    */
   public Settings read() {
     if (!(root instanceof Map<?, ?>)) {
@@ -74,9 +79,11 @@
   }
 
   /**
-   * One class of requests.
+   * Translates one request class.
    *
-   * @param index its place in the list, by which the extensions have further settings of it
+   * @param json the entry of the class in the list of request classes
+   * @param index the position of the entry in the list. The lists in {@link
+   *     SettingsKeys#EXTENSIONS} contain further settings of the class at the same position.
    */
   private Settings.RequestClass requestClass(Object json, int index) {
     return new Settings.RequestClass(
@@ -101,8 +108,9 @@
   }
 
   /**
-   * The kind of worker that a class needs, which is written by name or as an index into the list of
-   * worker kinds; null where any kind will do.
+   * Returns the kind of worker that a request class needs, or null if any kind is suitable. The
+   * configuration contains the name of the kind, or the position of the name in {@link
+   * SettingsKeys#WORKER_KINDS}.
    */
   private String workerKind(int classIndex) {
     Object kind =
--- a/src/main/java/loomreel/process/AdminOperations.java
+++ b/src/main/java/loomreel/process/AdminOperations.java
@@ -3,26 +3,34 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** What operators can query and set in a dispatcher. Called on the event loop's thread. */
+/**
+ * The operations that operators can request. All methods must be called on the event loop's thread.
+ */
 public interface AdminOperations {
-  /** Whether this process can serve. */
+  /** Returns whether this process reports itself as ready to serve clients. */
   boolean isReady();
 
-  /** Metrics by name; a value is a number, or a map of further names and numbers. */
+  /** Returns the metrics by name. A value is a number or a nested map from names to numbers. */
   Map<String, Object> metrics();
 
   /**
-   * Disables a worker, which then receives no more jobs, or enables it again.
+   * Disables a worker, so that it receives no more jobs, or enables it again.
    *
-   * @return false where no worker has this id
-   * @throws IOException if it could not be stored for the next process; nothing has changed then
+   * @param id the worker's id
+   * @param disabled true to disable the worker, false to enable it
+   * @return whether the worker is known, that is, listed or already disabled; an unknown worker is
+   *     neither disabled nor enabled
+   * @throws IOException if the change cannot be stored for the next process; in that case, the
+   *     change is not applied
    */
   boolean setWorkerDisabled(String id, boolean disabled) throws IOException;
 
   /**
-   * Starts a client drain, which directs clients to other dispatchers, or stops it.
+   * Starts or stops a client drain, which directs clients to other dispatchers.
    *
-   * @throws IOException if it could not be stored for the next process; nothing has changed then
+   * @param draining true to start the drain, false to stop it
+   * @throws IOException if the change cannot be stored for the next process; in that case, the
+   *     change is not applied
    */
   void setClientDrain(boolean draining) throws IOException;
 }
--- a/src/main/java/loomreel/process/ClientDrainState.java
+++ b/src/main/java/loomreel/process/ClientDrainState.java
@@ -1,8 +1,9 @@
 package loomreel.process;
 
 /**
- * The progress of a client drain, which operators start and stop. {@link #next} holds all
- * transitions; a trigger for which the table has no entry leaves the state as it is.
+ * The states of a client drain, which operators start and stop to direct clients to other
+ * dispatchers. {@link #next} implements the transitions in the following table. A trigger that has
+ * no entry for a state leaves the state unchanged.
  *
  * <table>
  *   <caption>Transitions</caption>
@@ -14,16 +15,24 @@
  * </table>
  */
 enum ClientDrainState {
-  /** Clients are served. */
+  /** No client drain is in progress. Clients are served. */
   ACCEPTING,
 
-  /** The health check and each response ask clients to disconnect; jobs are still accepted. */
+  /**
+   * A drain is in progress, and its notice period has not ended. The readiness check for clients
+   * fails, and each response to a client is the last one on its connection, so that clients move to
+   * other dispatchers. Jobs are still accepted.
+   */
   NOTIFYING,
 
-  /** Idle connections have been closed; jobs are rejected. */
+  /**
+   * A drain is in progress, and jobs are rejected. The process enters this state when the notice
+   * period ends, and closes idle client connections at that time. If the drain began in an earlier
+   * process, this is the initial state.
+   */
   REJECTING;
 
-  /** What moves a client drain from one state to the next. */
+  /** An event that changes the state of a client drain. */
   enum Trigger {
     /** Operators have started the drain. */
     DRAIN_STARTED,
@@ -31,11 +40,14 @@
     /** Operators have stopped the drain. */
     DRAIN_STOPPED,
 
-    /** Clients have had the time to notice the drain. */
+    /**
+     * The notice period has ended. It gives clients the time to notice the drain and to move to
+     * other dispatchers.
+     */
     NOTICE_PERIOD_ENDED
   }
 
-  /** The state after a trigger, by the table above. */
+  /** Returns the state after a trigger, as listed in the transition table of this enum. */
   ClientDrainState next(Trigger trigger) {
     return switch (trigger) {
       case DRAIN_STARTED -> this == ACCEPTING ? NOTIFYING : this;
--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -10,25 +10,52 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * This process's side of a hot restart: while two processes serve as one dispatcher it divides the
- * capacity between them, shares the ids of active calls, and forwards callbacks.
+ * Manages this process's side of a hot restart, in which a successor process replaces its
+ * predecessor and both serve as one dispatcher for a time. The predecessor or the successor, if
+ * connected, is called a peer of this process.
  *
- * <p>Without a channel, as where hot restart is disabled or no loopback port can be opened, it does
- * nothing. Confined to the event loop's thread, apart from {@link #connect}.
+ * <p>While a peer is connected, this class does the following:
+ *
+ * <ul>
+ *   <li>It divides the dispatcher's slow-start allowance between the processes. The slow-start
+ *       allowance limits the load that a dispatcher sends to workers which started recently.
+ *   <li>It exchanges the ids of the active calls with the peer, so that no id is active in both
+ *       processes at the same time. A call is a job that the dispatcher has accepted.
+ *   <li>It forwards callbacks, in which workers report the state of a call, if the call is not
+ *       active in this process.
+ * </ul>
+ *
+ * <p>There is no channel to peers if hot restart is disabled or no loopback port could be opened.
+ * In this case, this process uses the full slow-start allowance and forwards nothing.
+ *
+ * <p>Confined to the event loop's thread, except for {@link #connect}.
  */
 public final class HotRestart implements CallIdRegistry {
-  /** The fraction of the dispatcher's capacity for each of two processes. */
-  private static final double HALF = 0.5;
+  /**
+   * The fraction of the slow-start allowance that this process uses while a peer is connected and
+   * no process has handed over.
+   */
+  private static final double HALF_ALLOWANCE = 0.5;
 
-  /** The fraction for a process that serves alone. */
-  private static final double ALL = 1;
+  /**
+   * The fraction of the slow-start allowance that this process uses while no peer is connected or
+   * after the predecessor has handed over.
+   */
+  private static final double FULL_ALLOWANCE = 1;
 
-  private static final double NONE = 0;
+  /**
+   * The fraction of the slow-start allowance that this process uses after it has handed over to its
+   * successor.
+   */
+  private static final double NO_ALLOWANCE = 0;
 
   private final Dispatcher dispatcher;
   private final Optional<HotRestartChannel> channel;
 
-  /** The ids of calls that are active in the other process: an id is in use once in both. */
+  /**
+   * The ids of the calls that are active in a peer. An id must not be active in two processes at
+   * the same time.
+   */
   private final Set<String> idsActiveElsewhere = new HashSet<>();
 
   private HotRestart(Dispatcher dispatcher, Optional<HotRestartChannel> channel) {
@@ -39,7 +66,8 @@
   /**
    * Connects to the predecessor, if there is one, and listens for a successor.
    *
-   * @param portFile where processes find each other; empty where hot restart is disabled
+   * @param portFile the file to which the newest process of this dispatcher writes its loopback
+   *     port; empty if hot restart is disabled
    */
   public static HotRestart connect(Dispatcher dispatcher, Optional<Path> portFile) {
     HotRestart hotRestart =
@@ -61,40 +89,49 @@
     }
   }
 
-  /** Sets the receiver of what the other process sends; required before the event loop runs. */
+  /** Sets the receiver of messages from peers. Required before the event loop runs. */
   void setListener(HotRestartChannel.Listener listener) {
     channel.ifPresent(open -> open.setListener(listener));
   }
 
-  /** Whether another process serves beside this one. */
-  public boolean isShared() {
+  /** Returns whether a peer, that is, another process of this dispatcher, is connected. */
+  public boolean isPeerConnected() {
     return channel.isPresent() && channel.get().isConnected();
   }
 
-  /** Whether a successor serves beside this process. */
+  /** Returns whether a successor is connected. */
   public boolean hasSuccessor() {
     return channel.isPresent() && channel.get().hasSuccessor();
   }
 
-  /** Sends a message that needs no answer to each of the other processes. */
-  void send(HotRestartMessage notice) {
-    channel.ifPresent(to -> to.send(notice));
+  /** Sends a one-way message, to which there is no reply, to each peer. */
+  void send(HotRestartMessage oneWayMessage) {
+    channel.ifPresent(restartChannel -> restartChannel.send(oneWayMessage));
   }
 
-  /** Sends a message that needs no answer to the processes other than the one it came from. */
-  void relay(HotRestartLink source, HotRestartMessage notice) {
-    channel.ifPresent(to -> to.relay(source, notice));
+  /**
+   * Sends a one-way message that was received from a peer to each other peer.
+   *
+   * @param source the link on which the message was received
+   */
+  void relay(HotRestartLink source, HotRestartMessage oneWayMessage) {
+    channel.ifPresent(restartChannel -> restartChannel.relay(source, oneWayMessage));
   }
 
-  /** Sends a message that needs no answer to the newest successor, if there is one. */
-  void sendToSuccessor(HotRestartMessage notice) {
-    channel.ifPresent(to -> to.sendToSuccessor(notice));
+  /**
+   * Sends a one-way message to the successor. If several successors are connected, the message goes
+   * to the one that connected last. Does nothing if no successor is connected.
+   */
+  void sendToSuccessor(HotRestartMessage oneWayMessage) {
+    channel.ifPresent(restartChannel -> restartChannel.sendToSuccessor(oneWayMessage));
   }
 
   /**
-   * Forwards a callback whose job is not in flight here to the other process.
+   * Forwards a callback to a peer, because the callback's call is not active in this process.
    *
-   * @param handled run once that process has handled it; at once where there is none
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the peer has handled the callback or has disconnected; run at once if
+   *     no peer is connected
    */
   public void forwardCallback(byte[] callback, Runnable handled) {
     if (channel.isPresent()) {
@@ -105,39 +142,45 @@
   }
 
   /**
-   * Divides the capacity by the number of processes, and sends the ids of the calls that are active
-   * here to the other one. To be called at the start and whenever a process has connected or
-   * disconnected.
+   * Updates the slow-start allowance and the known call ids after the set of connected peers has
+   * changed. Must be called at the start and whenever a peer connects or disconnects.
+   *
+   * <p>If a peer is connected, this process uses half of the slow-start allowance and sends the ids
+   * of its active calls to each peer. Otherwise, this process uses the full allowance and discards
+   * the ids that peers have sent.
    */
-  public void divideCapacity() {
-    boolean isShared = isShared();
-    if (isShared) {
+  public void updateAllowanceAndCallIds() {
+    boolean isPeerConnected = isPeerConnected();
+    if (isPeerConnected) {
       dispatcher.activeIds().forEach(this::acquired);
     } else {
       idsActiveElsewhere.clear();
     }
-    dispatcher.setCapacityFraction(isShared ? HALF : ALL);
+    dispatcher.setCapacityFraction(isPeerConnected ? HALF_ALLOWANCE : FULL_ALLOWANCE);
   }
 
-  /** Gives all capacity to the successor. */
+  /**
+   * Stops using the slow-start allowance and tells each peer, so that the successor uses the full
+   * allowance.
+   */
   public void handOver() {
-    dispatcher.setCapacityFraction(NONE);
-    send(HotRestartMessage.notice(HotRestartMessage.Type.HANDING_OVER, ""));
+    dispatcher.setCapacityFraction(NO_ALLOWANCE);
+    send(HotRestartMessage.oneWayMessage(HotRestartMessage.Type.HANDING_OVER, ""));
   }
 
-  /** The predecessor has given all capacity to this process. */
-  void receiveCapacity() {
-    dispatcher.setCapacityFraction(ALL);
+  /** Uses the full slow-start allowance from now on, because a peer has handed over. */
+  void takeFullAllowance() {
+    dispatcher.setCapacityFraction(FULL_ALLOWANCE);
   }
 
   @Override
   public void acquired(String id) {
-    send(HotRestartMessage.notice(HotRestartMessage.Type.CALL_ID_ACQUIRED, id));
+    send(HotRestartMessage.oneWayMessage(HotRestartMessage.Type.CALL_ID_ACQUIRED, id));
   }
 
   @Override
   public void released(String id) {
-    send(HotRestartMessage.notice(HotRestartMessage.Type.CALL_ID_RELEASED, id));
+    send(HotRestartMessage.oneWayMessage(HotRestartMessage.Type.CALL_ID_RELEASED, id));
   }
 
   @Override
@@ -145,12 +188,12 @@
     return idsActiveElsewhere.contains(id);
   }
 
-  /** A call has become active in the other process. */
+  /** Records that the call with this id has become active in a peer. */
   void acquiredElsewhere(String id) {
     idsActiveElsewhere.add(id);
   }
 
-  /** A call has ended in the other process. */
+  /** Records that the call with this id is no longer active in a peer. */
   void releasedElsewhere(String id) {
     idsActiveElsewhere.remove(id);
   }
--- a/src/main/java/loomreel/process/HotRestartChannel.java
+++ b/src/main/java/loomreel/process/HotRestartChannel.java
@@ -18,60 +18,76 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Connects the processes of one dispatcher during a hot restart. Both accept connections at the
- * address that clients and workers use, so each receives requests that are meant for the other.
+ * Connects this process to its peers, which are the other processes of the same dispatcher during a
+ * hot restart: the predecessor and the successor. All of them accept connections of clients and
+ * workers at the same address. A process can therefore receive a request that is meant for a peer,
+ * such as a callback about a call that is active in the peer. A call is a job that the dispatcher
+ * has accepted.
  *
- * <p>Each process listens on a port of IPv4 loopback, and the newest one writes its port to a file
- * in {@code $TMPDIR} where its successor finds it. Unix sockets are not available on every
- * platform: the full fleet's serves only TCP and UDP over IPv4.
+ * <p>Each process listens on a port of the IPv4 loopback interface. The newest process writes its
+ * port to a file in {@code $TMPDIR}, from which its successor reads the port. Unix domain sockets
+ * are not used, because not every platform provides them: the platform that runs the full fleet of
+ * dispatchers provides only TCP and UDP over IPv4.
  *
- * <p>Confined to the event loop's thread, apart from {@link #open}; open until the process ends.
+ * <p>Confined to the event loop's thread, except for {@link #open}. Stays open until the process
+ * ends.
  */
 final class HotRestartChannel implements EventLoop.Handler {
-  /** Receives what the other process sends. */
+  /** Receives the messages of peers, and is notified when a peer connects or disconnects. */
   interface Listener {
-    /** The successor has connected. */
+    /** Called when a successor has connected. */
     void successorConnected();
 
-    /** Another process has disconnected. */
-    void processDisconnected();
+    /** Called when a peer, that is, the predecessor or a successor, has disconnected. */
+    void peerDisconnected();
 
-    /** A message was received that needs no answer. */
-    void noticeReceived(HotRestartLink source, HotRestartMessage notice);
+    /**
+     * Called with each one-way message, to which there is no reply. These are all messages except
+     * callbacks and their confirmations.
+     *
+     * @param source the link on which the message was received
+     */
+    void oneWayMessageReceived(HotRestartLink source, HotRestartMessage oneWayMessage);
 
     /**
-     * A callback was received whose job is not in flight at the other process.
+     * Delivers a callback that a peer has forwarded, because the callback's call is not active in
+     * the peer.
      *
-     * @return whether its job is in flight here
+     * @param callback the body of the callback as the worker sent it
+     * @return whether the call is active in this process, so that the callback was delivered
      */
     boolean deliverCallback(byte[] callback);
   }
 
-  /** Pending connections in the kernel's queue; only a few processes ever connect. */
+  /**
+   * Maximum number of pending connections in the kernel's accept queue. It is small, because only
+   * successors of this process connect.
+   */
   private static final int BACKLOG = 4;
 
-  private static final int LARGEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private static final byte[] LOOPBACK = {127, 0, 0, 1};
   private static final int ANY_PORT = 0;
 
   private final EventLoop loop;
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.process.hotrestart");
-  private final ServerSocketChannel acceptor;
+  private final ServerSocketChannel listeningSocket;
   private final Set<HotRestartLink> links = new LinkedHashSet<>();
 
-  /** Set before the event loop runs, and so before anything is received. */
+  /** Set before the event loop runs, and thus before a message can be received. */
   private Listener listener;
 
-  private HotRestartChannel(EventLoop loop, ServerSocketChannel acceptor) {
+  private HotRestartChannel(EventLoop loop, ServerSocketChannel listeningSocket) {
     this.loop = loop;
-    this.acceptor = acceptor;
+    this.listeningSocket = listeningSocket;
   }
 
   /**
    * Connects to the predecessor, if there is one, and listens for a successor.
    *
-   * @param portFile holds the port of the newest process of this dispatcher
+   * @param portFile the file that contains the port of the newest process of this dispatcher; this
+   *     method replaces it by a file with the port of this process
    * @throws IOException if no port can be opened or the file cannot be written
    */
   static HotRestartChannel open(EventLoop loop, Path portFile) throws IOException {
@@ -95,67 +111,82 @@
   }
 
   private void listen(InetSocketAddress address, Path portFile) throws IOException {
-    acceptor.bind(address, BACKLOG);
-    writePort(portFile, ((InetSocketAddress) acceptor.getLocalAddress()).getPort());
-    acceptor.configureBlocking(false);
-    acceptor.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
+    listeningSocket.bind(address, BACKLOG);
+    writePort(portFile, ((InetSocketAddress) listeningSocket.getLocalAddress()).getPort());
+    listeningSocket.configureBlocking(false);
+    listeningSocket.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
   }
 
-  /** Sets the receiver of what the other processes send; required before the event loop runs. */
+  /** Sets the receiver of messages from peers. Required before the event loop runs. */
   void setListener(Listener listener) {
     this.listener = listener;
   }
 
-  /** The port in the file, if it exists and holds one. */
+  /** Returns the port in the file, or empty if it cannot be read or contains no valid port. */
   private static OptionalInt readPort(Path file) {
     try {
       int port = Integer.parseInt(Files.readString(file).trim());
-      return port > 0 && port <= LARGEST_PORT ? OptionalInt.of(port) : OptionalInt.empty();
+      return port > 0 && port <= MAX_PORT ? OptionalInt.of(port) : OptionalInt.empty();
     } catch (NumberFormatException | IOException e) {
       return OptionalInt.empty();
     }
   }
 
-  /** Replaces the file atomically: a process that starts meanwhile reads a complete port. */
+  /**
+   * Replaces the file atomically, so that a successor that starts at the same time never reads an
+   * incomplete port number.
+   */
   private static void writePort(Path file, int port) throws IOException {
-    Path next = file.resolveSibling(file.getFileName() + ".next");
-    Files.writeString(next, Integer.toString(port));
-    Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
+    Files.writeString(temporaryFile, Integer.toString(port));
+    Files.move(
+        temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Whether another process serves beside this one. */
+  /** Returns whether a peer, that is, the predecessor or a successor, is connected. */
   boolean isConnected() {
     return !links.isEmpty();
   }
 
-  /** Whether a successor serves beside this process. */
+  /** Returns whether a successor is connected. */
   boolean hasSuccessor() {
     return links.stream().anyMatch(HotRestartLink::isToSuccessor);
   }
 
-  /** Sends a message that needs no answer to each of the other processes. */
-  void send(HotRestartMessage notice) {
-    new ArrayList<>(links).forEach(link -> link.send(notice));
+  /** Sends a one-way message, to which there is no reply, to each peer. */
+  void send(HotRestartMessage oneWayMessage) {
+    new ArrayList<>(links).forEach(link -> link.send(oneWayMessage));
   }
 
-  /** Sends a message that needs no answer to the processes other than the one it came from. */
-  void relay(HotRestartLink source, HotRestartMessage notice) {
+  /**
+   * Sends a one-way message that was received from a peer to each other peer.
+   *
+   * @param source the link on which the message was received
+   */
+  void relay(HotRestartLink source, HotRestartMessage oneWayMessage) {
     new ArrayList<>(links)
-        .stream().filter(link -> link != source).forEach(link -> link.send(notice));
+        .stream().filter(link -> link != source).forEach(link -> link.send(oneWayMessage));
   }
 
-  /** Sends a message that needs no answer to the newest successor, if there is one. */
-  void sendToSuccessor(HotRestartMessage notice) {
+  /**
+   * Sends a one-way message to the successor. If several successors are connected, the message goes
+   * to the one that connected last. Does nothing if no successor is connected.
+   */
+  void sendToSuccessor(HotRestartMessage oneWayMessage) {
     links.stream()
         .filter(HotRestartLink::isToSuccessor)
         .reduce((earlier, later) -> later)
-        .ifPresent(successor -> successor.send(notice));
+        .ifPresent(successor -> successor.send(oneWayMessage));
   }
 
   /**
-   * Forwards a callback whose job is not in flight here.
+   * Forwards a callback that a worker has sent to this process, because the callback's call is not
+   * active in this process. The callback goes to the predecessor if it is connected, and otherwise
+   * to the successor that connected first.
    *
-   * @param handled run once another process has handled it, at once if there is none
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the peer has handled the callback or has disconnected; run at once if
+   *     no peer is connected
    */
   void forwardCallback(byte[] callback, Runnable handled) {
     forward(callback, links.stream().findFirst(), handled);
@@ -173,7 +204,7 @@
   @Override
   public void ready(SelectionKey key) {
     try {
-      SocketChannel socket = acceptor.accept();
+      SocketChannel socket = listeningSocket.accept();
       if (socket != null) {
         links.add(new HotRestartLink(loop, socket, true, this, log));
         log.info("hot restart link established peer=successor");
@@ -185,10 +216,16 @@
   }
 
   /**
-   * A callback was received. If its job is not in flight here, it may be in a third process, which
-   * is still draining after an earlier upgrade; the callback is never sent back to its source.
+   * Handles a callback that a peer has forwarded.
    *
-   * @param handled run once a process has handled the callback
+   * <p>If the callback's call is not active in this process, the callback is forwarded to another
+   * peer: the call may be active in a process that still drains after an earlier hot restart. A
+   * callback is never sent back to the peer that it was received from.
+   *
+   * @param source the link on which the callback was received
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the callback was delivered in this process, or when the other peer has
+   *     handled it or has disconnected; run at once if there is no other peer
    */
   void callbackReceived(HotRestartLink source, byte[] callback, Runnable handled) {
     if (listener.deliverCallback(callback)) {
@@ -198,18 +235,21 @@
     }
   }
 
-  /** A message was received that needs no answer. */
-  void noticeReceived(HotRestartLink source, HotRestartMessage notice) {
-    listener.noticeReceived(source, notice);
+  /** Passes a one-way message to the listener. */
+  void oneWayMessageReceived(HotRestartLink source, HotRestartMessage oneWayMessage) {
+    listener.oneWayMessageReceived(source, oneWayMessage);
   }
 
-  /** Removes a link that is being closed, before its callbacks count as handled. */
+  /**
+   * Removes a link that is closing. The link calls this method before it runs the tasks of its
+   * unhandled callbacks.
+   */
   void detach(HotRestartLink link) {
     links.remove(link);
   }
 
-  /** A detached link has been closed. */
-  void closed() {
-    listener.processDisconnected();
+  /** Tells the listener that the peer of a link has disconnected. The link was removed before. */
+  void linkClosed() {
+    listener.peerDisconnected();
   }
 }
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -14,28 +14,32 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The connection to one other process of this dispatcher. Both sides send requests on it, and none
- * sends a response. Owned by its {@link HotRestartChannel}.
+ * A connection to a peer, which is the predecessor or a successor of this process in a hot restart.
+ * Both processes send {@link HotRestartMessage}s as HTTP requests on the connection. Neither sends
+ * HTTP responses. Owned by its {@link HotRestartChannel}.
  */
 final class HotRestartLink extends HttpConnection {
   private final HotRestartChannel owner;
   private final RateLimitedLogger log;
   private final boolean toSuccessor;
 
-  /** What to run once the other process has handled a callback, by the callback's number. */
+  /**
+   * The forwarded callbacks that the peer has not handled yet: the task to run when a callback has
+   * been handled, by callback number.
+   */
   private final Map<Long, Runnable> unhandledCallbacks = new HashMap<>();
 
-  private long lastCallback;
+  private long lastCallbackNumber;
 
-  /** The overrides of which this process has sent a change. */
+  /** The targets of the override changes that this process has sent on this link. */
   private final Set<OverrideChange.Target> overridesSent = new HashSet<>();
 
   /**
-   * A link over a connected socket, which it owns from now on.
+   * Creates a link on a connected socket and takes ownership of the socket.
    *
-   * @param toSuccessor whether the other process is the successor
-   * @param owner receives the messages of the link, and is notified when it closes
-   * @throws IOException if the socket cannot be registered with the loop
+   * @param toSuccessor true if the peer is a successor, false if the peer is the predecessor
+   * @param owner receives the messages of the link, and is notified when the link closes
+   * @throws IOException if the socket cannot be registered with the event loop
    */
   HotRestartLink(
       EventLoop loop,
@@ -55,12 +59,12 @@
     return socket;
   }
 
-  /** Whether the other process is the successor. */
+  /** Returns true if the peer is a successor, false if the peer is the predecessor. */
   boolean isToSuccessor() {
     return toSuccessor;
   }
 
-  /** Sends a message, or drops it where the link is closed. */
+  /** Sends a message to the peer. If the link is closed, the message is discarded. */
   void send(HotRestartMessage message) {
     if (!isClosed()) {
       OverrideChange.of(message).ifPresent(change -> overridesSent.add(change.target()));
@@ -71,22 +75,23 @@
   }
 
   /**
-   * Whether this process has sent a change of that override on this link: one from the other
-   * process may have crossed it.
+   * Returns whether this process has sent a change of the override of a target on this link. If so,
+   * a change of the same override that the peer sends may cross the message of this process.
    */
   boolean hasSentOverride(OverrideChange.Target target) {
     return overridesSent.contains(target);
   }
 
   /**
-   * Sends a callback.
+   * Forwards a callback to the peer with a new callback number.
    *
-   * @param handled run once the other process has handled it or has disconnected
+   * @param callback the body of the callback as the worker sent it
+   * @param handled run when the peer has handled the callback or has disconnected
    */
   void sendCallback(byte[] callback, Runnable handled) {
-    long number = ++lastCallback;
-    unhandledCallbacks.put(number, handled);
-    send(HotRestartMessage.callback(number, callback));
+    long callbackNumber = ++lastCallbackNumber;
+    unhandledCallbacks.put(callbackNumber, handled);
+    send(HotRestartMessage.callback(callbackNumber, callback));
   }
 
   @Override
@@ -97,7 +102,7 @@
     try {
       message =
           HotRestartMessage.decode(
-              request.target(), request.header(HotRestartMessage.NUMBER_HEADER), body);
+              request.target(), request.header(HotRestartMessage.CALLBACK_NUMBER_HEADER), body);
     } catch (IllegalArgumentException e) {
       log.warn("hot restart message unknown reason=" + e.getMessage());
       return;
@@ -107,15 +112,15 @@
           owner.callbackReceived(
               this,
               message.body(),
-              () -> send(HotRestartMessage.callbackHandled(message.number())));
-      case CALLBACK_HANDLED -> unhandledCallbacks.remove(message.number()).run();
-      default -> owner.noticeReceived(this, message);
+              () -> send(HotRestartMessage.callbackHandled(message.callbackNumber())));
+      case CALLBACK_HANDLED -> unhandledCallbacks.remove(message.callbackNumber()).run();
+      default -> owner.oneWayMessageReceived(this, message);
     }
   }
 
   @Override
-  protected void malformed(BadMessageException why) {
-    log.warn("hot restart message malformed reason=" + why.getMessage());
+  protected void malformed(BadMessageException error) {
+    log.warn("hot restart message malformed reason=" + error.getMessage());
     close();
   }
 
@@ -125,7 +130,12 @@
   @Override
   protected void flushed() {}
 
-  /** Closes the link; the jobs of unhandled callbacks have ended with the other process. */
+  /**
+   * Closes the link. The callbacks that the peer has not handled count as handled from now on: if
+   * the peer process has ended, the calls of these callbacks have ended as well. The callbacks also
+   * count as handled if the link closes because of a malformed message, although the peer may still
+   * be running.
+   */
   @Override
   public void close() {
     if (!isClosed()) {
@@ -133,7 +143,7 @@
       owner.detach(this);
       new ArrayList<>(unhandledCallbacks.values()).forEach(Runnable::run);
       log.info("hot restart link closed peer=" + (toSuccessor ? "successor" : "predecessor"));
-      owner.closed();
+      owner.linkClosed();
     }
   }
 }
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -11,14 +11,17 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Applies what operators set by hand, stores it for the next process and sends it to the other
- * process of a hot restart. Owns the {@link OperatorOverrides} and drives the {@link ClientDrain};
- * confined to the event loop's thread.
+ * Applies the overrides that operators set, and stores them for the next process. During a hot
+ * restart, exchanges changes of overrides with the peers, that is, with the predecessor and the
+ * successor while they are connected. Owns the {@link OperatorOverrides} and triggers the
+ * transitions of the {@link ClientDrain}. Confined to the event loop's thread.
  */
 public final class OperatorControls {
   /**
-   * For this long after the start of a client drain idle connections stay open and jobs are
-   * accepted: load balancers in front need 0.2 s to notice, and after 2 s no job may be accepted.
+   * The notice period of a client drain, in microseconds. For this time after the start of the
+   * drain, idle connections stay open and jobs are accepted. The period must be longer than 0.2 s,
+   * the time that load balancers in front of the dispatcher need to notice the drain. It must be
+   * shorter than 2 s, the time after which no job may be accepted.
    */
   private static final long NOTICE_PERIOD_MICROS = 1_800_000;
 
@@ -31,22 +34,32 @@
   private final Runnable closeIdleClients;
   private OperatorOverrides overrides;
 
-  /** Whether a predecessor will send its overrides. */
-  private boolean awaitsPredecessor;
+  /**
+   * Whether a predecessor was connected at the start and has not sent a snapshot of its overrides
+   * yet. False if no predecessor was connected at the start.
+   */
+  private boolean awaitsSnapshot;
 
-  /** The last change here of each override while the predecessor's overrides are awaited. */
+  /**
+   * The changes that operators have made in this process while the snapshot of the predecessor is
+   * awaited. For each override, only the last change is kept.
+   */
   private final Map<OverrideChange.Target, OverrideChange> changesBeforeSnapshot =
       new LinkedHashMap<>();
 
-  /** Runs while the state is {@link ClientDrainState#NOTIFYING}. */
-  private Optional<EventLoop.Timer> noticePeriod = Optional.empty();
+  /**
+   * The timer that ends the notice period. It is pending while the state of the client drain is
+   * {@link ClientDrainState#NOTIFYING}.
+   */
+  private Optional<EventLoop.Timer> noticePeriodTimer = Optional.empty();
 
   /**
-   * Continues with what operators set in an earlier process.
+   * Creates controls with the overrides that operators set in an earlier process.
    *
-   * @param initial as the store held it at the start
-   * @param clientDrain in the state that follows from {@code initial}
-   * @param closeIdleClients run when the notice period of a client drain has ended
+   * @param initial the overrides that the store contained at the start
+   * @param clientDrain the client drain, whose state corresponds to {@code initial}
+   * @param closeIdleClients closes the idle connections of clients; run when the notice period of a
+   *     client drain ends
    */
   public OperatorControls(
       Dispatcher dispatcher,
@@ -61,88 +74,97 @@
     this.overrides = initial;
     this.clientDrain = clientDrain;
     this.hotRestart = hotRestart;
-    awaitsPredecessor = hotRestart.isShared();
+    awaitsSnapshot = hotRestart.isPeerConnected();
     this.closeIdleClients = closeIdleClients;
   }
 
-  /** The ids of the workers that operators have disabled. */
+  /** Returns the ids of the workers that operators have disabled. */
   public Set<String> disabledWorkers() {
     return overrides.disabledWorkers();
   }
 
   /**
-   * As {@link AdminOperations#setWorkerDisabled}.
+   * Implements {@link AdminOperations#setWorkerDisabled}.
    *
-   * @throws IOException if it could not be stored; nothing has changed then
+   * @throws IOException if the change cannot be stored; in that case, the change is not applied
    */
   public boolean setWorkerDisabled(String id, boolean disabled) throws IOException {
     boolean isDisabled = overrides.disabledWorkers().contains(id);
     boolean known = dispatcher.isListed(id) || isDisabled;
-    if (known && (isDisabled != disabled || hotRestart.isShared())) {
+    if (known && (isDisabled != disabled || hotRestart.isPeerConnected())) {
       change(new OverrideChange.OfWorker(id, disabled));
     }
     return known;
   }
 
   /**
-   * As {@link AdminOperations#setClientDrain}.
+   * Implements {@link AdminOperations#setClientDrain}.
    *
-   * @throws IOException if it could not be stored; nothing has changed then
+   * @throws IOException if the change cannot be stored; in that case, the change is not applied
    */
   public void setClientDrain(boolean draining) throws IOException {
-    if (overrides.clientsDrained() != draining || hotRestart.isShared()) {
+    if (overrides.clientsDrained() != draining || hotRestart.isPeerConnected()) {
       change(new OverrideChange.OfClientDrain(draining));
     }
   }
 
   /**
-   * Changes an override here and in the other processes. A change without effect here is sent as
-   * well: the opposite one may be under way from another process.
+   * Stores and applies a change that operators have made in this process, and sends it to the
+   * peers. While a peer is connected, callers also pass a change that has no effect in this
+   * process: a peer may have sent the opposite change, which has not been received yet.
    */
   private void change(OverrideChange change) throws IOException {
     OperatorOverrides next = change.applyTo(overrides);
     store.save(next);
     apply(next);
-    if (awaitsPredecessor) {
+    if (awaitsSnapshot) {
       changesBeforeSnapshot.put(change.target(), change);
     }
     hotRestart.send(change.toMessage());
   }
 
-  /** Sends everything to a process that may have read the file just before the last change. */
-  void sendAll() {
+  /**
+   * Sends a snapshot, that is, all overrides of this process, to the successor. The overrides that
+   * the successor has read from the file may lack the last change.
+   */
+  void sendSnapshot() {
     hotRestart.sendToSuccessor(
-        HotRestartMessage.notice(HotRestartMessage.Type.OPERATOR_OVERRIDES, overrides.toText()));
+        HotRestartMessage.oneWayMessage(
+            HotRestartMessage.Type.OPERATOR_OVERRIDES, overrides.toText()));
   }
 
   /**
-   * Operators have changed something in another process.
+   * Stores and applies a change that a peer has sent. If the change cannot be stored, this is
+   * logged, and the change is applied nevertheless.
    *
-   * @return whether that changes something here
+   * @return whether the change alters an override of this process
    */
-  boolean changedElsewhere(OverrideChange change) {
+  boolean changeReceived(OverrideChange change) {
     return !replace(change.applyTo(overrides)).isEmpty();
   }
 
   /**
-   * The predecessor has sent all that it has. What operators have changed here since the start is
-   * newer: the predecessor receives it after it has sent this.
+   * Merges a snapshot of the predecessor's overrides with the changes that operators have made in
+   * this process since its start, and applies and stores the result. The changes take precedence
+   * over the snapshot because they are newer: the predecessor sends the snapshot before it receives
+   * any of the changes.
    *
-   * @return what that changes here
+   * @return the differences between the previous and the new overrides of this process
    */
-  List<OverrideChange> snapshotReceived(OperatorOverrides ofPredecessor) {
-    OperatorOverrides next = ofPredecessor;
+  List<OverrideChange> snapshotReceived(OperatorOverrides predecessorOverrides) {
+    OperatorOverrides next = predecessorOverrides;
     for (OverrideChange change : changesBeforeSnapshot.values()) {
       next = change.applyTo(next);
     }
-    awaitsPredecessor = false;
+    awaitsSnapshot = false;
     changesBeforeSnapshot.clear();
     return replace(next);
   }
 
   private List<OverrideChange> replace(OperatorOverrides next) {
     try {
-      // Both processes store it: two changes may cross, and the file must then contain both.
+      // The peer stores its own changes in the same file. If a change of the peer and a change of
+      // this process cross, the file must contain both of them in the end.
       store.save(next);
     } catch (IOException e) {
       log.warn("operator overrides of the other process not saved reason=" + e.getMessage());
@@ -158,16 +180,16 @@
   }
 
   private void applyToDispatcher(OverrideChange change) {
-    if (change instanceof OverrideChange.OfWorker ofWorker) {
-      if (ofWorker.disabled()) {
-        dispatcher.disableWorker(ofWorker.id());
+    if (change instanceof OverrideChange.OfWorker workerChange) {
+      if (workerChange.disabled()) {
+        dispatcher.disableWorker(workerChange.id());
       } else {
-        dispatcher.enableWorker(ofWorker.id());
+        dispatcher.enableWorker(workerChange.id());
       }
       return;
     }
-    noticePeriod.ifPresent(EventLoop.Timer::cancel);
-    noticePeriod = Optional.empty();
+    noticePeriodTimer.ifPresent(EventLoop.Timer::cancel);
+    noticePeriodTimer = Optional.empty();
     if (overrides.clientsDrained()) {
       startClientDrain();
     } else {
@@ -177,7 +199,7 @@
 
   private void startClientDrain() {
     clientDrain.apply(ClientDrainState.Trigger.DRAIN_STARTED);
-    noticePeriod =
+    noticePeriodTimer =
         Optional.of(loop.schedule(loop.now() + NOTICE_PERIOD_MICROS, this::noticePeriodEnded));
   }
 
--- a/src/main/java/loomreel/process/OperatorOverrides.java
+++ b/src/main/java/loomreel/process/OperatorOverrides.java
@@ -6,21 +6,25 @@
 import java.util.TreeSet;
 
 /**
- * What operators have set by hand. It stays in force until they change it, across restarts of the
- * dispatcher.
+ * The overrides that operators have set. An override stays in force until operators change it, even
+ * if the dispatcher is restarted.
  *
- * @param clientsDrained whether clients are drained: they are directed to other dispatchers
- * @param disabledWorkers the ids of workers that receive no jobs
+ * @param clientsDrained whether clients are drained, which directs them to other dispatchers
+ * @param disabledWorkers the ids of the workers that receive no jobs
  */
 public record OperatorOverrides(boolean clientsDrained, Set<String> disabledWorkers) {
-  /** Nothing is overridden. */
+  /** No overrides: clients are not drained, and no worker is disabled. */
   public static final OperatorOverrides NONE = new OperatorOverrides(false, Set.of());
 
-  // Words of the text form, which is stored in files and exchanged with other versions.
+  // Keywords of the text format. They must not change, because processes of other versions read
+  // the same files and receive the same messages.
   private static final String CLIENTS_DRAINED = "drained";
   private static final String WORKER_DISABLED = "down ";
 
-  /** Reads the text form: a line for each disabled worker, and one if clients are drained. */
+  /**
+   * Parses the text format. It consists of a line {@code down ID} for each disabled worker, and a
+   * line {@code drained} if clients are drained. Other lines are ignored.
+   */
   static OperatorOverrides parse(String text) {
     Set<String> disabled = new TreeSet<>();
     text.lines()
@@ -29,14 +33,14 @@
     return new OperatorOverrides(text.lines().anyMatch(CLIENTS_DRAINED::equals), disabled);
   }
 
-  /** The text form, as {@link #parse} reads it. */
+  /** Returns the overrides in the text format that {@link #parse} reads. */
   String toText() {
     StringBuilder text = new StringBuilder(clientsDrained ? CLIENTS_DRAINED + "\n" : "");
     disabledWorkers.forEach(id -> text.append(WORKER_DISABLED).append(id).append('\n'));
     return text.toString();
   }
 
-  /** What changes where these are replaced by others. */
+  /** Returns the changes that turn these overrides into {@code next}. */
   List<OverrideChange> changesTo(OperatorOverrides next) {
     List<OverrideChange> changes = new ArrayList<>();
     next.disabledWorkers.stream()
@@ -51,7 +55,11 @@
     return changes;
   }
 
-  /** The same with one worker disabled or enabled. */
+  /**
+   * Returns a copy of these overrides in which one worker is disabled or enabled.
+   *
+   * @param disabled true to disable the worker, false to enable it
+   */
   OperatorOverrides withWorkerDisabled(String id, boolean disabled) {
     Set<String> next = new TreeSet<>(disabledWorkers);
     if (disabled) {
@@ -62,7 +70,11 @@
     return new OperatorOverrides(clientsDrained, next);
   }
 
-  /** The same with clients drained or not. */
+  /**
+   * Returns a copy of these overrides in which clients are drained or not.
+   *
+   * @param drained whether clients are drained in the copy
+   */
   OperatorOverrides withClientsDrained(boolean drained) {
     return new OperatorOverrides(drained, disabledWorkers);
   }
--- a/src/main/java/loomreel/process/OverrideChange.java
+++ b/src/main/java/loomreel/process/OverrideChange.java
@@ -2,9 +2,16 @@
 
 import java.util.Optional;
 
-/** A change of one override by operators, as the processes of a hot restart exchange it. */
+/**
+ * A change that operators make to one override. During a hot restart, the processes of a dispatcher
+ * send such changes to each other.
+ */
 sealed interface OverrideChange {
-  /** What operators override: a worker, or the clients of the dispatcher. */
+  /**
+   * The target of an override: one worker, or all clients of the dispatcher.
+   *
+   * @param worker the id of the worker; empty if the target is the clients
+   */
   record Target(Optional<String> worker) {
     private static final Target CLIENTS = new Target(Optional.empty());
 
@@ -13,7 +20,12 @@
     }
   }
 
-  /** A worker is disabled, or enabled again. */
+  /**
+   * Disables or enables a worker.
+   *
+   * @param id the worker's id
+   * @param disabled true to disable the worker, false to enable it again
+   */
   record OfWorker(String id, boolean disabled) implements OverrideChange {
     @Override
     public Target target() {
@@ -27,13 +39,17 @@
 
     @Override
     public HotRestartMessage toMessage() {
-      return HotRestartMessage.notice(
+      return HotRestartMessage.oneWayMessage(
           disabled ? HotRestartMessage.Type.WORKER_DISABLED : HotRestartMessage.Type.WORKER_ENABLED,
           id);
     }
   }
 
-  /** A client drain is started or stopped. */
+  /**
+   * Starts or stops a client drain.
+   *
+   * @param drained true to start the drain, false to stop it
+   */
   record OfClientDrain(boolean drained) implements OverrideChange {
     @Override
     public Target target() {
@@ -47,7 +63,7 @@
 
     @Override
     public HotRestartMessage toMessage() {
-      return HotRestartMessage.notice(
+      return HotRestartMessage.oneWayMessage(
           drained
               ? HotRestartMessage.Type.CLIENT_DRAIN_STARTED
               : HotRestartMessage.Type.CLIENT_DRAIN_STOPPED,
@@ -55,16 +71,16 @@
     }
   }
 
-  /** What is overridden. */
+  /** Returns the target of the override that is changed. */
   Target target();
 
-  /** The overrides after this change. */
+  /** Returns a copy of the overrides with this change applied. */
   OperatorOverrides applyTo(OperatorOverrides overrides);
 
-  /** The message that reports this change to another process. */
+  /** Returns the message that sends this change to another process of the dispatcher. */
   HotRestartMessage toMessage();
 
-  /** The change that a message reports; empty for messages of other kinds. */
+  /** Returns the change that a message contains, or empty if the message is of another type. */
   static Optional<OverrideChange> of(HotRestartMessage message) {
     return switch (message.type()) {
       case WORKER_DISABLED -> Optional.of(new OfWorker(message.text(), true));
--- a/src/main/java/loomreel/process/SharedFiles.java
+++ b/src/main/java/loomreel/process/SharedFiles.java
@@ -3,7 +3,10 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** The files that the processes of one dispatcher share, if there is a directory for them. */
+/**
+ * The paths of the files that the processes of one dispatcher share. A process reads what an
+ * earlier process has written. There are no files if no directory is configured.
+ */
 public final class SharedFiles {
   private static final String PORT_SUFFIX = ".tie";
   private static final String OVERRIDES_SUFFIX = ".state";
@@ -13,22 +16,28 @@
   private final String baseName;
 
   /**
-   * The files of a dispatcher.
+   * Creates the paths of a dispatcher's files.
    *
-   * @param directory empty where nothing can be stored
-   * @param dispatcherName the name that all processes of the dispatcher have
+   * @param directory the directory of the files, or empty if no directory is configured
+   * @param dispatcherName the name of the dispatcher, which is the same for all its processes
    */
   public SharedFiles(Optional<Path> directory, String dispatcherName) {
     this.directory = directory;
     baseName = dispatcherName.replaceAll(UNSAFE_IN_FILE_NAMES, "_");
   }
 
-  /** Holds the loopback port of the newest process, to which its successor connects. */
+  /**
+   * Returns the path of the port file, or empty if no directory is configured. The file contains
+   * the loopback port of the newest process. The successor connects to this port in a hot restart.
+   */
   public Optional<Path> hotRestartPort() {
     return directory.map(path -> path.resolve(baseName + PORT_SUFFIX));
   }
 
-  /** Holds what operators have set. */
+  /**
+   * Returns the path of the file that contains the overrides of operators, or empty if no directory
+   * is configured.
+   */
   public Optional<Path> operatorOverrides() {
     return directory.map(path -> path.resolve(baseName + OVERRIDES_SUFFIX));
   }
--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -13,12 +13,15 @@
 import loomreel.upstream.HttpWorkerPool;
 
 /**
- * Applies a configuration that was read again, as after SIGHUP. Only discovery's address can change
- * while the process runs. A configuration that cannot be read, or that changes anything else, may
- * be another installation's: it is rejected completely and counted.
+ * Reloads the configuration while the process runs, for example after SIGHUP.
  *
- * <p>Unless said otherwise the methods may be called on any thread; the work is done on the event
- * loop's.
+ * <p>Only the address of discovery, the service that provides the endpoint list, can change without
+ * a restart. If a new configuration cannot be read, or if it differs from the initial one in a
+ * setting that requires a restart, it may belong to another installation, so it is rejected as a
+ * whole. Applied and rejected configurations are counted in the metrics.
+ *
+ * <p>Unless stated otherwise, a method may be called on any thread. Its work is done on the event
+ * loop's thread.
  */
 public final class ConfigReloader {
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
@@ -26,7 +29,7 @@
   private final Dispatcher dispatcher;
   private final HttpWorkerPool workers;
 
-  /** The configuration of the start, which later ones are compared with. */
+  /** The configuration at the start of the process. Later configurations are compared with it. */
   private final ServeConfig initial;
 
   ConfigReloader(Dispatcher dispatcher, HttpWorkerPool workers, ServeConfig initial) {
@@ -37,7 +40,7 @@
   }
 
   /**
-   * Reads the platform's configuration again and applies it.
+   * Reads the platform's configuration again, and applies or rejects the result.
    *
    * @param environment the environment variables of the process
    */
@@ -54,9 +57,11 @@
   }
 
   /**
-   * Applies a configuration that the caller has read again.
+   * Applies or rejects a configuration that the caller has read again.
    *
-   * @param otherChanges the names of changed fields outside {@code next} that require a restart
+   * @param otherChanges the names of further settings that have changed and are not part of a
+   *     {@link ServeConfig}. If the list is not empty, the configuration is rejected, because these
+   *     settings cannot change without a restart.
    */
   public void reload(ServeConfig next, List<String> otherChanges) {
     loop.execute(
@@ -67,7 +72,11 @@
         });
   }
 
-  /** Records that a configuration could not be reloaded, and the reason. */
+  /**
+   * Counts and logs the rejection of a configuration that the caller could not read.
+   *
+   * @param reason the reason of the rejection, which is logged
+   */
   public void reject(String reason) {
     loop.execute(() -> recordRejection(reason));
   }
@@ -84,7 +93,10 @@
     }
   }
 
-  /** Watches the endpoint list at this address from now on. For the loop's thread only. */
+  /**
+   * Changes the address of discovery, from which the endpoint list is requested. Must be called on
+   * the event loop's thread.
+   */
   public void moveDiscovery(InetSocketAddress address) {
     workers.moveDiscovery(address);
   }
--- a/src/main/java/loomreel/server/DescriptorAllocator.java
+++ b/src/main/java/loomreel/server/DescriptorAllocator.java
@@ -6,7 +6,10 @@
 import loomreel.ingress.HttpIngress;
 import loomreel.upstream.HttpWorkerPool;
 
-/** Applies the {@link DescriptorBudget} of the process to the parts that open connections. */
+/**
+ * Limits the connections and jobs of each component, so that the process stays within its {@link
+ * DescriptorBudget}.
+ */
 final class DescriptorAllocator {
   private final int descriptorLimit;
   private final int reservedForFaktory;
@@ -16,10 +19,13 @@
   private final HttpIngress http;
 
   /**
-   * An allocator that has not allocated anything yet.
+   * Creates an allocator. It sets no limits before the first call of {@link #allocate}.
    *
-   * @param descriptorLimit descriptors that the platform grants to the dispatcher
-   * @param reservedForFaktory descriptors of those that HTTP cannot have
+   * @param descriptorLimit the number of file descriptors that the platform grants to the
+   *     dispatcher; all processes of the dispatcher share them
+   * @param reservedForFaktory the number of these descriptors that are reserved for Faktory
+   *     connections
+   * @param faktory the Faktory ingress, or empty if Faktory is disabled
    */
   DescriptorAllocator(
       int descriptorLimit,
@@ -37,18 +43,21 @@
   }
 
   /**
-   * Divides the descriptors.
+   * Computes the descriptor budget and sets the maximum number of connections or jobs of each
+   * component.
    *
-   * @param shared whether another process serves beside this one as the same dispatcher
+   * @param shared whether another process of this dispatcher is connected, as during a hot restart;
+   *     if so, this process uses half of the descriptors
    */
   void allocate(boolean shared) {
     DescriptorBudget budget = DescriptorBudget.divide(descriptorLimit, reservedForFaktory, shared);
     workers.setCapacity(budget.upstreamConnections());
     dispatcher.setCapacity(budget.jobs());
     if (faktory.isPresent()) {
-      // No lambda: linking it would load the class also where Faktory is off.
+      // Optional.ifPresent is not used here. It would take a lambda, and the JVM would load the
+      // class FaktoryIngress to link the lambda, even if Faktory is disabled.
       faktory.get().setCapacity(budget.jobs());
     }
-    http.setCapacity(budget.clientConnections(), budget.granted());
+    http.setCapacity(budget.clientConnections(), budget.nonFaktoryDescriptors());
   }
 }
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -27,12 +27,13 @@
 import loomreel.upstream.HttpWorkerPool;
 
 /**
- * One dispatcher process: creates the event loop and the parts that run on it, connects them, and
- * owns them until the process ends. Each of the parts does its own work; nothing is decided here.
+ * One dispatcher process. Creates the event loop and the components that run on the event loop,
+ * connects the components with each other, and owns them until the process ends. All decisions are
+ * made in the components.
  */
 public final class Server {
-  /** Buffers may take the memory divided by this. */
-  private static final int MEMORY_PER_BUFFER_MEMORY = 16;
+  /** Buffers may use the memory of the process divided by this number. */
+  private static final int MEMORY_TO_BUFFER_RATIO = 16;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
   private final EventLoop loop;
@@ -49,25 +50,28 @@
   private final IngressSummaryLogger ingressSummary;
 
   /**
-   * Opens the ports.
+   * Creates a dispatcher process and opens its ports. No connection is accepted before {@link
+   * #run}.
    *
-   * @param faktorySettings empty where Faktory is off
-   * @param trace empty where events are not traced
+   * @param faktorySettings the settings of Faktory, or empty if Faktory is disabled
+   * @param trace the writer of trace events, or empty if events are not traced
    * @throws IOException if a port cannot be opened
    */
   public Server(
       ServeConfig config, Optional<FaktorySettings> faktorySettings, Optional<TraceWriter> trace)
       throws IOException {
     loop = new EventLoop(bufferPool(config), trace);
-    dispatcher = new Dispatcher(loop, config.settings(), config.seed(), config.answerSlackMicros());
+    dispatcher = new Dispatcher(loop, config.settings(), config.seed(), config.answerGraceMicros());
     workers = workerPool(config, dispatcher);
     dispatcher.addWorkerPool(workers);
     listener = ClientListener.open(config);
 
     SharedFiles files = sharedFiles(config);
-    // Before anything is accepted: the first callback may be meant for the other process.
+    // Connect to the predecessor before any connection is accepted: the first callback that this
+    // process receives may report on a job of the predecessor.
     hotRestart = HotRestart.connect(dispatcher, hotRestartPort(config, files));
-    // Read once the link is up, over which the predecessor sends all later changes.
+    // Load the overrides after connecting to the predecessor. The predecessor sends all later
+    // changes of overrides on the connection.
     OperatorOverridesStore store = new OperatorOverridesStore(files.operatorOverrides());
     OperatorOverrides overrides = store.loadOrNone();
 
@@ -98,13 +102,13 @@
             http);
     HotRestartCoordinator.attach(
         hotRestart, operatorControls, new HotRestartHost(dispatcher, descriptors, http));
-    descriptors.allocate(hotRestart.isShared());
+    descriptors.allocate(hotRestart.isPeerConnected());
     logListening(config);
   }
 
   private static BufferPool bufferPool(ServeConfig config) {
     return new BufferPool(
-        (int) (config.memoryBytes() / MEMORY_PER_BUFFER_MEMORY / BufferPool.SIZE));
+        (int) (config.memoryBytes() / MEMORY_TO_BUFFER_RATIO / BufferPool.SIZE));
   }
 
   private static HttpWorkerPool workerPool(ServeConfig config, Dispatcher dispatcher) {
@@ -121,7 +125,12 @@
     return new SharedFiles(Optional.ofNullable(config.stateDirectory()), config.name());
   }
 
-  /** Empty where hot restart is disabled: without a passed listener no successor can accept. */
+  /**
+   * Returns the path of the file that contains the port for hot restarts, or empty if hot restart
+   * is disabled. Hot restart is disabled unless the platform passes the listening socket to the
+   * process, because otherwise a successor could not accept connections. It is also disabled if no
+   * directory for the file is configured.
+   */
   private static Optional<Path> hotRestartPort(ServeConfig config, SharedFiles files) {
     return config.listenerInherited() ? files.hotRestartPort() : Optional.empty();
   }
@@ -139,11 +148,12 @@
   }
 
   private static List<Ingress> ingresses(HttpIngress http, Optional<FaktoryIngress> faktory) {
-    // No lambda on Faktory's type: linking it would load the class also where Faktory is off.
+    // No method of Optional that takes a lambda is used here. The JVM would load the class
+    // FaktoryIngress to link the lambda, even if Faktory is disabled.
     return faktory.isPresent() ? List.of(http, faktory.get()) : List.of(http);
   }
 
-  /** The file descriptors that HTTP cannot use. */
+  /** Returns the number of file descriptors that are reserved for Faktory connections. */
   private static int reservedDescriptors(Optional<FaktorySettings> faktorySettings) {
     return faktorySettings.isPresent() ? faktorySettings.get().maxConnections() : 0;
   }
@@ -159,37 +169,39 @@
   }
 
   /**
-   * The port at which clients and callbacks are accepted.
+   * Returns the TCP port on which the connections of clients and the callbacks of workers are
+   * accepted.
    *
-   * @throws IOException if the listener is closed
+   * @throws IOException if the listening socket is closed
    */
   public int port() throws IOException {
     return ((InetSocketAddress) listener.getLocalAddress()).getPort();
   }
 
-  /** The event loop on which all parts run. */
+  /** Returns the event loop on which all components run. */
   public EventLoop loop() {
     return loop;
   }
 
-  /** Applies configurations that are read again. */
+  /** Returns the component that reloads the configuration. */
   public ConfigReloader configReloader() {
     return configReloader;
   }
 
-  /** Carries out the requests of operators. */
+  /** Returns the operations that operators can request. */
   public AdminOperations adminOperations() {
     return adminOperations;
   }
 
   /**
-   * Serves until a shutdown is complete.
+   * Serves until a graceful shutdown is complete.
    *
    * @throws IOException if the selector fails
    */
   public void run() throws IOException {
-    // On the loop, whose clock has not advanced since it was created: timers set from here on would
-    // otherwise be overdue at once.
+    // Run start() in the first iteration of the event loop. The loop reads the clock in each
+    // iteration, and until then its time is the time of its creation. Timers that were set relative
+    // to that time would already be due.
     loop.execute(this::start);
     ingressSummary.start();
     loop.run();
@@ -200,13 +212,14 @@
   private void start() {
     dispatcher.start(operatorControls.disabledWorkers());
     workers.start(this::endpointsKnown);
-    // A predecessor accepts clients until this process has its endpoint list. Without one, clients
-    // that do not wait for this process to be ready would get no answer at all.
-    if (!hotRestart.isShared()) {
+    // If a predecessor is connected, it accepts connections until this process has its endpoint
+    // list. Otherwise, this process accepts connections now: clients that connect before the
+    // process is ready would get no answer if it did not.
+    if (!hotRestart.isPeerConnected()) {
       http.open();
     }
     dispatcher.startPeriodicTasks();
-    hotRestart.divideCapacity();
+    hotRestart.updateAllowanceAndCallIds();
   }
 
   private void endpointsKnown() {
@@ -214,7 +227,10 @@
     http.open();
   }
 
-  /** Begins a graceful shutdown, after which {@link #run} returns. Any thread may call this. */
+  /**
+   * Begins a graceful shutdown. {@link #run} returns when the shutdown is complete. May be called
+   * on any thread.
+   */
   public void shutDown() {
     loop.execute(shutdown::request);
   }
--- a/src/main/java/loomreel/server/ServerAdmissionGate.java
+++ b/src/main/java/loomreel/server/ServerAdmissionGate.java
@@ -4,7 +4,11 @@
 import loomreel.process.ClientDrain;
 import loomreel.process.HotRestart;
 
-/** Derives what HTTP connections may do from the state of the process and of a client drain. */
+/**
+ * Determines which jobs the HTTP ingress accepts and which connections it closes. This depends on
+ * the state of the process and on the state of the client drain, with which operators direct
+ * clients to other dispatchers.
+ */
 final class ServerAdmissionGate implements HttpIngress.AdmissionGate {
   private final ServerStateMachine lifecycle;
   private final ClientDrain clientDrain;
@@ -19,7 +23,7 @@
 
   @Override
   public boolean acceptsClients() {
-    return lifecycle.state().hasEndpoints() && !clientDrain.isActive();
+    return lifecycle.state().isStartupOver() && !clientDrain.isActive();
   }
 
   @Override
@@ -32,10 +36,17 @@
     return lifecycle.state().isClosing();
   }
 
-  /** Workers keep their connections during a client drain. */
+  /**
+   * Returns whether a connection is closed after a response. Workers connect to this process as
+   * well, to send callbacks. During a client drain, the connections of clients are closed, and the
+   * connections of workers stay open. If {@link #isClosing} returns true, all connections are
+   * closed.
+   *
+   * @param toWorker whether the response is sent to a worker, in reply to a callback
+   */
   @Override
-  public boolean isFinalResponse(boolean fromWorker) {
-    return isClosing() || (clientDrain.isActive() && !fromWorker);
+  public boolean isFinalResponse(boolean toWorker) {
+    return isClosing() || (clientDrain.isActive() && !toWorker);
   }
 
   @Override
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -1,8 +1,11 @@
 package loomreel.server;
 
 /**
- * The life-cycle states of a dispatcher process. {@link #next} holds all transitions; a trigger for
- * which the table has no entry leaves the state as it is.
+ * The life-cycle states of a dispatcher process. {@link #next} implements the transitions in the
+ * following table. A trigger that has no entry for a state leaves the state unchanged.
+ *
+ * <p>A successor is a new process that replaces this process in a hot restart. A predecessor is the
+ * process that this process replaces.
  *
  * <table>
  *   <caption>Transitions</caption>
@@ -20,46 +23,72 @@
  * </table>
  */
 enum ServerState {
-  /** The first endpoint list is awaited: jobs are accepted and wait for workers. */
+  /**
+   * The first endpoint list is awaited, and the process reports itself as not ready. If no
+   * predecessor is connected, the process accepts connections and jobs nevertheless, and the jobs
+   * wait for workers. If a predecessor is connected, only the predecessor accepts connections,
+   * until it shuts down.
+   */
   STARTING,
 
-  /** Ready for clients. */
+  /** The process is ready for clients. */
   SERVING,
 
-  /** Shutdown requested in {@link #STARTING}; the list may still arrive in the grace period. */
+  /**
+   * A shutdown was requested in {@link #STARTING}, while no successor was connected. The process is
+   * not ready for clients yet. It becomes ready if the first endpoint list is received before the
+   * grace period ends.
+   */
   DRAINING_UNOPENED,
 
-  /** Shutdown requested without a successor: serves as before until the grace period ends. */
+  /**
+   * A shutdown was requested while no successor was connected. The process serves as before until
+   * the grace period ends.
+   */
   DRAINING,
 
-  /** Shutdown requested with a successor, which accepts all new connections. */
+  /**
+   * A shutdown was requested while a successor was connected. The successor accepts all new
+   * connections.
+   */
   HANDING_OVER,
 
-  /** Idle connections are closed; the process ends as soon as nothing is pending. */
+  /**
+   * The grace period has ended, and idle connections are closed. The process stops as soon as no
+   * job, answer or connection is pending, or at the time limit of the shutdown.
+   */
   CLOSING,
 
-  /** Nothing is pending: the event loop ends. */
+  /**
+   * The event loop stops. Each accepted job has its answer. If the time limit of the shutdown was
+   * reached, connections may still be open, and Faktory jobs may be pending.
+   */
   STOPPED;
 
-  /** What moves a process from one state to the next. */
+  /** An event that changes the state of a process. */
   enum Trigger {
-    /** The first endpoint list was received: jobs can be sent. */
+    /**
+     * The first endpoint list is known, or discovery is unavailable and the last known list is used
+     * instead. Jobs can be sent to workers.
+     */
     ENDPOINTS_KNOWN,
 
-    /** A shutdown was requested and no successor serves beside this process. */
+    /** A shutdown was requested while no successor was connected. */
     SHUTDOWN_REQUESTED,
 
-    /** A shutdown was requested and a successor serves beside this process. */
+    /** A shutdown was requested while a successor was connected. */
     HANDOVER_REQUESTED,
 
-    /** Clients have had the time to notice the shutdown. */
+    /** The grace period of the shutdown, in which clients can move elsewhere, has ended. */
     GRACE_PERIOD_ENDED,
 
-    /** No job, answer or connection is pending any more, or the process can wait no longer. */
+    /**
+     * No job, answer or connection is pending, or the time limit of the shutdown has been reached.
+     */
     EMPTIED
   }
 
-  /** The state after a trigger, by the table above. */
+  /** Returns the state after a trigger, as listed in the transition table of this enum. */
   ServerState next(Trigger trigger) {
     return switch (trigger) {
       case ENDPOINTS_KNOWN -> afterEndpointsKnown();
@@ -86,22 +115,31 @@
     };
   }
 
-  /** Whether the process reports itself as ready. */
+  /** Returns whether the process reports itself to operators as ready. */
   boolean isReady() {
     return this == SERVING || this == DRAINING;
   }
 
-  /** Whether the first endpoint list has been received, or is not awaited any more. */
-  boolean hasEndpoints() {
+  /**
+   * Returns whether the startup of the process is over. It is over if the process does not wait for
+   * the first endpoint list: either the list is known, or a shutdown has ended the wait.
+   */
+  boolean isStartupOver() {
     return this != STARTING && this != DRAINING_UNOPENED;
   }
 
-  /** Whether every connection closes when it falls idle. */
+  /**
+   * Returns whether a connection that becomes idle is closed. In {@link #HANDING_OVER}, a
+   * connection that was idle before stays open until the grace period ends.
+   */
   boolean isClosing() {
     return this == HANDING_OVER || this == CLOSING || this == STOPPED;
   }
 
-  /** Whether a shutdown has been requested, which cannot be revoked. */
+  /**
+   * Returns whether a shutdown has been requested, no matter whether a successor was connected. A
+   * requested shutdown cannot be cancelled.
+   */
   boolean isShutdownRequested() {
     return this != STARTING && this != SERVING;
   }
--- a/src/test/java/loomreel/config/ServeConfigReaderTest.java
+++ b/src/test/java/loomreel/config/ServeConfigReaderTest.java
@@ -18,9 +18,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which member each name of the platform's configuration sets. */
+/**
+ * Verifies from which key of the platform's JSON configuration each value of a {@link ServeConfig}
+ * is read.
+ */
 class ServeConfigReaderTest {
-  /** A configuration with every key, each with a value of its own. */
+  /**
+   * A configuration that contains each key. The values other than flags are distinct, so that a
+   * test detects a value that is read from the wrong key.
+   */
   private static final String DOCUMENT =
       """
       {
@@ -49,6 +55,7 @@
       }
       """;
 
+  /** One second in microseconds. */
   private static final long SECOND = 1_000_000;
 
   @TempDir private Path directory;
@@ -59,7 +66,7 @@
   }
 
   @Test
-  void eachKeyOfTheProcessSetsItsMember() throws Exception {
+  void eachValueOfServeConfigIsReadFromItsKey() throws Exception {
     ServeConfig config = read(DOCUMENT);
 
     ServeConfig expected =
@@ -83,7 +90,7 @@
   }
 
   @Test
-  void eachKeyOfTheSettingsSetsItsMember() throws Exception {
+  void eachValueOfSettingsIsReadFromItsKey() throws Exception {
     Settings settings = read(DOCUMENT).settings();
 
     assertEquals(17, settings.dispatchers());
@@ -105,7 +112,7 @@
   }
 
   @Test
-  void eachKeyOfAClassSetsItsMember() throws Exception {
+  void eachValueOfARequestClassIsReadFromItsKey() throws Exception {
     List<Settings.RequestClass> expected =
         List.of(
             new Settings.RequestClass(
@@ -148,6 +155,10 @@
     assertEquals(expected, read(DOCUMENT).settings().classes());
   }
 
+  /**
+   * Enables at most one flag at a time. The parameters are four pairs of a JSON key and its value,
+   * followed by the expected flags, in the same order, as digits.
+   */
   @ParameterizedTest
   @CsvSource({
     "SecondCopies, false, Cancelling, false, Probing, false, RetryAfter, false, 0000",
@@ -156,21 +167,28 @@
     "SecondCopies, false, Cancelling, false, Probing, true, RetryAfter, false, 0010",
     "SecondCopies, false, Cancelling, false, Probing, false, RetryAfter, true, 0001"
   })
-  void eachFlagOfTheLimitsSetsItsMember(
+  void eachFlagOfTheLimitsIsReadFromItsKey(
       String hedging,
-      boolean hedges,
+      boolean hedgingEnabled,
       String cancellation,
-      boolean cancels,
+      boolean cancellationEnabled,
       String healthChecks,
-      boolean checks,
+      boolean healthChecksEnabled,
       String retryAfter,
-      boolean says,
+      boolean retryAfterEnabled,
       String expected)
       throws Exception {
     String flags =
         "{\"%s\": %s, \"%s\": %s, \"%s\": %s, \"%s\": %s}"
             .formatted(
-                hedging, hedges, cancellation, cancels, healthChecks, checks, retryAfter, says);
+                hedging,
+                hedgingEnabled,
+                cancellation,
+                cancellationEnabled,
+                healthChecks,
+                healthChecksEnabled,
+                retryAfter,
+                retryAfterEnabled);
 
     Settings.Limits limits =
         new SettingsReader(
@@ -192,15 +210,19 @@
 
   @ParameterizedTest
   @CsvSource({"answers, WITH_ANSWERS", "probe, WITH_HEALTH_CHECKS", "other, NONE"})
-  void theModeOfLoadReportingHasItsConstant(String mode, Settings.LoadReporting expected) {
+  void eachLoadReportingModeIsTranslated(String mode, Settings.LoadReporting expected) {
     Settings settings = new SettingsReader(Map.of("Telemetry", Map.of("How", mode))).read();
 
     assertEquals(expected, settings.loadReporting());
   }
 
-  /** The document has every name but the word that the test above has. */
+  /**
+   * Verifies that {@link #DOCUMENT} contains each constant of {@link SettingsKeys}, so that no key
+   * is untested. The value {@code probe} is not in the document; {@link
+   * #eachLoadReportingModeIsTranslated} tests it.
+   */
   @Test
-  void eachNameOfTheConfigurationIsTested() throws Exception {
+  void theDocumentContainsEachKeyAndValue() throws Exception {
     for (Field key : SettingsKeys.class.getDeclaredFields()) {
       if (key.getType() == String.class) {
         boolean isInDocument = DOCUMENT.contains("\"" + key.get(null) + "\"");
@@ -210,7 +232,7 @@
   }
 
   @Test
-  void aMessageNamesTheFileAndTheMissingField() {
+  void theErrorMessageNamesTheFileAndTheMissingField() {
     ConfigException error =
         assertThrows(
             ConfigException.class, () -> read(DOCUMENT.replace("\"listen\"", "\"other\"")));
--- a/src/test/java/loomreel/server/DescriptorBudgetTest.java
+++ b/src/test/java/loomreel/server/DescriptorBudgetTest.java
@@ -4,16 +4,16 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The division of the descriptors that the platform grants. */
+/** Verifies how the limits of connections and jobs follow from the number of file descriptors. */
 class DescriptorBudgetTest {
   @Test
-  void workersGetAQuarterOfTheConnectionsAndJobsThreeQuartersOfTheRest() {
+  void workersGetAQuarterOfTheConnectionsAndJobsGetThreeQuartersOfTheRest() {
     assertEquals(
         new DescriptorBudget(1024, 248, 558, 744), DescriptorBudget.divide(1024, 0, false));
   }
 
   @Test
-  void eachOfTwoProcessesGetsHalf() {
+  void eachOfTwoProcessesGetsHalfOfTheDescriptors() {
     assertEquals(new DescriptorBudget(512, 120, 270, 360), DescriptorBudget.divide(1024, 0, true));
   }
 
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void aMinimumOfConnectionsIsBudgetedWhateverIsGranted() {
+  void theMinimumNumberOfConnectionsIsBudgetedIfThereAreFewerDescriptors() {
     assertEquals(new DescriptorBudget(10, 4, 9, 12), DescriptorBudget.divide(10, 0, false));
   }
 }
