--- a/src/main/java/loomreel/io/Acceptor.java
+++ b/src/main/java/loomreel/io/Acceptor.java
@@ -7,27 +7,28 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The accept loop of one listening socket.
+ * Accepts connections from one listening socket.
  *
- * <p>If {@code accept} fails, usually for lack of a file descriptor, the connection remains in the
- * kernel's queue and the socket readable, so a retry without a delay would spin the event loop.
- * Accepting therefore pauses for {@link #RETRY_DELAY_MICROS} after a failure.
+ * <p>If {@code accept} fails, usually because no file descriptor is available, the connection
+ * remains in the kernel's accept queue and the socket remains readable. A retry without a delay
+ * would keep the event loop busy, so accepting pauses for {@link #RETRY_DELAY_MICROS}.
  *
- * <p>The listening socket remains owned by the caller, or of the {@link EventLoop}, which closes
- * every registered channel when it is closed.
+ * <p>The acceptor does not own the listening socket. The caller closes it, or the {@link EventLoop}
+ * does, which closes every registered channel when it is closed.
  */
 public final class Acceptor implements EventLoop.Handler {
-  /** The owner of the accepted connections. */
+  /** Takes ownership of the accepted connections. */
   public interface ConnectionHandler {
     /**
-     * Takes ownership of a connection, which is non-blocking and has {@code TCP_NODELAY} set.
+     * Called with each accepted connection, which the handler owns from then on.
      *
-     * @throws IOException if the connection cannot be served; the acceptor closes it then
+     * @param channel the connection, in non-blocking mode and with {@code TCP_NODELAY} set
+     * @throws IOException if the connection cannot be served; the acceptor then closes it
      */
     void accepted(SocketChannel channel) throws IOException;
   }
 
-  /** The pause after an accept that failed, in microseconds. */
+  /** The duration of the pause after a failed {@code accept}, in microseconds. */
   public static final long RETRY_DELAY_MICROS = 100_000;
 
   private enum State {
@@ -46,10 +47,13 @@
   private State state = State.NOT_STARTED;
 
   /**
-   * Registers a listening socket, from which nothing is accepted before {@link #start}.
+   * Registers a listening socket with the event loop. No connection is accepted before {@link
+   * #start}.
    *
-   * @param listener bound and non-blocking
-   * @param maxPerIteration the most connections to accept in one iteration of the event loop
+   * @param listener the listening socket, bound and in non-blocking mode
+   * @param maxPerIteration the maximum number of connections that are accepted in one iteration of
+   *     the event loop
+   * @param log the logger for failed accepts
    * @throws IOException if the socket cannot be registered with the selector
    */
   public Acceptor(
@@ -67,7 +71,7 @@
     key = listener.register(loop.selector(), 0, this);
   }
 
-  /** Starts accepting; does nothing once started or stopped. */
+  /** Starts accepting. Has no effect if the acceptor was started or stopped before. */
   public void start() {
     if (state == State.NOT_STARTED) {
       resume();
@@ -75,19 +79,19 @@
   }
 
   /**
-   * Accepts nothing for a while; new connections wait in the kernel's queue. Does nothing unless
-   * accepting.
+   * Pauses accepting. New connections wait in the kernel's accept queue meanwhile. Has no effect
+   * unless the acceptor is accepting.
    *
-   * @param micros the length of the pause in microseconds
+   * @param pauseMicros the duration of the pause, in microseconds
    */
-  public void pause(long micros) {
+  public void pause(long pauseMicros) {
     if (state != State.ACCEPTING) {
       return;
     }
     state = State.PAUSED;
     key.interestOps(0);
     loop.schedule(
-        loop.now() + micros,
+        loop.now() + pauseMicros,
         () -> {
           if (state == State.PAUSED) {
             resume();
@@ -100,19 +104,22 @@
     key.interestOps(SelectionKey.OP_ACCEPT);
   }
 
-  /** Stops accepting for good, without closing the listening socket. */
+  /** Stops accepting permanently. The listening socket is not closed. */
   public void stop() {
     state = State.STOPPED;
     key.cancel();
   }
 
-  /** Whether connections are being accepted: started, and neither paused nor stopped. */
+  /**
+   * Returns whether connections are being accepted: the acceptor was started and is neither paused
+   * nor stopped.
+   */
   public boolean isAccepting() {
     return state == State.ACCEPTING;
   }
 
   @Override
-  public void ready(SelectionKey selected) {
+  public void ready(SelectionKey selectedKey) {
     try {
       for (int count = 0; count < maxPerIteration && isAccepting(); count++) {
         SocketChannel channel = listener.accept();
--- a/src/main/java/loomreel/io/ByteConnection.java
+++ b/src/main/java/loomreel/io/ByteConnection.java
@@ -6,15 +6,15 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * One TCP connection, independent of its protocol: delivers bytes as they are read and writes
- * buffered bytes as the channel accepts them. Owns its channel and its output buffers until {@link
- * #close}. Used on the event loop's thread only.
+ * A TCP connection that does not depend on the protocol: it delivers input bytes as they are read
+ * and writes buffered output bytes as the channel accepts them. Owns its channel and its output
+ * buffers until {@link #close}. Used on the event loop's thread only.
  */
 public abstract class ByteConnection implements EventLoop.Handler {
   protected final EventLoop loop;
   protected final SocketChannel channel;
 
-  /** The bytes that are still to be written. */
+  /** The output that has not been written to the channel. */
   protected final ByteQueue out;
 
   private final SelectionKey selectionKey;
@@ -25,7 +25,8 @@
   /**
    * Takes ownership of a channel and registers it with the loop.
    *
-   * @param connected whether the channel is connected; else its connect is in progress
+   * @param channel the channel, in non-blocking mode
+   * @param connected true if the channel is connected, false if its connect is in progress
    * @throws IOException if the channel is closed
    */
   protected ByteConnection(EventLoop loop, SocketChannel channel, boolean connected)
@@ -39,23 +40,26 @@
             loop.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
   }
 
-  /** Called with bytes that were read; those that it does not consume are discarded. */
+  /** Called with bytes that were read. Bytes that are not consumed by this call are discarded. */
   protected abstract void bytesReceived(ByteBuffer in);
 
-  /** Called at the end of input, before {@link #broken()}. */
+  /** Called when the peer has ended its output, before {@link #broken()}. */
   protected void inputEnded() {}
 
-  /** Called when the peer has closed or reset the connection, which is closed here afterwards. */
+  /**
+   * Called when the peer has closed or reset the connection, or when the connect has failed. The
+   * connection is closed on this side after the call.
+   */
   protected abstract void broken();
 
-  /** Called when all output has been written. */
+  /** Called when a flush has left no output to be written. */
   protected abstract void flushed();
 
   protected final boolean isConnected() {
     return connected;
   }
 
-  /** Whether this side has closed the connection. */
+  /** Returns whether this side has closed the connection. */
   public final boolean isClosed() {
     return closed;
   }
@@ -70,26 +74,29 @@
         flush();
       }
       if (!closed && key.isReadable()) {
-        readInto(loop.scratch().clear());
+        readInto(loop.readBuffer().clear());
       }
     } catch (IOException e) {
-      closeBroken();
+      handleDisconnect();
     }
   }
 
   private int readInto(ByteBuffer in) throws IOException {
-    int size = channel.read(in);
+    int bytesRead = channel.read(in);
     in.flip();
-    if (size >= 0) {
+    if (bytesRead >= 0) {
       bytesReceived(in);
     } else {
       inputEnded();
-      closeBroken();
+      handleDisconnect();
     }
-    return size;
+    return bytesRead;
   }
 
-  /** Writes as much output as the channel accepts; the loop writes the rest later. */
+  /**
+   * Writes as much output as the channel accepts. The rest is written once the loop finds the
+   * channel writable. Has no effect while the connect is in progress or after {@link #close}.
+   */
   protected final void flush() {
     if (!connected || closed) {
       return;
@@ -98,7 +105,7 @@
     try {
       complete = out.writeTo(channel);
     } catch (IOException e) {
-      closeBroken();
+      handleDisconnect();
       return;
     }
     int readOperation = readingPaused ? 0 : SelectionKey.OP_READ;
@@ -109,7 +116,11 @@
     }
   }
 
-  /** Pauses or resumes reading; writing goes on. */
+  /**
+   * Pauses or resumes reading. Writing continues in both cases.
+   *
+   * @param pause true to pause, false to resume
+   */
   protected final void pauseReading(boolean pause) {
     readingPaused = pause;
     if (closed) {
@@ -121,25 +132,25 @@
   }
 
   /**
-   * Reads available bytes without waiting for the selector. Uses a buffer of its own, since the
+   * Reads available bytes without waiting for the selector. Uses a separate buffer, because the
    * loop's read buffer may be in use.
    *
-   * @return whether bytes were read, so that there may be more; false at the end of input, after
-   *     which the connection is closed
+   * @return whether bytes were read, in which case more may be available; false if none are
+   *     available, and also at the end of input or after a failure, which close the connection
    */
   public final boolean readNow() {
     ByteBuffer in = loop.pool().acquire();
     try {
       return readInto(in) > 0;
     } catch (IOException e) {
-      closeBroken();
+      handleDisconnect();
       return false;
     } finally {
       loop.pool().release(in);
     }
   }
 
-  /** Shuts the output down; input can still be read. */
+  /** Shuts down the output side of the connection. Input can still be read. */
   protected final void endOutput() {
     try {
       channel.shutdownOutput();
@@ -148,14 +159,17 @@
     }
   }
 
-  private void closeBroken() {
+  private void handleDisconnect() {
     if (!closed) {
       broken();
       close();
     }
   }
 
-  /** Closes the connection from this side; further calls do nothing. */
+  /**
+   * Closes the connection from this side and discards output that is not written. Has no effect if
+   * the connection is closed.
+   */
   public void close() {
     if (!closed) {
       closed = true;
@@ -164,7 +178,7 @@
       try {
         channel.close();
       } catch (IOException e) {
-        // Nothing to do: the descriptor is released all the same.
+        // Ignored: the file descriptor is released even if the close fails.
       }
     }
   }
--- a/src/main/java/loomreel/io/ByteQueue.java
+++ b/src/main/java/loomreel/io/ByteQueue.java
@@ -7,16 +7,17 @@
 import java.util.ArrayDeque;
 
 /**
- * A queue of bytes in pooled buffers: appended at the end, written from the front. Owns its buffers
- * until they are written or {@link #release} is called. Used on the event loop's thread only.
+ * A queue of bytes that are stored in pooled buffers. Bytes are appended at the end and written to
+ * a channel from the front. The queue owns its buffers until they are written or {@link #release}
+ * is called. Used on the event loop's thread only.
  */
 public final class ByteQueue {
   private final BufferPool pool;
 
-  /** In write mode: each one's position is the end of its data. */
+  /** The buffers in order, in write mode: the position of a buffer is the end of its data. */
   private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>(2);
 
-  /** How many bytes of the first buffer have been written to a channel. */
+  /** The number of bytes of the first buffer that have already been written to a channel. */
   private int frontOffset;
 
   private int length;
@@ -24,18 +25,21 @@
   /**
    * Creates an empty queue.
    *
-   * @param pool the owner of the buffers
+   * @param pool the pool that buffers are acquired from and released to
    */
   public ByteQueue(BufferPool pool) {
     this.pool = pool;
   }
 
-  /** The number of bytes in the queue. */
+  /** Returns the number of bytes in the queue. */
   public int length() {
     return length;
   }
 
-  /** Moves up to {@code maxBytes} bytes from a buffer to the end of the queue. */
+  /**
+   * Appends up to {@code maxBytes} bytes of a buffer, and advances the position of the buffer by
+   * the number of appended bytes.
+   */
   public void append(ByteBuffer source, int maxBytes) {
     int remaining = Math.min(maxBytes, source.remaining());
     while (remaining > 0) {
@@ -52,17 +56,17 @@
     }
   }
 
-  /** Appends a copy of these bytes. */
+  /** Appends a copy of an array. */
   public void append(byte[] source) {
     append(ByteBuffer.wrap(source), source.length);
   }
 
-  /** Appends a text in ISO 8859-1, the encoding of HTTP heads. */
+  /** Appends a text, encoded in ISO 8859-1 like the heads of HTTP messages. */
   public void append(String text) {
     append(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Appends a copy of the content of another queue. */
+  /** Appends a copy of the content of another queue, which does not change. */
   public void append(ByteQueue other) {
     int offset = other.frontOffset;
     for (ByteBuffer buffer : other.buffers) {
@@ -72,7 +76,7 @@
     }
   }
 
-  /** A copy of the content. */
+  /** Returns a copy of the content. */
   public byte[] toArray() {
     byte[] content = new byte[length];
     int copied = 0;
@@ -88,9 +92,10 @@
   }
 
   /**
-   * Writes as much from the front as the channel accepts; written buffers return to the pool.
+   * Writes as many bytes from the front as the channel accepts. Buffers that are written completely
+   * are released to the pool.
    *
-   * @return whether the queue is empty now
+   * @return whether the queue is empty afterwards
    * @throws IOException if the channel fails
    */
   public boolean writeTo(WritableByteChannel channel) throws IOException {
@@ -108,7 +113,7 @@
     return true;
   }
 
-  /** Returns all buffers to the pool; the queue is empty afterwards and may be used again. */
+  /** Releases all buffers to the pool. The queue is empty afterwards and can be used again. */
   public void release() {
     buffers.forEach(pool::release);
     buffers.clear();
--- a/src/main/java/loomreel/io/EventLoop.java
+++ b/src/main/java/loomreel/io/EventLoop.java
@@ -11,38 +11,42 @@
 import java.util.function.Consumer;
 
 /**
- * A single-threaded event loop: one selector, one clock and the timers. Everything that belongs to
- * a dispatcher is used on the thread that calls {@link #run()}; only {@link #execute} may be called
- * on any thread. Owns the selector and, on {@link #close}, every channel registered with it.
+ * A single-threaded event loop with one selector, one clock and a queue of timers. All parts of a
+ * dispatcher are used on the thread that calls {@link #run()}; only {@link #execute} may be called
+ * on any thread. Owns the selector. {@link #close} closes it and every channel that is registered
+ * with it.
  */
 public final class EventLoop implements Closeable {
   private static final long MICROS_PER_MILLI = 1_000;
   private static final long NANOS_PER_MICRO = 1_000;
 
-  /** How long an iteration may wait for a channel when no timer is set. */
+  /** The maximum time, in microseconds, that an iteration waits while no timer is scheduled. */
   private static final long MAX_WAIT_MICROS = 1_000_000;
 
-  /** Handles the events of a channel; attached to the channel's selection key. */
+  /** Handles the events of a channel. It is the attachment of the channel's selection key. */
   public interface Handler {
-    /** Called when the channel is ready for at least one operation of the key's interest set. */
+    /** Called when the channel is ready for at least one operation in the key's interest set. */
     void ready(SelectionKey key);
   }
 
-  /** A scheduled task. Timers run in the order of their time, then in the order of scheduling. */
+  /**
+   * A task that is scheduled for a point in time. Timers run in the order of their due times, and
+   * those with the same due time in the order in which they were scheduled.
+   */
   public static final class Timer implements Comparable<Timer> {
-    private final long dueAt;
-    private final long sequence;
+    private final long dueAtMicros;
+    private final long sequenceNumber;
 
-    /** Null once the timer is cancelled. */
+    /** The task to run; null once the timer is cancelled. */
     private Runnable task;
 
-    Timer(long dueAt, long sequence, Runnable task) {
-      this.dueAt = dueAt;
-      this.sequence = sequence;
+    Timer(long dueAtMicros, long sequenceNumber, Runnable task) {
+      this.dueAtMicros = dueAtMicros;
+      this.sequenceNumber = sequenceNumber;
       this.task = task;
     }
 
-    /** Cancels the task; does nothing if it has run. */
+    /** Cancels the timer. Has no effect if its task has already run. */
     public void cancel() {
       task = null;
     }
@@ -51,41 +55,45 @@
       return task == null;
     }
 
-    long dueAt() {
-      return dueAt;
+    long dueAtMicros() {
+      return dueAtMicros;
     }
 
-    /** The task, or null once the timer is cancelled. */
+    /** Returns the task, or null if the timer is cancelled. */
     Runnable task() {
       return task;
     }
 
-    /** Whether it is due and was scheduled before the timer with a sequence number. */
-    boolean isDue(long now, long endSequence) {
-      return dueAt <= now && sequence < endSequence;
+    /**
+     * Returns whether the timer is due and has a sequence number below a limit.
+     *
+     * @param now the current time, in microseconds of the loop's clock
+     */
+    boolean isDue(long now, long sequenceLimit) {
+      return dueAtMicros <= now && sequenceNumber < sequenceLimit;
     }
 
     @Override
     public int compareTo(Timer other) {
-      return dueAt != other.dueAt
-          ? Long.compare(dueAt, other.dueAt)
-          : Long.compare(sequence, other.sequence);
+      return dueAtMicros != other.dueAtMicros
+          ? Long.compare(dueAtMicros, other.dueAtMicros)
+          : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
   private final Selector selector;
   private final BufferPool pool;
 
-  /** Null where tracing is off, which is checked for each event. */
+  /** The writer of trace lines; null if tracing is off. Callers check it for each event. */
   private final TraceWriter trace;
 
-  private final ByteBuffer scratch = ByteBuffer.allocateDirect(BufferPool.SIZE);
+  private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(BufferPool.SIZE);
   private final TimerQueue timers = new TimerQueue();
   private final Consumer<Runnable> guardedRunner = this::runGuarded;
   private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.io.loop");
 
-  /** Added to the monotonic clock, it gives Unix time. */
+  /** The difference between Unix time and the monotonic clock, in microseconds. */
   private final long clockOffsetMicros =
       System.currentTimeMillis() * MICROS_PER_MILLI - System.nanoTime() / NANOS_PER_MICRO;
 
@@ -94,7 +102,7 @@
   private long longestIterationMicros;
 
   /**
-   * Creates a loop that does not run yet and traces nothing.
+   * Creates a loop without tracing. It does not run before {@link #run()}.
    *
    * @throws IOException if no selector can be opened
    */
@@ -103,9 +111,9 @@
   }
 
   /**
-   * Creates a loop that does not run yet.
+   * Creates a loop. It does not run before {@link #run()}.
    *
-   * @param trace where events are traced
+   * @param trace the writer of trace lines; empty if tracing is off
    * @throws IOException if no selector can be opened
    */
   public EventLoop(BufferPool pool, Optional<TraceWriter> trace) throws IOException {
@@ -115,8 +123,9 @@
   }
 
   /**
-   * The time in microseconds, read once per iteration. It is Unix time when the loop is created and
-   * monotonic from then on, so that it is comparable with the start times that workers report.
+   * Returns the current time in microseconds, as read once per iteration. It equals Unix time when
+   * the loop is created and is monotonic from then on, so that it can be compared with the start
+   * times that workers report.
    */
   public long now() {
     return now;
@@ -126,12 +135,18 @@
     return clockOffsetMicros + System.nanoTime() / NANOS_PER_MICRO;
   }
 
-  /** Schedules a task for a time in microseconds of this loop's clock; it may run later. */
-  public Timer schedule(long dueAt, Runnable task) {
-    return timers.schedule(dueAt, task);
+  /**
+   * Schedules a task.
+   *
+   * @param dueAtMicros the earliest time at which the task runs, in microseconds of this loop's
+   *     clock; it may run later
+   * @return the timer, which can be cancelled
+   */
+  public Timer schedule(long dueAtMicros, Runnable task) {
+    return timers.schedule(dueAtMicros, task);
   }
 
-  /** Runs a task on the loop's thread in its next iteration. May be called on any thread. */
+  /** Runs a task on the loop's thread, in the next iteration at the latest. Thread-safe. */
   public void execute(Runnable task) {
     postedTasks.add(task);
     selector.wakeup();
@@ -143,7 +158,7 @@
   }
 
   /**
-   * Runs until it is stopped.
+   * Runs iterations until {@link #stop} is called.
    *
    * @throws IOException if the selector fails
    */
@@ -165,10 +180,13 @@
     longestIterationMicros = Math.max(longestIterationMicros, readClock() - now);
   }
 
-  /** Waits until a channel is ready, a timer is due or a task is posted. */
+  /**
+   * Waits until a channel is ready, a timer is due or a task is posted, and for at most {@link
+   * #MAX_WAIT_MICROS} if there are no timers.
+   */
   private void select() throws IOException {
     timers.removeCancelled();
-    long waitMicros = timers.isEmpty() ? MAX_WAIT_MICROS : timers.firstDueAt() - readClock();
+    long waitMicros = timers.isEmpty() ? MAX_WAIT_MICROS : timers.firstDueAtMicros() - readClock();
     if (waitMicros <= 0) {
       selector.selectNow();
     } else {
@@ -191,7 +209,7 @@
     selector.selectedKeys().clear();
   }
 
-  /** Closes every registered channel, and the selector; to be called after {@link #run()}. */
+  /** Closes every registered channel and the selector. To be called after {@link #run()}. */
   @Override
   public void close() throws IOException {
     for (SelectionKey key : selector.keys()) {
@@ -200,7 +218,11 @@
     selector.close();
   }
 
-  /** The longest iteration in microseconds, waiting excluded, since the last call. */
+  /**
+   * Returns the duration of the longest iteration since the last call of this method, and resets
+   * it. The duration is in microseconds and excludes the wait for events; it is 0 if no iteration
+   * has completed since.
+   */
   public long takeLongestIteration() {
     long longest = longestIterationMicros;
     longestIterationMicros = 0;
@@ -209,7 +231,7 @@
 
   /**
    * Runs a task of one connection or timer. An exception is logged and does not end the process,
-   * which serves other calls.
+   * because the process also serves other calls.
    */
   private void runGuarded(Runnable task) {
     try {
@@ -219,23 +241,23 @@
     }
   }
 
-  /** The selector with which channels are registered. */
+  /** Returns the selector that channels are registered with. */
   public Selector selector() {
     return selector;
   }
 
-  /** The buffers of all connections of this loop. */
+  /** Returns the buffer pool that all connections of this loop share. */
   public BufferPool pool() {
     return pool;
   }
 
-  /** The writer of trace lines; null where tracing is off, the default. */
+  /** Returns the writer of trace lines, or null if tracing is off, which is the default. */
   public TraceWriter trace() {
     return trace;
   }
 
-  /** The shared read buffer; its content is valid only during one read. */
-  public ByteBuffer scratch() {
-    return scratch;
+  /** Returns the shared read buffer. Its content is valid only during one read. */
+  public ByteBuffer readBuffer() {
+    return readBuffer;
   }
 }
--- a/src/main/java/loomreel/io/RateLimitedLogger.java
+++ b/src/main/java/loomreel/io/RateLimitedLogger.java
@@ -4,12 +4,12 @@
 import java.lang.System.Logger.Level;
 
 /**
- * A logger that writes ten lines a second at most, so that clients and workers cannot flood the
- * log. The number of suppressed lines is logged with the first line of a later second.
+ * A logger that writes at most ten lines per second, so that clients and workers cannot flood the
+ * log. The number of suppressed lines is logged before the first line of a later second.
  *
- * <p>Callers build the complete text. Message patterns of {@link System.Logger} are not used:
- * {@link java.text.MessageFormat} would be loaded at each start, and it groups the digits of
- * numbers.
+ * <p>Callers build the complete message. The message patterns of {@link System.Logger} are not
+ * used, because {@link java.text.MessageFormat} would have to be loaded at each start and inserts
+ * grouping separators into numbers.
  */
 public final class RateLimitedLogger {
   private static final int MAX_LINES_PER_SECOND = 10;
@@ -18,30 +18,30 @@
   private final Logger logger;
   private long currentSecond;
 
-  /** Lines of the current second, suppressed ones included. */
+  /** The number of lines in the current second, including suppressed ones. */
   private int linesThisSecond;
 
-  /** Creates a logger with that name. */
+  /** Creates a logger that writes to the {@link System.Logger} with that name. */
   public RateLimitedLogger(String name) {
     logger = System.getLogger(name);
   }
 
   /** Logs a normal event. */
-  public void info(String text) {
-    write(Level.INFO, text, null);
+  public void info(String message) {
+    write(Level.INFO, message, null);
   }
 
   /** Logs a condition that an operator may have to act on. */
-  public void warn(String text) {
-    write(Level.WARNING, text, null);
+  public void warn(String message) {
+    write(Level.WARNING, message, null);
   }
 
-  /** Logs a fault of this program. */
-  public void error(String text, Throwable fault) {
-    write(Level.ERROR, text, fault);
+  /** Logs a fault of this program, with its exception. */
+  public void error(String message, Throwable thrown) {
+    write(Level.ERROR, message, thrown);
   }
 
-  private void write(Level level, String text, Throwable fault) {
+  private void write(Level level, String message, Throwable thrown) {
     long second = System.nanoTime() / NANOS_PER_SECOND;
     if (second != currentSecond) {
       logSuppressedLines();
@@ -50,7 +50,7 @@
     }
     linesThisSecond++;
     if (linesThisSecond <= MAX_LINES_PER_SECOND) {
-      logger.log(level, text, fault);
+      logger.log(level, message, thrown);
     }
   }
 
--- a/src/main/java/loomreel/io/TimerQueue.java
+++ b/src/main/java/loomreel/io/TimerQueue.java
@@ -3,19 +3,27 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** The timers of an event loop, in the order in which they run. For the loop's thread only. */
+/**
+ * The timers of an event loop, in the order in which they run. Used on the event loop's thread
+ * only.
+ */
 final class TimerQueue {
   private final PriorityQueue<EventLoop.Timer> timers = new PriorityQueue<>();
-  private long nextSequence;
+  private long nextSequenceNumber;
 
-  /** Adds a timer. */
-  EventLoop.Timer schedule(long dueAt, Runnable task) {
-    EventLoop.Timer timer = new EventLoop.Timer(dueAt, nextSequence++, task);
+  /**
+   * Adds a timer.
+   *
+   * @param dueAtMicros the earliest time at which the task runs, in microseconds of the loop's
+   *     clock
+   */
+  EventLoop.Timer schedule(long dueAtMicros, Runnable task) {
+    EventLoop.Timer timer = new EventLoop.Timer(dueAtMicros, nextSequenceNumber++, task);
     timers.add(timer);
     return timer;
   }
 
-  /** Removes cancelled timers from the front. */
+  /** Removes the cancelled timers that precede the first timer that is not cancelled. */
   void removeCancelled() {
     while (!timers.isEmpty() && timers.peek().isCancelled()) {
       timers.poll();
@@ -26,18 +34,23 @@
     return timers.isEmpty();
   }
 
-  /** When the first timer is due, a cancelled one included; the queue must not be empty. */
-  long firstDueAt() {
-    return timers.peek().dueAt();
+  /**
+   * Returns the due time of the first timer, even if it is cancelled. The queue must not be empty.
+   */
+  long firstDueAtMicros() {
+    return timers.peek().dueAtMicros();
   }
 
   /**
-   * Runs the tasks that are due. Timers that these tasks schedule wait for the next call, so that
-   * one that reschedules itself cannot starve the sockets.
+   * Runs the tasks that are due. Timers that are scheduled by these tasks wait for the next call.
+   * Otherwise a task that always reschedules itself would prevent the handling of channels.
+   *
+   * @param now the current time, in microseconds of the loop's clock
+   * @param runner runs each of the tasks
    */
   void runDue(long now, Consumer<Runnable> runner) {
-    long endSequence = nextSequence;
-    while (!timers.isEmpty() && timers.peek().isDue(now, endSequence)) {
+    long sequenceLimit = nextSequenceNumber;
+    while (!timers.isEmpty() && timers.peek().isDue(now, sequenceLimit)) {
       EventLoop.Timer timer = timers.poll();
       if (!timer.isCancelled()) {
         runner.accept(timer.task());
--- a/src/main/java/loomreel/io/TraceWriter.java
+++ b/src/main/java/loomreel/io/TraceWriter.java
@@ -8,16 +8,22 @@
 
 /**
  * Writes the events of one dispatcher as JSON lines, which {@code loomreel trace-summary}
- * summarizes over a fleet. Tracing is off by default: {@link EventLoop#trace} is null then, and
- * callers check that before they build the arguments of a line. Used on the event loop's thread
- * only. Tests subclass it to act between two events.
+ * aggregates over a fleet. Tracing is off by default: {@link EventLoop#trace} then returns null,
+ * and callers check this before they build the arguments of a line. Used on the event loop's thread
+ * only. Tests extend this class to run actions between two events.
  */
 public class TraceWriter {
-  private static final double DECIMALS = 1000.0;
+  /** The factor by which numbers are scaled to round them to three decimal places. */
+  private static final double ROUNDING_FACTOR = 1000.0;
 
   private final JsonGenerator json;
 
-  /** Creates a writer to a stream, which it flushes once per loop iteration and never closes. */
+  /**
+   * Creates a writer to a stream. The event loop flushes it once per iteration; it never closes the
+   * stream.
+   *
+   * @throws UncheckedIOException if the JSON generator cannot be created
+   */
   public TraceWriter(OutputStream out) {
     try {
       json =
@@ -29,12 +35,13 @@
   }
 
   /**
-   * Writes a line.
+   * Writes a line. Failures to write are ignored.
    *
-   * @param atMicros the time in microseconds of the loop's clock
-   * @param event the kind of line
-   * @param fields alternating names and values; fields without a value (null or NaN) are omitted,
-   *     numbers are written as numbers, anything else as a string
+   * @param atMicros the time of the event, in microseconds of the loop's clock
+   * @param event the kind of event
+   * @param fields alternating names and values; a field whose value is null or NaN is omitted, a
+   *     {@link Double} is rounded to three decimal places, any other number is written as an
+   *     integer, and any other value as a string
    */
   public void line(long atMicros, String event, Object... fields) {
     try {
@@ -47,14 +54,14 @@
       json.writeEndObject();
       json.writeRaw('\n');
     } catch (IOException e) {
-      // Best effort: the dispatcher goes on when nobody reads the trace any more.
+      // Tracing is best effort: the dispatcher keeps running if the trace cannot be written.
     }
   }
 
   private void writeField(String name, Object value) throws IOException {
     if (value instanceof Double number) {
       if (!number.isNaN()) {
-        json.writeNumberField(name, Math.round(number * DECIMALS) / DECIMALS);
+        json.writeNumberField(name, Math.round(number * ROUNDING_FACTOR) / ROUNDING_FACTOR);
       }
     } else if (value instanceof Number number) {
       json.writeNumberField(name, number.longValue());
@@ -68,7 +75,7 @@
     try {
       json.flush();
     } catch (IOException e) {
-      // Best effort, as in line().
+      // Ignored, as in line().
     }
   }
 }
--- a/src/test/java/loomreel/io/AcceptorTest.java
+++ b/src/test/java/loomreel/io/AcceptorTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When an {@link Acceptor} accepts, on real sockets and the event loop's own clock. */
+/** Tests when an {@link Acceptor} accepts connections, on real sockets and with the real clock. */
 class AcceptorTest {
   private static final long RUN_MICROS = 50_000;
   private static final int CONNECTIONS = 3;
@@ -28,7 +28,7 @@
   private ServerSocketChannel listener;
 
   @BeforeEach
-  void connect() throws IOException {
+  void connectClients() throws IOException {
     loop = new EventLoop(new BufferPool(1));
     listener = ServerSocketChannel.open();
     listener.bind(new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), 0));
@@ -49,8 +49,9 @@
     loop.close();
   }
 
-  private Acceptor acceptor(int maxPerTurn, Acceptor.ConnectionHandler handler) throws IOException {
-    return new Acceptor(loop, listener, maxPerTurn, new RateLimitedLogger("test"), handler);
+  private Acceptor acceptor(int maxPerIteration, Acceptor.ConnectionHandler handler)
+      throws IOException {
+    return new Acceptor(loop, listener, maxPerIteration, new RateLimitedLogger("test"), handler);
   }
 
   private void record(SocketChannel channel) {
@@ -75,7 +76,7 @@
   }
 
   @Test
-  void acceptedConnectionsAreNonBlockingWithoutDelay() throws IOException {
+  void acceptedConnectionsAreNonBlockingWithTcpNoDelay() throws IOException {
     acceptor(CONNECTIONS, this::record).start();
     loop.run();
     for (SocketChannel channel : accepted) {
@@ -92,7 +93,7 @@
   }
 
   @Test
-  void aPauseEndsByItself() throws IOException {
+  void acceptingResumesAfterThePause() throws IOException {
     Acceptor[] acceptor = new Acceptor[1];
     acceptor[0] =
         acceptor(
@@ -109,7 +110,7 @@
   }
 
   @Test
-  void aStoppedAcceptorDoesNotResume() throws IOException {
+  void aStoppedAcceptorResumesNeitherAfterAPauseNorByStart() throws IOException {
     Acceptor[] acceptor = new Acceptor[1];
     acceptor[0] =
         acceptor(
@@ -124,11 +125,11 @@
     acceptor[0].start();
     assertEquals(1, accepted.size());
     assertFalse(acceptor[0].isAccepting());
-    assertTrue(listener.isOpen(), "the listening socket is not the acceptor's");
+    assertTrue(listener.isOpen(), "the acceptor does not close the listening socket");
   }
 
   @Test
-  void aConnectionThatCannotBeServedIsClosed() throws IOException {
+  void aConnectionIsClosedIfItsHandlerFails() throws IOException {
     acceptor(
             CONNECTIONS,
             channel -> {
--- a/src/test/java/loomreel/io/ByteQueueTest.java
+++ b/src/test/java/loomreel/io/ByteQueueTest.java
@@ -11,12 +11,12 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** A queue of bytes that spans several pooled buffers. */
+/** Tests a queue of bytes that spans several pooled buffers. */
 class ByteQueueTest {
   private static final int LENGTH = 2 * BufferPool.SIZE + 100;
 
   private final BufferPool pool = new BufferPool(3);
-  private final ByteQueue bytes = new ByteQueue(pool);
+  private final ByteQueue queue = new ByteQueue(pool);
   private final byte[] content = new byte[LENGTH];
 
   ByteQueueTest() {
@@ -25,7 +25,7 @@
     }
   }
 
-  /** A channel that accepts a number of bytes and then no more. */
+  /** A channel that accepts a limited number of bytes in total. */
   private static final class LimitedChannel implements WritableByteChannel {
     private final ByteArrayOutputStream accepted = new ByteArrayOutputStream();
     private int capacity;
@@ -52,49 +52,49 @@
   @Test
   void aPartialWriteIsContinuedWhereItStopped() throws Exception {
     LimitedChannel channel = new LimitedChannel();
-    bytes.append(content);
+    queue.append(content);
 
     channel.capacity = BufferPool.SIZE + 7;
-    assertFalse(bytes.writeTo(channel));
-    assertEquals(LENGTH - BufferPool.SIZE - 7, bytes.length());
+    assertFalse(queue.writeTo(channel));
+    assertEquals(LENGTH - BufferPool.SIZE - 7, queue.length());
     channel.capacity = LENGTH;
-    assertTrue(bytes.writeTo(channel));
+    assertTrue(queue.writeTo(channel));
 
     assertArrayEquals(content, channel.accepted.toByteArray());
   }
 
   @Test
-  void aCopyOfAPartlyWrittenQueueHoldsTheRest() throws Exception {
+  void aCopyOfAPartlyWrittenQueueHasTheUnwrittenBytes() throws Exception {
     LimitedChannel channel = new LimitedChannel();
-    bytes.append(content);
+    queue.append(content);
     channel.capacity = 10;
-    bytes.writeTo(channel);
+    queue.writeTo(channel);
 
     ByteQueue copy = new ByteQueue(pool);
-    copy.append(bytes);
+    copy.append(queue);
 
     assertArrayEquals(Arrays.copyOfRange(content, 10, LENGTH), copy.toArray());
-    assertArrayEquals(copy.toArray(), bytes.toArray());
+    assertArrayEquals(copy.toArray(), queue.toArray());
   }
 
   @Test
   void appendMovesNoMoreThanTheLimit() {
     ByteBuffer source = ByteBuffer.wrap(content);
 
-    bytes.append(source, 5);
+    queue.append(source, 5);
 
-    assertEquals(5, bytes.length());
+    assertEquals(5, queue.length());
     assertEquals(5, source.position());
   }
 
   @Test
   void releaseReturnsAllBuffers() {
-    bytes.append(content);
+    queue.append(content);
     assertTrue(pool.isScarce());
 
-    bytes.release();
+    queue.release();
 
     assertFalse(pool.isScarce());
-    assertEquals(0, bytes.length());
+    assertEquals(0, queue.length());
   }
 }
--- a/src/test/java/loomreel/io/EventLoopTest.java
+++ b/src/test/java/loomreel/io/EventLoopTest.java
@@ -7,36 +7,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The order of timers, and exceptions in tasks. */
+/** Tests the order of timers and the handling of exceptions in tasks. */
 @Timeout(60)
 class EventLoopTest {
-  private final List<String> ran = new ArrayList<>();
+  private final List<String> executedTasks = new ArrayList<>();
 
   @Test
   void timersRunByTimeThenInTheOrderOfScheduling() throws Exception {
     try (EventLoop loop = new EventLoop(new BufferPool(1))) {
       long start = loop.now();
-      loop.schedule(start + 2, () -> ran.add("second"));
-      loop.schedule(start + 2, () -> ran.add("third"));
-      loop.schedule(start + 1, () -> ran.add("first"));
+      loop.schedule(start + 2, () -> executedTasks.add("second"));
+      loop.schedule(start + 2, () -> executedTasks.add("third"));
+      loop.schedule(start + 1, () -> executedTasks.add("first"));
       loop.schedule(start + 3, loop::stop);
 
       loop.run();
 
-      assertEquals(List.of("first", "second", "third"), ran);
+      assertEquals(List.of("first", "second", "third"), executedTasks);
     }
   }
 
   @Test
   void aCancelledTimerDoesNotRun() throws Exception {
     try (EventLoop loop = new EventLoop(new BufferPool(1))) {
-      EventLoop.Timer cancelled = loop.schedule(loop.now() + 2, () -> ran.add("cancelled"));
+      EventLoop.Timer cancelled =
+          loop.schedule(loop.now() + 2, () -> executedTasks.add("cancelled"));
       loop.schedule(loop.now() + 1, cancelled::cancel);
       loop.schedule(loop.now() + 3, loop::stop);
 
       loop.run();
 
-      assertEquals(List.of(), ran);
+      assertEquals(List.of(), executedTasks);
     }
   }
 
@@ -47,14 +48,14 @@
       loop.schedule(
           start,
           () -> {
-            ran.add("rescheduled");
-            loop.schedule(start, () -> ran.add("too early"));
+            executedTasks.add("rescheduled");
+            loop.schedule(start, () -> executedTasks.add("too early"));
           });
       loop.schedule(start, loop::stop);
 
       loop.run();
 
-      assertEquals(List.of("rescheduled"), ran);
+      assertEquals(List.of("rescheduled"), executedTasks);
     }
   }
 
@@ -65,12 +66,12 @@
           () -> {
             throw new IllegalStateException("thrown by a test");
           });
-      loop.execute(() -> ran.add("other"));
+      loop.execute(() -> executedTasks.add("other"));
       loop.execute(loop::stop);
 
       loop.run();
 
-      assertEquals(List.of("other"), ran);
+      assertEquals(List.of("other"), executedTasks);
     }
   }
 }
