--- a/src/main/java/loomreel/http/BadMessageException.java
+++ b/src/main/java/loomreel/http/BadMessageException.java
@@ -1,8 +1,8 @@
 package loomreel.http;
 
 /**
- * Input that violates HTTP/1.1 or a limit. The start of a next message cannot be found after it, so
- * the connection cannot be used any more.
+ * Thrown for input that violates HTTP/1.1 or exceeds a limit. The start of the next message cannot
+ * be found after such input, so the connection cannot be used any further.
  */
 public final class BadMessageException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -14,7 +14,7 @@
     this.status = status;
   }
 
-  /** The status of the response to a client that sent it. */
+  /** Returns the HTTP status code of the response to a client that sent this input. */
   public int status() {
     return status;
   }
--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -11,45 +11,49 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * The HTTP connections to one peer. Opens them on demand and reuses idle ones, the most recently
- * used first. Owns its connections. Used on the event loop's thread only; times are microseconds.
+ * A pool of HTTP connections to one peer. It opens connections on demand and reuses idle ones, the
+ * most recently used first. Owns its connections. Used on the event loop's thread only. Times are
+ * in microseconds of the loop's clock.
  */
 public final class ConnectionPool {
-  /** The name of a trace event. */
+  /** The name of the trace event for an opened connection. */
   private static final String TRACE_CONNECTION_OPENED = "handshake";
 
   private final RateLimitedLogger log;
   private final EventLoop loop;
-  private final String name;
+  private final String peerName;
   private final DescriptorQuota descriptorQuota;
   private final long connectTimeout;
   private final IdleTimeoutEstimator idleTimeout;
 
-  /** The longest idle first. */
+  /** The idle connections, ordered by the time at which they became idle. */
   private final ArrayDeque<PooledConnection> idleConnections = new ArrayDeque<>();
 
   private InetSocketAddress address;
 
-  /** Counts the peer's moves and restarts; connections of earlier generations are not reused. */
+  /**
+   * The number of calls of {@link #moveTo}. Connections of an earlier generation are not reused.
+   */
   private int generation;
 
   /**
    * Creates a pool without connections.
    *
-   * @param name the peer's name for the log
-   * @param connectTimeout how long a connection may take to be established
-   * @param idleTimeout how long a connection may be idle and still be reused
+   * @param peerName the name of the peer in log and trace lines
+   * @param descriptorQuota limits the open connections of this and other pools together
+   * @param connectTimeout the maximum time to establish a connection, in microseconds
+   * @param idleTimeout estimates how long a connection may be idle and still be reused
    */
   public ConnectionPool(
       EventLoop loop,
-      String name,
+      String peerName,
       InetSocketAddress address,
       DescriptorQuota descriptorQuota,
       long connectTimeout,
       IdleTimeoutEstimator idleTimeout,
       RateLimitedLogger log) {
     this.loop = loop;
-    this.name = name;
+    this.peerName = peerName;
     this.address = address;
     this.descriptorQuota = descriptorQuota;
     this.connectTimeout = connectTimeout;
@@ -57,14 +61,17 @@
     this.log = log;
   }
 
-  /** The peer's address. */
+  /** Returns the address of the peer. */
   public InetSocketAddress address() {
     return address;
   }
 
   /**
-   * Uses only new connections, to this address, from now on: the peer has moved, restarted or been
-   * removed.
+   * Sets the address of the peer and stops the reuse of existing connections, because the peer has
+   * moved, restarted or been removed. Idle connections are closed at once, the others after their
+   * exchange.
+   *
+   * @param newAddress may equal the current address
    */
   public void moveTo(InetSocketAddress newAddress) {
     address = newAddress;
@@ -73,10 +80,11 @@
   }
 
   /**
-   * Sends a request. The request's buffers are released here in any case.
+   * Sends a request on an idle connection or a new one. The buffers of the request are released in
+   * any case. The exchange may end before this method returns.
    *
-   * @return the connection of the exchange, or null where none is available; the exchange has
-   *     failed then
+   * @return the connection of the exchange, or null if none is available, in which case the
+   *     exchange has failed
    */
   public PooledConnection call(ByteQueue request, HttpExchange exchange) {
     closeStale();
@@ -95,7 +103,10 @@
     return connection;
   }
 
-  /** Opens a connection, or returns null where that is impossible. */
+  /**
+   * Opens a connection. Returns null if no file descriptor is available or the connection cannot be
+   * opened.
+   */
   private PooledConnection open() {
     if (!descriptorQuota.ensureCapacity()) {
       log.warn("no descriptor available " + logFields());
@@ -109,23 +120,24 @@
     }
     descriptorQuota.connectionOpened();
     if (loop.trace() != null) {
-      loop.trace().line(loop.now(), TRACE_CONNECTION_OPENED, "peer", name);
+      loop.trace().line(loop.now(), TRACE_CONNECTION_OPENED, "peer", peerName);
     }
     return connection;
   }
 
   /**
-   * Removes an idle connection on which no late byte of its last exchange can arrive: the most
-   * recently used, or the longest idle while duplicate responses are suspected. Null if there is
-   * none.
+   * Removes and returns an idle connection on which no late byte of its last exchange can arrive.
+   * Returns null if there is none. Prefers the most recently used connection or, while duplicate
+   * responses are suspected, the one that has been idle longest. Closes connections on which
+   * unexpected input has arrived.
    */
   private PooledConnection pollReusable() {
-    long delay = idleTimeout.reuseDelay(loop.now());
+    long minIdleMicros = idleTimeout.reuseDelayMicros(loop.now());
     Iterator<PooledConnection> candidates =
-        delay == 0 ? idleConnections.descendingIterator() : idleConnections.iterator();
+        minIdleMicros == 0 ? idleConnections.descendingIterator() : idleConnections.iterator();
     while (candidates.hasNext()) {
       PooledConnection next = candidates.next();
-      if (loop.now() - next.idleSince() >= Math.max(delay, next.reuseDelay())) {
+      if (loop.now() - next.idleSinceMicros() >= Math.max(minIdleMicros, next.reuseDelayMicros())) {
         candidates.remove();
         if (next.hasNoPendingInput()) {
           return next;
@@ -136,16 +148,18 @@
     return null;
   }
 
-  /** Records that a connection received bytes that are the response to no request. */
+  /** Records that a connection has received bytes that are not the response to a request. */
   void recordUnsolicitedResponse() {
     idleTimeout.recordUnsolicitedResponse(loop.now());
   }
 
   /**
-   * Returns a connection to the pool whose exchange is complete.
+   * Returns a connection to the pool after its exchange is complete. The connection is closed
+   * instead if it is of an earlier generation or the descriptor quota is exceeded.
    *
-   * @param duplicateHarmless whether a duplicate of its last response, taken for the response to
-   *     the next request, would prove nothing wrong
+   * @param duplicateHarmless whether a duplicate of the last response could be taken for the
+   *     response to the next request without a wrong conclusion; if not, the connection is not
+   *     reused within {@link IdleTimeoutEstimator#DUPLICATE_WINDOW_MICROS}
    */
   void release(PooledConnection connection, boolean duplicateHarmless) {
     if (connection.generation() != generation || descriptorQuota.isExceeded()) {
@@ -164,23 +178,29 @@
   }
 
   /**
-   * Closes connections that have been idle too long, before the peer does: a request that crosses
-   * the peer's close is lost.
+   * Closes the connections that have reached the idle timeout. They are closed before the peer
+   * closes them, because a request that is sent while the peer closes its connection is lost.
    */
   public void closeStale() {
-    long limit = idleTimeout.idleTimeout(loop.now());
+    long timeoutMicros = idleTimeout.idleTimeout(loop.now());
     while (!idleConnections.isEmpty()
-        && loop.now() - idleConnections.peekFirst().idleSince() >= limit) {
+        && loop.now() - idleConnections.peekFirst().idleSinceMicros() >= timeoutMicros) {
       idleConnections.peekFirst().close();
     }
   }
 
-  /** Records that a connection was reset at once when it was reused, or that it was not. */
-  void recordReuse(long idleBefore, boolean reset) {
-    idleTimeout.recordReuse(idleBefore, reset, loop.now());
+  /**
+   * Records the reuse of a connection.
+   *
+   * @param idleMicros how long the connection had been idle, in microseconds
+   * @param reset whether the peer closed or reset the connection before any byte of a response, and
+   *     within one connect timeout after the request
+   */
+  void recordReuse(long idleMicros, boolean reset) {
+    idleTimeout.recordReuse(idleMicros, reset, loop.now());
   }
 
-  /** How long a connection may take to be established, in microseconds. */
+  /** Returns the maximum time to establish a connection, in microseconds. */
   public long connectTimeout() {
     return connectTimeout;
   }
@@ -194,11 +214,11 @@
   }
 
   private String logFields() {
-    return "peer=" + name + " address=" + address.getHostString() + ":" + address.getPort();
+    return "peer=" + peerName + " address=" + address.getHostString() + ":" + address.getPort();
   }
 
   @Override
   public String toString() {
-    return name + " at " + address.getHostString() + ":" + address.getPort();
+    return peerName + " at " + address.getHostString() + ":" + address.getPort();
   }
 }
--- a/src/main/java/loomreel/http/DescriptorQuota.java
+++ b/src/main/java/loomreel/http/DescriptorQuota.java
@@ -3,23 +3,30 @@
 import java.util.ArrayDeque;
 
 /**
- * Limits the open connections of several {@link ConnectionPool}s together. At the limit, the
- * connection that has been idle longest, in any pool, is closed in favour of a new one. Used on the
- * event loop's thread only.
+ * Limits the total number of open connections of several {@link ConnectionPool}s. At the limit, the
+ * connection that has been idle longest in any of the pools is closed so that a new one can be
+ * opened. Used on the event loop's thread only.
  */
 public final class DescriptorQuota {
   private int limit;
   private int openCount;
 
-  /** The idle connections of all pools, the longest idle first. */
+  /** The idle connections of all pools, ordered by the time at which they became idle. */
   private final ArrayDeque<PooledConnection> idleConnections = new ArrayDeque<>();
 
-  /** Creates a quota of that many connections. */
+  /**
+   * Creates a quota.
+   *
+   * @param limit the maximum number of open connections
+   */
   public DescriptorQuota(int limit) {
     this.limit = limit;
   }
 
-  /** Changes the limit; connections in use beyond it are closed when they become idle. */
+  /**
+   * Changes the limit. While more connections are open, idle ones are closed at once and those in
+   * use when they become idle.
+   */
   public void setLimit(int newLimit) {
     limit = newLimit;
     while (openCount > limit && !idleConnections.isEmpty()) {
@@ -27,7 +34,10 @@
     }
   }
 
-  /** Whether a connection may be opened; closes an idle one if necessary. */
+  /**
+   * Returns whether a connection may be opened. If the limit is reached, closes the connection that
+   * has been idle longest first.
+   */
   boolean ensureCapacity() {
     if (openCount >= limit && !idleConnections.isEmpty()) {
       idleConnections.peekFirst().close();
@@ -35,7 +45,7 @@
     return openCount < limit;
   }
 
-  /** Whether more connections are open than the limit allows. */
+  /** Returns whether more connections are open than the limit allows. */
   boolean isExceeded() {
     return openCount > limit;
   }
--- a/src/main/java/loomreel/http/HeadReader.java
+++ b/src/main/java/loomreel/http/HeadReader.java
@@ -6,35 +6,37 @@
 import loomreel.io.ByteQueue;
 
 /**
- * Collects the bytes of a message's head, up to the empty line that ends it. Owns the buffers of an
- * incomplete head until {@link #release}.
+ * Collects the bytes of the head of a message, up to the empty line that ends it. Owns the buffers
+ * of an incomplete head until {@link #release}.
  */
 final class HeadReader {
-  /** The last four bytes of every head: two line ends. */
+  /** The last four bytes of every head: two line ends, CRLF CRLF. */
   private static final int END_OF_HEAD = 0x0d0a0d0a;
 
   private final BufferPool pool;
 
-  /** The bytes of an incomplete head; null before its first byte and after its last. */
+  /** The bytes of the incomplete head; null if there is none. */
   private ByteQueue bytes;
 
-  /** The last four bytes of the incomplete head. */
+  /** The last four bytes of the incomplete head, the latest of them in the lowest 8 bits. */
   private int lastFourBytes;
 
   HeadReader(BufferPool pool) {
     this.pool = pool;
   }
 
-  /** Whether no byte of a head has arrived. */
+  /** Returns whether no byte of a head has arrived. */
   boolean isEmpty() {
     return bytes == null;
   }
 
   /**
-   * Consumes bytes up to the end of the head. Empty lines before it are skipped.
+   * Consumes bytes up to the end of the head. Empty lines before the head are skipped.
    *
-   * @return the head with the empty line that ends it; null if all bytes are consumed before
-   * @throws BadMessageException if a line does not end in CRLF, or the head is too large
+   * @return the head, including the empty line that ends it; null if all bytes are consumed before
+   *     its end
+   * @throws BadMessageException if a line does not end in CRLF, or the head is larger than {@link
+   *     BufferPool#SIZE}
    */
   String read(ByteBuffer in) throws BadMessageException {
     if (bytes == null) {
@@ -76,7 +78,7 @@
     bytes.append(in.slice(start, size), size);
   }
 
-  /** Returns the buffers of an incomplete head to the pool. */
+  /** Releases the buffers of an incomplete head to the pool. */
   void release() {
     if (bytes != null) {
       bytes.release();
--- a/src/main/java/loomreel/http/HttpConnection.java
+++ b/src/main/java/loomreel/http/HttpConnection.java
@@ -6,7 +6,7 @@
 import loomreel.io.ByteConnection;
 import loomreel.io.EventLoop;
 
-/** A connection that receives HTTP/1.1 requests or responses. Owns its parser. */
+/** A connection that receives and parses HTTP/1.1 requests or responses. Owns its parser. */
 public abstract class HttpConnection extends ByteConnection {
   protected final HttpMessageParser parser;
 
@@ -15,8 +15,9 @@
   /**
    * Takes ownership of a channel.
    *
-   * @param connected whether the channel is connected; else its connect is in progress
-   * @param receivesRequests whether requests are received; else responses
+   * @param channel the channel, in non-blocking mode
+   * @param connected true if the channel is connected, false if its connect is in progress
+   * @param receivesRequests true if requests are received, false if responses are
    * @throws IOException if the channel is closed
    */
   protected HttpConnection(
@@ -26,21 +27,30 @@
     parser = new HttpMessageParser(loop.pool(), receivesRequests);
   }
 
-  /** Whether bytes behind the message that is being received were read together with it. */
+  /** Returns whether further bytes were read together with the current message, after its end. */
   protected final boolean hasPipelinedInput() {
     return hasPipelinedInput;
   }
 
-  /** Called with each complete message; its body is to be released by this method. */
+  /**
+   * Called with each complete message. The implementation takes ownership of the body of the
+   * message and must release it.
+   */
   protected abstract void received(HttpMessage message);
 
-  /** Called once for a response whose head arrives before the end of its body. */
+  /**
+   * Called once for each response whose head arrives before the end of its body. Does nothing by
+   * default.
+   */
   protected void headReceived(int status) {}
 
   /** Called when the input is not a valid message. */
   protected abstract void malformed(BadMessageException error);
 
-  /** Whether another message may be parsed now; else the remaining input is discarded. */
+  /**
+   * Returns whether another message may be parsed now. If not, the rest of the input is discarded.
+   * True by default.
+   */
   protected boolean acceptsMessages() {
     return true;
   }
@@ -69,7 +79,7 @@
     }
   }
 
-  /** Completes a response whose body ends with the connection. */
+  /** Completes a response whose body is ended by the end of the connection. */
   @Override
   protected void inputEnded() {
     HttpMessage last = parser.inputEnded();
--- a/src/main/java/loomreel/http/HttpHead.java
+++ b/src/main/java/loomreel/http/HttpHead.java
@@ -9,7 +9,7 @@
  *
  * @param startLine the parts of the start line, as in {@link HttpMessage#startLine}
  * @param headers alternating names, in lower case, and values
- * @param keepAlive whether the head allows another message on the connection
+ * @param keepAlive whether the connection may carry another message after this one
  */
 record HttpHead(List<String> startLine, List<String> headers, boolean keepAlive) {
   private static final String END_OF_LINE = "\r\n";
@@ -22,14 +22,15 @@
   private static final String CONTENT_LENGTH = "content-length";
   private static final String TRANSFER_ENCODING = "transfer-encoding";
 
+  /** The separator characters, which a token must not contain. */
   private static final String SEPARATORS = "()<>@,;:\\\"/[]?={} \t";
 
   /**
    * Parses a head.
    *
-   * @param text the head with the empty line that ends it
-   * @param isRequest whether it is the head of a request; else of a response
-   * @throws BadMessageException if it is malformed, or of another version than 1.0 and 1.1
+   * @param text the head, including the empty line that ends it
+   * @param isRequest true for the head of a request, false for that of a response
+   * @throws BadMessageException if the head is malformed or its version is neither 1.0 nor 1.1
    */
   static HttpHead parse(String text, boolean isRequest) throws BadMessageException {
     String[] lines =
@@ -81,7 +82,7 @@
   }
 
   private static boolean allowsKeepAlive(String version, List<String> headers) {
-    String header = HttpMessage.find(headers, CONNECTION);
+    String header = HttpMessage.findHeader(headers, CONNECTION);
     String options = header == null ? "" : header.toLowerCase(Locale.ROOT);
     return version.equals(VERSION_1_1)
         ? !options.contains("close")
@@ -98,20 +99,24 @@
     return text.chars().allMatch(c -> c > ' ' && c < 0x7f);
   }
 
-  /** The status of a response. */
+  /** Returns the status code of a response. */
   int status() {
     return Integer.parseInt(startLine.get(1));
   }
 
-  /** The value of the first header with that name, in lower case, or null. */
+  /**
+   * Returns the value of the first header with a name, or null if there is none.
+   *
+   * @param name the name in lower case
+   */
   String header(String name) {
-    return HttpMessage.find(headers, name);
+    return HttpMessage.findHeader(headers, name);
   }
 
   /**
-   * The Content-Length header, or null.
+   * Returns the value of the Content-Length header, or null if there is none.
    *
-   * @throws BadMessageException if there are several that differ
+   * @throws BadMessageException if there are several such headers with different values
    */
   String contentLength() throws BadMessageException {
     String length = null;
@@ -127,7 +132,10 @@
     return length;
   }
 
-  /** All Transfer-Encoding headers as one list, or null. */
+  /**
+   * Returns the values of all Transfer-Encoding headers as one comma-separated list, or null if
+   * there is none.
+   */
   String transferEncoding() {
     String encoding = null;
     for (int i = 0; i < headers.size(); i += 2) {
--- a/src/main/java/loomreel/http/HttpHeaders.java
+++ b/src/main/java/loomreel/http/HttpHeaders.java
@@ -4,7 +4,7 @@
 
 /** Formats the heads of HTTP/1.1 requests and responses. */
 public final class HttpHeaders {
-  /** Stands for a head without a Content-Length header. */
+  /** The length that stands for a head without a Content-Length header. */
   private static final int NO_LENGTH = -1;
 
   private static final Map<Integer, String> REASON_PHRASES =
@@ -25,10 +25,10 @@
   private HttpHeaders() {}
 
   /**
-   * Formats the head of a response.
+   * Returns the head of a response, including the empty line that ends it.
    *
-   * @param length the length of its body in bytes
-   * @param headers header lines without their line ends
+   * @param length the length of the body, in bytes
+   * @param headers further header lines, without their line ends
    */
   public static String response(int status, int length, String... headers) {
     return appendHeaders(
@@ -41,11 +41,12 @@
   }
 
   /**
-   * Formats the head of a request. One without a body has a Content-Length only if it is a POST.
+   * Returns the head of a request, including the empty line that ends it. If the body is empty, the
+   * head has a Content-Length header only if the method is POST.
    *
    * @param host the value of the Host header
-   * @param length the length of its body in bytes
-   * @param headers header lines without their line ends
+   * @param length the length of the body, in bytes
+   * @param headers further header lines, without their line ends
    */
   public static String request(
       String method, String target, String host, int length, String... headers) {
--- a/src/main/java/loomreel/http/HttpMessage.java
+++ b/src/main/java/loomreel/http/HttpMessage.java
@@ -7,40 +7,49 @@
  * A complete request or response.
  *
  * @param startLine the parts of the start line: method, target and version of a request; version,
- *     status and, if present, reason of a response
+ *     status code and, if present, reason phrase of a response
  * @param headers alternating names, in lower case, and values
- * @param body the content; owned by whoever holds the message, and to be released by it
- * @param keepAlive whether the connection may carry another message
+ * @param body the content, owned by the holder of the message, which must release it
+ * @param keepAlive whether the connection may carry another message after this one
  */
 public record HttpMessage(
     List<String> startLine, List<String> headers, ByteQueue body, boolean keepAlive) {
-  /** The method of a request. */
+  /** Returns the method of a request. */
   public String method() {
     return startLine.get(0);
   }
 
-  /** Path and query of a request, unchanged. */
+  /** Returns the path and the query of a request, as they were received. */
   public String target() {
     return startLine.get(1);
   }
 
-  /** The status of a response. */
+  /** Returns the status code of a response. */
   public int status() {
     return Integer.parseInt(startLine.get(1));
   }
 
-  /** Whether the status of a response is 2xx. */
+  /** Returns whether the status code of a response is 2xx. */
   boolean isSuccessful() {
     return HttpStatus.isSuccessful(status());
   }
 
-  /** The value of the first header with that name, in lower case; null if there is none. */
+  /**
+   * Returns the value of the first header with a name, or null if there is none.
+   *
+   * @param name the name in lower case
+   */
   public String header(String name) {
-    return find(headers, name);
+    return findHeader(headers, name);
   }
 
-  /** The value of a name in a list of names and values; null if there is none. */
-  static String find(List<String> headers, String name) {
+  /**
+   * Returns the value of the first header with a name, or null if there is none.
+   *
+   * @param headers alternating names, in lower case, and values
+   * @param name the name in lower case
+   */
+  static String findHeader(List<String> headers, String name) {
     for (int i = 0; i < headers.size(); i += 2) {
       if (headers.get(i).equals(name)) {
         return headers.get(i + 1);
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -6,14 +6,15 @@
 import loomreel.io.ByteQueue;
 
 /**
- * An incremental parser of HTTP/1.1 requests or responses, which may be split anywhere. Owns the
- * buffers of the message that it is parsing until that is returned or {@link #release} is called.
+ * An incremental parser of HTTP/1.1 requests or responses. The input may be split at any byte. The
+ * parser owns the buffers of the message that it is parsing until the message is returned or {@link
+ * #release} is called.
  *
  * <table>
- *   <caption>Transitions; the end of a message leads back to HEAD</caption>
+ *   <caption>State transitions; the end of a message leads back to HEAD</caption>
  *   <tr><th>state</th><th>input</th><th>next state</th></tr>
- *   <tr><td>HEAD</td><td>head with a length</td><td>FIXED_BODY</td></tr>
- *   <tr><td>HEAD</td><td>head of a chunked message</td><td>CHUNK_SIZE</td></tr>
+ *   <tr><td>HEAD</td><td>head with a Content-Length</td><td>FIXED_BODY</td></tr>
+ *   <tr><td>HEAD</td><td>head with chunked transfer coding</td><td>CHUNK_SIZE</td></tr>
  *   <tr><td>HEAD</td><td>head of a response with neither</td><td>BODY_UNTIL_CLOSE</td></tr>
  *   <tr><td>HEAD</td><td>head of an interim response</td><td>HEAD</td></tr>
  *   <tr><td>CHUNK_SIZE</td><td>size of a chunk</td><td>CHUNK_DATA</td></tr>
@@ -23,18 +24,21 @@
  * </table>
  */
 public final class HttpMessageParser {
-  /** The limit for a body in bytes. */
+  /** The maximum size of a body, in bytes. */
   public static final int MAX_BODY = 64 * 1024;
 
-  /** The limit for the line with a chunk's size in bytes. */
-  private static final int MAX_CHUNK_LINE = 256;
+  /**
+   * The maximum length, in bytes, of the line with the size of a chunk, and of the line that ends
+   * the data of a chunk.
+   */
+  private static final int MAX_CHUNK_LINE_BYTES = 256;
 
-  private static final int HEXADECIMAL = 16;
+  private static final int HEX_RADIX = 16;
   private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
   private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,15}");
   private static final String CHUNKED = "chunked";
   private static final String EXPECT_HEADER = "expect";
-  private static final String EXPECTS_CONTINUE = "100-continue";
+  private static final String CONTINUE_EXPECTATION = "100-continue";
 
   private enum State {
     HEAD,
@@ -52,27 +56,33 @@
   private final LineReader lineReader = new LineReader();
   private State state = State.HEAD;
 
-  /** The length of all trailer lines so far. */
+  /** The total length of the trailer lines so far, in bytes without their line ends. */
   private int trailerLength;
 
-  /** The head of the current message, or of the last one; null before the first. */
+  /**
+   * The head of the current message or, while that is incomplete, of the last one; null before the
+   * first.
+   */
   private HttpHead head;
 
-  /** The body so far; null in state HEAD, except after an interim response. */
+  /** The body that has arrived so far; null in state HEAD, except after an interim response. */
   private ByteQueue body;
 
   private boolean keepAlive;
 
-  /** Whether the current message's head is complete and {@link #takeHeadReceived} does not know. */
-  private boolean headUnreported;
+  /**
+   * Whether the head of the current message is complete and {@link #takeHeadReceived} has not been
+   * called since.
+   */
+  private boolean hasUnreportedHead;
 
-  /** How many bytes of the body or chunk are missing. */
+  /** The number of bytes of the body or chunk that have not arrived yet. */
   private int missingBytes;
 
   /**
    * Creates a parser at the start of a message.
    *
-   * @param parsesRequests whether it parses requests; else responses
+   * @param parsesRequests true to parse requests, false to parse responses
    */
   public HttpMessageParser(BufferPool pool, boolean parsesRequests) {
     this.pool = pool;
@@ -80,35 +90,41 @@
     headReader = new HeadReader(pool);
   }
 
-  /** Whether no byte of a message has arrived. */
+  /** Returns whether no byte of the next message has arrived. */
   public boolean atStart() {
     return state == State.HEAD && headReader.isEmpty();
   }
 
-  /** Whether a response's head has arrived without its end; true once per response. */
+  /**
+   * Returns whether the head of a response has arrived, but not the end of the response. True at
+   * most once per response.
+   */
   boolean takeHeadReceived() {
-    boolean received = !parsesRequests && headUnreported;
-    headUnreported = false;
+    boolean received = !parsesRequests && hasUnreportedHead;
+    hasUnreportedHead = false;
     return received;
   }
 
-  /** The status of the response whose head has arrived. */
+  /** Returns the status code of the response whose head has arrived. */
   int responseStatus() {
     return head.status();
   }
 
-  /** Whether a head has arrived that asks for an interim response, and nothing of the body. */
+  /**
+   * Returns whether a head has arrived that expects an interim response ({@code Expect:
+   * 100-continue}), and no byte of the body.
+   */
   public boolean expectsContinue() {
     return state != State.HEAD
         && body.length() == 0
-        && EXPECTS_CONTINUE.equalsIgnoreCase(head.header(EXPECT_HEADER));
+        && CONTINUE_EXPECTATION.equalsIgnoreCase(head.header(EXPECT_HEADER));
   }
 
   /**
    * Consumes bytes up to the end of a message.
    *
-   * @return the message once it is complete; null if all bytes are consumed before
-   * @throws BadMessageException if the bytes violate HTTP or a limit
+   * @return the message if it is complete; null if all bytes are consumed before its end
+   * @throws BadMessageException if the input violates HTTP or exceeds a limit
    */
   public HttpMessage feed(ByteBuffer in) throws BadMessageException {
     while (in.hasRemaining()) {
@@ -127,12 +143,12 @@
     return null;
   }
 
-  /** The response that the end of the connection completes, or null where there is none. */
+  /** Returns the response that is completed by the end of the connection, or null if none is. */
   public HttpMessage inputEnded() {
     return state == State.BODY_UNTIL_CLOSE ? completeMessage() : null;
   }
 
-  /** Returns the buffers of an incomplete message to the pool. */
+  /** Releases the buffers of an incomplete message to the pool. */
   public void release() {
     headReader.release();
     if (body != null) {
@@ -146,11 +162,11 @@
     state = State.HEAD;
     body = null;
     trailerLength = 0;
-    headUnreported = false;
+    hasUnreportedHead = false;
     return message;
   }
 
-  /** Reads the head; returns whether it completes a message without a body. */
+  /** Reads bytes of the head, and returns whether they complete a message without a body. */
   private boolean readHead(ByteBuffer in) throws BadMessageException {
     String text = headReader.read(in);
     if (text == null) {
@@ -164,14 +180,14 @@
   /**
    * Determines from the head how the body is framed, and enters the state that reads it.
    *
-   * @return false if the message is complete without a body; true if a body follows, or after an
-   *     interim response the head of the final one
+   * @return true if a body follows or, after an interim response, the head of the final response;
+   *     false if the message is complete without a body
    */
   private boolean beginBody() throws BadMessageException {
     body = new ByteQueue(pool);
     int status = parsesRequests ? HttpStatus.OK : head.status();
     boolean interim = HttpStatus.isInformational(status);
-    headUnreported = !interim;
+    hasUnreportedHead = !interim;
     String contentLength = head.contentLength();
     String transferEncoding = head.transferEncoding();
     if (interim) {
@@ -219,19 +235,19 @@
 
   private void beginBodyUntilClose() {
     keepAlive = false;
-    // One byte more than allowed, so that readBody distinguishes the limit from an excess.
+    // One byte above the limit, so that readBody can tell a body at the limit from a larger one.
     missingBytes = MAX_BODY + 1;
     state = State.BODY_UNTIL_CLOSE;
   }
 
-  /** Reads bytes of the body or chunk; returns whether they complete the message. */
+  /** Reads bytes of the body or chunk, and returns whether they complete the message. */
   private boolean readBody(ByteBuffer in) throws BadMessageException {
     if (pool.isScarce()) {
       throw new BadMessageException(HttpStatus.SERVICE_UNAVAILABLE, "no buffers left");
     }
-    int before = in.remaining();
+    int remainingBefore = in.remaining();
     body.append(in, missingBytes);
-    missingBytes -= before - in.remaining();
+    missingBytes -= remainingBefore - in.remaining();
     if (state == State.BODY_UNTIL_CLOSE && missingBytes <= 0) {
       throw new BadMessageException(HttpStatus.CONTENT_TOO_LARGE, "body too large");
     }
@@ -246,7 +262,7 @@
   }
 
   private boolean readChunkSize(ByteBuffer in) throws BadMessageException {
-    if (lineReader.read(in, MAX_CHUNK_LINE, HttpStatus.BAD_REQUEST)) {
+    if (lineReader.read(in, MAX_CHUNK_LINE_BYTES, HttpStatus.BAD_REQUEST)) {
       beginChunk(lineReader.take());
     }
     return false;
@@ -258,15 +274,15 @@
     if (!CHUNK_SIZE.matcher(size).matches()) {
       throw new BadMessageException(HttpStatus.BAD_REQUEST, "malformed chunk size");
     }
-    if (Long.parseLong(size, HEXADECIMAL) > MAX_BODY - body.length()) {
+    if (Long.parseLong(size, HEX_RADIX) > MAX_BODY - body.length()) {
       throw new BadMessageException(HttpStatus.CONTENT_TOO_LARGE, "body too large");
     }
-    missingBytes = Integer.parseInt(size, HEXADECIMAL);
+    missingBytes = Integer.parseInt(size, HEX_RADIX);
     state = missingBytes == 0 ? State.TRAILER : State.CHUNK_DATA;
   }
 
   private boolean readChunkEnd(ByteBuffer in) throws BadMessageException {
-    if (lineReader.read(in, MAX_CHUNK_LINE, HttpStatus.BAD_REQUEST)) {
+    if (lineReader.read(in, MAX_CHUNK_LINE_BYTES, HttpStatus.BAD_REQUEST)) {
       if (!lineReader.take().isEmpty()) {
         throw new BadMessageException(
             HttpStatus.BAD_REQUEST, "a chunk does not end where it should");
@@ -276,7 +292,7 @@
     return false;
   }
 
-  /** Reads and ignores trailer lines; returns whether the empty line that ends them is read. */
+  /** Reads and ignores a trailer line, and returns whether it is the empty line at the end. */
   private boolean readTrailer(ByteBuffer in) throws BadMessageException {
     if (!lineReader.read(in, BufferPool.SIZE, HttpStatus.HEADER_FIELDS_TOO_LARGE)) {
       return false;
--- a/src/main/java/loomreel/http/HttpStatus.java
+++ b/src/main/java/loomreel/http/HttpStatus.java
@@ -1,6 +1,6 @@
 package loomreel.http;
 
-/** The status codes of HTTP (RFC 9110, section 15) that this program sends or treats specially. */
+/** The HTTP status codes (RFC 9110, section 15) that this program sends or handles specially. */
 public final class HttpStatus {
   public static final int OK = 200;
   public static final int ACCEPTED = 202;
@@ -21,22 +21,22 @@
 
   private HttpStatus() {}
 
-  /** Whether a status is that of an interim response. */
+  /** Returns whether a status code is that of an interim response (1xx). */
   static boolean isInformational(int status) {
     return statusClass(status) == 1;
   }
 
-  /** Whether a status means that the request was processed. */
+  /** Returns whether a status code means that the request was processed (2xx). */
   static boolean isSuccessful(int status) {
     return statusClass(status) == 2;
   }
 
-  /** Whether a status means that the request was invalid. */
+  /** Returns whether a status code means that the request was invalid (4xx). */
   public static boolean isClientError(int status) {
     return statusClass(status) == 4;
   }
 
-  /** The first digit of a status. */
+  /** Returns the first digit of a status code. */
   private static int statusClass(int status) {
     return status / 100;
   }
--- a/src/main/java/loomreel/http/LineReader.java
+++ b/src/main/java/loomreel/http/LineReader.java
@@ -2,17 +2,20 @@
 
 import java.nio.ByteBuffer;
 
-/** Reads the lines of chunked coding and its trailer, which may be split anywhere. */
+/**
+ * Reads the lines of the chunked transfer coding and of its trailer. The input may be split at any
+ * byte.
+ */
 final class LineReader {
-  /** The line so far; once it is complete, without its line end. */
+  /** The line that has arrived so far; without its line end once it is complete. */
   private final StringBuilder line = new StringBuilder();
 
   /**
    * Consumes bytes up to the end of a line.
    *
-   * @param maxLength the longest line, in bytes
-   * @param statusIfTooLong the status of the exception for a longer one
-   * @return whether the line is complete; {@link #take} returns it then
+   * @param maxLength the maximum length of the line, in bytes including its carriage return
+   * @param statusIfTooLong the status of the exception for a longer line
+   * @return whether the line is complete, in which case {@link #take} returns it
    * @throws BadMessageException if the line is too long or does not end in CRLF
    */
   boolean read(ByteBuffer in, int maxLength, int statusIfTooLong) throws BadMessageException {
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -9,31 +9,35 @@
 import loomreel.io.EventLoop;
 
 /**
- * A client connection of a {@link ConnectionPool}, which owns it. It has one exchange at a time.
+ * A client connection that is owned by a {@link ConnectionPool}. It carries one exchange at a time.
+ * Times are in microseconds of the loop's clock.
  */
 public final class PooledConnection extends HttpConnection {
-  /** How many connect timeouts the rest of a response may take once its head is sufficient. */
-  private static final int BODY_CONNECT_TIMEOUTS = 2;
+  /**
+   * The maximum time for the rest of a response once its head is sufficient, as a multiple of the
+   * connect timeout.
+   */
+  private static final int BODY_TIMEOUT_FACTOR = 2;
 
   private final ConnectionPool pool;
   private final int generation;
 
-  /** Null while the connection is idle. */
+  /** The current exchange; null while the connection is idle. */
   private HttpExchange exchange;
 
-  /** When the current exchange was sent. */
-  private long sentAt;
+  /** The time at which the current exchange started. */
+  private long sentAtMicros;
 
-  /** When the last exchange was completed; 0 before the first one. */
-  private long idleSince;
+  /** The time at which the last exchange was completed; 0 before the end of the first one. */
+  private long idleSinceMicros;
 
-  /** How long the connection was idle before the current exchange; 0 for the first one. */
-  private long idleBeforeSend;
+  /** How long the connection was idle before the current exchange; 0 for the first exchange. */
+  private long idleBeforeSendMicros;
 
   /** How long the connection must be idle before it is reused. */
-  private long reuseDelay;
+  private long reuseDelayMicros;
 
-  /** Limits the current phase of the exchange; null before the first one. */
+  /** The timeout of the current phase of the exchange; null before the first exchange. */
   private EventLoop.Timer timer;
 
   PooledConnection(EventLoop loop, ConnectionPool pool, int generation) throws IOException {
@@ -47,7 +51,8 @@
     try {
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      // On loopback this may complete at once; finishConnect then reports it in the next iteration.
+      // On loopback the connect may complete at once. The result is ignored here, because
+      // finishConnect reports it in the next iteration.
       channel.connect(pool.address());
       return channel;
     } catch (IOException e) {
@@ -56,45 +61,54 @@
     }
   }
 
-  /** The pool's generation in which the connection was opened. */
+  /** Returns the generation of the pool in which the connection was opened. */
   int generation() {
     return generation;
   }
 
-  long idleSince() {
-    return idleSince;
+  long idleSinceMicros() {
+    return idleSinceMicros;
   }
 
-  long reuseDelay() {
-    return reuseDelay;
+  long reuseDelayMicros() {
+    return reuseDelayMicros;
   }
 
-  void markIdle(long since, long delay) {
-    idleSince = since;
-    reuseDelay = delay;
+  /**
+   * Records that the last exchange is complete.
+   *
+   * @param sinceMicros the time at which the exchange was completed
+   * @param delayMicros how long the connection must be idle before it is reused
+   */
+  void markIdle(long sinceMicros, long delayMicros) {
+    idleSinceMicros = sinceMicros;
+    reuseDelayMicros = delayMicros;
   }
 
   /**
-   * Sends a request; the connection must be idle or new.
+   * Sends a request. The connection must be idle or new.
    *
-   * @param request its buffers are released here
-   * @param connectDeadline when to give up connecting; matters only for a new connection
+   * @param request the request, whose buffers are released here
+   * @param connectDeadline the time at which to give up connecting; ignored if the connection is
+   *     established
    */
-  void send(ByteQueue request, HttpExchange next, long connectDeadline) {
-    exchange = next;
-    sentAt = loop.now();
-    idleBeforeSend = idleSince == 0 ? 0 : sentAt - idleSince;
+  void send(ByteQueue request, HttpExchange nextExchange, long connectDeadline) {
+    exchange = nextExchange;
+    sentAtMicros = loop.now();
+    idleBeforeSendMicros = idleSinceMicros == 0 ? 0 : sentAtMicros - idleSinceMicros;
     out.append(request);
     request.release();
     long writeDeadline =
-        isConnected() ? next.writeDeadline() : Math.min(connectDeadline, next.writeDeadline());
+        isConnected()
+            ? nextExchange.writeDeadline()
+            : Math.min(connectDeadline, nextExchange.writeDeadline());
     timer = loop.schedule(writeDeadline, this::timedOut);
     flush();
   }
 
   @Override
   protected void flushed() {
-    // Connected and written: from here on only the exchange's own deadline counts.
+    // The request is written completely, so only the deadline of the exchange applies now.
     if (exchange != null) {
       timer.cancel();
       timer = loop.schedule(exchange.deadline(), this::timedOut);
@@ -104,34 +118,34 @@
 
   private void timedOut() {
     failExchange(hasSent() ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
-    // Other connections to this machine are probably dead, too, and would be reset once it is up
-    // again.
+    // The idle connections to the same host have probably failed too. They would be reset once the
+    // host is up again.
     pool.closeIdle();
   }
 
   /**
-   * Whether nothing has arrived since the last response. An unread end of input would reset the
-   * next request, and unread bytes would be taken for its response. Reads into a buffer of its own,
-   * since the loop's read buffer may be in use.
+   * Returns whether nothing has arrived since the last response. If the peer has ended its output,
+   * the next request would be reset; unread bytes would be taken for the response to it. Reads into
+   * a separate buffer, because the loop's read buffer may be in use.
    */
   boolean hasNoPendingInput() {
     try {
-      int size = channel.read(ByteBuffer.allocate(1));
-      if (size > 0) {
+      int bytesRead = channel.read(ByteBuffer.allocate(1));
+      if (bytesRead > 0) {
         pool.recordUnsolicitedResponse();
       }
-      return size == 0;
+      return bytesRead == 0;
     } catch (IOException e) {
       return false;
     }
   }
 
-  /** Whether the request is written completely: from there on it may have run. */
+  /** Returns whether the request is written completely. From then on, it may have run. */
   public boolean hasSent() {
     return isConnected() && out.length() == 0;
   }
 
-  /** Closes the connection without informing its exchange. */
+  /** Closes the connection without a call to its exchange. */
   public void abandon() {
     exchange = null;
     close();
@@ -150,9 +164,10 @@
   protected void received(HttpMessage message) {
     HttpExchange completed = exchange;
     exchange = null;
-    pool.recordReuse(idleBeforeSend, false);
+    pool.recordReuse(idleBeforeSendMicros, false);
     if (completed == null || hasPipelinedInput()) {
-      // More than one response to a request: no later byte can be matched to an exchange.
+      // The peer has sent more responses than there were requests. Later input cannot be matched to
+      // an exchange.
       pool.recordUnsolicitedResponse();
       close();
     } else if (!message.keepAlive() || out.length() > 0) {
@@ -167,17 +182,20 @@
     message.body().release();
   }
 
-  /** Limits the wait for the body where the head is sufficient. */
+  /** Limits the wait for the rest of the response if its head is sufficient. */
   @Override
   protected void headReceived(int status) {
     if (exchange != null && out.length() == 0 && exchange.headReceived(status)) {
       timer.cancel();
-      long bodyDeadline = loop.now() + BODY_CONNECT_TIMEOUTS * pool.connectTimeout();
+      long bodyDeadline = loop.now() + BODY_TIMEOUT_FACTOR * pool.connectTimeout();
       timer = loop.schedule(Math.min(exchange.deadline(), bodyDeadline), this::timedOut);
     }
   }
 
-  /** Processes input that has arrived, so that a response is not missed when its exchange ends. */
+  /**
+   * Processes input that has arrived. To be called before the exchange is abandoned, so that its
+   * response is not missed.
+   */
   public void readPending() {
     readNow();
   }
@@ -188,11 +206,16 @@
     failExchange(AttemptOutcome.RESET);
   }
 
-  /** A request whose last byte was not written cannot have run; any other may have. */
+  /**
+   * Fails the exchange. A request that was not written completely cannot have run; any other
+   * request may have run.
+   */
   @Override
   protected void broken() {
-    if (exchange != null && parser.atStart() && loop.now() - sentAt <= pool.connectTimeout()) {
-      pool.recordReuse(idleBeforeSend, true);
+    if (exchange != null
+        && parser.atStart()
+        && loop.now() - sentAtMicros <= pool.connectTimeout()) {
+      pool.recordReuse(idleBeforeSendMicros, true);
     }
     failExchange(hasSent() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
   }
--- a/src/main/java/loomreel/http/package-info.java
+++ b/src/main/java/loomreel/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * HTTP/1.1 on the event loop: the parser, the formatting of heads, and client connections in pools.
+ * HTTP/1.1 on the event loop: the parser of messages, the formatter of message heads, and pooled
+ * client connections.
  */
 package loomreel.http;
--- a/src/main/java/loomreel/io/BufferPool.java
+++ b/src/main/java/loomreel/io/BufferPool.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Returns whether the threshold is reached, in which case further buffers are reserved for responses
-   * and for work that was already accepted.
+   * Returns whether the threshold is reached, in which case further buffers are reserved for
+   * responses and for work that was already accepted.
    */
   public boolean isScarce() {
     return acquiredCount >= scarcityThreshold;
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which connections a pool reuses, on real sockets. */
+/** Tests which connections a pool reuses, on real sockets. */
 @Timeout(60)
 class ConnectionPoolTest {
   private static final InetAddress LOOPBACK = loopback();
 
-  private final AtomicInteger connections = new AtomicInteger();
+  private final AtomicInteger acceptedConnections = new AtomicInteger();
   private final List<Integer> statuses = new ArrayList<>();
 
   private static InetAddress loopback() {
@@ -38,15 +38,15 @@
     }
   }
 
-  /** Accepts connections and responds to each request with the next of these responses. */
-  private ServerSocket respondWith(String... responses) throws Exception {
+  /** Starts a server that responds to each request with the next of the given responses. */
+  private ServerSocket startServer(String... responses) throws Exception {
     ServerSocket listener = new ServerSocket(0, 50, LOOPBACK);
     AtomicInteger next = new AtomicInteger();
     BackgroundThreads.start(
         () -> {
           while (true) {
             Socket socket = listener.accept();
-            connections.incrementAndGet();
+            acceptedConnections.incrementAndGet();
             BackgroundThreads.start(
                 () -> {
                   byte[] request = new byte[1000];
@@ -97,7 +97,7 @@
   }
 
   private void runCalls(int calls, String... responses) throws Exception {
-    try (ServerSocket listener = respondWith(responses);
+    try (ServerSocket listener = startServer(responses);
         EventLoop loop = new EventLoop(new BufferPool(100))) {
       ConnectionPool pool =
           new ConnectionPool(
@@ -114,17 +114,17 @@
   }
 
   /**
-   * A rejection may arrive twice, some milliseconds apart: on the same connection the duplicate
-   * would be taken for the response to the next request.
+   * A rejection may arrive twice, some milliseconds apart. If its connection is reused in between,
+   * the duplicate is taken for the response to the next request.
    */
   @ParameterizedTest
   @CsvSource({"202,1", "200,1", "503,2", "504,2", "500,2"})
   void aConnectionIsReusedAtOnceOnlyIfADuplicateOfItsLastResponseWouldBeHarmless(
-      int status, int expected) throws Exception {
+      int status, int expectedConnections) throws Exception {
     String response = "HTTP/1.1 " + status + " x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
     runCalls(2, response, response);
     assertEquals(List.of(status, status), statuses);
-    assertEquals(expected, connections.get());
+    assertEquals(expectedConnections, acceptedConnections.get());
   }
 
   @Test
--- a/src/test/java/loomreel/http/HttpMessageParserTest.java
+++ b/src/test/java/loomreel/http/HttpMessageParserTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests and responses, complete and in parts, and malformed input. */
+/** Tests the parsing of requests and responses, complete and in parts, and of malformed input. */
 class HttpMessageParserTest {
   private final BufferPool pool = new BufferPool(100);
   private final HttpMessageParser requests = new HttpMessageParser(pool, true);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void bytesBehindAMessageAreNotConsumed() throws Exception {
+  void bytesAfterAMessageAreNotConsumed() throws Exception {
     ByteBuffer in = bytes("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.0\r\n\r\n");
 
     HttpMessage first = requests.feed(in);
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void aConnectionThatEndsWithinAFixedBodyCompletesNothing() throws Exception {
+  void anEndOfInputWithinAFixedBodyCompletesNoMessage() throws Exception {
     assertNull(responses.feed(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc")));
 
     assertNull(responses.inputEnded());
@@ -118,7 +118,7 @@
     "'POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n',400,malformed chunk size",
     "'POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n',400,a chunk does not end where it should"
   })
-  void malformedInputIsReportedWithItsStatus(String text, int status, String message) {
+  void malformedInputIsRejectedWithItsStatusAndMessage(String text, int status, String message) {
     BadMessageException thrown =
         assertThrows(BadMessageException.class, () -> requests.feed(bytes(text)));
 
--- a/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
+++ b/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
@@ -5,21 +5,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The idle timeout and reuse delay that are learned from resets and duplicate responses. */
+/** Tests how resets change the idle timeout, and duplicate responses the reuse delay. */
 class IdleTimeoutEstimatorTest {
   private static final long SECOND = 1_000_000;
   private static final long MAX_IDLE = 60 * SECOND;
 
   private final IdleTimeoutEstimator estimator = new IdleTimeoutEstimator(MAX_IDLE);
 
-  /** A duplicate arrives some milliseconds after a response: its connection must be unused then. */
+  /**
+   * A duplicate arrives some milliseconds after a response. The connection must not be reused
+   * before that.
+   */
   @Test
   void connectionsAreReusedLaterWhileDuplicateResponsesAreSuspected() {
-    assertEquals(0, estimator.reuseDelay(SECOND));
+    assertEquals(0, estimator.reuseDelayMicros(SECOND));
     estimator.recordUnsolicitedResponse(SECOND);
-    assertTrue(estimator.reuseDelay(SECOND) >= 10_000);
-    assertTrue(estimator.reuseDelay(5 * SECOND) >= 10_000);
-    assertEquals(0, estimator.reuseDelay(60 * SECOND), "the suspicion has ended");
+    assertTrue(estimator.reuseDelayMicros(SECOND) >= 10_000);
+    assertTrue(estimator.reuseDelayMicros(5 * SECOND) >= 10_000);
+    assertEquals(0, estimator.reuseDelayMicros(60 * SECOND), "duplicates are no longer suspected");
   }
 
   @Test
--- a/src/test/java/loomreel/http/JobHeaderTest.java
+++ b/src/test/java/loomreel/http/JobHeaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The names of the job protocol's headers. */
+/** Tests the names of the headers of the job protocol. */
 class JobHeaderTest {
   private static HttpMessage withHeaders(String... namesAndValues) {
     return new HttpMessage(List.of(), List.of(namesAndValues), null, true);
@@ -29,19 +29,19 @@
     "IS_REJECTED, X-Rejected, x-rejected",
     "LOAD_REPORT, X-Load-Report, x-load-report"
   })
-  void eachHeaderHasItsName(JobHeader header, String written, String received) {
+  void eachHeaderIsWrittenAndReadUnderItsName(JobHeader header, String written, String received) {
     assertEquals(written + ": v", header.line("v"));
     assertEquals("v", header.valueIn(withHeaders("other", "x", received, "v")));
     assertNull(header.valueIn(withHeaders("other", "x")));
   }
 
   @Test
-  void thereAreNoOtherHeaders() {
+  void thereAreTenHeaders() {
     assertEquals(10, JobHeader.values().length);
   }
 
   @Test
-  void aFlagIsSetByOneValueOnly() {
+  void aFlagIsSetOnlyByTheValueOne() {
     assertTrue(JobHeader.IS_RETRY.isSetIn(withHeaders("x-again", "1")));
     assertFalse(JobHeader.IS_RETRY.isSetIn(withHeaders("x-again", "true")));
     assertFalse(JobHeader.IS_RETRY.isSetIn(withHeaders()));
