--- a/src/main/java/loomreel/http/DescriptorQuota.java
+++ b/src/main/java/loomreel/http/DescriptorQuota.java
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Returns whether a connection may be opened. If the limit is reached, closes the connection that
-   * has been idle longest first.
+   * Returns whether a connection may be opened. If the limit is reached, first closes the
+   * connection that has been idle longest, if there is one.
    */
   boolean ensureCapacity() {
     if (openCount >= limit && !idleConnections.isEmpty()) {
--- a/src/main/java/loomreel/wal/GroupCommitter.java
+++ b/src/main/java/loomreel/wal/GroupCommitter.java
@@ -12,36 +12,37 @@
 import java.util.function.LongConsumer;
 
 /**
- * Owns the thread that waits for the disk. Requests that arrive during an fsync share the next one
- * (group commit).
+ * Syncs the files of a log on a thread of its own. Requests that arrive during an fsync share the
+ * next one (group commit).
  */
 final class GroupCommitter {
-  /** A message from the log's thread to the thread of this class. */
+  /** A request from the log's thread to the sync thread. */
   private sealed interface Request {}
 
-  /** Requests a sync of what was written to a file up to a position of the log. */
+  /** Requests a sync of the data of a file up to a position of the log. */
   private record Sync(FileChannel channel, long position) implements Request {}
 
-  /** Requests the same, and closes the file afterwards. */
+  /** Requests a sync of the data of a file up to a position of the log, and then its close. */
   private record SyncAndClose(FileChannel channel, long position) implements Request {}
 
-  /** Ends the thread after what was requested before. */
+  /** Ends the sync thread after all earlier requests. */
   private record Stop() implements Request {}
 
   private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
   private final LongConsumer onSynced;
   private final Consumer<IOException> onFailure;
 
-  /** Whether a sync has failed; used by the thread of this class alone. */
+  /** Whether a sync has failed. Used on the sync thread only. */
   private boolean hasFailed;
 
   private final Thread thread = new Thread(this::run, "journal-sync");
 
   /**
-   * Starts the thread, on which both callbacks are called.
+   * Starts the sync thread, on which both callbacks are called.
    *
-   * @param onSynced receives the position up to which the log is synced
-   * @param onFailure receives a failure, after which nothing is reported as synced any more
+   * @param onSynced called with the position up to which the log is synced
+   * @param onFailure called with each failure of a sync; after the first one, {@code onSynced} is
+   *     not called any more
    */
   GroupCommitter(LongConsumer onSynced, Consumer<IOException> onFailure) {
     this.onSynced = onSynced;
@@ -50,17 +51,23 @@
     thread.start();
   }
 
-  /** Requests a sync of what was written to a file, up to a position of the log. */
+  /** Requests a sync of the data of a file up to a position of the log. Does not wait for it. */
   void force(FileChannel channel, long position) {
     requests.add(new Sync(channel, position));
   }
 
-  /** Passes ownership of a file to which nothing more is written; it is synced and closed. */
-  void retire(FileChannel channel, long position) {
+  /**
+   * Takes ownership of a file to which nothing more is written, and requests its sync up to a
+   * position of the log and then its close. Does not wait for them.
+   */
+  void syncAndClose(FileChannel channel, long position) {
     requests.add(new SyncAndClose(channel, position));
   }
 
-  /** Completes all requests, and waits for the thread to end. */
+  /**
+   * Waits until all requests are completed and the sync thread has ended. Returns early if the
+   * calling thread is interrupted.
+   */
   void close() {
     requests.add(new Stop());
     try {
@@ -83,8 +90,8 @@
       try {
         sync(batch);
       } catch (IOException e) {
-        // After a failed fsync the kernel may have dropped the pages, yet a later one can succeed:
-        // nothing is reported as synced again.
+        // After a failed fsync the kernel may have dropped the unwritten pages, but a later fsync
+        // can succeed nevertheless. So nothing is reported as synced from here on.
         hasFailed = true;
         onFailure.accept(e);
       }
@@ -99,10 +106,10 @@
       if (request instanceof Sync sync) {
         toSync.add(sync.channel());
         position = Math.max(position, sync.position());
-      } else if (request instanceof SyncAndClose last) {
-        toSync.add(last.channel());
-        toClose.add(last.channel());
-        position = Math.max(position, last.position());
+      } else if (request instanceof SyncAndClose finalSync) {
+        toSync.add(finalSync.channel());
+        toClose.add(finalSync.channel());
+        position = Math.max(position, finalSync.position());
       }
     }
     for (FileChannel channel : toSync) {
--- a/src/main/java/loomreel/wal/LogRecord.java
+++ b/src/main/java/loomreel/wal/LogRecord.java
@@ -5,16 +5,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * The format of a record in a segment: four bytes of length, four bytes of CRC-32C over the
- * content, and the content. Numbers are big-endian.
+ * The format of a record in a segment: the length of the content (four bytes), the CRC-32C checksum
+ * of the content (four bytes), and the content. Numbers are big-endian.
  */
 final class LogRecord {
   private static final int CHECKSUM_OFFSET = Integer.BYTES;
 
-  /** Bytes before the content. */
+  /** The size of the header, which precedes the content, in bytes. */
   static final int HEADER_BYTES = 2 * Integer.BYTES;
 
-  /** A header with a greater length is no record. */
+  /** The maximum length of the content, in bytes. A header with a greater length is invalid. */
   static final int MAX_CONTENT_BYTES = 1 << 20;
 
   private LogRecord() {}
@@ -22,11 +22,13 @@
   /**
    * Returns a record in the format of a segment.
    *
-   * @throws IllegalArgumentException if the content is empty or too long to be read back
+   * @throws IllegalArgumentException if the content is empty or longer than {@link
+   *     #MAX_CONTENT_BYTES}, in which case it could not be read back
    */
   static byte[] frame(byte[] content) {
     if (content.length == 0 || content.length > MAX_CONTENT_BYTES) {
-      throw new IllegalArgumentException("a record of " + content.length + " bytes");
+      throw new IllegalArgumentException(
+          "invalid length of record content: " + content.length + " bytes");
     }
     return ByteBuffer.allocate(HEADER_BYTES + content.length)
         .putInt(content.length)
@@ -37,9 +39,10 @@
 
   /**
    * Reads the content of the record that begins at the position of a segment, and moves the
-   * position to its end.
+   * position to the end of the record.
    *
-   * @return empty where no complete record begins there; the position does not change then
+   * @return the content; empty if no complete and valid record begins at the position, which does
+   *     not change then
    */
   static Optional<byte[]> readNext(ByteBuffer segment) {
     if (segment.remaining() < HEADER_BYTES) {
@@ -47,8 +50,8 @@
     }
     int start = segment.position();
     int length = segment.getInt(start);
-    boolean isPlausible = length > 0 && length <= MAX_CONTENT_BYTES;
-    if (!isPlausible || segment.remaining() - HEADER_BYTES < length) {
+    boolean isLengthValid = length > 0 && length <= MAX_CONTENT_BYTES;
+    if (!isLengthValid || segment.remaining() - HEADER_BYTES < length) {
       return Optional.empty();
     }
     byte[] content = new byte[length];
--- a/src/main/java/loomreel/wal/SegmentDirectory.java
+++ b/src/main/java/loomreel/wal/SegmentDirectory.java
@@ -17,20 +17,22 @@
 import java.util.stream.Stream;
 
 /**
- * The directory of a log: its lock, and its segment files. A segment begins with a header line that
- * names the boot of the machine under which it was written. Owns the lock until it is closed; file
- * names and header are read by earlier and later versions.
+ * The directory of a log, with its lock and its segment files. A segment begins with a header line
+ * that has the id of the boot of the machine during which it was written. Owns the lock until it is
+ * closed. Earlier and later versions of this program read the file names and the header.
  */
 final class SegmentDirectory implements Closeable {
   private static final Pattern SEGMENT_NAME = Pattern.compile("([0-9]{10})\\.journal");
   private static final String LOCK_NAME = "lock";
   private static final String HEADER_PREFIX = "loomreel journal 1 ";
+
+  /** The maximum number of bytes that are searched for the end of the header line. */
   private static final int MAX_HEADER_BYTES = 128;
 
-  /** Linux gives each boot of the machine an id of its own. */
+  /** The file in which Linux provides a unique id of the current boot of the machine. */
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-  /** Replaces the boot id where the system has none; equals no other boot id. */
+  /** Used if the system provides no boot id. It counts as different from every boot id. */
   private static final String UNKNOWN_BOOT_ID = "unknown";
 
   private final Path directory;
@@ -44,9 +46,10 @@
   }
 
   /**
-   * Locks a directory for this process, and creates it if necessary.
+   * Locks a directory for this process, and creates it if it does not exist.
    *
-   * @throws IOException if it cannot be used, or another process has locked it
+   * @throws IOException if the directory cannot be used, or is locked by another process or by
+   *     another instance in this process
    */
   static SegmentDirectory lock(Path directory) throws IOException {
     Files.createDirectories(directory);
@@ -74,7 +77,7 @@
         : UNKNOWN_BOOT_ID;
   }
 
-  /** Sizes in bytes of all segments, by their numbers. */
+  /** Returns the size of each segment in bytes, by the number of the segment. */
   SortedMap<Integer, Long> sizes() throws IOException {
     SortedMap<Integer, Long> sizes = new TreeMap<>();
     try (Stream<Path> files = Files.list(directory)) {
@@ -92,15 +95,16 @@
     return directory.resolve(String.format("%010d.journal", segment));
   }
 
-  /** Reads all bytes of a segment, its header included. */
+  /** Reads all bytes of a segment, including its header. */
   ByteBuffer read(int segment) throws IOException {
     return ByteBuffer.wrap(Files.readAllBytes(file(segment)));
   }
 
   /**
-   * Reads the header of a segment, and moves the position past it.
+   * Reads the header of a segment, and moves the position of the segment past it.
    *
-   * @return the boot id in it, or empty where there is no header; the position does not change then
+   * @return the boot id in the header; empty if the segment does not begin with a header, in which
+   *     case the position does not change
    */
   static Optional<String> readHeader(ByteBuffer segment) {
     int end = 0;
@@ -117,23 +121,23 @@
     return Optional.of(header.substring(HEADER_PREFIX.length()));
   }
 
-  /** Whether a boot id is known to be that of the boot under which this process runs. */
+  /** Returns whether a boot id is known to be that of the current boot of the machine. */
   boolean isThisBoot(String otherBootId) {
     return otherBootId.equals(bootId) && !bootId.equals(UNKNOWN_BOOT_ID);
   }
 
   /**
-   * Creates a segment with nothing but a header; the caller owns its file.
+   * Creates a segment that contains only a header. The caller owns the returned file.
    *
-   * @throws IOException if it cannot be created; there is no such file then, unless another process
-   *     has created it
+   * @throws IOException if the segment cannot be created; its file does not exist then, unless
+   *     another process has created it
    */
   FileChannel create(int segment) throws IOException {
     FileChannel channel =
         FileChannel.open(file(segment), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     try {
       channel.write(ByteBuffer.wrap(header()));
-      syncNames();
+      syncDirectory();
     } catch (IOException e) {
       channel.close();
       delete(segment);
@@ -142,10 +146,10 @@
     return channel;
   }
 
-  /** Without a sync of the directory, a power failure may remove a file's name. */
-  private void syncNames() throws IOException {
-    try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-      names.force(true);
+  /** Syncs the directory. Without this, a power failure may remove the name of a new file. */
+  private void syncDirectory() throws IOException {
+    try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+      directoryChannel.force(true);
     }
   }
 
@@ -153,12 +157,12 @@
     return (HEADER_PREFIX + bootId + '\n').getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Size in bytes of the header of a segment that this process creates. */
+  /** Returns the size, in bytes, of the header of a segment that this process creates. */
   int headerBytes() {
     return header().length;
   }
 
-  /** Deletes a segment. */
+  /** Deletes the file of a segment, if it exists. */
   void delete(int segment) throws IOException {
     Files.deleteIfExists(file(segment));
   }
--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -11,12 +11,13 @@
 import java.util.concurrent.Executor;
 
 /**
- * A log of records in the segments of a directory, which one process at a time has locked.
+ * A write-ahead log of records, stored in the segments of a directory that one process at a time
+ * has locked.
  *
- * <p>Once {@link #write} has returned without a {@link #fault}, all records survive the end of the
- * process; once {@link #whenSynced} has run its action, they survive a power failure. All methods
- * are called on one thread, on which the actions run as well; a thread of {@link GroupCommitter}
- * waits for the disk.
+ * <p>When {@link #write} has returned and there is no {@link #fault}, all appended records survive
+ * the end of the process. When {@link #whenSynced} has run its action, they also survive a power
+ * failure. All methods are called on one thread, and the actions run on this thread as well. The
+ * thread of {@link GroupCommitter} waits for the disk.
  */
 public final class WriteAheadLog implements Closeable {
   /** Receives the records of earlier processes. */
@@ -24,20 +25,23 @@
     /**
      * Called for each record.
      *
-     * @param segment the number of the segment that holds it
-     * @param sameBoot whether the machine has not rebooted since it was written; otherwise later
-     *     records may be missing
-     * @throws IOException if the content cannot be used; reading ends with it
+     * @param segment the number of the segment that contains the record
+     * @param sameBoot whether the machine is known not to have rebooted since the record was
+     *     written; if not, later records may be missing
+     * @throws IOException if the content cannot be used, which ends the reading of the log
      */
     void record(int segment, boolean sameBoot, byte[] content) throws IOException;
   }
 
-  /** Buffered records are written beyond this size without a request. */
+  /**
+   * The initial size of the buffer, in bytes. The buffered records are written when a further record
+   * does not fit.
+   */
   private static final int BUFFER_BYTES = 256 * 1024;
 
   private static final int FIRST_SEGMENT = 1;
 
-  // Faktory's clients receive these texts in error replies.
+  // Faktory clients receive these texts in error replies.
   private static final String WRITE_FAILED = "cannot be written: ";
   private static final String SYNC_FAILED = "the disk does not take it over: ";
 
@@ -45,36 +49,37 @@
   private final long segmentBytes;
   private final GroupCommitter committer;
 
-  /** Sizes in bytes of all segments, by their numbers. */
+  /** The size of each segment in bytes, by the number of the segment. */
   private final TreeMap<Integer, Long> segmentSizes;
 
   private final SyncWaiters waiters = new SyncWaiters();
 
-  /** Records that are appended and not yet written. */
+  /** Records that are appended but not yet written. */
   private ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
 
-  /** The current segment; null before {@link #open}. */
+  /** The file of the current segment; null before {@link #open}. */
   private FileChannel channel;
 
-  /** How many bytes this process has appended. */
+  /** The position of the log: the number of bytes that this process has appended. */
   private long appendedPosition;
 
-  /** Up to which of these a sync has been requested. */
-  private long requestedPosition;
+  /** The position up to which a sync has been requested. */
+  private long syncRequestedPosition;
 
-  /** The reason why records cannot be stored; empty where they can. */
+  /** The reason why records cannot be stored; empty if they can be stored. */
   private Optional<String> fault = Optional.empty();
 
-  /** Whether a sync has failed, after which the fault stays. */
+  /** Whether a sync has failed, after which the fault is permanent. */
   private boolean hasSyncFailed;
 
   private int truncatedBytes;
 
   /**
-   * Locks the directory of a log, and creates it if necessary.
+   * Locks the directory of a log, and creates it if it does not exist.
    *
-   * @param segmentBytes a segment that has grown beyond this is followed by another
-   * @param loop runs actions on the thread that calls this log
+   * @param segmentBytes the size, in bytes, beyond which a segment is full and the next one is
+   *     opened
+   * @param loop runs tasks on the thread that calls the methods of this log
    * @throws IOException if the directory cannot be used, or another process has locked it
    */
   public WriteAheadLog(Path directory, long segmentBytes, Executor loop) throws IOException {
@@ -88,9 +93,9 @@
   }
 
   /**
-   * Reads all records of earlier processes, in order, and opens a segment for this process. A
-   * segment is read up to the first byte that belongs to no complete record: a process that is
-   * killed may leave its last one truncated.
+   * Reads all records of earlier processes, in order, and opens a segment for this process. Each
+   * segment is read up to the first byte that does not belong to a complete record, because a
+   * process that is killed may leave its last record truncated.
    *
    * @throws IOException if a segment cannot be read, or none can be opened
    */
@@ -115,45 +120,51 @@
     }
   }
 
-  /** Bytes at the ends of earlier processes' segments that belonged to no complete record. */
+  /**
+   * Returns the number of bytes at the ends of the segments of earlier processes that did not
+   * belong to a complete record.
+   */
   public int truncatedBytes() {
     return truncatedBytes;
   }
 
   private void openNextSegment() throws IOException {
-    int next = segmentSizes.isEmpty() ? FIRST_SEGMENT : current() + 1;
-    FileChannel opened = directory.create(next);
+    int nextSegment = segmentSizes.isEmpty() ? FIRST_SEGMENT : current() + 1;
+    FileChannel nextChannel = directory.create(nextSegment);
     if (channel != null) {
-      committer.retire(channel, appendedPosition);
+      committer.syncAndClose(channel, appendedPosition);
     }
-    channel = opened;
-    segmentSizes.put(next, (long) directory.headerBytes());
+    channel = nextChannel;
+    segmentSizes.put(nextSegment, (long) directory.headerBytes());
   }
 
-  /** The number of the segment that records are appended to. */
+  /** Returns the number of the current segment, to which records are appended. */
   public int current() {
     return segmentSizes.lastKey();
   }
 
-  /** The number of the oldest segment. */
+  /** Returns the number of the oldest segment. */
   public int oldest() {
     return segmentSizes.firstKey();
   }
 
-  /** Bytes in all segments, and of records that are not yet written. */
+  /**
+   * Returns the total size of all segments and of the records that are not yet written, in bytes.
+   */
   public long bytes() {
     return segmentSizes.values().stream().mapToLong(Long::longValue).sum() + buffer.position();
   }
 
-  /** The reason why records cannot be stored at present; empty where they can. */
+  /** Returns the reason why records cannot be stored at present; empty if they can be stored. */
   public Optional<String> fault() {
     return fault;
   }
 
   /**
-   * Appends a record; it is in no file before {@link #write}.
+   * Appends a record to the buffer. It is in no file before {@link #write}.
    *
-   * @return the number of the segment that will hold it
+   * @return the number of the segment that will contain the record
+   * @throws IllegalArgumentException if the content is empty or longer than the limit for a record
    */
   public int append(byte[] content) {
     byte[] record = LogRecord.frame(content);
@@ -171,9 +182,9 @@
   }
 
   /**
-   * Writes all appended records to the operating system. If that fails, they stay buffered for the
-   * next call, and {@link #fault()} has the reason. If a full segment cannot be followed by
-   * another, {@link #fault()} has the reason as well, and the next call tries again.
+   * Writes all appended records to the operating system. If this fails, they stay buffered for the
+   * next call, and {@link #fault()} returns the reason. If the segment is full and the next one
+   * cannot be opened, {@link #fault()} also returns the reason, and the next call tries again.
    */
   public void write() {
     if (buffer.position() == 0 && !isSegmentFull()) {
@@ -199,7 +210,7 @@
         channel.write(buffer, sizeBefore + buffer.position());
       }
     } catch (IOException e) {
-      // The next call overwrites the part that was written.
+      // The next call writes the complete buffer again, over the part that was written.
       buffer.position(length).limit(buffer.capacity());
       throw e;
     }
@@ -211,17 +222,20 @@
     return segmentSizes.get(current()) > segmentBytes;
   }
 
-  /** Writes, and runs an action once all records appended so far survive a power failure. */
+  /**
+   * Writes all appended records, requests their sync, and runs an action once all of them survive a
+   * power failure. Runs it at once if they already do.
+   */
   public void whenSynced(Runnable action) {
     sync();
     waiters.runWhenSynced(appendedPosition, action);
   }
 
-  /** Writes, and requests a sync without waiting for it. */
+  /** Writes all appended records and requests their sync, without waiting for it. */
   public void sync() {
     write();
-    if (buffer.position() == 0 && requestedPosition < appendedPosition) {
-      requestedPosition = appendedPosition;
+    if (buffer.position() == 0 && syncRequestedPosition < appendedPosition) {
+      syncRequestedPosition = appendedPosition;
       committer.force(channel, appendedPosition);
     }
   }
@@ -232,16 +246,17 @@
   }
 
   /**
-   * Removes the oldest segment. Only the oldest can be removed: a later record may revoke one of an
-   * earlier segment, and must not be removed before it.
+   * Deletes the oldest segment. Only the oldest one can be deleted, because a later record may
+   * revoke a record of an earlier segment and must not be deleted before it.
    *
-   * @throws IllegalStateException if it is the current segment
-   * @throws UncheckedIOException if its file cannot be deleted
+   * @throws IllegalStateException if the oldest segment is the current one
+   * @throws UncheckedIOException if the file of the segment cannot be deleted
    */
   public void dropOldest() {
     int segment = oldest();
     if (segment == current()) {
-      throw new IllegalStateException("segment " + segment + " is written to");
+      throw new IllegalStateException(
+          "segment " + segment + " is the current segment and cannot be deleted");
     }
     try {
       directory.delete(segment);
@@ -252,8 +267,8 @@
   }
 
   /**
-   * Writes and syncs all records, and unlocks the directory. Actions that are still waiting do not
-   * run any more.
+   * Writes and syncs all records, and unlocks the directory. Actions that still wait for a sync do
+   * not run any more.
    *
    * @throws IOException if records cannot be stored
    */
--- a/src/test/java/loomreel/wal/LogRecordTest.java
+++ b/src/test/java/loomreel/wal/LogRecordTest.java
@@ -12,21 +12,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The form of a record, byte by byte: earlier and later versions read it. */
+/** Tests the format of a record byte by byte, because earlier and later versions read it. */
 class LogRecordTest {
   private static final byte[] CONTENT = "123456789".getBytes(StandardCharsets.US_ASCII);
 
-  /** Length 9, then the check value that CRC-32C is published with, then the content. */
+  /** The length 9, the published CRC-32C check value of this content, and the content. */
   private static final byte[] RECORD =
       HexFormat.of().parseHex("00000009" + "e3069283" + "313233343536373839");
 
   @Test
-  void aRecordIsItsLengthItsChecksumAndItsContent() {
+  void aRecordConsistsOfLengthChecksumAndContent() {
     assertArrayEquals(RECORD, LogRecord.frame(CONTENT));
   }
 
   @Test
-  void readingMovesBehindTheRecord() {
+  void readingMovesThePositionToTheEndOfTheRecord() {
     ByteBuffer segment = ByteBuffer.wrap(RECORD);
 
     assertArrayEquals(CONTENT, LogRecord.readNext(segment).orElseThrow());
@@ -36,7 +36,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 4, 8, 16})
-  void aChangedByteMakesItNoRecord(int offset) {
+  void aRecordWithAChangedByteIsNotRead(int offset) {
     byte[] changed = RECORD.clone();
     changed[offset] ^= 1;
     ByteBuffer segment = ByteBuffer.wrap(changed);
@@ -47,7 +47,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, LogRecord.MAX_CONTENT_BYTES + 1})
-  void whatCouldNotBeReadBackIsNotWritten(int length) {
+  void contentThatCouldNotBeReadBackIsRejected(int length) {
     assertThrows(IllegalArgumentException.class, () -> LogRecord.frame(new byte[length]));
   }
 }
--- a/src/test/java/loomreel/wal/WriteAheadLogTest.java
+++ b/src/test/java/loomreel/wal/WriteAheadLogTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Records that were written are read back, up to the last complete one. */
+/** Tests that records that were written are read back, up to the last complete one. */
 @Timeout(60)
 class WriteAheadLogTest {
-  private static final long SEGMENT = 1 << 20;
-  private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
+  private static final long SEGMENT_BYTES = 1 << 20;
+  private final BlockingQueue<Runnable> loopTasks = new LinkedBlockingQueue<>();
   @TempDir private Path directory;
 
   private WriteAheadLog open(List<String> records, long segment) throws IOException {
-    WriteAheadLog log = new WriteAheadLog(directory, segment, loop::add);
+    WriteAheadLog log = new WriteAheadLog(directory, segment, loopTasks::add);
     log.open(
         (number, sameBoot, content) -> records.add(new String(content, StandardCharsets.UTF_8)));
     return log;
@@ -46,11 +46,11 @@
     return directory.resolve(String.format("%010d.journal", number));
   }
 
-  /** As a killed process may leave it, or a disk that has written only a part. */
+  /** A segment is truncated if its process is killed or the disk has written only a part of it. */
   @Test
   void aSegmentCutAtAnyByteYieldsItsCompleteRecords() throws Exception {
     List<String> written = List.of("first", "the second, which is longer", "3");
-    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT)) {
+    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT_BYTES)) {
       add(log, written.toArray(new String[0]));
     }
     byte[] complete = Files.readAllBytes(segment(1));
@@ -59,43 +59,43 @@
     for (int length = 0; length <= complete.length; length++) {
       Files.write(segment(1), Arrays.copyOf(complete, length));
       List<String> read = new ArrayList<>();
-      try (WriteAheadLog log = open(read, SEGMENT)) {
+      try (WriteAheadLog log = open(read, SEGMENT_BYTES)) {
         int end = recordsStart;
-        int fit = 0;
-        while (fit < written.size()
-            && end + written.get(fit).length() + LogRecord.HEADER_BYTES <= length) {
-          end += written.get(fit++).length() + LogRecord.HEADER_BYTES;
+        int completeCount = 0;
+        while (completeCount < written.size()
+            && end + written.get(completeCount).length() + LogRecord.HEADER_BYTES <= length) {
+          end += written.get(completeCount++).length() + LogRecord.HEADER_BYTES;
         }
-        assertEquals(written.subList(0, fit), read, "cut at " + length);
+        assertEquals(written.subList(0, completeCount), read, "cut at " + length);
         assertEquals(length < recordsStart ? length : length - end, log.truncatedBytes());
         // Later records follow in a segment of their own.
         add(log, "later");
       }
-      List<String> again = new ArrayList<>();
-      open(again, SEGMENT).close();
-      assertEquals("later", again.get(again.size() - 1));
+      List<String> recordsAfterReopen = new ArrayList<>();
+      open(recordsAfterReopen, SEGMENT_BYTES).close();
+      assertEquals("later", recordsAfterReopen.get(recordsAfterReopen.size() - 1));
       for (int i = 2; Files.deleteIfExists(segment(i)); i++) {}
     }
   }
 
   @Test
-  void aCorruptRecordEndsItsSegmentAndNoOther() throws Exception {
-    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT)) {
+  void aCorruptRecordEndsOnlyTheReadingOfItsSegment() throws Exception {
+    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT_BYTES)) {
       add(log, "a", "b");
     }
-    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT)) {
+    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT_BYTES)) {
       add(log, "c");
     }
     byte[] bytes = Files.readAllBytes(segment(1));
     bytes[bytes.length - 1] ^= 1;
     Files.write(segment(1), bytes);
     List<String> read = new ArrayList<>();
-    open(read, SEGMENT).close();
+    open(read, SEGMENT_BYTES).close();
     assertEquals(List.of("a", "c"), read);
   }
 
   @Test
-  void fullSegmentsAreFollowedAndOnlyTheOldestIsRemoved() throws Exception {
+  void aFullSegmentIsFollowedByTheNextAndOnlyTheOldestIsDropped() throws Exception {
     try (WriteAheadLog log = open(new ArrayList<>(), 100)) {
       int first = log.current();
       add(log, "x".repeat(120));
@@ -112,10 +112,12 @@
     assertEquals(List.of("y"), read);
   }
 
-  /** Records that fill the buffer are written once, also where no further segment can be opened. */
+  /**
+   * Records are written once, even if they fill the buffer and the next segment cannot be opened.
+   */
   @ParameterizedTest
   @ValueSource(ints = {120, 256 * 1024 - LogRecord.HEADER_BYTES})
-  void aFullSegmentThatCannotBeFollowedKeepsItsRecordsOnce(int recordLength) throws Exception {
+  void recordsAreStoredOnceIfTheNextSegmentCannotBeOpened(int recordLength) throws Exception {
     String large = "x".repeat(recordLength);
     try (WriteAheadLog log = open(new ArrayList<>(), 100)) {
       Files.createDirectory(segment(2));
@@ -138,7 +140,7 @@
     assertEquals(List.of(large, "while no segment can be opened", "after"), read);
   }
 
-  /** An action for what is synced already runs at once. */
+  /** An action runs at once if all records are already synced. */
   @Test
   void syncActionsRunInOrderOnTheLoop() throws Exception {
     List<Integer> completed = new ArrayList<>();
@@ -150,7 +152,7 @@
       }
       assertTrue(completed.isEmpty(), "actions run on the loop only");
       while (completed.size() < 50) {
-        loop.poll(30, TimeUnit.SECONDS).run();
+        loopTasks.poll(30, TimeUnit.SECONDS).run();
       }
       for (int i = 0; i < 50; i++) {
         assertEquals(i, completed.get(i));
@@ -162,35 +164,36 @@
   }
 
   @Test
-  void oneProcessLocksADirectory() throws Exception {
-    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT)) {
-      assertThrows(IOException.class, () -> new WriteAheadLog(directory, SEGMENT, loop::add));
+  void aLockedDirectoryCannotBeLockedAgain() throws Exception {
+    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT_BYTES)) {
+      assertThrows(
+          IOException.class, () -> new WriteAheadLog(directory, SEGMENT_BYTES, loopTasks::add));
       add(log, "stored");
     }
     List<String> read = new ArrayList<>();
-    open(read, SEGMENT).close();
+    open(read, SEGMENT_BYTES).close();
     assertEquals(List.of("stored"), read);
   }
 
-  /** After a restart of the machine, the last records may be missing. */
+  /** After a reboot of the machine, the last records may be missing. */
   @Test
-  void segmentsOfAnEarlierBootAreMarked() throws Exception {
-    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT)) {
+  void recordsOfAnEarlierBootAreReportedAsSuch() throws Exception {
+    try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT_BYTES)) {
       add(log, "a");
     }
-    List<Boolean> same = new ArrayList<>();
-    try (WriteAheadLog log = new WriteAheadLog(directory, SEGMENT, loop::add)) {
-      log.open((segment, sameBoot, content) -> same.add(sameBoot));
+    List<Boolean> sameBootFlags = new ArrayList<>();
+    try (WriteAheadLog log = new WriteAheadLog(directory, SEGMENT_BYTES, loopTasks::add)) {
+      log.open((segment, sameBoot, content) -> sameBootFlags.add(sameBoot));
     }
     String text = Files.readString(segment(1), StandardCharsets.ISO_8859_1);
     Files.writeString(
         segment(1),
         text.replaceFirst("journal 1 [^\n]*\n", "journal 1 another\n"),
         StandardCharsets.ISO_8859_1);
-    try (WriteAheadLog log = new WriteAheadLog(directory, SEGMENT, loop::add)) {
-      log.open((segment, sameBoot, content) -> same.add(sameBoot));
+    try (WriteAheadLog log = new WriteAheadLog(directory, SEGMENT_BYTES, loopTasks::add)) {
+      log.open((segment, sameBoot, content) -> sameBootFlags.add(sameBoot));
     }
-    assertEquals(Files.exists(Path.of("/proc/sys/kernel/random/boot_id")), same.get(0));
-    assertFalse(same.get(1));
+    assertEquals(Files.exists(Path.of("/proc/sys/kernel/random/boot_id")), sameBootFlags.get(0));
+    assertFalse(sameBootFlags.get(1));
   }
 }
