--- a/src/main/java/loomreel/tracing/JobEnd.java
+++ b/src/main/java/loomreel/tracing/JobEnd.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 
-/** How a traced job ended, as its dispatcher's trace shows it. */
+/** How a traced job ended, according to the trace of its dispatcher. */
 public enum JobEnd {
   /** Answered with success within its latency objective. */
   SERVED,
   /** Answered with success after its latency objective. */
   LATE,
-  /** Rejected at the moment it arrived. */
+  /** Rejected at the time of its arrival. */
   REJECTED_ON_ARRIVAL,
-  /** Rejected later without having been sent to a worker. */
+  /** Rejected after its arrival, before any attempt. */
   REJECTED_WHILE_QUEUED,
   /** Rejected after at least one attempt that did not run or is safe to repeat. */
   REJECTED_AFTER_ATTEMPT,
@@ -21,12 +21,12 @@
   /** Never answered: its dispatcher was killed, or its trace ends without an answer. */
   LOST;
 
-  /** The name as words in lower case, as in the summary's counters. */
+  /** Returns the name as words in lower case, as used for the counters of the summary. */
   public String label() {
     return words(name());
   }
 
-  /** An enum constant's name as words in lower case. */
+  /** Returns the name of an enum constant as words in lower case. */
   static String words(String constantName) {
     return constantName.toLowerCase(Locale.ROOT).replace('_', ' ');
   }
--- a/src/main/java/loomreel/tracing/OpenJob.java
+++ b/src/main/java/loomreel/tracing/OpenJob.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A job that has arrived at a dispatcher and not ended yet. */
+/** A job that has arrived at a dispatcher and has not ended yet. */
 final class OpenJob {
   private final String node;
   private final String id;
@@ -10,16 +10,17 @@
   private final double latencyObjectiveMicros;
   private int attempts;
 
-  /** Null before the first attempt. */
+  /** The worker of the last attempt; null before the first one. */
   private String lastWorkerId;
 
-  /** Null before the first attempt has ended. */
+  /** The outcome of the attempt that ended last; null before the end of the first one. */
   private String lastOutcome;
 
   /**
    * Creates the job of an {@code arrival} line.
    *
-   * @param latencyObjectiveMicros an answer after this time counts as late
+   * @param latencyObjectiveMicros the time since the arrival, in microseconds, after which a
+   *     success counts as late
    */
   OpenJob(TraceLine arrival, double latencyObjectiveMicros) {
     node = arrival.node();
@@ -37,17 +38,17 @@
     lastOutcome = outcome;
   }
 
-  /** The worker of the last attempt, or null where there was none. */
+  /** Returns the worker of the last attempt, or null if there was no attempt. */
   String lastWorkerId() {
     return lastWorkerId;
   }
 
-  /** How the job ends if it is answered with success at this time. */
+  /** Returns how the job ends if it is answered with success at a point in time. */
   JobEnd successAt(long unixMicros) {
-    return ageAt(unixMicros) > latencyObjectiveMicros ? JobEnd.LATE : JobEnd.SERVED;
+    return ageMicrosAt(unixMicros) > latencyObjectiveMicros ? JobEnd.LATE : JobEnd.SERVED;
   }
 
-  /** How the job ends if it is rejected at this time. */
+  /** Returns how the job ends if it is rejected at a point in time. */
   JobEnd rejectionAt(long unixMicros) {
     if (attempts > 0) {
       return JobEnd.REJECTED_AFTER_ATTEMPT;
@@ -57,11 +58,11 @@
         : JobEnd.REJECTED_WHILE_QUEUED;
   }
 
-  long ageAt(long unixMicros) {
+  long ageMicrosAt(long unixMicros) {
     return unixMicros - arrivedAtMicros;
   }
 
-  /** The report on the job if it ends at this time. */
+  /** Returns the report on the job if it ends at a point in time. */
   UnsuccessfulJob report(JobEnd end, Optional<String> reason, long unixMicros) {
     return new UnsuccessfulJob(
         node,
@@ -73,6 +74,6 @@
             : Optional.of(new UnsuccessfulJob.LastAttempt(lastWorkerId, lastOutcome)),
         reason,
         arrivedAtMicros,
-        ageAt(unixMicros));
+        ageMicrosAt(unixMicros));
   }
 }
--- a/src/main/java/loomreel/tracing/TraceLine.java
+++ b/src/main/java/loomreel/tracing/TraceLine.java
@@ -9,27 +9,28 @@
 import java.util.Optional;
 
 /**
- * A line that {@code serve --trace} wrote.
+ * A line that was written by {@code serve --trace}.
  *
- * @param node the dispatcher that wrote it
- * @param unixMicros when it was written, in microseconds of Unix time
+ * @param node the name of the dispatcher that wrote the line
+ * @param unixMicros the time of the event, in microseconds of Unix time, from the field {@code at}
  * @param kind the kind of event, from the field {@code trace}
- * @param fields the other fields by name
+ * @param fields the values of the other fields, by the name of the field
  */
 public record TraceLine(String node, long unixMicros, String kind, Map<String, String> fields) {
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** How every trace line begins; a logger's prefix may stand before it. */
-  private static final String START = "{\"at\":";
+  /** The start of every trace line. The prefix of a logger may precede it. */
+  private static final String LINE_START = "{\"at\":";
 
   /**
-   * Reads a line of a log.
+   * Parses a line of a log.
    *
-   * @param node the name of the dispatcher that the log is of
-   * @return empty where the line is no trace line, or was cut off when its process was killed
+   * @param node the name of the dispatcher that wrote the log
+   * @return the trace line; empty if the line is not a trace line, or is truncated because its
+   *     process was killed
    */
   public static Optional<TraceLine> parse(String node, String logLine) {
-    int start = logLine.indexOf(START);
+    int start = logLine.indexOf(LINE_START);
     if (start < 0) {
       return Optional.empty();
     }
@@ -51,12 +52,16 @@
     }
   }
 
-  /** A field, or null where the line has none of this name. */
+  /** Returns the value of a field, or null if the line has no such field. */
   String text(String name) {
     return fields.get(name);
   }
 
-  /** A number among the fields, 0 where there is none. */
+  /**
+   * Returns the value of a numeric field, or 0 if the line has no such field.
+   *
+   * @throws NumberFormatException if the value is not a number
+   */
   double number(String name) {
     String text = fields.get(name);
     return text == null ? 0 : Double.parseDouble(text);
--- a/src/main/java/loomreel/tracing/TraceSummary.java
+++ b/src/main/java/loomreel/tracing/TraceSummary.java
@@ -12,14 +12,14 @@
 
 /**
  * Aggregates the trace lines of a fleet: counts by second, counts by worker, and the jobs that were
- * not served in time. Lines may be added dispatcher by dispatcher; those of one dispatcher must be
- * added in order. A job is stored until it has ended, an unsuccessful one until the end. For one
- * thread.
+ * not served in time. Lines may be added dispatcher by dispatcher; the lines of one dispatcher must
+ * be added in order. A job is stored until it has ended; an unsuccessful job is stored permanently.
+ * Used on one thread only.
  */
 public final class TraceSummary {
   /**
-   * A job without a response for longer than this counts as lost: the longest time that a client
-   * waits (5 s), and a margin.
+   * The age, in microseconds, above which an open job counts as lost: the longest time that a
+   * client waits (5 s), plus a margin.
    */
   private static final long LOST_AFTER_MICROS = 5_500_000;
 
@@ -28,25 +28,26 @@
   private final SortedMap<Long, Map<String, Integer>> countsBySecond = new TreeMap<>();
   private final SortedMap<String, Map<String, Integer>> countsByWorker = new TreeMap<>();
   private final Map<String, Map<String, OpenJob>> openJobsByNode = new HashMap<>();
-  private final Map<String, Long> lastLineByNode = new HashMap<>();
+  private final Map<String, Long> lastLineMicrosByNode = new HashMap<>();
   private final List<UnsuccessfulJob> unsuccessfulJobs = new ArrayList<>();
   private final double latencyObjectiveMicros;
   private final double stretch;
 
   /**
-   * Creates an empty summary. A job counts as late when its response was sent after the latency
+   * Creates an empty summary. A job counts as late if it was answered later than the latency
    * objective plus {@code stretch} times its expected work.
    *
-   * @param latencyObjectiveMicros microseconds
+   * @param latencyObjectiveMicros the latency objective, in microseconds
+   * @param stretch the factor by which the expected work is multiplied
    */
   public TraceSummary(double latencyObjectiveMicros, double stretch) {
     this.latencyObjectiveMicros = latencyObjectiveMicros;
     this.stretch = stretch;
   }
 
-  /** Counts a line; other kinds are ignored. */
+  /** Adds a line. Lines of unknown kinds are ignored. */
   public void add(TraceLine line) {
-    lastLineByNode.put(line.node(), line.unixMicros());
+    lastLineMicrosByNode.put(line.node(), line.unixMicros());
     switch (line.kind()) {
       case "start" -> dispatcherStarted(line);
       case "arrival" -> jobArrived(line);
@@ -64,29 +65,38 @@
     }
   }
 
-  /** Ends the input: jobs that are open for longer than any client waits count as lost. */
+  /**
+   * Ends the input. Jobs that have been open for longer than any client waits, at the time of the
+   * last line of their dispatcher, count as lost.
+   */
   public void finish() {
     openJobsByNode.forEach(
         (node, jobs) -> {
-          long last = lastLineByNode.get(node);
+          long lastLineMicros = lastLineMicrosByNode.get(node);
           jobs.values().stream()
-              .filter(job -> job.ageAt(last) > LOST_AFTER_MICROS)
-              .forEach(job -> reportLost(job, last));
+              .filter(job -> job.ageMicrosAt(lastLineMicros) > LOST_AFTER_MICROS)
+              .forEach(job -> reportLost(job, lastLineMicros));
           jobs.clear();
         });
   }
 
-  /** Counts of lines and ends by kind, by second of Unix time, in order. */
+  /**
+   * Returns an unmodifiable view of the counts by second of Unix time, in ascending order. The
+   * inner maps have the counts of lines and of ends of jobs, by kind.
+   */
   public SortedMap<Long, Map<String, Integer>> countsBySecond() {
     return Collections.unmodifiableSortedMap(countsBySecond);
   }
 
-  /** Counts of lines and ends by kind, by worker, in order. */
+  /**
+   * Returns an unmodifiable view of the counts by worker, in ascending order of the worker's id.
+   * The inner maps have the counts of lines and of ends of jobs, by kind.
+   */
   public SortedMap<String, Map<String, Integer>> countsByWorker() {
     return Collections.unmodifiableSortedMap(countsByWorker);
   }
 
-  /** The jobs that ended so, the longest first. */
+  /** Returns the unsuccessful jobs with the given end, in descending order of their duration. */
   public List<UnsuccessfulJob> unsuccessfulJobs(JobEnd end) {
     return unsuccessfulJobs.stream()
         .filter(job -> job.end() == end)
@@ -95,7 +105,7 @@
   }
 
   private void dispatcherStarted(TraceLine line) {
-    // A process that was killed before this start lost the jobs it had.
+    // Jobs that are still open were lost when the previous process was killed.
     Map<String, OpenJob> jobs = openJobs(line);
     jobs.values().forEach(job -> reportLost(job, line.unixMicros()));
     jobs.clear();
@@ -165,7 +175,11 @@
     increment(countsBySecond, line.unixMicros() / MICROS_PER_SECOND, counter);
   }
 
-  /** Counts by second, and by worker where the line names one. */
+  /**
+   * Increments a counter of the second and, if there is a worker, of the worker.
+   *
+   * @param workerId null if there is no worker
+   */
   private void countForWorker(TraceLine line, String counter, String workerId) {
     count(line, counter);
     if (workerId != null) {
--- a/src/main/java/loomreel/tracing/package-info.java
+++ b/src/main/java/loomreel/tracing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads the trace lines that dispatchers write with {@code serve --trace}, and aggregates those of
- * a fleet.
+ * Reads the trace lines that dispatchers write with {@code serve --trace}, and aggregates the lines
+ * of a fleet.
  */
 package loomreel.tracing;
--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -34,7 +34,7 @@
   }
 
   /**
-   * The initial size of the buffer, in bytes. The buffered records are written when a further record
+   * The initial size of the buffer, in bytes. The buffered records are written when the next record
    * does not fit.
    */
   private static final int BUFFER_BYTES = 256 * 1024;
--- a/src/test/java/loomreel/tracing/TraceSummaryTest.java
+++ b/src/test/java/loomreel/tracing/TraceSummaryTest.java
@@ -9,7 +9,7 @@
 import loomreel.tracing.UnsuccessfulJob.LastAttempt;
 import org.junit.jupiter.api.Test;
 
-/** The summary counts what {@link TraceWriter} writes. */
+/** Tests that the summary counts the lines that {@link TraceWriter} writes. */
 class TraceSummaryTest {
   private static final long SECOND = 1_000_000;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
@@ -44,7 +44,7 @@
     second.line(10 * SECOND, "end", "id", "x", "worker", "w1", "outcome", "RESET");
     second.line(10 * SECOND, "send", "id", "x", "worker", "w2");
     second.line(12 * SECOND, "probe", "worker", "w1");
-    // The process was killed and restarted: its open jobs are lost.
+    // The process was killed and restarted, so its open jobs are lost.
     second.line(14 * SECOND, "start");
     second.line(14 * SECOND, "arrival", "id", "z");
     second.line(14 * SECOND, "refuse", "id", "z");
