--- a/src/main/java/loomreel/io/Acceptor.java
+++ b/src/main/java/loomreel/io/Acceptor.java
@@ -9,21 +9,24 @@
 /**
  * Accepts connections from one listening socket.
  *
- * <p>If {@code accept} fails, usually because no file descriptor is available, the connection
- * remains in the kernel's accept queue and the socket remains readable. A retry without a delay
- * would keep the event loop busy, so accepting pauses for {@link #RETRY_DELAY_MICROS}.
+ * <p>{@code accept} fails usually because no file descriptor is available. The connection then
+ * remains in the kernel's accept queue, and the selector reports the listening socket as ready
+ * again at once. A retry without a delay would keep the event loop busy, so accepting pauses for
+ * {@link #RETRY_DELAY_MICROS} after a failure.
  *
- * <p>The acceptor does not own the listening socket. The caller closes it, or the {@link EventLoop}
- * does, which closes every registered channel when it is closed.
+ * <p>The acceptor does not own the listening socket and never closes it. {@link EventLoop#close}
+ * closes every channel that is registered with the event loop, and therefore also the listening
+ * socket. {@link #stop} cancels the registration of the listening socket. After that, the caller is
+ * responsible for closing it.
  */
 public final class Acceptor implements EventLoop.Handler {
   /** Takes ownership of the accepted connections. */
   public interface ConnectionHandler {
     /**
-     * Called with each accepted connection, which the handler owns from then on.
+     * Called with each accepted connection. The handler owns the connection from then on.
      *
      * @param channel the connection, in non-blocking mode and with {@code TCP_NODELAY} set
-     * @throws IOException if the connection cannot be served; the acceptor then closes it
+     * @throws IOException if the connection cannot be served; the acceptor then closes the channel
      */
     void accepted(SocketChannel channel) throws IOException;
   }
@@ -79,8 +82,8 @@
   }
 
   /**
-   * Pauses accepting. New connections wait in the kernel's accept queue meanwhile. Has no effect
-   * unless the acceptor is accepting.
+   * Pauses accepting. During the pause, new connections wait in the kernel's accept queue. Has no
+   * effect unless the acceptor is accepting, so a second call does not extend a pause.
    *
    * @param pauseMicros the duration of the pause, in microseconds
    */
@@ -104,15 +107,18 @@
     key.interestOps(SelectionKey.OP_ACCEPT);
   }
 
-  /** Stops accepting permanently. The listening socket is not closed. */
+  /**
+   * Stops accepting permanently and cancels the registration of the listening socket with the event
+   * loop. The listening socket is not closed.
+   */
   public void stop() {
     state = State.STOPPED;
     key.cancel();
   }
 
   /**
-   * Returns whether connections are being accepted: the acceptor was started and is neither paused
-   * nor stopped.
+   * Returns whether connections are being accepted. This is the case if the acceptor was started
+   * and is neither paused nor stopped.
    */
   public boolean isAccepting() {
     return state == State.ACCEPTING;
--- a/src/main/java/loomreel/io/BufferPool.java
+++ b/src/main/java/loomreel/io/BufferPool.java
@@ -4,11 +4,14 @@
 import java.util.ArrayDeque;
 
 /**
- * A pool of direct byte buffers of equal size. The caller that acquires a buffer owns it until it
- * releases it. Used on the event loop's thread only.
+ * A pool of direct byte buffers of equal size. A caller that acquires a buffer owns the buffer
+ * until the caller releases it. Used on the event loop's thread only.
  */
 public final class BufferPool {
-  /** The capacity of each buffer, and the maximum size of the head of an HTTP message, in bytes. */
+  /**
+   * The capacity of one buffer, in bytes. It is also the maximum size of the head of an HTTP
+   * message.
+   */
   public static final int SIZE = 8192;
 
   private final ArrayDeque<ByteBuffer> freeBuffers = new ArrayDeque<>();
@@ -18,16 +21,16 @@
   /**
    * Creates an empty pool, which allocates buffers on demand.
    *
-   * @param scarcityThreshold the number of acquired buffers from which on new message bodies are
-   *     rejected
+   * @param scarcityThreshold the number of acquired buffers at which {@link #isScarce} starts to
+   *     return true
    */
   public BufferPool(int scarcityThreshold) {
     this.scarcityThreshold = scarcityThreshold;
   }
 
   /**
-   * Returns an empty buffer, which is allocated if no buffer is free. The threshold does not limit
-   * the number of acquired buffers: the users of the pool check {@link #isScarce}.
+   * Returns an empty buffer. If no buffer is free, allocates one. This method does not enforce the
+   * scarcity threshold; the users of the pool check {@link #isScarce} instead.
    */
   ByteBuffer acquire() {
     acquiredCount++;
@@ -35,15 +38,25 @@
     return buffer == null ? ByteBuffer.allocateDirect(SIZE) : buffer.clear();
   }
 
-  /** Returns a buffer to the pool. The caller must not use it afterwards. */
+  /** Returns a buffer to the pool. The caller must not use the buffer afterwards. */
   void release(ByteBuffer buffer) {
     acquiredCount--;
     freeBuffers.addLast(buffer);
   }
 
   /**
-   * Returns whether the threshold is reached, in which case further buffers are reserved for
-   * responses and for work that was already accepted.
+   * Returns whether the number of acquired buffers has reached the scarcity threshold. While this
+   * method returns true, users of the pool limit the input that they buffer:
+   *
+   * <ul>
+   *   <li>An HTTP message is rejected when bytes of its body arrive. This applies to requests and
+   *       responses, and also to a body of which a part is already buffered.
+   *   <li>The pipelined input of an HTTP connection, and an incomplete Faktory command, are limited
+   *       to {@link #SIZE} bytes.
+   * </ul>
+   *
+   * <p>Output, such as responses, is not limited. Further buffers are left for output and for short
+   * input.
    */
   public boolean isScarce() {
     return acquiredCount >= scarcityThreshold;
--- a/src/main/java/loomreel/io/ByteConnection.java
+++ b/src/main/java/loomreel/io/ByteConnection.java
@@ -6,15 +6,16 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP connection that does not depend on the protocol: it delivers input bytes as they are read
- * and writes buffered output bytes as the channel accepts them. Owns its channel and its output
- * buffers until {@link #close}. Used on the event loop's thread only.
+ * A TCP connection without knowledge of the application protocol. It passes input bytes to {@link
+ * #bytesReceived} as they are read, and writes buffered output bytes as the channel accepts them.
+ * Owns its channel and its output buffers until {@link #close}. Used on the event loop's thread
+ * only.
  */
 public abstract class ByteConnection implements EventLoop.Handler {
   protected final EventLoop loop;
   protected final SocketChannel channel;
 
-  /** The output that has not been written to the channel. */
+  /** The output that has not been written to the channel yet. */
   protected final ByteQueue out;
 
   private final SelectionKey selectionKey;
@@ -40,21 +41,29 @@
             loop.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
   }
 
-  /** Called with bytes that were read. Bytes that are not consumed by this call are discarded. */
+  /**
+   * Called with the bytes of one read. Bytes that the implementation leaves in the buffer are
+   * discarded after the call.
+   */
   protected abstract void bytesReceived(ByteBuffer in);
 
-  /** Called when the peer has ended its output, before {@link #broken()}. */
+  /**
+   * Called when the end of the input is reached because the peer has ended its output. {@link
+   * #broken()} follows, unless this call has closed the connection. Does nothing by default.
+   */
   protected void inputEnded() {}
 
   /**
-   * Called when the peer has closed or reset the connection, or when the connect has failed. The
-   * connection is closed on this side after the call.
+   * Called when the connection cannot be used any more: the end of the input is reached, a read or
+   * write has failed, or the connect has failed. Not called if this side has already closed the
+   * connection. After the call, the connection is closed on this side.
    */
   protected abstract void broken();
 
-  /** Called when a flush has left no output to be written. */
+  /** Called after each flush that leaves no output to be written, even if there was none before. */
   protected abstract void flushed();
 
+  /** Returns whether the connect has completed. Does not change when the connection is closed. */
   protected final boolean isConnected() {
     return connected;
   }
@@ -94,8 +103,9 @@
   }
 
   /**
-   * Writes as much output as the channel accepts. The rest is written once the loop finds the
-   * channel writable. Has no effect while the connect is in progress or after {@link #close}.
+   * Writes as much output as the channel accepts. The rest is written when the event loop reports
+   * that the channel is writable. Has no effect while the connect is in progress or after {@link
+   * #close}.
    */
   protected final void flush() {
     if (!connected || closed) {
@@ -132,11 +142,12 @@
   }
 
   /**
-   * Reads available bytes without waiting for the selector. Uses a separate buffer, because the
-   * loop's read buffer may be in use.
+   * Reads available bytes once, without waiting for the selector. Uses a separate buffer, because
+   * the loop's read buffer may be in use. Closes the connection if the end of the input is reached
+   * or the read fails.
    *
-   * @return whether bytes were read, in which case more may be available; false if none are
-   *     available, and also at the end of input or after a failure, which close the connection
+   * @return true if bytes were read, in which case more bytes may be available; false if no bytes
+   *     were available, at the end of the input, or if the read has failed
    */
   public final boolean readNow() {
     ByteBuffer in = loop.pool().acquire();
@@ -150,7 +161,10 @@
     }
   }
 
-  /** Shuts down the output side of the connection. Input can still be read. */
+  /**
+   * Shuts down the output side of the connection. Input can still be read. Closes the connection if
+   * the shutdown fails.
+   */
   protected final void endOutput() {
     try {
       channel.shutdownOutput();
@@ -167,8 +181,8 @@
   }
 
   /**
-   * Closes the connection from this side and discards output that is not written. Has no effect if
-   * the connection is closed.
+   * Closes the connection from this side and discards output that is not written yet. Has no effect
+   * if this side has already closed the connection.
    */
   public void close() {
     if (!closed) {
--- a/src/main/java/loomreel/io/ByteQueue.java
+++ b/src/main/java/loomreel/io/ByteQueue.java
@@ -14,7 +14,7 @@
 public final class ByteQueue {
   private final BufferPool pool;
 
-  /** The buffers in order, in write mode: the position of a buffer is the end of its data. */
+  /** The buffers in the order of their bytes. The position of a buffer is the end of its data. */
   private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>(2);
 
   /** The number of bytes of the first buffer that have already been written to a channel. */
@@ -66,7 +66,7 @@
     append(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Appends a copy of the content of another queue, which does not change. */
+  /** Appends a copy of the content of another queue. The other queue does not change. */
   public void append(ByteQueue other) {
     int offset = other.frontOffset;
     for (ByteBuffer buffer : other.buffers) {
--- a/src/main/java/loomreel/io/EventLoop.java
+++ b/src/main/java/loomreel/io/EventLoop.java
@@ -11,10 +11,10 @@
 import java.util.function.Consumer;
 
 /**
- * A single-threaded event loop with one selector, one clock and a queue of timers. All parts of a
- * dispatcher are used on the thread that calls {@link #run()}; only {@link #execute} may be called
- * on any thread. Owns the selector. {@link #close} closes it and every channel that is registered
- * with it.
+ * A single-threaded event loop with one selector, one clock and a queue of timers. All handlers and
+ * tasks of a dispatcher run on the thread that calls {@link #run()}. Other threads may call only
+ * {@link #execute}. The loop owns the selector. {@link #close} closes the selector and every
+ * channel that is registered with the selector.
  */
 public final class EventLoop implements Closeable {
   private static final long MICROS_PER_MILLI = 1_000;
@@ -23,15 +23,17 @@
   /** The maximum time, in microseconds, that an iteration waits while no timer is scheduled. */
   private static final long MAX_WAIT_MICROS = 1_000_000;
 
-  /** Handles the events of a channel. It is the attachment of the channel's selection key. */
+  /**
+   * Handles the events of a channel. The handler is the attachment of the channel's selection key.
+   */
   public interface Handler {
     /** Called when the channel is ready for at least one operation in the key's interest set. */
     void ready(SelectionKey key);
   }
 
   /**
-   * A task that is scheduled for a point in time. Timers run in the order of their due times, and
-   * those with the same due time in the order in which they were scheduled.
+   * A task that is scheduled for a point in time. Timers run in the order of their due times.
+   * Timers with the same due time run in the order in which they were scheduled.
    */
   public static final class Timer implements Comparable<Timer> {
     private final long dueAtMicros;
@@ -68,6 +70,7 @@
      * Returns whether the timer is due and has a sequence number below a limit.
      *
      * @param now the current time, in microseconds of the loop's clock
+     * @param sequenceLimit the limit of the sequence number, exclusive
      */
     boolean isDue(long now, long sequenceLimit) {
       return dueAtMicros <= now && sequenceNumber < sequenceLimit;
@@ -84,7 +87,7 @@
   private final Selector selector;
   private final BufferPool pool;
 
-  /** The writer of trace lines; null if tracing is off. Callers check it for each event. */
+  /** The writer of trace lines; null if tracing is off. */
   private final TraceWriter trace;
 
   private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(BufferPool.SIZE);
@@ -93,7 +96,10 @@
   private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.io.loop");
 
-  /** The difference between Unix time and the monotonic clock, in microseconds. */
+  /**
+   * The difference between Unix time and the monotonic clock at the time when the loop is created,
+   * in microseconds.
+   */
   private final long clockOffsetMicros =
       System.currentTimeMillis() * MICROS_PER_MILLI - System.nanoTime() / NANOS_PER_MICRO;
 
@@ -123,9 +129,9 @@
   }
 
   /**
-   * Returns the current time in microseconds, as read once per iteration. It equals Unix time when
-   * the loop is created and is monotonic from then on, so that it can be compared with the start
-   * times that workers report.
+   * Returns the current time, in microseconds. The time is read once per iteration, after the wait
+   * for events. It equals Unix time when the loop is created and is monotonic from then on.
+   * Therefore it can be compared with the start times that workers report.
    */
   public long now() {
     return now;
@@ -139,14 +145,17 @@
    * Schedules a task.
    *
    * @param dueAtMicros the earliest time at which the task runs, in microseconds of this loop's
-   *     clock; it may run later
+   *     clock; the task may run later
    * @return the timer, which can be cancelled
    */
   public Timer schedule(long dueAtMicros, Runnable task) {
     return timers.schedule(dueAtMicros, task);
   }
 
-  /** Runs a task on the loop's thread, in the next iteration at the latest. Thread-safe. */
+  /**
+   * Schedules a task that runs on the loop's thread, in the next iteration at the latest. Returns
+   * without waiting for the task. May be called on any thread.
+   */
   public void execute(Runnable task) {
     postedTasks.add(task);
     selector.wakeup();
@@ -219,9 +228,9 @@
   }
 
   /**
-   * Returns the duration of the longest iteration since the last call of this method, and resets
-   * it. The duration is in microseconds and excludes the wait for events; it is 0 if no iteration
-   * has completed since.
+   * Returns the duration, in microseconds, of the longest iteration since the last call of this
+   * method, and starts a new measurement. The wait for events does not count. Returns 0 if no
+   * iteration has completed since the last call.
    */
   public long takeLongestIteration() {
     long longest = longestIterationMicros;
@@ -230,8 +239,8 @@
   }
 
   /**
-   * Runs a task of one connection or timer. An exception is logged and does not end the process,
-   * because the process also serves other calls.
+   * Runs a task of one connection or timer. If the task throws a {@link RuntimeException}, logs the
+   * exception and continues, because the process also serves other calls.
    */
   private void runGuarded(Runnable task) {
     try {
@@ -241,7 +250,7 @@
     }
   }
 
-  /** Returns the selector that channels are registered with. */
+  /** Returns the selector with which channels are registered. */
   public Selector selector() {
     return selector;
   }
@@ -256,7 +265,10 @@
     return trace;
   }
 
-  /** Returns the shared read buffer. Its content is valid only during one read. */
+  /**
+   * Returns the read buffer that all connections of this loop share. The next read of any
+   * connection may overwrite its content.
+   */
   public ByteBuffer readBuffer() {
     return readBuffer;
   }
--- a/src/main/java/loomreel/io/RateLimitedLogger.java
+++ b/src/main/java/loomreel/io/RateLimitedLogger.java
@@ -5,7 +5,8 @@
 
 /**
  * A logger that writes at most ten lines per second, so that clients and workers cannot flood the
- * log. The number of suppressed lines is logged before the first line of a later second.
+ * log. Further lines in the same second are suppressed. Before the first line of a later second,
+ * the logger writes the number of suppressed lines.
  *
  * <p>Callers build the complete message. The message patterns of {@link System.Logger} are not
  * used, because {@link java.text.MessageFormat} would have to be loaded at each start and inserts
@@ -18,10 +19,10 @@
   private final Logger logger;
   private long currentSecond;
 
-  /** The number of lines in the current second, including suppressed ones. */
+  /** The number of lines in the current second, including the suppressed lines. */
   private int linesThisSecond;
 
-  /** Creates a logger that writes to the {@link System.Logger} with that name. */
+  /** Creates a logger that writes to the {@link System.Logger} with the given name. */
   public RateLimitedLogger(String name) {
     logger = System.getLogger(name);
   }
--- a/src/main/java/loomreel/io/TimerQueue.java
+++ b/src/main/java/loomreel/io/TimerQueue.java
@@ -42,11 +42,12 @@
   }
 
   /**
-   * Runs the tasks that are due. Timers that are scheduled by these tasks wait for the next call.
-   * Otherwise a task that always reschedules itself would prevent the handling of channels.
+   * Runs the tasks of the timers that are due. If one of these tasks schedules a timer, that timer
+   * waits for the next call. Otherwise a task that always reschedules itself would prevent the
+   * handling of channels.
    *
    * @param now the current time, in microseconds of the loop's clock
-   * @param runner runs each of the tasks
+   * @param runner called with each of the tasks, and runs it
    */
   void runDue(long now, Consumer<Runnable> runner) {
     long sequenceLimit = nextSequenceNumber;
--- a/src/main/java/loomreel/io/TraceWriter.java
+++ b/src/main/java/loomreel/io/TraceWriter.java
@@ -7,10 +7,11 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes the events of one dispatcher as JSON lines, which {@code loomreel trace-summary}
- * aggregates over a fleet. Tracing is off by default: {@link EventLoop#trace} then returns null,
- * and callers check this before they build the arguments of a line. Used on the event loop's thread
- * only. Tests extend this class to run actions between two events.
+ * Writes the events of one dispatcher as trace lines in JSON. The command {@code loomreel
+ * trace-summary} aggregates the trace lines of a fleet. Tracing is off by default, and {@link
+ * EventLoop#trace} then returns null. Callers check for null before they build the arguments of a
+ * line. Used on the event loop's thread only. Tests extend this class to run actions between two
+ * events.
  */
 public class TraceWriter {
   /** The factor by which numbers are scaled to round them to three decimal places. */
@@ -19,8 +20,8 @@
   private final JsonGenerator json;
 
   /**
-   * Creates a writer to a stream. The event loop flushes it once per iteration; it never closes the
-   * stream.
+   * Creates a writer to a stream. The event loop flushes the writer once per iteration. The writer
+   * never closes the stream.
    *
    * @throws UncheckedIOException if the JSON generator cannot be created
    */
@@ -35,13 +36,13 @@
   }
 
   /**
-   * Writes a line. Failures to write are ignored.
+   * Writes a line. If the line cannot be written, the failure is ignored.
    *
    * @param atMicros the time of the event, in microseconds of the loop's clock
    * @param event the kind of event
-   * @param fields alternating names and values; a field whose value is null or NaN is omitted, a
-   *     {@link Double} is rounded to three decimal places, any other number is written as an
-   *     integer, and any other value as a string
+   * @param fields alternating names and values of the fields. A field whose value is null or NaN is
+   *     omitted. A {@link Double} is rounded to three decimal places, any other number is written
+   *     as an integer, and any other value is written as a string.
    */
   public void line(long atMicros, String event, Object... fields) {
     try {
@@ -54,7 +55,7 @@
       json.writeEndObject();
       json.writeRaw('\n');
     } catch (IOException e) {
-      // Tracing is best effort: the dispatcher keeps running if the trace cannot be written.
+      // Tracing is best effort. The dispatcher keeps running if a line cannot be written.
     }
   }
 
@@ -75,7 +76,7 @@
     try {
       json.flush();
     } catch (IOException e) {
-      // Ignored, as in line().
+      // Ignored for the same reason as in line().
     }
   }
 }
--- a/src/main/java/loomreel/io/package-info.java
+++ b/src/main/java/loomreel/io/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The event loop with its timers and clock, byte connections on pooled buffers, the rate-limited
- * logger and the trace writer. Depends on no other package of the program.
+ * The event loop with its timers and clock, byte connections that use pooled buffers, the
+ * rate-limited logger, and the trace writer. Depends on no other package of the program.
  */
 package loomreel.io;
--- a/src/test/java/loomreel/io/AcceptorTest.java
+++ b/src/test/java/loomreel/io/AcceptorTest.java
@@ -23,7 +23,7 @@
 
   private final List<SocketChannel> clients = new ArrayList<>();
   private final List<SocketChannel> accepted = new ArrayList<>();
-  private final List<Long> acceptedAt = new ArrayList<>();
+  private final List<Long> acceptedAtMicros = new ArrayList<>();
   private EventLoop loop;
   private ServerSocketChannel listener;
 
@@ -56,7 +56,7 @@
 
   private void record(SocketChannel channel) {
     accepted.add(channel);
-    acceptedAt.add(loop.now());
+    acceptedAtMicros.add(loop.now());
     if (accepted.size() == CONNECTIONS) {
       loop.stop();
     }
@@ -89,7 +89,8 @@
   void oneIterationAcceptsNoMoreThanTheLimit() throws IOException {
     acceptor(1, this::record).start();
     loop.run();
-    assertEquals(CONNECTIONS, acceptedAt.stream().distinct().count(), acceptedAt.toString());
+    assertEquals(
+        CONNECTIONS, acceptedAtMicros.stream().distinct().count(), acceptedAtMicros.toString());
   }
 
   @Test
@@ -105,7 +106,9 @@
     acceptor[0].start();
     loop.run();
     for (int i = 1; i < CONNECTIONS; i++) {
-      assertTrue(acceptedAt.get(i) - acceptedAt.get(i - 1) >= RUN_MICROS, acceptedAt.toString());
+      assertTrue(
+          acceptedAtMicros.get(i) - acceptedAtMicros.get(i - 1) >= RUN_MICROS,
+          acceptedAtMicros.toString());
     }
   }
 
