--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -11,9 +11,11 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * A pool of HTTP connections to one peer. It opens connections on demand and reuses idle ones, the
- * most recently used first. Owns its connections. Used on the event loop's thread only. Times are
- * in microseconds of the loop's clock.
+ * A pool of HTTP connections to one peer. The pool opens connections on demand and reuses idle
+ * connections. It prefers the idle connection that was used most recently. While duplicate
+ * responses are suspected (see {@link IdleTimeoutEstimator}), it prefers the connection that has
+ * been idle longest instead. The pool owns its connections. Used on the event loop's thread only.
+ * Times are in microseconds of the loop's clock.
  */
 public final class ConnectionPool {
   /** The name of the trace event for an opened connection. */
@@ -32,7 +34,8 @@
   private InetSocketAddress address;
 
   /**
-   * The number of calls of {@link #moveTo}. Connections of an earlier generation are not reused.
+   * The number of calls of {@link #moveTo}. Each connection has the generation in which it was
+   * opened. A connection of an earlier generation is not reused.
    */
   private int generation;
 
@@ -40,9 +43,9 @@
    * Creates a pool without connections.
    *
    * @param peerName the name of the peer in log and trace lines
-   * @param descriptorQuota limits the open connections of this and other pools together
+   * @param descriptorQuota limits the total number of open connections of all pools that share it
    * @param connectTimeout the maximum time to establish a connection, in microseconds
-   * @param idleTimeout estimates how long a connection may be idle and still be reused
+   * @param idleTimeout estimates how long a connection may be idle before it must not be reused
    */
   public ConnectionPool(
       EventLoop loop,
@@ -67,11 +70,11 @@
   }
 
   /**
-   * Sets the address of the peer and stops the reuse of existing connections, because the peer has
-   * moved, restarted or been removed. Idle connections are closed at once, the others after their
-   * exchange.
+   * Sets the address of the peer and stops the reuse of existing connections. Called when the peer
+   * has moved, restarted or been removed. Idle connections are closed at once. A connection in use
+   * is closed when its exchange ends.
    *
-   * @param newAddress may equal the current address
+   * @param newAddress the address; may equal the current address
    */
   public void moveTo(InetSocketAddress newAddress) {
     address = newAddress;
@@ -80,11 +83,12 @@
   }
 
   /**
-   * Sends a request on an idle connection or a new one. The buffers of the request are released in
-   * any case. The exchange may end before this method returns.
+   * Sends a request on an idle connection or, if no idle connection can be reused, on a new
+   * connection. The buffers of the request are released in any case. The exchange may end before
+   * this method returns.
    *
-   * @return the connection of the exchange, or null if none is available, in which case the
-   *     exchange has failed
+   * @return the connection of the exchange; null if no connection is available, in which case
+   *     {@link HttpExchange#failed} has already been called
    */
   public PooledConnection call(ByteQueue request, HttpExchange exchange) {
     closeStale();
@@ -104,8 +108,8 @@
   }
 
   /**
-   * Opens a connection. Returns null if no file descriptor is available or the connection cannot be
-   * opened.
+   * Opens a connection. Returns null if the descriptor quota allows no further connection or if the
+   * connection cannot be opened.
    */
   private PooledConnection open() {
     if (!descriptorQuota.ensureCapacity()) {
@@ -126,10 +130,17 @@
   }
 
   /**
-   * Removes and returns an idle connection on which no late byte of its last exchange can arrive.
-   * Returns null if there is none. Prefers the most recently used connection or, while duplicate
-   * responses are suspected, the one that has been idle longest. Closes connections on which
-   * unexpected input has arrived.
+   * Removes an idle connection that can be reused, and returns it. Returns null if no idle
+   * connection can be reused.
+   *
+   * <p>A connection can be reused once it has been idle for its reuse delay. The reuse delay is the
+   * time in which a duplicate of the last response may still arrive. It is 0 after a 2xx response
+   * unless duplicate responses are suspected.
+   *
+   * <p>Prefers the connection that was used most recently. While duplicate responses are suspected,
+   * prefers the connection that has been idle longest. If a connection that was selected has
+   * unexpected input, has reached the end of its input, or has failed, closes this connection and
+   * tries the next.
    */
   private PooledConnection pollReusable() {
     long minIdleMicros = idleTimeout.reuseDelayMicros(loop.now());
@@ -148,26 +159,32 @@
     return null;
   }
 
-  /** Records that a connection has received bytes that are not the response to a request. */
+  /**
+   * Records that a connection has received bytes that do not belong to the response to a request.
+   */
   void recordUnsolicitedResponse() {
     idleTimeout.recordUnsolicitedResponse(loop.now());
   }
 
   /**
-   * Returns a connection to the pool after its exchange is complete. The connection is closed
-   * instead if it is of an earlier generation or the descriptor quota is exceeded.
+   * Returns a connection to the pool after its exchange is complete. If the connection is of an
+   * earlier generation or the descriptor quota is exceeded, closes the connection instead.
+   *
+   * <p>A duplicate of the last response may arrive after the connection is reused. It is then taken
+   * for the response to the next request. A duplicate of a rejection would wrongly prove that the
+   * next request did not run.
    *
-   * @param duplicateHarmless whether a duplicate of the last response could be taken for the
-   *     response to the next request without a wrong conclusion; if not, the connection is not
-   *     reused within {@link IdleTimeoutEstimator#DUPLICATE_WINDOW_MICROS}
+   * @param mayReuseAtOnce true if such a duplicate would lead to no wrong conclusion, as after a
+   *     2xx response, so that the connection may be reused at once; if false, the connection is not
+   *     reused for {@link IdleTimeoutEstimator#DUPLICATE_WINDOW_MICROS}
    */
-  void release(PooledConnection connection, boolean duplicateHarmless) {
+  void release(PooledConnection connection, boolean mayReuseAtOnce) {
     if (connection.generation() != generation || descriptorQuota.isExceeded()) {
       connection.close();
       return;
     }
     connection.markIdle(
-        loop.now(), duplicateHarmless ? 0 : IdleTimeoutEstimator.DUPLICATE_WINDOW_MICROS);
+        loop.now(), mayReuseAtOnce ? 0 : IdleTimeoutEstimator.DUPLICATE_WINDOW_MICROS);
     idleConnections.addLast(connection);
     descriptorQuota.connectionIdle(connection);
   }
@@ -178,8 +195,9 @@
   }
 
   /**
-   * Closes the connections that have reached the idle timeout. They are closed before the peer
-   * closes them, because a request that is sent while the peer closes its connection is lost.
+   * Closes the idle connections that have reached the idle timeout. The purpose is to close a
+   * connection before the peer does, because a request that is sent while the peer closes the
+   * connection is lost.
    */
   public void closeStale() {
     long timeoutMicros = idleTimeout.idleTimeout(loop.now());
@@ -190,11 +208,12 @@
   }
 
   /**
-   * Records the reuse of a connection.
+   * Records the result of a request on a connection.
    *
-   * @param idleMicros how long the connection had been idle, in microseconds
-   * @param reset whether the peer closed or reset the connection before any byte of a response, and
-   *     within one connect timeout after the request
+   * @param idleMicros how long the connection had been idle before the request, in microseconds; 0
+   *     if this was the first request on the connection
+   * @param reset true if the peer closed or reset the connection before any byte of the response
+   *     arrived and within one connect timeout after the request; false if a response arrived
    */
   void recordReuse(long idleMicros, boolean reset) {
     idleTimeout.recordReuse(idleMicros, reset, loop.now());
@@ -205,6 +224,7 @@
     return connectTimeout;
   }
 
+  /** Closes all idle connections. */
   void closeIdle() {
     new ArrayList<>(idleConnections).forEach(PooledConnection::close);
   }
--- a/src/main/java/loomreel/http/DescriptorQuota.java
+++ b/src/main/java/loomreel/http/DescriptorQuota.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Limits the total number of open connections of several {@link ConnectionPool}s. At the limit, the
- * connection that has been idle longest in any of the pools is closed so that a new one can be
- * opened. Used on the event loop's thread only.
+ * Limits the total number of open connections of several {@link ConnectionPool}s. If the limit is
+ * reached when a connection is to be opened, the quota closes the connection that has been idle
+ * longest in any of the pools. Used on the event loop's thread only.
  */
 public final class DescriptorQuota {
   private int limit;
@@ -24,8 +24,11 @@
   }
 
   /**
-   * Changes the limit. While more connections are open, idle ones are closed at once and those in
-   * use when they become idle.
+   * Changes the limit. If more connections are open than the new limit allows, closes idle
+   * connections until the number is within the limit or no idle connection is left. While the
+   * number still exceeds the limit, connections in use are closed when they become idle.
+   *
+   * @param newLimit the maximum number of open connections
    */
   public void setLimit(int newLimit) {
     limit = newLimit;
@@ -35,8 +38,8 @@
   }
 
   /**
-   * Returns whether a connection may be opened. If the limit is reached, first closes the
-   * connection that has been idle longest, if there is one.
+   * Returns whether a connection may be opened. If the limit is reached and a connection is idle,
+   * first closes the connection that has been idle longest.
    */
   boolean ensureCapacity() {
     if (openCount >= limit && !idleConnections.isEmpty()) {
--- a/src/main/java/loomreel/http/HeadReader.java
+++ b/src/main/java/loomreel/http/HeadReader.java
@@ -6,8 +6,8 @@
 import loomreel.io.ByteQueue;
 
 /**
- * Collects the bytes of the head of a message, up to the empty line that ends it. Owns the buffers
- * of an incomplete head until {@link #release}.
+ * Collects the bytes of the head of a message, up to the empty line that ends the head. Owns the
+ * buffers of an incomplete head until {@link #release}.
  */
 final class HeadReader {
   /** The last four bytes of every head: two line ends, CRLF CRLF. */
@@ -15,10 +15,12 @@
 
   private final BufferPool pool;
 
-  /** The bytes of the incomplete head; null if there is none. */
+  /** The bytes of the incomplete head; null if no byte of a head has arrived. */
   private ByteQueue bytes;
 
-  /** The last four bytes of the incomplete head, the latest of them in the lowest 8 bits. */
+  /**
+   * The last four bytes of the incomplete head. The lowest 8 bits are the byte that arrived last.
+   */
   private int lastFourBytes;
 
   HeadReader(BufferPool pool) {
@@ -33,10 +35,10 @@
   /**
    * Consumes bytes up to the end of the head. Empty lines before the head are skipped.
    *
-   * @return the head, including the empty line that ends it; null if all bytes are consumed before
-   *     its end
-   * @throws BadMessageException if a line does not end in CRLF, or the head is larger than {@link
-   *     BufferPool#SIZE}
+   * @return the head, including the empty line that ends the head; null if all bytes are consumed
+   *     and the head is still incomplete
+   * @throws BadMessageException if a line does not end in CRLF, or if the head is larger than
+   *     {@link BufferPool#SIZE}
    */
   String read(ByteBuffer in) throws BadMessageException {
     if (bytes == null) {
--- a/src/main/java/loomreel/http/HttpConnection.java
+++ b/src/main/java/loomreel/http/HttpConnection.java
@@ -27,7 +27,10 @@
     parser = new HttpMessageParser(loop.pool(), receivesRequests);
   }
 
-  /** Returns whether further bytes were read together with the current message, after its end. */
+  /**
+   * Returns whether the read that completed the current message has also returned bytes after the
+   * end of the message.
+   */
   protected final boolean hasPipelinedInput() {
     return hasPipelinedInput;
   }
@@ -39,17 +42,17 @@
   protected abstract void received(HttpMessage message);
 
   /**
-   * Called once for each response whose head arrives before the end of its body. Does nothing by
-   * default.
+   * Called at most once for each response, when its head has arrived and its body is incomplete or
+   * malformed. Not called for interim responses. Does nothing by default.
    */
   protected void headReceived(int status) {}
 
-  /** Called when the input is not a valid message. */
+  /** Called when the parser has rejected the input. The connection can read no further message. */
   protected abstract void malformed(BadMessageException error);
 
   /**
-   * Returns whether another message may be parsed now. If not, the rest of the input is discarded.
-   * True by default.
+   * Returns whether another message may be parsed now. If this method returns false, {@link
+   * #bytesReceived} leaves the rest of the input in the buffer. Returns true by default.
    */
   protected boolean acceptsMessages() {
     return true;
@@ -74,12 +77,12 @@
   }
 
   private void reportHead() {
-    if (parser.takeHeadReceived()) {
+    if (parser.testAndClearHeadReceived()) {
       headReceived(parser.responseStatus());
     }
   }
 
-  /** Completes a response whose body is ended by the end of the connection. */
+  /** Completes a response whose body extends to the end of the input. */
   @Override
   protected void inputEnded() {
     HttpMessage last = parser.inputEnded();
--- a/src/main/java/loomreel/http/HttpHead.java
+++ b/src/main/java/loomreel/http/HttpHead.java
@@ -30,7 +30,7 @@
    *
    * @param text the head, including the empty line that ends it
    * @param isRequest true for the head of a request, false for that of a response
-   * @throws BadMessageException if the head is malformed or its version is neither 1.0 nor 1.1
+   * @throws BadMessageException if the head is malformed or its HTTP version is neither 1.0 nor 1.1
    */
   static HttpHead parse(String text, boolean isRequest) throws BadMessageException {
     String[] lines =
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Returns the value of the first header with a name, or null if there is none.
+   * Returns the value of the first header with the given name, or null if there is no such header.
    *
    * @param name the name in lower case
    */
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Returns the value of the Content-Length header, or null if there is none.
+   * Returns the value of the Content-Length header, or null if there is no such header.
    *
-   * @throws BadMessageException if there are several such headers with different values
+   * @throws BadMessageException if several Content-Length headers have different values
    */
   String contentLength() throws BadMessageException {
     String length = null;
@@ -134,7 +134,7 @@
 
   /**
    * Returns the values of all Transfer-Encoding headers as one comma-separated list, or null if
-   * there is none.
+   * there is no such header.
    */
   String transferEncoding() {
     String encoding = null;
--- a/src/main/java/loomreel/http/HttpHeaders.java
+++ b/src/main/java/loomreel/http/HttpHeaders.java
@@ -4,7 +4,7 @@
 
 /** Formats the heads of HTTP/1.1 requests and responses. */
 public final class HttpHeaders {
-  /** The length that stands for a head without a Content-Length header. */
+  /** Passed as the length of the body if the head must not have a Content-Length header. */
   private static final int NO_LENGTH = -1;
 
   private static final Map<Integer, String> REASON_PHRASES =
@@ -25,7 +25,7 @@
   private HttpHeaders() {}
 
   /**
-   * Returns the head of a response, including the empty line that ends it.
+   * Returns the head of a response, including the empty line that ends the head.
    *
    * @param length the length of the body, in bytes
    * @param headers further header lines, without their line ends
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Returns the head of a request, including the empty line that ends it. If the body is empty, the
-   * head has a Content-Length header only if the method is POST.
+   * Returns the head of a request, including the empty line that ends the head. If the body is
+   * empty and the method is not POST, the head has no Content-Length header.
    *
    * @param host the value of the Host header
    * @param length the length of the body, in bytes
--- a/src/main/java/loomreel/http/HttpMessage.java
+++ b/src/main/java/loomreel/http/HttpMessage.java
@@ -9,7 +9,7 @@
  * @param startLine the parts of the start line: method, target and version of a request; version,
  *     status code and, if present, reason phrase of a response
  * @param headers alternating names, in lower case, and values
- * @param body the content, owned by the holder of the message, which must release it
+ * @param body the content; whoever owns the message owns the body and must release it
  * @param keepAlive whether the connection may carry another message after this one
  */
 public record HttpMessage(
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Returns the value of the first header with a name, or null if there is none.
+   * Returns the value of the first header with the given name, or null if there is no such header.
    *
    * @param name the name in lower case
    */
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Returns the value of the first header with a name, or null if there is none.
+   * Returns the value of the first header with the given name, or null if there is no such header.
    *
    * @param headers alternating names, in lower case, and values
    * @param name the name in lower case
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -11,11 +11,11 @@
  * #release} is called.
  *
  * <table>
- *   <caption>State transitions; the end of a message leads back to HEAD</caption>
+ *   <caption>State transitions. At the end of a message, the next state is HEAD.</caption>
  *   <tr><th>state</th><th>input</th><th>next state</th></tr>
  *   <tr><td>HEAD</td><td>head with a Content-Length</td><td>FIXED_BODY</td></tr>
  *   <tr><td>HEAD</td><td>head with chunked transfer coding</td><td>CHUNK_SIZE</td></tr>
- *   <tr><td>HEAD</td><td>head of a response with neither</td><td>BODY_UNTIL_CLOSE</td></tr>
+ *   <tr><td>HEAD</td><td>head of a response without either</td><td>BODY_UNTIL_CLOSE</td></tr>
  *   <tr><td>HEAD</td><td>head of an interim response</td><td>HEAD</td></tr>
  *   <tr><td>CHUNK_SIZE</td><td>size of a chunk</td><td>CHUNK_DATA</td></tr>
  *   <tr><td>CHUNK_SIZE</td><td>size 0</td><td>TRAILER</td></tr>
@@ -28,8 +28,8 @@
   public static final int MAX_BODY = 64 * 1024;
 
   /**
-   * The maximum length, in bytes, of the line with the size of a chunk, and of the line that ends
-   * the data of a chunk.
+   * The maximum length, in bytes, of two kinds of line in a chunked body: the line with the size of
+   * a chunk, and the line end after the data of a chunk.
    */
   private static final int MAX_CHUNK_LINE_BYTES = 256;
 
@@ -56,27 +56,33 @@
   private final LineReader lineReader = new LineReader();
   private State state = State.HEAD;
 
-  /** The total length of the trailer lines so far, in bytes without their line ends. */
+  /** The total length of the trailer lines that have arrived, in bytes without their line ends. */
   private int trailerLength;
 
   /**
-   * The head of the current message or, while that is incomplete, of the last one; null before the
-   * first.
+   * The head that was parsed last. While the head of the current message is incomplete, this is the
+   * head of the previous message. Null before the first head is complete.
    */
   private HttpHead head;
 
-  /** The body that has arrived so far; null in state HEAD, except after an interim response. */
+  /**
+   * The part of the current body that has arrived. Null in state HEAD, except after an interim
+   * response, when it is empty.
+   */
   private ByteQueue body;
 
   private boolean keepAlive;
 
   /**
-   * Whether the head of the current message is complete and {@link #takeHeadReceived} has not been
-   * called since.
+   * Whether the head of the current message is complete and {@link #testAndClearHeadReceived} has
+   * not been called since then.
    */
   private boolean hasUnreportedHead;
 
-  /** The number of bytes of the body or chunk that have not arrived yet. */
+  /**
+   * The number of bytes of the body or chunk that have not arrived yet. In state BODY_UNTIL_CLOSE,
+   * the number of further bytes that would exceed the maximum size of a body.
+   */
   private int missingBytes;
 
   /**
@@ -90,16 +96,20 @@
     headReader = new HeadReader(pool);
   }
 
-  /** Returns whether no byte of the next message has arrived. */
+  /**
+   * Returns whether no byte of the next message has arrived. Empty lines before the message and
+   * complete interim responses do not count.
+   */
   public boolean atStart() {
     return state == State.HEAD && headReader.isEmpty();
   }
 
   /**
-   * Returns whether the head of a response has arrived, but not the end of the response. True at
-   * most once per response.
+   * Returns whether the head of a response has arrived, but not the end of the response. Clears
+   * this state, so that at most one call per response returns true. Always returns false if
+   * requests are parsed.
    */
-  boolean takeHeadReceived() {
+  boolean testAndClearHeadReceived() {
     boolean received = !parsesRequests && hasUnreportedHead;
     hasUnreportedHead = false;
     return received;
@@ -111,8 +121,9 @@
   }
 
   /**
-   * Returns whether a head has arrived that expects an interim response ({@code Expect:
-   * 100-continue}), and no byte of the body.
+   * Returns whether the sender waits for an interim response before it sends the body. This is the
+   * case if the head has the header {@code Expect: 100-continue} and no byte of the body has
+   * arrived.
    */
   public boolean expectsContinue() {
     return state != State.HEAD
@@ -123,8 +134,10 @@
   /**
    * Consumes bytes up to the end of a message.
    *
-   * @return the message if it is complete; null if all bytes are consumed before its end
-   * @throws BadMessageException if the input violates HTTP or exceeds a limit
+   * @return the message if it is complete; null if all bytes are consumed and the message is still
+   *     incomplete
+   * @throws BadMessageException if the input violates HTTP, uses a version or transfer coding that
+   *     is not supported, exceeds a limit, or has a body that cannot be buffered
    */
   public HttpMessage feed(ByteBuffer in) throws BadMessageException {
     while (in.hasRemaining()) {
@@ -143,7 +156,11 @@
     return null;
   }
 
-  /** Returns the response that is completed by the end of the connection, or null if none is. */
+  /**
+   * Processes the end of the input.
+   *
+   * @return the current response if its body extends to the end of the input; otherwise null
+   */
   public HttpMessage inputEnded() {
     return state == State.BODY_UNTIL_CLOSE ? completeMessage() : null;
   }
@@ -180,8 +197,8 @@
   /**
    * Determines from the head how the body is framed, and enters the state that reads it.
    *
-   * @return true if a body follows or, after an interim response, the head of the final response;
-   *     false if the message is complete without a body
+   * @return false if the message is complete without a body; true if a body follows, and also after
+   *     the head of an interim response, which is followed by the head of another response
    */
   private boolean beginBody() throws BadMessageException {
     body = new ByteQueue(pool);
@@ -235,7 +252,8 @@
 
   private void beginBodyUntilClose() {
     keepAlive = false;
-    // One byte above the limit, so that readBody can tell a body at the limit from a larger one.
+    // One byte more than the limit. If all of these bytes arrive, the body is too large. A body of
+    // exactly the maximum size is still accepted.
     missingBytes = MAX_BODY + 1;
     state = State.BODY_UNTIL_CLOSE;
   }
@@ -292,7 +310,9 @@
     return false;
   }
 
-  /** Reads and ignores a trailer line, and returns whether it is the empty line at the end. */
+  /**
+   * Reads and ignores a trailer line. Returns whether it is the empty line that ends the message.
+   */
   private boolean readTrailer(ByteBuffer in) throws BadMessageException {
     if (!lineReader.read(in, BufferPool.SIZE, HttpStatus.HEADER_FIELDS_TOO_LARGE)) {
       return false;
--- a/src/main/java/loomreel/http/HttpStatus.java
+++ b/src/main/java/loomreel/http/HttpStatus.java
@@ -1,6 +1,9 @@
 package loomreel.http;
 
-/** The HTTP status codes (RFC 9110, section 15) that this program sends or handles specially. */
+/**
+ * The HTTP status codes that this program sends or handles specially. They are defined in RFC 9110,
+ * section 15, except for 431, which is defined in RFC 6585.
+ */
 public final class HttpStatus {
   public static final int OK = 200;
   public static final int ACCEPTED = 202;
@@ -26,12 +29,12 @@
     return statusClass(status) == 1;
   }
 
-  /** Returns whether a status code means that the request was processed (2xx). */
+  /** Returns whether a status code means that the request was successful (2xx). */
   static boolean isSuccessful(int status) {
     return statusClass(status) == 2;
   }
 
-  /** Returns whether a status code means that the request was invalid (4xx). */
+  /** Returns whether a status code reports an error of the client (4xx). */
   public static boolean isClientError(int status) {
     return statusClass(status) == 4;
   }
--- a/src/main/java/loomreel/http/IdleTimeoutEstimator.java
+++ b/src/main/java/loomreel/http/IdleTimeoutEstimator.java
@@ -1,45 +1,57 @@
 package loomreel.http;
 
 /**
- * Estimates how long a connection may be idle and still be reused. The settings give an upper
- * limit, but a middlebox between this process and the peer may drop an idle connection earlier
- * without notice and reset the next request. That request must not be retried if it may have run.
- * The estimate is therefore shortened after such resets, and doubles periodically without them.
+ * Estimates the idle timeout of connections: how long a connection may be idle before it must not
+ * be reused.
  *
- * <p>Times are in microseconds of the loop's clock.
+ * <p>The settings give an upper limit. However, a middlebox between this process and the peer may
+ * drop an idle connection earlier without notice, and reset the connection when the next request is
+ * sent. If that request may have run, it must not be retried. Therefore the estimate is shortened
+ * after several resets of reused connections. While it is not shortened, the estimate doubles every
+ * {@link #DOUBLING_PERIOD_MICROS} up to the limit.
+ *
+ * <p>This class also determines how long a connection must be idle before it may be reused, because
+ * a peer may send a duplicate of a response. Times are in microseconds of the loop's clock.
  */
 public final class IdleTimeoutEstimator {
   /**
-   * The minimum idle time of a connection, in microseconds, after which its reuse is taken into
-   * account. A reset after a shorter idle time has another cause.
+   * The minimum idle time, in microseconds, after which the reuse of a connection affects the
+   * estimate. A reset after a shorter idle time has another cause than the idle time.
    */
   private static final long MIN_IDLE_MICROS = 50_000;
 
-  /** The shortened estimate as a fraction of the idle time after which a connection was reset. */
+  /**
+   * The factor by which the idle time before a reset is multiplied to get the shortened estimate.
+   */
   private static final double RESET_IDLE_FRACTION = 0.75;
 
   /**
-   * The score of resets at which the estimate is shortened. Fewer resets may be caused by worker
-   * processes that end.
+   * The value of {@link #resetScore} at which the estimate is shortened. Fewer resets may be caused
+   * by worker processes that end.
    */
   private static final double RESET_SCORE_THRESHOLD = 3;
 
-  /** The amount by which a successful reuse lowers the score. A reset raises it by 1. */
+  /** The amount by which a reuse without a reset lowers {@link #resetScore}. */
   private static final double REUSE_CREDIT = 0.1;
 
-  /** The time, in microseconds, in which the estimate doubles unless it is shortened. */
+  /** The time, in microseconds, in which the estimate doubles if it is not shortened. */
   private static final double DOUBLING_PERIOD_MICROS = 20_000_000;
 
-  /** The maximum time between a response and its duplicate, in microseconds. */
+  /** The maximum time, in microseconds, between a response and the arrival of its duplicate. */
   static final long DUPLICATE_WINDOW_MICROS = 20_000;
 
-  /** How long further duplicates are suspected after one was received, in microseconds. */
+  /** How long duplicate responses are suspected after one was received, in microseconds. */
   private static final long SUSPICION_PERIOD_MICROS = 10_000_000;
 
   private final long maxIdleTimeoutMicros;
   private long duplicatesSuspectedUntilMicros = Long.MIN_VALUE;
+
+  /** The number of resets, less a credit for each reuse without a reset; at least 0. */
   private double resetScore;
+
+  /** The estimate as of {@link #estimatedAtMicros}. */
   private long estimateMicros;
+
   private long estimatedAtMicros;
 
   /**
@@ -52,7 +64,7 @@
     estimateMicros = maxIdleTimeoutMicros;
   }
 
-  /** Returns the current estimate, in microseconds. */
+  /** Returns the current estimate of the idle timeout, in microseconds. */
   long idleTimeout(long now) {
     if (estimateMicros >= maxIdleTimeoutMicros) {
       return maxIdleTimeoutMicros;
@@ -62,23 +74,28 @@
   }
 
   /**
-   * Returns how long a connection must be idle before it is reused, in microseconds: 0 unless
-   * duplicate responses were received recently. A duplicate would be taken for the response to the
-   * next request, and could wrongly prove that a running job never ran.
+   * Returns how long a connection must be idle before it may be reused, in microseconds. Returns 0
+   * if no unsolicited response was received in the last {@link #SUSPICION_PERIOD_MICROS}. After an
+   * unsolicited response, duplicate responses are suspected. If a duplicate arrived on a reused
+   * connection, it would be taken for the response to the next request. It could then wrongly prove
+   * that a running job never ran.
    */
   long reuseDelayMicros(long now) {
     return now < duplicatesSuspectedUntilMicros ? DUPLICATE_WINDOW_MICROS : 0;
   }
 
-  /** Records that a connection has received bytes that are not the response to a request. */
+  /**
+   * Records that a connection has received bytes that do not belong to the response to a request.
+   */
   void recordUnsolicitedResponse(long now) {
     duplicatesSuspectedUntilMicros = now + SUSPICION_PERIOD_MICROS;
   }
 
   /**
-   * Records the reuse of a connection.
+   * Records the result of a request on a connection. Has no effect if the connection had been idle
+   * for less than {@link #MIN_IDLE_MICROS}.
    *
-   * @param idleMicros how long the connection had been idle, in microseconds
+   * @param idleMicros how long the connection had been idle before the request, in microseconds
    * @param reset whether the connection was reset soon after the request
    */
   void recordReuse(long idleMicros, boolean reset, long now) {
--- a/src/main/java/loomreel/http/JobHeader.java
+++ b/src/main/java/loomreel/http/JobHeader.java
@@ -4,28 +4,38 @@
 
 /** The HTTP headers of the job protocol between clients, dispatchers and workers. */
 public enum JobHeader {
-  /** The id of a call: 16 hexadecimal digits. */
+  /**
+   * The id of the call, which is one request of a client to run a job: 16 hexadecimal digits. All
+   * attempts of a call have the same id. If the client retries the job, the retry is another call
+   * with another id.
+   */
   CALL_ID("X-Call-Id"),
-  /** The time until the deadline, in milliseconds. */
+  /**
+   * The time until the deadline of the call or, in a request to a worker, of the attempt, in
+   * milliseconds.
+   */
   BUDGET_MILLIS("X-Budget-Ms"),
-  /** The fields of a job, such as {@code slots=2}, separated by commas. */
+  /**
+   * Properties of the job in the form {@code name=value}, separated by commas. The dispatcher reads
+   * {@code slots}, the number of worker slots that the job occupies, and ignores other properties.
+   */
   JOB_FIELDS("X-Call-Info"),
-  /** The client's estimate of the work that the job causes. */
+  /** The client's estimate of the work that the job requires. */
   COST_HINT("X-Call-Cost"),
   /** The affinity key: jobs with the same key are sent to the same worker if possible. */
   AFFINITY_KEY("X-Route-Hash"),
   /** The name of the tenant that the job belongs to. */
   TENANT("X-Caller"),
-  /** {@link #YES} if the client retries a job. */
+  /** {@code 1} if the client sends the job again as a retry. */
   IS_RETRY("X-Again"),
-  /** The idempotency key, by which repetitions of a job are recognized. */
+  /** The idempotency key. Workers detect repetitions of a job by this key. */
   IDEMPOTENCY_KEY("Idempotency-Key"),
-  /** {@link #YES} in the response of a worker that has rejected a job without running it. */
+  /** {@code 1} in a worker's response if the worker has rejected the job and has not run it. */
   IS_REJECTED("X-Rejected"),
-  /** A worker's load report, as text or JSON. */
+  /** The load report of a worker, in a response of the worker, as text or JSON. */
   LOAD_REPORT("X-Load-Report");
 
-  /** The value of a flag header that is set. */
+  /** The value of a header that is a flag, if the flag is set. */
   private static final String YES = "1";
 
   private final String fieldName;
@@ -36,17 +46,17 @@
     this.lowerCaseName = fieldName.toLowerCase(Locale.ROOT);
   }
 
-  /** Returns the value of this header in a message, or null if it is absent. */
+  /** Returns the value of this header in a message, or null if the message has no such header. */
   public String valueIn(HttpMessage message) {
     return message.header(lowerCaseName);
   }
 
-  /** Returns whether this header is present in a message and is a flag that is set. */
+  /** Returns whether a message has this header with the value of a flag that is set. */
   public boolean isSetIn(HttpMessage message) {
     return YES.equals(valueIn(message));
   }
 
-  /** Returns the header line with a value, without its line end. */
+  /** Returns the line that sets this header to the given value, without the line end. */
   public String line(Object value) {
     return fieldName + ": " + value;
   }
--- a/src/main/java/loomreel/http/LineReader.java
+++ b/src/main/java/loomreel/http/LineReader.java
@@ -3,19 +3,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads the lines of the chunked transfer coding and of its trailer. The input may be split at any
- * byte.
+ * Reads the lines that the chunked transfer coding has besides the data: the lines around each
+ * chunk and the lines of the trailer. The input may be split at any byte.
  */
 final class LineReader {
-  /** The line that has arrived so far; without its line end once it is complete. */
+  /** The part of the line that has arrived. A complete line does not include its line end. */
   private final StringBuilder line = new StringBuilder();
 
   /**
    * Consumes bytes up to the end of a line.
    *
    * @param maxLength the maximum length of the line, in bytes including its carriage return
-   * @param statusIfTooLong the status of the exception for a longer line
-   * @return whether the line is complete, in which case {@link #take} returns it
+   * @param statusIfTooLong the {@linkplain BadMessageException#status status} of the exception that
+   *     is thrown if the line is longer
+   * @return whether the line is complete; if so, {@link #take} returns the line
    * @throws BadMessageException if the line is too long or does not end in CRLF
    */
   boolean read(ByteBuffer in, int maxLength, int statusIfTooLong) throws BadMessageException {
@@ -41,7 +42,7 @@
     line.setLength(last);
   }
 
-  /** Returns the complete line and starts the next one. */
+  /** Returns the complete line without its line end, and starts the next line. */
   String take() {
     String complete = line.toString();
     line.setLength(0);
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -9,35 +9,39 @@
 import loomreel.io.EventLoop;
 
 /**
- * A client connection that is owned by a {@link ConnectionPool}. It carries one exchange at a time.
- * Times are in microseconds of the loop's clock.
+ * A connection of a {@link ConnectionPool} to its peer. The pool owns the connection. The
+ * connection carries one exchange at a time. Times are in microseconds of the loop's clock.
  */
 public final class PooledConnection extends HttpConnection {
   /**
-   * The maximum time for the rest of a response once its head is sufficient, as a multiple of the
-   * connect timeout.
+   * The maximum time to wait for the rest of a response if the exchange needs only the status, as a
+   * multiple of the connect timeout. {@link HttpExchange#headReceived} tells whether this is the
+   * case.
    */
   private static final int BODY_TIMEOUT_FACTOR = 2;
 
   private final ConnectionPool pool;
   private final int generation;
 
-  /** The current exchange; null while the connection is idle. */
+  /** The current exchange; null if there is no exchange in progress. */
   private HttpExchange exchange;
 
   /** The time at which the current exchange started. */
-  private long sentAtMicros;
+  private long exchangeStartedAtMicros;
 
-  /** The time at which the last exchange was completed; 0 before the end of the first one. */
+  /** The time at which the last exchange was completed; 0 until the first exchange is completed. */
   private long idleSinceMicros;
 
-  /** How long the connection was idle before the current exchange; 0 for the first exchange. */
-  private long idleBeforeSendMicros;
+  /** How long the connection was idle before the current exchange; 0 in the first exchange. */
+  private long idleBeforeExchangeMicros;
 
-  /** How long the connection must be idle before it is reused. */
+  /** How long the connection must be idle before it may be reused. */
   private long reuseDelayMicros;
 
-  /** The timeout of the current phase of the exchange; null before the first exchange. */
+  /**
+   * The timeout of the current phase of the exchange: connect and write of the request, wait for
+   * the response, or wait for the rest of the response. Null before the first exchange.
+   */
   private EventLoop.Timer timer;
 
   PooledConnection(EventLoop loop, ConnectionPool pool, int generation) throws IOException {
@@ -51,8 +55,8 @@
     try {
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      // On loopback the connect may complete at once. The result is ignored here, because
-      // finishConnect reports it in the next iteration.
+      // On loopback, connect() may complete at once and return true. The result is ignored here,
+      // because finishConnect() reports it in the next iteration of the event loop.
       channel.connect(pool.address());
       return channel;
     } catch (IOException e) {
@@ -61,7 +65,7 @@
     }
   }
 
-  /** Returns the generation of the pool in which the connection was opened. */
+  /** Returns the generation that the pool had when the connection was opened. */
   int generation() {
     return generation;
   }
@@ -78,7 +82,7 @@
    * Records that the last exchange is complete.
    *
    * @param sinceMicros the time at which the exchange was completed
-   * @param delayMicros how long the connection must be idle before it is reused
+   * @param delayMicros how long the connection must be idle before it may be reused
    */
   void markIdle(long sinceMicros, long delayMicros) {
     idleSinceMicros = sinceMicros;
@@ -88,14 +92,15 @@
   /**
    * Sends a request. The connection must be idle or new.
    *
-   * @param request the request, whose buffers are released here
-   * @param connectDeadline the time at which to give up connecting; ignored if the connection is
-   *     established
+   * @param request the request; this method copies it and releases its buffers
+   * @param connectDeadline for a new connection, the time at which the exchange fails if the
+   *     connect and the write of the request are not complete by then; ignored if the connection is
+   *     already established
    */
   void send(ByteQueue request, HttpExchange nextExchange, long connectDeadline) {
     exchange = nextExchange;
-    sentAtMicros = loop.now();
-    idleBeforeSendMicros = idleSinceMicros == 0 ? 0 : sentAtMicros - idleSinceMicros;
+    exchangeStartedAtMicros = loop.now();
+    idleBeforeExchangeMicros = idleSinceMicros == 0 ? 0 : exchangeStartedAtMicros - idleSinceMicros;
     out.append(request);
     request.release();
     long writeDeadline =
@@ -108,7 +113,7 @@
 
   @Override
   protected void flushed() {
-    // The request is written completely, so only the deadline of the exchange applies now.
+    // The request is written completely, so the deadline of the response applies from now on.
     if (exchange != null) {
       timer.cancel();
       timer = loop.schedule(exchange.deadline(), this::timedOut);
@@ -118,15 +123,19 @@
 
   private void timedOut() {
     failExchange(hasSent() ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
-    // The idle connections to the same host have probably failed too. They would be reset once the
-    // host is up again.
+    // The host has probably failed. Its idle connections would be reset once the host is up again,
+    // so they are closed now.
     pool.closeIdle();
   }
 
   /**
-   * Returns whether nothing has arrived since the last response. If the peer has ended its output,
-   * the next request would be reset; unread bytes would be taken for the response to it. Reads into
-   * a separate buffer, because the loop's read buffer may be in use.
+   * Returns whether the idle connection is still usable: it has no unread input, is not at the end
+   * of its input, and has not failed. Unread input would be taken for the response to the next
+   * request. If the peer has ended its output, the peer would reset the connection on the next
+   * request.
+   *
+   * <p>If this method returns false, the connection must be closed, because a byte of the input may
+   * have been consumed. Reads into a separate buffer, because the loop's read buffer may be in use.
    */
   boolean hasNoPendingInput() {
     try {
@@ -140,12 +149,15 @@
     }
   }
 
-  /** Returns whether the request is written completely. From then on, it may have run. */
+  /**
+   * Returns whether the request of the current exchange is written completely. If it is, the
+   * request may have run.
+   */
   public boolean hasSent() {
     return isConnected() && out.length() == 0;
   }
 
-  /** Closes the connection without a call to its exchange. */
+  /** Closes the connection and ends its exchange without a call to the exchange. */
   public void abandon() {
     exchange = null;
     close();
@@ -164,9 +176,9 @@
   protected void received(HttpMessage message) {
     HttpExchange completed = exchange;
     exchange = null;
-    pool.recordReuse(idleBeforeSendMicros, false);
+    pool.recordReuse(idleBeforeExchangeMicros, false);
     if (completed == null || hasPipelinedInput()) {
-      // The peer has sent more responses than there were requests. Later input cannot be matched to
+      // The peer has sent more than the response to one request. Further input cannot be matched to
       // an exchange.
       pool.recordUnsolicitedResponse();
       close();
@@ -182,7 +194,7 @@
     message.body().release();
   }
 
-  /** Limits the wait for the rest of the response if its head is sufficient. */
+  /** Limits the wait for the rest of the response if the exchange needs only the status. */
   @Override
   protected void headReceived(int status) {
     if (exchange != null && out.length() == 0 && exchange.headReceived(status)) {
@@ -193,8 +205,8 @@
   }
 
   /**
-   * Processes input that has arrived. To be called before the exchange is abandoned, so that its
-   * response is not missed.
+   * Processes input that has arrived. To be called before {@link #abandon}, so that a response that
+   * has already arrived is not lost.
    */
   public void readPending() {
     readNow();
@@ -207,15 +219,15 @@
   }
 
   /**
-   * Fails the exchange. A request that was not written completely cannot have run; any other
-   * request may have run.
+   * Fails the exchange. A request that was not written completely cannot have run, so the outcome
+   * is {@code CONNECT_FAILED}. Any other request may have run, so the outcome is {@code RESET}.
    */
   @Override
   protected void broken() {
     if (exchange != null
         && parser.atStart()
-        && loop.now() - sentAtMicros <= pool.connectTimeout()) {
-      pool.recordReuse(idleBeforeSendMicros, true);
+        && loop.now() - exchangeStartedAtMicros <= pool.connectTimeout()) {
+      pool.recordReuse(idleBeforeExchangeMicros, true);
     }
     failExchange(hasSent() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
   }
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -28,6 +28,8 @@
   private static final InetAddress LOOPBACK = loopback();
 
   private final AtomicInteger acceptedConnections = new AtomicInteger();
+
+  /** The status code of each response, in order of arrival; -1 for an exchange that failed. */
   private final List<Integer> statuses = new ArrayList<>();
 
   private static InetAddress loopback() {
@@ -38,7 +40,7 @@
     }
   }
 
-  /** Starts a server that responds to each request with the next of the given responses. */
+  /** Starts a server that sends the given responses in order, one for each request. */
   private ServerSocket startServer(String... responses) throws Exception {
     ServerSocket listener = new ServerSocket(0, 50, LOOPBACK);
     AtomicInteger next = new AtomicInteger();
@@ -63,6 +65,7 @@
     return listener;
   }
 
+  /** Sends a request, and then the given number of further requests, one after the other. */
   private void call(EventLoop loop, ConnectionPool pool, int furtherCalls) {
     ByteQueue request = new ByteQueue(loop.pool());
     request.append("GET / HTTP/1.1\r\n\r\n");
@@ -114,12 +117,13 @@
   }
 
   /**
-   * A rejection may arrive twice, some milliseconds apart. If its connection is reused in between,
-   * the duplicate is taken for the response to the next request.
+   * A response other than 2xx may be a rejection. A rejection may arrive twice, some milliseconds
+   * apart. If the connection is reused before the duplicate arrives, the duplicate is taken for the
+   * response to the next request.
    */
   @ParameterizedTest
   @CsvSource({"202,1", "200,1", "503,2", "504,2", "500,2"})
-  void aConnectionIsReusedAtOnceOnlyIfADuplicateOfItsLastResponseWouldBeHarmless(
+  void aConnectionIsReusedAtOnceOnlyAfterASuccessfulResponse(
       int status, int expectedConnections) throws Exception {
     String response = "HTTP/1.1 " + status + " x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
     runCalls(2, response, response);
--- a/src/test/java/loomreel/http/HttpMessageParserTest.java
+++ b/src/test/java/loomreel/http/HttpMessageParserTest.java
@@ -14,11 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests the parsing of requests and responses, complete and in parts, and of malformed input. */
+/**
+ * Tests the parsing of requests and responses that arrive at once or in parts, and the rejection of
+ * malformed input.
+ */
 class HttpMessageParserTest {
   private final BufferPool pool = new BufferPool(100);
-  private final HttpMessageParser requests = new HttpMessageParser(pool, true);
-  private final HttpMessageParser responses = new HttpMessageParser(pool, false);
+  private final HttpMessageParser requestParser = new HttpMessageParser(pool, true);
+  private final HttpMessageParser responseParser = new HttpMessageParser(pool, false);
 
   private static ByteBuffer bytes(String text) {
     return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -33,23 +36,23 @@
     String text =
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n";
     for (int i = 0; i < text.length() - 1; i++) {
-      assertNull(requests.feed(bytes(text.substring(i, i + 1))), "complete at byte " + i);
+      assertNull(requestParser.feed(bytes(text.substring(i, i + 1))), "complete at byte " + i);
     }
 
-    HttpMessage message = requests.feed(bytes(text.substring(text.length() - 1)));
+    HttpMessage message = requestParser.feed(bytes(text.substring(text.length() - 1)));
 
     assertEquals("POST", message.method());
     assertEquals("/a", message.target());
     assertEquals("abcde", body(message));
-    assertTrue(requests.atStart());
+    assertTrue(requestParser.atStart());
   }
 
   @Test
   void bytesAfterAMessageAreNotConsumed() throws Exception {
     ByteBuffer in = bytes("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.0\r\n\r\n");
 
-    HttpMessage first = requests.feed(in);
-    HttpMessage second = requests.feed(in);
+    HttpMessage first = requestParser.feed(in);
+    HttpMessage second = requestParser.feed(in);
 
     assertEquals("/a", first.target());
     assertTrue(first.keepAlive());
@@ -59,9 +62,9 @@
 
   @Test
   void aResponseWithoutLengthEndsWithItsConnection() throws Exception {
-    assertNull(responses.feed(bytes("HTTP/1.1 200 OK\r\n\r\nabc")));
+    assertNull(responseParser.feed(bytes("HTTP/1.1 200 OK\r\n\r\nabc")));
 
-    HttpMessage message = responses.inputEnded();
+    HttpMessage message = responseParser.inputEnded();
 
     assertEquals("abc", body(message));
     assertFalse(message.keepAlive());
@@ -69,37 +72,39 @@
 
   @Test
   void anEndOfInputWithinAFixedBodyCompletesNoMessage() throws Exception {
-    assertNull(responses.feed(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc")));
+    assertNull(responseParser.feed(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc")));
 
-    assertNull(responses.inputEnded());
+    assertNull(responseParser.inputEnded());
   }
 
   @Test
   void theHeadOfAnIncompleteResponseIsReportedOnce() throws Exception {
-    responses.feed(bytes("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n"));
+    responseParser.feed(bytes("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n"));
 
-    assertTrue(responses.takeHeadReceived());
-    assertEquals(202, responses.responseStatus());
-    assertFalse(responses.takeHeadReceived());
+    assertTrue(responseParser.testAndClearHeadReceived());
+    assertEquals(202, responseParser.responseStatus());
+    assertFalse(responseParser.testAndClearHeadReceived());
   }
 
   @Test
   void anInterimResponseIsSkipped() throws Exception {
-    HttpMessage message = responses.feed(bytes("HTTP/1.1 102 x\r\n\r\nHTTP/1.1 204 y\r\n\r\n"));
+    HttpMessage message =
+        responseParser.feed(bytes("HTTP/1.1 102 x\r\n\r\nHTTP/1.1 204 y\r\n\r\n"));
 
     assertNotNull(message);
     assertEquals(204, message.status());
-    assertFalse(responses.takeHeadReceived());
+    assertFalse(responseParser.testAndClearHeadReceived());
   }
 
   @Test
   void aContinueExpectationEndsWithTheFirstByteOfTheBody() throws Exception {
-    requests.feed(bytes("POST /a HTTP/1.1\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n"));
-    assertTrue(requests.expectsContinue());
+    requestParser.feed(
+        bytes("POST /a HTTP/1.1\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n"));
+    assertTrue(requestParser.expectsContinue());
 
-    requests.feed(bytes("x"));
+    requestParser.feed(bytes("x"));
 
-    assertFalse(requests.expectsContinue());
+    assertFalse(requestParser.expectsContinue());
   }
 
   @ParameterizedTest
@@ -120,7 +125,7 @@
   })
   void malformedInputIsRejectedWithItsStatusAndMessage(String text, int status, String message) {
     BadMessageException thrown =
-        assertThrows(BadMessageException.class, () -> requests.feed(bytes(text)));
+        assertThrows(BadMessageException.class, () -> requestParser.feed(bytes(text)));
 
     assertEquals(status, thrown.status());
     assertEquals(message, thrown.getMessage());
--- a/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
+++ b/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
@@ -5,16 +5,16 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests how resets change the idle timeout, and duplicate responses the reuse delay. */
+/** Tests how resets change the idle timeout, and how duplicate responses change the reuse delay. */
 class IdleTimeoutEstimatorTest {
   private static final long SECOND = 1_000_000;
-  private static final long MAX_IDLE = 60 * SECOND;
+  private static final long MAX_IDLE_MICROS = 60 * SECOND;
 
-  private final IdleTimeoutEstimator estimator = new IdleTimeoutEstimator(MAX_IDLE);
+  private final IdleTimeoutEstimator estimator = new IdleTimeoutEstimator(MAX_IDLE_MICROS);
 
   /**
-   * A duplicate arrives some milliseconds after a response. The connection must not be reused
-   * before that.
+   * A duplicate of a response arrives some milliseconds after the response. The connection must not
+   * be reused before the duplicate has arrived.
    */
   @Test
   void connectionsAreReusedLaterWhileDuplicateResponsesAreSuspected() {
@@ -30,7 +30,7 @@
     for (int i = 0; i < 2; i++) {
       estimator.recordReuse(8 * SECOND, true, SECOND);
     }
-    assertEquals(MAX_IDLE, estimator.idleTimeout(SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(SECOND));
 
     estimator.recordReuse(8 * SECOND, true, SECOND);
 
@@ -44,7 +44,7 @@
     }
 
     assertEquals(12 * SECOND, estimator.idleTimeout(20 * SECOND));
-    assertEquals(MAX_IDLE, estimator.idleTimeout(200 * SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(200 * SECOND));
   }
 
   @Test
@@ -53,7 +53,7 @@
       estimator.recordReuse(49_999, true, SECOND);
     }
 
-    assertEquals(MAX_IDLE, estimator.idleTimeout(SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(SECOND));
   }
 
   @Test
@@ -65,6 +65,6 @@
       }
     }
 
-    assertEquals(MAX_IDLE, estimator.idleTimeout(SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(SECOND));
   }
 }
