--- a/src/main/java/loomreel/wal/GroupCommitter.java
+++ b/src/main/java/loomreel/wal/GroupCommitter.java
@@ -12,20 +12,26 @@
 import java.util.function.LongConsumer;
 
 /**
- * Syncs the files of a log on a thread of its own. Requests that arrive during an fsync share the
- * next one (group commit).
+ * Syncs the segment files of a {@link WriteAheadLog} to the disk on a separate thread. All requests
+ * that arrive during an fsync form the next batch. In a batch, one fsync of each file completes all
+ * requests for this file (group commit).
+ *
+ * <p>A position of the log is the number of bytes that this process has appended to the log.
  */
 final class GroupCommitter {
   /** A request from the log's thread to the sync thread. */
   private sealed interface Request {}
 
-  /** Requests a sync of the data of a file up to a position of the log. */
+  /** Requests a sync of a file. After the sync, the log is synced up to the position. */
   private record Sync(FileChannel channel, long position) implements Request {}
 
-  /** Requests a sync of the data of a file up to a position of the log, and then its close. */
+  /**
+   * Requests a sync and then the close of a file. After the sync, the log is synced up to the
+   * position.
+   */
   private record SyncAndClose(FileChannel channel, long position) implements Request {}
 
-  /** Ends the sync thread after all earlier requests. */
+  /** Ends the sync thread after all earlier requests are completed. */
   private record Stop() implements Request {}
 
   private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
@@ -40,9 +46,9 @@
   /**
    * Starts the sync thread, on which both callbacks are called.
    *
-   * @param onSynced called with the position up to which the log is synced
-   * @param onFailure called with each failure of a sync; after the first one, {@code onSynced} is
-   *     not called any more
+   * @param onSynced called with the position up to which the log is synced; not called any more
+   *     after a sync has failed
+   * @param onFailure called with each failure of a sync
    */
   GroupCommitter(LongConsumer onSynced, Consumer<IOException> onFailure) {
     this.onSynced = onSynced;
@@ -51,22 +57,28 @@
     thread.start();
   }
 
-  /** Requests a sync of the data of a file up to a position of the log. Does not wait for it. */
+  /**
+   * Requests a sync of a file. Returns without waiting for the sync.
+   *
+   * @param position the position up to which the log is synced after the sync of this file
+   */
   void force(FileChannel channel, long position) {
     requests.add(new Sync(channel, position));
   }
 
   /**
-   * Takes ownership of a file to which nothing more is written, and requests its sync up to a
-   * position of the log and then its close. Does not wait for them.
+   * Takes ownership of a file to which nothing more is written, and requests a sync and then the
+   * close of the file. Returns without waiting for either.
+   *
+   * @param position the position up to which the log is synced after the sync of this file
    */
   void syncAndClose(FileChannel channel, long position) {
     requests.add(new SyncAndClose(channel, position));
   }
 
   /**
-   * Waits until all requests are completed and the sync thread has ended. Returns early if the
-   * calling thread is interrupted.
+   * Waits until all earlier requests are completed and the sync thread has ended. Returns early if
+   * the calling thread is interrupted.
    */
   void close() {
     requests.add(new Stop());
@@ -90,8 +102,9 @@
       try {
         sync(batch);
       } catch (IOException e) {
-        // After a failed fsync the kernel may have dropped the unwritten pages, but a later fsync
-        // can succeed nevertheless. So nothing is reported as synced from here on.
+        // After a failed fsync, the kernel may have dropped the pages that were not written. A
+        // later fsync can succeed nevertheless. Therefore no position is reported as synced any
+        // more.
         hasFailed = true;
         onFailure.accept(e);
       }
--- a/src/main/java/loomreel/wal/LogRecord.java
+++ b/src/main/java/loomreel/wal/LogRecord.java
@@ -5,25 +5,26 @@
 import java.util.zip.CRC32C;
 
 /**
- * The format of a record in a segment: the length of the content (four bytes), the CRC-32C checksum
- * of the content (four bytes), and the content. Numbers are big-endian.
+ * The format of a record in a segment. A record consists of a header and the content. The header
+ * has the length of the content (four bytes) and the CRC-32C checksum of the content (four bytes).
+ * Numbers are big-endian.
  */
 final class LogRecord {
   private static final int CHECKSUM_OFFSET = Integer.BYTES;
 
-  /** The size of the header, which precedes the content, in bytes. */
+  /** The size of the header of a record, in bytes. */
   static final int HEADER_BYTES = 2 * Integer.BYTES;
 
-  /** The maximum length of the content, in bytes. A header with a greater length is invalid. */
+  /** The maximum length of the content, in bytes. A header with a larger length is invalid. */
   static final int MAX_CONTENT_BYTES = 1 << 20;
 
   private LogRecord() {}
 
   /**
-   * Returns a record in the format of a segment.
+   * Returns the record with the given content, including its header.
    *
    * @throws IllegalArgumentException if the content is empty or longer than {@link
-   *     #MAX_CONTENT_BYTES}, in which case it could not be read back
+   *     #MAX_CONTENT_BYTES}, because {@link #readNext} does not accept records of these lengths
    */
   static byte[] frame(byte[] content) {
     if (content.length == 0 || content.length > MAX_CONTENT_BYTES) {
@@ -38,11 +39,11 @@
   }
 
   /**
-   * Reads the content of the record that begins at the position of a segment, and moves the
-   * position to the end of the record.
+   * Reads the record that begins at the current position of a buffer, and moves the position to the
+   * end of the record. If no complete and valid record begins there, the position does not change.
    *
-   * @return the content; empty if no complete and valid record begins at the position, which does
-   *     not change then
+   * @param segment the buffer, with the content of a segment
+   * @return the content of the record; empty if no complete and valid record begins at the position
    */
   static Optional<byte[]> readNext(ByteBuffer segment) {
     if (segment.remaining() < HEADER_BYTES) {
--- a/src/main/java/loomreel/wal/SegmentDirectory.java
+++ b/src/main/java/loomreel/wal/SegmentDirectory.java
@@ -17,22 +17,28 @@
 import java.util.stream.Stream;
 
 /**
- * The directory of a log, with its lock and its segment files. A segment begins with a header line
- * that has the id of the boot of the machine during which it was written. Owns the lock until it is
- * closed. Earlier and later versions of this program read the file names and the header.
+ * The directory of a log, with its lock file and its segment files. Each instance holds the lock of
+ * its directory until {@link #close}.
+ *
+ * <p>A segment begins with a header line, which contains a boot id. The operating system creates a
+ * new boot id each time the machine boots, so the boot id tells whether the machine has rebooted
+ * since the segment was created.
+ *
+ * <p>Earlier and later versions of this program read the file names and the header line. Therefore
+ * the file names and the format of the header line must not change.
  */
 final class SegmentDirectory implements Closeable {
   private static final Pattern SEGMENT_NAME = Pattern.compile("([0-9]{10})\\.journal");
   private static final String LOCK_NAME = "lock";
   private static final String HEADER_PREFIX = "loomreel journal 1 ";
 
-  /** The maximum number of bytes that are searched for the end of the header line. */
+  /** The maximum number of bytes of a segment in which the end of the header line is searched. */
   private static final int MAX_HEADER_BYTES = 128;
 
-  /** The file in which Linux provides a unique id of the current boot of the machine. */
+  /** The file in which Linux provides the boot id, which is unique for each boot of the machine. */
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-  /** Used if the system provides no boot id. It counts as different from every boot id. */
+  /** Used if the system provides no boot id. Never counts as equal to another boot id. */
   private static final String UNKNOWN_BOOT_ID = "unknown";
 
   private final Path directory;
@@ -46,10 +52,10 @@
   }
 
   /**
-   * Locks a directory for this process, and creates it if it does not exist.
+   * Locks a directory for this process. Creates the directory if it does not exist.
    *
-   * @throws IOException if the directory cannot be used, or is locked by another process or by
-   *     another instance in this process
+   * @throws IOException if the directory cannot be used, or if another process or another instance
+   *     in this process has locked it
    */
   static SegmentDirectory lock(Path directory) throws IOException {
     Files.createDirectories(directory);
@@ -77,7 +83,7 @@
         : UNKNOWN_BOOT_ID;
   }
 
-  /** Returns the size of each segment in bytes, by the number of the segment. */
+  /** Returns the sizes of all segments in bytes, by segment number. */
   SortedMap<Integer, Long> sizes() throws IOException {
     SortedMap<Integer, Long> sizes = new TreeMap<>();
     try (Stream<Path> files = Files.list(directory)) {
@@ -101,10 +107,12 @@
   }
 
   /**
-   * Reads the header of a segment, and moves the position of the segment past it.
+   * Reads the header line of a segment, and moves the position of the buffer to the first byte
+   * after the header line. If the segment does not begin with a header line, the position does not
+   * change.
    *
-   * @return the boot id in the header; empty if the segment does not begin with a header, in which
-   *     case the position does not change
+   * @param segment the buffer, with the content of a segment
+   * @return the boot id in the header line; empty if the segment does not begin with a header line
    */
   static Optional<String> readHeader(ByteBuffer segment) {
     int end = 0;
@@ -121,16 +129,20 @@
     return Optional.of(header.substring(HEADER_PREFIX.length()));
   }
 
-  /** Returns whether a boot id is known to be that of the current boot of the machine. */
+  /**
+   * Returns whether a boot id is the id of the current boot of the machine. Returns false if the id
+   * of the current boot is unknown.
+   */
   boolean isThisBoot(String otherBootId) {
     return otherBootId.equals(bootId) && !bootId.equals(UNKNOWN_BOOT_ID);
   }
 
   /**
-   * Creates a segment that contains only a header. The caller owns the returned file.
+   * Creates a segment that contains only a header line, and waits until its name in the directory
+   * is synced. The caller owns the returned file.
    *
-   * @throws IOException if the segment cannot be created; its file does not exist then, unless
-   *     another process has created it
+   * @throws IOException if the segment cannot be created. A file that existed before the call is
+   *     not changed. A file that this call has created is deleted again.
    */
   FileChannel create(int segment) throws IOException {
     FileChannel channel =
@@ -146,7 +158,7 @@
     return channel;
   }
 
-  /** Syncs the directory. Without this, a power failure may remove the name of a new file. */
+  /** Syncs the directory. Without this sync, a power failure may remove the name of a new file. */
   private void syncDirectory() throws IOException {
     try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
       directoryChannel.force(true);
@@ -157,7 +169,7 @@
     return (HEADER_PREFIX + bootId + '\n').getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Returns the size, in bytes, of the header of a segment that this process creates. */
+  /** Returns the size, in bytes, of the header line of a segment that this process creates. */
   int headerBytes() {
     return header().length;
   }
--- a/src/test/java/loomreel/wal/LogRecordTest.java
+++ b/src/test/java/loomreel/wal/LogRecordTest.java
@@ -12,11 +12,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests the format of a record byte by byte, because earlier and later versions read it. */
+/**
+ * Tests the format of a record byte by byte, because earlier and later versions of the program read
+ * the same records.
+ */
 class LogRecordTest {
   private static final byte[] CONTENT = "123456789".getBytes(StandardCharsets.US_ASCII);
 
-  /** The length 9, the published CRC-32C check value of this content, and the content. */
+  /**
+   * The record with this content: the length 9, the published CRC-32C check value of the content,
+   * and the content.
+   */
   private static final byte[] RECORD =
       HexFormat.of().parseHex("00000009" + "e3069283" + "313233343536373839");
 
--- a/src/test/java/loomreel/wal/WriteAheadLogTest.java
+++ b/src/test/java/loomreel/wal/WriteAheadLogTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests that records that were written are read back, up to the last complete one. */
+/**
+ * Tests that a log reads back the records that were written, also after a segment was truncated, a
+ * write has failed, or the machine has rebooted.
+ */
 @Timeout(60)
 class WriteAheadLogTest {
   private static final long SEGMENT_BYTES = 1 << 20;
@@ -46,7 +49,10 @@
     return directory.resolve(String.format("%010d.journal", number));
   }
 
-  /** A segment is truncated if its process is killed or the disk has written only a part of it. */
+  /**
+   * A segment is truncated if the process that writes it is killed, or if the disk has written only
+   * a part of it.
+   */
   @Test
   void aSegmentCutAtAnyByteYieldsItsCompleteRecords() throws Exception {
     List<String> written = List.of("first", "the second, which is longer", "3");
@@ -68,7 +74,7 @@
         }
         assertEquals(written.subList(0, completeCount), read, "cut at " + length);
         assertEquals(length < recordsStart ? length : length - end, log.truncatedBytes());
-        // Later records follow in a segment of their own.
+        // Records that are appended after the truncation are written to a new segment.
         add(log, "later");
       }
       List<String> recordsAfterReopen = new ArrayList<>();
@@ -95,7 +101,7 @@
   }
 
   @Test
-  void aFullSegmentIsFollowedByTheNextAndOnlyTheOldestIsDropped() throws Exception {
+  void aFullSegmentIsFollowedByANewSegmentAndTheCurrentSegmentIsNeverDropped() throws Exception {
     try (WriteAheadLog log = open(new ArrayList<>(), 100)) {
       int first = log.current();
       add(log, "x".repeat(120));
@@ -113,7 +119,8 @@
   }
 
   /**
-   * Records are written once, even if they fill the buffer and the next segment cannot be opened.
+   * Each record is written exactly once, even if the records fill the buffer and the next segment
+   * cannot be opened.
    */
   @ParameterizedTest
   @ValueSource(ints = {120, 256 * 1024 - LogRecord.HEADER_BYTES})
@@ -140,7 +147,10 @@
     assertEquals(List.of(large, "while no segment can be opened", "after"), read);
   }
 
-  /** An action runs at once if all records are already synced. */
+  /**
+   * Actions run on the loop in the order in which they were added. If all records are already
+   * synced when an action is added, the action runs at once.
+   */
   @Test
   void syncActionsRunInOrderOnTheLoop() throws Exception {
     List<Integer> completed = new ArrayList<>();
@@ -175,9 +185,12 @@
     assertEquals(List.of("stored"), read);
   }
 
-  /** After a reboot of the machine, the last records may be missing. */
+  /**
+   * After a reboot of the machine, the last records may be missing. Therefore the log reports for
+   * each record whether the boot is still the same.
+   */
   @Test
-  void recordsOfAnEarlierBootAreReportedAsSuch() throws Exception {
+  void recordsOfAnEarlierBootAreReportedWithSameBootFalse() throws Exception {
     try (WriteAheadLog log = open(new ArrayList<>(), SEGMENT_BYTES)) {
       add(log, "a");
     }
