--- a/src/main/java/loomreel/tracing/JobEnd.java
+++ b/src/main/java/loomreel/tracing/JobEnd.java
@@ -2,26 +2,37 @@
 
 import java.util.Locale;
 
-/** How a traced job ended, according to the trace of its dispatcher. */
+/**
+ * How a job ended, according to the trace of the dispatcher at which the job arrived. {@link
+ * TraceSummary} determines the end of each job.
+ */
 public enum JobEnd {
-  /** Answered with success within its latency objective. */
+  /** The job was answered with success within its latency objective. */
   SERVED,
-  /** Answered with success after its latency objective. */
+  /** The job was answered with success, but later than its latency objective allows. */
   LATE,
-  /** Rejected at the time of its arrival. */
+  /** The job was rejected at the time of its arrival, before any attempt. */
   REJECTED_ON_ARRIVAL,
-  /** Rejected after its arrival, before any attempt. */
+  /** The job was rejected later than at its arrival, but before any attempt. */
   REJECTED_WHILE_QUEUED,
-  /** Rejected after at least one attempt that did not run or is safe to repeat. */
+  /**
+   * The job was rejected after at least one attempt. A rejection means that no attempt has run the
+   * job, or that a retry of the job does no harm.
+   */
   REJECTED_AFTER_ATTEMPT,
-  /** Answered with an error after which the job may have run. */
+  /** The job was answered with an error. An attempt may have run the job. */
   FAILED,
-  /** Cancelled by its client. */
+  /** The client cancelled the job. */
   CANCELLED,
-  /** Never answered: its dispatcher was killed, or its trace ends without an answer. */
+  /**
+   * The trace of the dispatcher has no answer to the job. A job counts as lost in two cases: the
+   * dispatcher was started again while the job was open, or the job was open at the end of the
+   * trace and had arrived more than 5.5 seconds before the last line. A job that was open at the
+   * end of the trace for a shorter time has no end.
+   */
   LOST;
 
-  /** Returns the name as words in lower case, as used for the counters of the summary. */
+  /** Returns the name as words in lower case. {@link TraceSummary} uses it as a label of counts. */
   public String label() {
     return words(name());
   }
--- a/src/main/java/loomreel/tracing/OpenJob.java
+++ b/src/main/java/loomreel/tracing/OpenJob.java
@@ -4,26 +4,26 @@
 
 /** A job that has arrived at a dispatcher and has not ended yet. */
 final class OpenJob {
-  private final String node;
+  private final String dispatcher;
   private final String id;
   private final long arrivedAtMicros;
   private final double latencyObjectiveMicros;
   private int attempts;
 
-  /** The worker of the last attempt; null before the first one. */
+  /** The id of the worker of the attempt that was started last; null if no attempt was started. */
   private String lastWorkerId;
 
-  /** The outcome of the attempt that ended last; null before the end of the first one. */
+  /** The outcome of the attempt that ended last; null if no attempt has ended. */
   private String lastOutcome;
 
   /**
-   * Creates the job of an {@code arrival} line.
+   * Creates the job that an {@code arrival} line reports.
    *
-   * @param latencyObjectiveMicros the time since the arrival, in microseconds, after which a
-   *     success counts as late
+   * @param latencyObjectiveMicros the time from the arrival, in microseconds, after which a
+   *     successful answer is late
    */
   OpenJob(TraceLine arrival, double latencyObjectiveMicros) {
-    node = arrival.node();
+    dispatcher = arrival.dispatcher();
     id = arrival.text("id");
     arrivedAtMicros = arrival.unixMicros();
     this.latencyObjectiveMicros = latencyObjectiveMicros;
@@ -38,17 +38,20 @@
     lastOutcome = outcome;
   }
 
-  /** Returns the worker of the last attempt, or null if there was no attempt. */
+  /**
+   * Returns the id of the worker of the attempt that was started last, or null if no attempt was
+   * started.
+   */
   String lastWorkerId() {
     return lastWorkerId;
   }
 
-  /** Returns how the job ends if it is answered with success at a point in time. */
+  /** Returns how the job ends if it is answered with success at the given time. */
   JobEnd successAt(long unixMicros) {
     return ageMicrosAt(unixMicros) > latencyObjectiveMicros ? JobEnd.LATE : JobEnd.SERVED;
   }
 
-  /** Returns how the job ends if it is rejected at a point in time. */
+  /** Returns how the job ends if it is rejected at the given time. */
   JobEnd rejectionAt(long unixMicros) {
     if (attempts > 0) {
       return JobEnd.REJECTED_AFTER_ATTEMPT;
@@ -62,10 +65,14 @@
     return unixMicros - arrivedAtMicros;
   }
 
-  /** Returns the report on the job if it ends at a point in time. */
+  /**
+   * Returns the report on the job for an end at the given time.
+   *
+   * @param reason the reason for the end; empty if the trace has no reason
+   */
   UnsuccessfulJob report(JobEnd end, Optional<String> reason, long unixMicros) {
     return new UnsuccessfulJob(
-        node,
+        dispatcher,
         id,
         end,
         attempts,
--- a/src/main/java/loomreel/tracing/TraceLine.java
+++ b/src/main/java/loomreel/tracing/TraceLine.java
@@ -9,27 +9,28 @@
 import java.util.Optional;
 
 /**
- * A line that was written by {@code serve --trace}.
+ * A trace line, which a dispatcher writes if it was started with {@code serve --trace}.
  *
- * @param node the name of the dispatcher that wrote the line
+ * @param dispatcher the name of the dispatcher that wrote the line
  * @param unixMicros the time of the event, in microseconds of Unix time, from the field {@code at}
  * @param kind the kind of event, from the field {@code trace}
  * @param fields the values of the other fields, by the name of the field
  */
-public record TraceLine(String node, long unixMicros, String kind, Map<String, String> fields) {
+public record TraceLine(
+    String dispatcher, long unixMicros, String kind, Map<String, String> fields) {
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** The start of every trace line. The prefix of a logger may precede it. */
+  /** The start of every trace line. In a log, other text may precede the trace line. */
   private static final String LINE_START = "{\"at\":";
 
   /**
    * Parses a line of a log.
    *
-   * @param node the name of the dispatcher that wrote the log
-   * @return the trace line; empty if the line is not a trace line, or is truncated because its
-   *     process was killed
+   * @param dispatcher the name of the dispatcher that wrote the log
+   * @return the trace line; empty if the line of the log has no trace line, or if the trace line is
+   *     truncated because the process that wrote it was killed
    */
-  public static Optional<TraceLine> parse(String node, String logLine) {
+  public static Optional<TraceLine> parse(String dispatcher, String logLine) {
     int start = logLine.indexOf(LINE_START);
     if (start < 0) {
       return Optional.empty();
@@ -46,7 +47,8 @@
       if (json.currentToken() != JsonToken.END_OBJECT || kind == null) {
         return Optional.empty();
       }
-      return Optional.of(new TraceLine(node, Long.parseLong(fields.remove("at")), kind, fields));
+      return Optional.of(
+          new TraceLine(dispatcher, Long.parseLong(fields.remove("at")), kind, fields));
     } catch (IOException | NumberFormatException e) {
       return Optional.empty();
     }
--- a/src/main/java/loomreel/tracing/TraceSummary.java
+++ b/src/main/java/loomreel/tracing/TraceSummary.java
@@ -12,14 +12,16 @@
 
 /**
  * Aggregates the trace lines of a fleet: counts by second, counts by worker, and the jobs that were
- * not served in time. Lines may be added dispatcher by dispatcher; the lines of one dispatcher must
- * be added in order. A job is stored until it has ended; an unsuccessful job is stored permanently.
- * Used on one thread only.
+ * not served in time. The lines of one dispatcher must be added in the order in which they were
+ * written. The lines of different dispatchers may be added one dispatcher after the other. The
+ * summary stores each job until the job has ended, and stores unsuccessful jobs permanently. Used
+ * on one thread only.
  */
 public final class TraceSummary {
   /**
-   * The age, in microseconds, above which an open job counts as lost: the longest time that a
-   * client waits (5 s), plus a margin.
+   * The maximum time, in microseconds, between the arrival of a job and the last line of its
+   * dispatcher for which an open job does not count as lost. This is the longest time that a client
+   * waits (5 s), plus a margin.
    */
   private static final long LOST_AFTER_MICROS = 5_500_000;
 
@@ -27,27 +29,34 @@
 
   private final SortedMap<Long, Map<String, Integer>> countsBySecond = new TreeMap<>();
   private final SortedMap<String, Map<String, Integer>> countsByWorker = new TreeMap<>();
-  private final Map<String, Map<String, OpenJob>> openJobsByNode = new HashMap<>();
-  private final Map<String, Long> lastLineMicrosByNode = new HashMap<>();
+
+  /** The open jobs by id, by the name of the dispatcher. */
+  private final Map<String, Map<String, OpenJob>> openJobsByDispatcher = new HashMap<>();
+
+  /** The time of the last line in microseconds of Unix time, by the name of the dispatcher. */
+  private final Map<String, Long> lastLineMicrosByDispatcher = new HashMap<>();
+
   private final List<UnsuccessfulJob> unsuccessfulJobs = new ArrayList<>();
-  private final double latencyObjectiveMicros;
+  private final double baseLatencyObjectiveMicros;
   private final double stretch;
 
   /**
-   * Creates an empty summary. A job counts as late if it was answered later than the latency
-   * objective plus {@code stretch} times its expected work.
+   * Creates an empty summary. The latency objective of a job is {@code baseLatencyObjectiveMicros}
+   * plus {@code stretch} times the expected work of the job, in microseconds. If the time from the
+   * arrival of a job to its successful answer exceeds this objective, the job counts as late.
    *
-   * @param latencyObjectiveMicros the latency objective, in microseconds
-   * @param stretch the factor by which the expected work is multiplied
+   * @param baseLatencyObjectiveMicros the latency objective of a job without expected work, in
+   *     microseconds
+   * @param stretch the factor by which the expected work of a job is multiplied
    */
-  public TraceSummary(double latencyObjectiveMicros, double stretch) {
-    this.latencyObjectiveMicros = latencyObjectiveMicros;
+  public TraceSummary(double baseLatencyObjectiveMicros, double stretch) {
+    this.baseLatencyObjectiveMicros = baseLatencyObjectiveMicros;
     this.stretch = stretch;
   }
 
   /** Adds a line. Lines of unknown kinds are ignored. */
   public void add(TraceLine line) {
-    lastLineMicrosByNode.put(line.node(), line.unixMicros());
+    lastLineMicrosByDispatcher.put(line.dispatcher(), line.unixMicros());
     switch (line.kind()) {
       case "start" -> dispatcherStarted(line);
       case "arrival" -> jobArrived(line);
@@ -66,13 +75,14 @@
   }
 
   /**
-   * Ends the input. Jobs that have been open for longer than any client waits, at the time of the
-   * last line of their dispatcher, count as lost.
+   * Ends the input. If a job is still open and arrived more than {@link #LOST_AFTER_MICROS} before
+   * the last line of its dispatcher, the job counts as lost. Other jobs that are still open are
+   * ignored.
    */
   public void finish() {
-    openJobsByNode.forEach(
-        (node, jobs) -> {
-          long lastLineMicros = lastLineMicrosByNode.get(node);
+    openJobsByDispatcher.forEach(
+        (dispatcher, jobs) -> {
+          long lastLineMicros = lastLineMicrosByDispatcher.get(dispatcher);
           jobs.values().stream()
               .filter(job -> job.ageMicrosAt(lastLineMicros) > LOST_AFTER_MICROS)
               .forEach(job -> reportLost(job, lastLineMicros));
@@ -82,21 +92,38 @@
 
   /**
    * Returns an unmodifiable view of the counts by second of Unix time, in ascending order. The
-   * inner maps have the counts of lines and of ends of jobs, by kind.
+   * outer key is the second. The inner key is a label, and the value is the number of events with
+   * this label in the second. The labels are:
+   *
+   * <ul>
+   *   <li>{@code starts}, {@code arrivals}, {@code sends}, {@code probes}, {@code handshakes},
+   *       {@code list calls} and {@code list lost} for trace lines of these kinds
+   *   <li>{@code end} and an outcome for attempts that have ended
+   *   <li>{@code probe} and an outcome for health checks that have failed
+   *   <li>{@link JobEnd#label} for jobs that have ended, except lost jobs
+   *   <li>{@code why} and a reason for the reasons of these ends
+   * </ul>
    */
   public SortedMap<Long, Map<String, Integer>> countsBySecond() {
     return Collections.unmodifiableSortedMap(countsBySecond);
   }
 
   /**
-   * Returns an unmodifiable view of the counts by worker, in ascending order of the worker's id.
-   * The inner maps have the counts of lines and of ends of jobs, by kind.
+   * Returns an unmodifiable view of the counts by worker, in ascending order of the outer key. The
+   * outer key is the id of a worker. The inner key is a label, and the value is the number of
+   * events with this label at the worker. The labels are a part of those of {@link
+   * #countsBySecond}: {@code sends}, {@code probes}, {@code handshakes}, {@code end} and an
+   * outcome, {@code probe} and an outcome, and the label of {@link JobEnd#LATE}. Other ends of jobs
+   * are not counted by worker.
+   *
+   * <p>Handshakes are counted by the name of the peer. If a peer is not a worker, its name is an
+   * outer key as well.
    */
   public SortedMap<String, Map<String, Integer>> countsByWorker() {
     return Collections.unmodifiableSortedMap(countsByWorker);
   }
 
-  /** Returns the unsuccessful jobs with the given end, in descending order of their duration. */
+  /** Returns the unsuccessful jobs that ended in the given way, in descending order of duration. */
   public List<UnsuccessfulJob> unsuccessfulJobs(JobEnd end) {
     return unsuccessfulJobs.stream()
         .filter(job -> job.end() == end)
@@ -105,7 +132,8 @@
   }
 
   private void dispatcherStarted(TraceLine line) {
-    // Jobs that are still open were lost when the previous process was killed.
+    // The dispatcher has written this line when its process started. Jobs that are still open were
+    // lost when the previous process of this dispatcher was killed.
     Map<String, OpenJob> jobs = openJobs(line);
     jobs.values().forEach(job -> reportLost(job, line.unixMicros()));
     jobs.clear();
@@ -113,8 +141,8 @@
   }
 
   private void jobArrived(TraceLine line) {
-    double objective = latencyObjectiveMicros + stretch * line.number("work");
-    openJobs(line).put(line.text("id"), new OpenJob(line, objective));
+    double jobObjectiveMicros = baseLatencyObjectiveMicros + stretch * line.number("work");
+    openJobs(line).put(line.text("id"), new OpenJob(line, jobObjectiveMicros));
     count(line, "arrivals");
   }
 
@@ -164,7 +192,7 @@
   }
 
   private Map<String, OpenJob> openJobs(TraceLine line) {
-    return openJobsByNode.computeIfAbsent(line.node(), node -> new HashMap<>());
+    return openJobsByDispatcher.computeIfAbsent(line.dispatcher(), dispatcher -> new HashMap<>());
   }
 
   private Optional<OpenJob> openJob(TraceLine line) {
@@ -176,9 +204,10 @@
   }
 
   /**
-   * Increments a counter of the second and, if there is a worker, of the worker.
+   * Increments a counter in {@link #countsBySecond} and, if a worker is given, in {@link
+   * #countsByWorker}.
    *
-   * @param workerId null if there is no worker
+   * @param workerId the id of the worker, or null for none
    */
   private void countForWorker(TraceLine line, String counter, String workerId) {
     count(line, counter);
--- a/src/main/java/loomreel/tracing/UnsuccessfulJob.java
+++ b/src/main/java/loomreel/tracing/UnsuccessfulJob.java
@@ -9,12 +9,13 @@
  * @param id the id of the job
  * @param end how the job ended
  * @param attempts the number of attempts that were started
- * @param lastAttempt the last attempt; empty if there was none
- * @param reason the reason of the decision module for the end of the job, as words in lower case;
- *     empty if the trace has none
+ * @param lastAttempt the last attempt; empty if no attempt was started
+ * @param reason the reason that the decision module gave for the end of the job, as words in lower
+ *     case; empty if the trace has no reason
  * @param arrivedAtMicros the time of arrival, in microseconds of Unix time
- * @param durationMicros the time from the arrival to the end of the job, in microseconds; for a
- *     lost job, the time to the next start or the last line of its dispatcher
+ * @param durationMicros the time from the arrival to the end of the job, in microseconds. A lost
+ *     job counts as ended at the next start of its dispatcher or, without another start, at the
+ *     last line of its dispatcher.
  */
 public record UnsuccessfulJob(
     String node,
@@ -26,10 +27,12 @@
     long arrivedAtMicros,
     long durationMicros) {
   /**
-   * The last attempt that was started.
+   * The worker of the attempt that was started last, and the outcome of the attempt that ended
+   * last. These may be two different attempts of the job: if the attempt that was started last has
+   * not ended, the outcome is that of another attempt.
    *
-   * @param workerId the id of the worker to which the attempt was sent
-   * @param outcome the outcome of the attempt of the job that ended last, or null if none has ended
+   * @param workerId the id of the worker to which the attempt that was started last was sent
+   * @param outcome the outcome of the attempt that ended last, or null if no attempt has ended
    */
   public record LastAttempt(String workerId, String outcome) {}
 }
--- a/src/test/java/loomreel/tracing/OpenJobTest.java
+++ b/src/test/java/loomreel/tracing/OpenJobTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tests the classification of the end of a job by its attempts and times. */
+/** Tests how the end of a job is determined from its attempts and times. */
 class OpenJobTest {
   private static final long ARRIVAL_MICROS = 1_000_000;
   private static final long OBJECTIVE_MICROS = 200_000;
--- a/src/test/java/loomreel/tracing/TraceSummaryTest.java
+++ b/src/test/java/loomreel/tracing/TraceSummaryTest.java
@@ -9,17 +9,17 @@
 import loomreel.tracing.UnsuccessfulJob.LastAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Tests that the summary counts the lines that {@link TraceWriter} writes. */
+/** Tests that the summary counts the trace lines that a {@link TraceWriter} writes. */
 class TraceSummaryTest {
   private static final long SECOND = 1_000_000;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
   private final TraceSummary summary = new TraceSummary(200_000, 2);
 
-  private void addAll(TraceWriter trace, String node) {
+  private void addAll(TraceWriter trace, String dispatcher) {
     trace.flush();
     log.toString(StandardCharsets.UTF_8)
         .lines()
-        .map(line -> TraceLine.parse(node, "1.204 " + line).orElseThrow())
+        .map(line -> TraceLine.parse(dispatcher, "1.204 " + line).orElseThrow())
         .forEach(summary::add);
     log.reset();
   }
@@ -44,7 +44,7 @@
     second.line(10 * SECOND, "end", "id", "x", "worker", "w1", "outcome", "RESET");
     second.line(10 * SECOND, "send", "id", "x", "worker", "w2");
     second.line(12 * SECOND, "probe", "worker", "w1");
-    // The process was killed and restarted, so its open jobs are lost.
+    // The dispatcher was killed and started again, so the jobs that are open here are lost.
     second.line(14 * SECOND, "start");
     second.line(14 * SECOND, "arrival", "id", "z");
     second.line(14 * SECOND, "refuse", "id", "z");
