--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -134,8 +134,8 @@
    * connection can be reused.
    *
    * <p>A connection can be reused once it has been idle for its reuse delay. The reuse delay is the
-   * time in which a duplicate of the last response may still arrive. It is 0 after a 2xx response
-   * unless duplicate responses are suspected.
+   * time in which a duplicate of the last response may still arrive. If the last response was 2xx,
+   * a duplicate does no harm, and the reuse delay is 0 unless duplicate responses are suspected.
    *
    * <p>Prefers the connection that was used most recently. While duplicate responses are suspected,
    * prefers the connection that has been idle longest. If a connection that was selected has
@@ -170,9 +170,9 @@
    * Returns a connection to the pool after its exchange is complete. If the connection is of an
    * earlier generation or the descriptor quota is exceeded, closes the connection instead.
    *
-   * <p>A duplicate of the last response may arrive after the connection is reused. It is then taken
-   * for the response to the next request. A duplicate of a rejection would wrongly prove that the
-   * next request did not run.
+   * <p>A duplicate of the last response may arrive after the connection is reused. The duplicate is
+   * then taken for the response to the next request. A duplicate of a rejection would wrongly prove
+   * that the next request did not run.
    *
    * @param mayReuseAtOnce true if such a duplicate would lead to no wrong conclusion, as after a
    *     2xx response, so that the connection may be reused at once; if false, the connection is not
--- a/src/main/java/loomreel/http/HttpHead.java
+++ b/src/main/java/loomreel/http/HttpHead.java
@@ -28,7 +28,7 @@
   /**
    * Parses a head.
    *
-   * @param text the head, including the empty line that ends it
+   * @param text the head, including the empty line that ends the head
    * @param isRequest true for the head of a request, false for that of a response
    * @throws BadMessageException if the head is malformed or its HTTP version is neither 1.0 nor 1.1
    */
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -14,9 +14,9 @@
  */
 public final class PooledConnection extends HttpConnection {
   /**
-   * The maximum time to wait for the rest of a response if the exchange needs only the status, as a
-   * multiple of the connect timeout. {@link HttpExchange#headReceived} tells whether this is the
-   * case.
+   * The maximum time to wait for the rest of a response, as a multiple of the connect timeout, if
+   * the exchange needs only the status of the response. {@link HttpExchange#headReceived} returns
+   * true in this case.
    */
   private static final int BODY_TIMEOUT_FACTOR = 2;
 
@@ -113,7 +113,7 @@
 
   @Override
   protected void flushed() {
-    // The request is written completely, so the deadline of the response applies from now on.
+    // The request is written completely. From now on, only the deadline of the exchange applies.
     if (exchange != null) {
       timer.cancel();
       timer = loop.schedule(exchange.deadline(), this::timedOut);
--- a/src/main/java/loomreel/io/Acceptor.java
+++ b/src/main/java/loomreel/io/Acceptor.java
@@ -9,15 +9,15 @@
 /**
  * Accepts connections from one listening socket.
  *
- * <p>{@code accept} fails usually because no file descriptor is available. The connection then
- * remains in the kernel's accept queue, and the selector reports the listening socket as ready
- * again at once. A retry without a delay would keep the event loop busy, so accepting pauses for
- * {@link #RETRY_DELAY_MICROS} after a failure.
+ * <p>If {@code accept} fails, the usual cause is that no file descriptor is available. The
+ * connection then remains in the kernel's accept queue, and the selector reports the listening
+ * socket as ready again at once. A retry without a delay would keep the event loop busy, so
+ * accepting pauses for {@link #RETRY_DELAY_MICROS} after a failure.
  *
  * <p>The acceptor does not own the listening socket and never closes it. {@link EventLoop#close}
  * closes every channel that is registered with the event loop, and therefore also the listening
  * socket. {@link #stop} cancels the registration of the listening socket. After that, the caller is
- * responsible for closing it.
+ * responsible for closing the socket.
  */
 public final class Acceptor implements EventLoop.Handler {
   /** Takes ownership of the accepted connections. */
--- a/src/test/java/loomreel/tracing/OpenJobTest.java
+++ b/src/test/java/loomreel/tracing/OpenJobTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void aRejectionAfterAnAttemptHasItsOwnEnd() {
+  void aRejectionAfterAnAttemptIsReportedAsRejectedAfterAttempt() {
     job.attemptStarted("w1");
     assertEquals(JobEnd.REJECTED_AFTER_ATTEMPT, job.rejectionAt(ARRIVAL_MICROS));
   }
--- a/src/test/java/loomreel/wal/LogRecordTest.java
+++ b/src/test/java/loomreel/wal/LogRecordTest.java
@@ -53,7 +53,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, LogRecord.MAX_CONTENT_BYTES + 1})
-  void contentThatCouldNotBeReadBackIsRejected(int length) {
+  void contentOfInvalidLengthIsRejected(int length) {
     assertThrows(IllegalArgumentException.class, () -> LogRecord.frame(new byte[length]));
   }
 }
