--- a/src/main/java/loomreel/wal/GroupCommitter.java
+++ b/src/main/java/loomreel/wal/GroupCommitter.java
@@ -16,7 +16,8 @@
  * that arrive during an fsync form the next batch. In a batch, one fsync of each file completes all
  * requests for this file (group commit).
  *
- * <p>A position of the log is the number of bytes that this process has appended to the log.
+ * <p>A position of the log is a number of bytes that this process has appended to the log, counted
+ * from the start of the process.
  */
 final class GroupCommitter {
   /** A request from the log's thread to the sync thread. */
--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -23,7 +23,7 @@
  * wait for these syncs. The calling thread waits for a sync in two cases only: in {@link #close},
  * and when a new segment is created, because the directory is then synced. {@link #open} creates a
  * segment. {@link #write}, and the methods that call it, create a segment if the current segment is
- * full.
+ * full after the write.
  */
 public final class WriteAheadLog implements Closeable {
   /** Receives the records that earlier processes have appended to the log. */
@@ -72,6 +72,7 @@
 
   /**
    * The current position of the log, which is the number of bytes that this process has appended.
+   * The headers of records count.
    */
   private long appendedPosition;
 
@@ -208,7 +209,7 @@
   /**
    * Writes all appended records to the operating system. If the write fails, the records stay in
    * the buffer for the next call, and {@link #fault()} returns the reason. If the current segment
-   * is full, opens the next segment. If the next segment cannot be opened, {@link #fault()} returns
+   * is full after the write, opens the next segment. If the next segment cannot be opened, {@link #fault()} returns
    * the reason, and the next call tries again. If everything succeeds, the fault ends, unless a
    * sync has failed.
    */
