--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -209,9 +209,9 @@
   /**
    * Writes all appended records to the operating system. If the write fails, the records stay in
    * the buffer for the next call, and {@link #fault()} returns the reason. If the current segment
-   * is full after the write, opens the next segment. If the next segment cannot be opened, {@link #fault()} returns
-   * the reason, and the next call tries again. If everything succeeds, the fault ends, unless a
-   * sync has failed.
+   * is full after the write, opens the next segment. If the next segment cannot be opened, {@link
+   * #fault()} returns the reason, and the next call tries again. If everything succeeds, the fault
+   * ends, unless a sync has failed.
    */
   public void write() {
     if (buffer.position() == 0 && !isSegmentFull()) {
