--- a/src/main/java/loomreel/http/HttpConnection.java
+++ b/src/main/java/loomreel/http/HttpConnection.java
@@ -6,7 +6,7 @@
 import loomreel.io.ByteConnection;
 import loomreel.io.EventLoop;
 
-/** A connection that receives HTTP/1.1 requests or responses. Owns its parser. */
+/** A connection that receives and parses HTTP/1.1 requests or responses. Owns its parser. */
 public abstract class HttpConnection extends ByteConnection {
   protected final HttpMessageParser parser;
 
@@ -15,8 +15,9 @@
   /**
    * Takes ownership of a channel.
    *
-   * @param connected whether the channel is connected; else its connect is in progress
-   * @param receivesRequests whether requests are received; else responses
+   * @param channel the channel, in non-blocking mode
+   * @param connected true if the channel is connected, false if its connect is in progress
+   * @param receivesRequests true if requests are received, false if responses are
    * @throws IOException if the channel is closed
    */
   protected HttpConnection(
@@ -26,21 +27,33 @@
     parser = new HttpMessageParser(loop.pool(), receivesRequests);
   }
 
-  /** Whether bytes behind the message that is being received were read together with it. */
+  /**
+   * Returns whether the read that completed the current message has also returned bytes after the
+   * end of the message.
+   */
   protected final boolean hasPipelinedInput() {
     return hasPipelinedInput;
   }
 
-  /** Called with each complete message; its body is to be released by this method. */
+  /**
+   * Called with each complete message. The implementation takes ownership of the body of the
+   * message and must release it.
+   */
   protected abstract void received(HttpMessage message);
 
-  /** Called once for a response whose head arrives before the end of its body. */
+  /**
+   * Called at most once for each response, when its head has arrived and its body is incomplete or
+   * malformed. Not called for interim responses. Does nothing by default.
+   */
   protected void headReceived(int status) {}
 
-  /** Called when the input is not a valid message. */
+  /** Called when the parser has rejected the input. The connection can read no further message. */
   protected abstract void malformed(BadMessageException error);
 
-  /** Whether another message may be parsed now; else the remaining input is discarded. */
+  /**
+   * Returns whether another message may be parsed now. If this method returns false, {@link
+   * #bytesReceived} leaves the rest of the input in the buffer. Returns true by default.
+   */
   protected boolean acceptsMessages() {
     return true;
   }
@@ -64,12 +77,12 @@
   }
 
   private void reportHead() {
-    if (parser.takeHeadReceived()) {
+    if (parser.testAndClearHeadReceived()) {
       headReceived(parser.responseStatus());
     }
   }
 
-  /** Completes a response whose body ends with the connection. */
+  /** Completes a response whose body extends to the end of the input. */
   @Override
   protected void inputEnded() {
     HttpMessage last = parser.inputEnded();
--- a/src/main/java/loomreel/http/HttpExchange.java
+++ b/src/main/java/loomreel/http/HttpExchange.java
@@ -3,38 +3,47 @@
 import loomreel.decision.AttemptOutcome;
 
 /**
- * A request made over a {@link ConnectionPool}. It ends with one call of {@link #responseReceived}
- * or {@link #failed}. Times are microseconds of the loop's clock.
+ * An exchange of one request and its response over a {@link ConnectionPool}. Implementations handle
+ * the result. The exchange ends with one call of {@link #responseReceived} or {@link #failed}. If
+ * its connection is abandoned ({@link PooledConnection#abandon}), the exchange ends without a call.
+ * Times are in microseconds of the loop's clock.
  */
 public interface HttpExchange {
-  /** When to stop waiting for the response. */
+  /** Returns the time at which the exchange fails if the response is not complete by then. */
   long deadline();
 
-  /** When to give up a request that is not written completely. */
+  /**
+   * Returns the time at which the exchange fails if the request is not written completely by then.
+   * Returns the {@link #deadline} by default.
+   */
   default long writeDeadline() {
     return deadline();
   }
 
-  /** Called when the last byte of the request is written. */
+  /** Called when the last byte of the request is written. Does nothing by default. */
   default void requestWritten() {}
 
   /**
-   * Called when the head of the response has arrived without the end of its body.
+   * Called when the request is written completely and the head of the response has arrived, but not
+   * the end of its body.
    *
-   * @return whether the head is sufficient: the exchange still ends as usual, but a body that is
-   *     malformed or missing does not matter
+   * @return true if the exchange needs only the status, so that a malformed or missing body does
+   *     not matter. The wait for the body is then shortened, but the exchange still ends with
+   *     {@link #responseReceived} or {@link #failed}. False by default.
    */
   default boolean headReceived(int status) {
     return false;
   }
 
-  /** Called with the response, whose body is released afterwards. */
+  /** Called with the complete response. The body of the response is released after the call. */
   void responseReceived(HttpMessage message);
 
   /**
-   * Called where there is no response.
+   * Called when the exchange ends without a complete response.
    *
-   * @param outcome {@code CONNECT_FAILED} (nothing ran), {@code RESET} or {@code TIMEOUT}
+   * @param outcome {@code CONNECT_FAILED} if the request cannot have run, because no connection was
+   *     available or the request was not written completely; {@code RESET} or {@code TIMEOUT} if
+   *     the request may have run
    */
   void failed(AttemptOutcome outcome);
 }
--- a/src/main/java/loomreel/http/LineReader.java
+++ b/src/main/java/loomreel/http/LineReader.java
@@ -2,17 +2,21 @@
 
 import java.nio.ByteBuffer;
 
-/** Reads the lines of chunked coding and its trailer, which may be split anywhere. */
+/**
+ * Reads the lines that the chunked transfer coding has besides the data: the lines around each
+ * chunk and the lines of the trailer. The input may be split at any byte.
+ */
 final class LineReader {
-  /** The line so far; once it is complete, without its line end. */
+  /** The part of the line that has arrived. A complete line does not include its line end. */
   private final StringBuilder line = new StringBuilder();
 
   /**
    * Consumes bytes up to the end of a line.
    *
-   * @param maxLength the longest line, in bytes
-   * @param statusIfTooLong the status of the exception for a longer one
-   * @return whether the line is complete; {@link #take} returns it then
+   * @param maxLength the maximum length of the line, in bytes including its carriage return
+   * @param statusIfTooLong the {@linkplain BadMessageException#status status} of the exception that
+   *     is thrown if the line is longer
+   * @return whether the line is complete; if so, {@link #take} returns the line
    * @throws BadMessageException if the line is too long or does not end in CRLF
    */
   boolean read(ByteBuffer in, int maxLength, int statusIfTooLong) throws BadMessageException {
@@ -38,7 +42,7 @@
     line.setLength(last);
   }
 
-  /** Returns the complete line and starts the next one. */
+  /** Returns the complete line without its line end, and starts the next line. */
   String take() {
     String complete = line.toString();
     line.setLength(0);
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -9,31 +9,39 @@
 import loomreel.io.EventLoop;
 
 /**
- * A client connection of a {@link ConnectionPool}, which owns it. It has one exchange at a time.
+ * A connection of a {@link ConnectionPool} to its peer. The pool owns the connection. The
+ * connection carries one exchange at a time. Times are in microseconds of the loop's clock.
  */
 public final class PooledConnection extends HttpConnection {
-  /** How many connect timeouts the rest of a response may take once its head is sufficient. */
-  private static final int BODY_CONNECT_TIMEOUTS = 2;
+  /**
+   * The maximum time to wait for the rest of a response, as a multiple of the connect timeout, if
+   * the exchange needs only the status of the response. {@link HttpExchange#headReceived} returns
+   * true in this case.
+   */
+  private static final int BODY_TIMEOUT_FACTOR = 2;
 
   private final ConnectionPool pool;
   private final int generation;
 
-  /** Null while the connection is idle. */
+  /** The current exchange; null if there is no exchange in progress. */
   private HttpExchange exchange;
 
-  /** When the current exchange was sent. */
-  private long sentAt;
+  /** The time at which the current exchange started. */
+  private long exchangeStartedAtMicros;
 
-  /** When the last exchange was completed; 0 before the first one. */
-  private long idleSince;
+  /** The time at which the last exchange was completed; 0 until the first exchange is completed. */
+  private long idleSinceMicros;
 
-  /** How long the connection was idle before the current exchange; 0 for the first one. */
-  private long idleBeforeSend;
+  /** How long the connection was idle before the current exchange; 0 in the first exchange. */
+  private long idleBeforeExchangeMicros;
 
-  /** How long the connection must be idle before it is reused. */
-  private long reuseDelay;
+  /** How long the connection must be idle before it may be reused. */
+  private long reuseDelayMicros;
 
-  /** Limits the current phase of the exchange; null before the first one. */
+  /**
+   * The timeout of the current phase of the exchange: connect and write of the request, wait for
+   * the response, or wait for the rest of the response. Null before the first exchange.
+   */
   private EventLoop.Timer timer;
 
   PooledConnection(EventLoop loop, ConnectionPool pool, int generation) throws IOException {
@@ -47,7 +55,8 @@
     try {
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      // On loopback this may complete at once; finishConnect then reports it in the next iteration.
+      // On loopback, connect() may complete at once and return true. The result is ignored here,
+      // because finishConnect() reports it in the next iteration of the event loop.
       channel.connect(pool.address());
       return channel;
     } catch (IOException e) {
@@ -56,45 +65,55 @@
     }
   }
 
-  /** The pool's generation in which the connection was opened. */
+  /** Returns the generation that the pool had when the connection was opened. */
   int generation() {
     return generation;
   }
 
-  long idleSince() {
-    return idleSince;
+  long idleSinceMicros() {
+    return idleSinceMicros;
   }
 
-  long reuseDelay() {
-    return reuseDelay;
+  long reuseDelayMicros() {
+    return reuseDelayMicros;
   }
 
-  void markIdle(long since, long delay) {
-    idleSince = since;
-    reuseDelay = delay;
+  /**
+   * Records that the last exchange is complete.
+   *
+   * @param sinceMicros the time at which the exchange was completed
+   * @param delayMicros how long the connection must be idle before it may be reused
+   */
+  void markIdle(long sinceMicros, long delayMicros) {
+    idleSinceMicros = sinceMicros;
+    reuseDelayMicros = delayMicros;
   }
 
   /**
-   * Sends a request; the connection must be idle or new.
+   * Sends a request. The connection must be idle or new.
    *
-   * @param request its buffers are released here
-   * @param connectDeadline when to give up connecting; matters only for a new connection
+   * @param request the request; this method copies it and releases its buffers
+   * @param connectDeadline for a new connection, the time at which the exchange fails if the
+   *     connect and the write of the request are not complete by then; ignored if the connection is
+   *     already established
    */
-  void send(ByteQueue request, HttpExchange next, long connectDeadline) {
-    exchange = next;
-    sentAt = loop.now();
-    idleBeforeSend = idleSince == 0 ? 0 : sentAt - idleSince;
+  void send(ByteQueue request, HttpExchange nextExchange, long connectDeadline) {
+    exchange = nextExchange;
+    exchangeStartedAtMicros = loop.now();
+    idleBeforeExchangeMicros = idleSinceMicros == 0 ? 0 : exchangeStartedAtMicros - idleSinceMicros;
     out.append(request);
     request.release();
     long writeDeadline =
-        isConnected() ? next.writeDeadline() : Math.min(connectDeadline, next.writeDeadline());
+        isConnected()
+            ? nextExchange.writeDeadline()
+            : Math.min(connectDeadline, nextExchange.writeDeadline());
     timer = loop.schedule(writeDeadline, this::timedOut);
     flush();
   }
 
   @Override
   protected void flushed() {
-    // Connected and written: from here on only the exchange's own deadline counts.
+    // The request is written completely. From now on, only the deadline of the exchange applies.
     if (exchange != null) {
       timer.cancel();
       timer = loop.schedule(exchange.deadline(), this::timedOut);
@@ -104,34 +123,41 @@
 
   private void timedOut() {
     failExchange(hasSent() ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
-    // Other connections to this machine are probably dead, too, and would be reset once it is up
-    // again.
+    // The host has probably failed. Its idle connections would be reset once the host is up again,
+    // so they are closed now.
     pool.closeIdle();
   }
 
   /**
-   * Whether nothing has arrived since the last response. An unread end of input would reset the
-   * next request, and unread bytes would be taken for its response. Reads into a buffer of its own,
-   * since the loop's read buffer may be in use.
+   * Returns whether the idle connection is still usable: it has no unread input, is not at the end
+   * of its input, and has not failed. Unread input would be taken for the response to the next
+   * request. If the peer has ended its output, the peer would reset the connection on the next
+   * request.
+   *
+   * <p>If this method returns false, the connection must be closed, because a byte of the input may
+   * have been consumed. Reads into a separate buffer, because the loop's read buffer may be in use.
    */
   boolean hasNoPendingInput() {
     try {
-      int size = channel.read(ByteBuffer.allocate(1));
-      if (size > 0) {
+      int bytesRead = channel.read(ByteBuffer.allocate(1));
+      if (bytesRead > 0) {
         pool.recordUnsolicitedResponse();
       }
-      return size == 0;
+      return bytesRead == 0;
     } catch (IOException e) {
       return false;
     }
   }
 
-  /** Whether the request is written completely: from there on it may have run. */
+  /**
+   * Returns whether the request of the current exchange is written completely. If it is, the
+   * request may have run.
+   */
   public boolean hasSent() {
     return isConnected() && out.length() == 0;
   }
 
-  /** Closes the connection without informing its exchange. */
+  /** Closes the connection and ends its exchange without a call to the exchange. */
   public void abandon() {
     exchange = null;
     close();
@@ -150,9 +176,10 @@
   protected void received(HttpMessage message) {
     HttpExchange completed = exchange;
     exchange = null;
-    pool.recordReuse(idleBeforeSend, false);
+    pool.recordReuse(idleBeforeExchangeMicros, false);
     if (completed == null || hasPipelinedInput()) {
-      // More than one response to a request: no later byte can be matched to an exchange.
+      // The peer has sent more than the response to one request. Further input cannot be matched to
+      // an exchange.
       pool.recordUnsolicitedResponse();
       close();
     } else if (!message.keepAlive() || out.length() > 0) {
@@ -167,17 +194,20 @@
     message.body().release();
   }
 
-  /** Limits the wait for the body where the head is sufficient. */
+  /** Limits the wait for the rest of the response if the exchange needs only the status. */
   @Override
   protected void headReceived(int status) {
     if (exchange != null && out.length() == 0 && exchange.headReceived(status)) {
       timer.cancel();
-      long bodyDeadline = loop.now() + BODY_CONNECT_TIMEOUTS * pool.connectTimeout();
+      long bodyDeadline = loop.now() + BODY_TIMEOUT_FACTOR * pool.connectTimeout();
       timer = loop.schedule(Math.min(exchange.deadline(), bodyDeadline), this::timedOut);
     }
   }
 
-  /** Processes input that has arrived, so that a response is not missed when its exchange ends. */
+  /**
+   * Processes input that has arrived. To be called before {@link #abandon}, so that a response that
+   * has already arrived is not lost.
+   */
   public void readPending() {
     readNow();
   }
@@ -188,11 +218,16 @@
     failExchange(AttemptOutcome.RESET);
   }
 
-  /** A request whose last byte was not written cannot have run; any other may have. */
+  /**
+   * Fails the exchange. A request that was not written completely cannot have run, so the outcome
+   * is {@code CONNECT_FAILED}. Any other request may have run, so the outcome is {@code RESET}.
+   */
   @Override
   protected void broken() {
-    if (exchange != null && parser.atStart() && loop.now() - sentAt <= pool.connectTimeout()) {
-      pool.recordReuse(idleBeforeSend, true);
+    if (exchange != null
+        && parser.atStart()
+        && loop.now() - exchangeStartedAtMicros <= pool.connectTimeout()) {
+      pool.recordReuse(idleBeforeExchangeMicros, true);
     }
     failExchange(hasSent() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
   }
--- a/src/main/java/loomreel/io/BufferPool.java
+++ b/src/main/java/loomreel/io/BufferPool.java
@@ -4,11 +4,14 @@
 import java.util.ArrayDeque;
 
 /**
- * A pool of direct buffers of one size. Whoever acquires a buffer owns it until it is released.
- * Used on the event loop's thread only.
+ * A pool of direct byte buffers of equal size. A caller that acquires a buffer owns the buffer
+ * until the caller releases it. Used on the event loop's thread only.
  */
 public final class BufferPool {
-  /** The size of every buffer in bytes; also the limit for the head of an HTTP message. */
+  /**
+   * The capacity of one buffer, in bytes. It is also the maximum size of the head of an HTTP
+   * message.
+   */
   public static final int SIZE = 8192;
 
   private final ArrayDeque<ByteBuffer> freeBuffers = new ArrayDeque<>();
@@ -18,26 +21,43 @@
   /**
    * Creates an empty pool, which allocates buffers on demand.
    *
-   * @param scarcityThreshold how many buffers may be acquired before new message bodies are
-   *     rejected
+   * @param scarcityThreshold the number of acquired buffers at which {@link #isScarce} starts to
+   *     return true
    */
   public BufferPool(int scarcityThreshold) {
     this.scarcityThreshold = scarcityThreshold;
   }
 
-  /** Acquires an empty buffer. Never fails: the threshold is advice to the users of the pool. */
+  /**
+   * Returns an empty buffer. If no buffer is free, allocates one. This method does not enforce the
+   * scarcity threshold; the users of the pool check {@link #isScarce} instead.
+   */
   ByteBuffer acquire() {
     acquiredCount++;
     ByteBuffer buffer = freeBuffers.pollLast();
     return buffer == null ? ByteBuffer.allocateDirect(SIZE) : buffer.clear();
   }
 
+  /** Returns a buffer to the pool. The caller must not use the buffer afterwards. */
   void release(ByteBuffer buffer) {
     acquiredCount--;
     freeBuffers.addLast(buffer);
   }
 
-  /** Whether the remaining buffers are reserved for responses and for accepted work. */
+  /**
+   * Returns whether the number of acquired buffers has reached the scarcity threshold. While this
+   * method returns true, users of the pool limit the input that they buffer:
+   *
+   * <ul>
+   *   <li>An HTTP message is rejected when bytes of its body arrive. This applies to requests and
+   *       responses, and also to a body of which a part is already buffered.
+   *   <li>The pipelined input of an HTTP connection, and an incomplete Faktory command, are limited
+   *       to {@link #SIZE} bytes.
+   * </ul>
+   *
+   * <p>Output, such as responses, is not limited. Further buffers are left for output and for short
+   * input.
+   */
   public boolean isScarce() {
     return acquiredCount >= scarcityThreshold;
   }
--- a/src/main/java/loomreel/tracing/OpenJob.java
+++ b/src/main/java/loomreel/tracing/OpenJob.java
@@ -2,27 +2,28 @@
 
 import java.util.Optional;
 
-/** A job that has arrived at a dispatcher and not ended yet. */
+/** A job that has arrived at a dispatcher and has not ended yet. */
 final class OpenJob {
-  private final String node;
+  private final String dispatcher;
   private final String id;
   private final long arrivedAtMicros;
   private final double latencyObjectiveMicros;
   private int attempts;
 
-  /** Null before the first attempt. */
+  /** The id of the worker of the attempt that was started last; null if no attempt was started. */
   private String lastWorkerId;
 
-  /** Null before the first attempt has ended. */
+  /** The outcome of the attempt that ended last; null if no attempt has ended. */
   private String lastOutcome;
 
   /**
-   * Creates the job of an {@code arrival} line.
+   * Creates the job that an {@code arrival} line reports.
    *
-   * @param latencyObjectiveMicros an answer after this time counts as late
+   * @param latencyObjectiveMicros the time from the arrival, in microseconds, after which a
+   *     successful answer is late
    */
   OpenJob(TraceLine arrival, double latencyObjectiveMicros) {
-    node = arrival.node();
+    dispatcher = arrival.dispatcher();
     id = arrival.text("id");
     arrivedAtMicros = arrival.unixMicros();
     this.latencyObjectiveMicros = latencyObjectiveMicros;
@@ -37,17 +38,20 @@
     lastOutcome = outcome;
   }
 
-  /** The worker of the last attempt, or null where there was none. */
+  /**
+   * Returns the id of the worker of the attempt that was started last, or null if no attempt was
+   * started.
+   */
   String lastWorkerId() {
     return lastWorkerId;
   }
 
-  /** How the job ends if it is answered with success at this time. */
+  /** Returns how the job ends if it is answered with success at the given time. */
   JobEnd successAt(long unixMicros) {
-    return ageAt(unixMicros) > latencyObjectiveMicros ? JobEnd.LATE : JobEnd.SERVED;
+    return ageMicrosAt(unixMicros) > latencyObjectiveMicros ? JobEnd.LATE : JobEnd.SERVED;
   }
 
-  /** How the job ends if it is rejected at this time. */
+  /** Returns how the job ends if it is rejected at the given time. */
   JobEnd rejectionAt(long unixMicros) {
     if (attempts > 0) {
       return JobEnd.REJECTED_AFTER_ATTEMPT;
@@ -57,14 +61,18 @@
         : JobEnd.REJECTED_WHILE_QUEUED;
   }
 
-  long ageAt(long unixMicros) {
+  long ageMicrosAt(long unixMicros) {
     return unixMicros - arrivedAtMicros;
   }
 
-  /** The report on the job if it ends at this time. */
+  /**
+   * Returns the report on the job for an end at the given time.
+   *
+   * @param reason the reason for the end; empty if the trace has no reason
+   */
   UnsuccessfulJob report(JobEnd end, Optional<String> reason, long unixMicros) {
     return new UnsuccessfulJob(
-        node,
+        dispatcher,
         id,
         end,
         attempts,
@@ -73,6 +81,6 @@
             : Optional.of(new UnsuccessfulJob.LastAttempt(lastWorkerId, lastOutcome)),
         reason,
         arrivedAtMicros,
-        ageAt(unixMicros));
+        ageMicrosAt(unixMicros));
   }
 }
--- a/src/main/java/loomreel/wal/GroupCommitter.java
+++ b/src/main/java/loomreel/wal/GroupCommitter.java
@@ -12,36 +12,44 @@
 import java.util.function.LongConsumer;
 
 /**
- * Owns the thread that waits for the disk. Requests that arrive during an fsync share the next one
- * (group commit).
+ * Syncs the segment files of a {@link WriteAheadLog} to the disk on a separate thread. All requests
+ * that arrive during an fsync form the next batch. In a batch, one fsync of each file completes all
+ * requests for this file (group commit).
+ *
+ * <p>A position of the log is a number of bytes that this process has appended to the log, counted
+ * from the start of the process.
  */
 final class GroupCommitter {
-  /** A message from the log's thread to the thread of this class. */
+  /** A request from the log's thread to the sync thread. */
   private sealed interface Request {}
 
-  /** Requests a sync of what was written to a file up to a position of the log. */
+  /** Requests a sync of a file. After the sync, the log is synced up to the position. */
   private record Sync(FileChannel channel, long position) implements Request {}
 
-  /** Requests the same, and closes the file afterwards. */
+  /**
+   * Requests a sync and then the close of a file. After the sync, the log is synced up to the
+   * position.
+   */
   private record SyncAndClose(FileChannel channel, long position) implements Request {}
 
-  /** Ends the thread after what was requested before. */
+  /** Ends the sync thread after all earlier requests are completed. */
   private record Stop() implements Request {}
 
   private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
   private final LongConsumer onSynced;
   private final Consumer<IOException> onFailure;
 
-  /** Whether a sync has failed; used by the thread of this class alone. */
+  /** Whether a sync has failed. Used on the sync thread only. */
   private boolean hasFailed;
 
   private final Thread thread = new Thread(this::run, "journal-sync");
 
   /**
-   * Starts the thread, on which both callbacks are called.
+   * Starts the sync thread, on which both callbacks are called.
    *
-   * @param onSynced receives the position up to which the log is synced
-   * @param onFailure receives a failure, after which nothing is reported as synced any more
+   * @param onSynced called with the position up to which the log is synced; not called any more
+   *     after a sync has failed
+   * @param onFailure called with each failure of a sync
    */
   GroupCommitter(LongConsumer onSynced, Consumer<IOException> onFailure) {
     this.onSynced = onSynced;
@@ -50,17 +58,29 @@
     thread.start();
   }
 
-  /** Requests a sync of what was written to a file, up to a position of the log. */
+  /**
+   * Requests a sync of a file. Returns without waiting for the sync.
+   *
+   * @param position the position up to which the log is synced after the sync of this file
+   */
   void force(FileChannel channel, long position) {
     requests.add(new Sync(channel, position));
   }
 
-  /** Passes ownership of a file to which nothing more is written; it is synced and closed. */
-  void retire(FileChannel channel, long position) {
+  /**
+   * Takes ownership of a file to which nothing more is written, and requests a sync and then the
+   * close of the file. Returns without waiting for either.
+   *
+   * @param position the position up to which the log is synced after the sync of this file
+   */
+  void syncAndClose(FileChannel channel, long position) {
     requests.add(new SyncAndClose(channel, position));
   }
 
-  /** Completes all requests, and waits for the thread to end. */
+  /**
+   * Waits until all earlier requests are completed and the sync thread has ended. Returns early if
+   * the calling thread is interrupted.
+   */
   void close() {
     requests.add(new Stop());
     try {
@@ -83,8 +103,9 @@
       try {
         sync(batch);
       } catch (IOException e) {
-        // After a failed fsync the kernel may have dropped the pages, yet a later one can succeed:
-        // nothing is reported as synced again.
+        // After a failed fsync, the kernel may have dropped the pages that were not written. A
+        // later fsync can succeed nevertheless. Therefore no position is reported as synced any
+        // more.
         hasFailed = true;
         onFailure.accept(e);
       }
@@ -99,10 +120,10 @@
       if (request instanceof Sync sync) {
         toSync.add(sync.channel());
         position = Math.max(position, sync.position());
-      } else if (request instanceof SyncAndClose last) {
-        toSync.add(last.channel());
-        toClose.add(last.channel());
-        position = Math.max(position, last.position());
+      } else if (request instanceof SyncAndClose finalSync) {
+        toSync.add(finalSync.channel());
+        toClose.add(finalSync.channel());
+        position = Math.max(position, finalSync.position());
       }
     }
     for (FileChannel channel : toSync) {
--- a/src/main/java/loomreel/wal/SegmentDirectory.java
+++ b/src/main/java/loomreel/wal/SegmentDirectory.java
@@ -17,20 +17,28 @@
 import java.util.stream.Stream;
 
 /**
- * The directory of a log: its lock, and its segment files. A segment begins with a header line that
- * names the boot of the machine under which it was written. Owns the lock until it is closed; file
- * names and header are read by earlier and later versions.
+ * The directory of a log, with its lock file and its segment files. Each instance holds the lock of
+ * its directory until {@link #close}.
+ *
+ * <p>A segment begins with a header line, which contains a boot id. The operating system creates a
+ * new boot id each time the machine boots, so the boot id tells whether the machine has rebooted
+ * since the segment was created.
+ *
+ * <p>Earlier and later versions of this program read the file names and the header line. Therefore
+ * the file names and the format of the header line must not change.
  */
 final class SegmentDirectory implements Closeable {
   private static final Pattern SEGMENT_NAME = Pattern.compile("([0-9]{10})\\.journal");
   private static final String LOCK_NAME = "lock";
   private static final String HEADER_PREFIX = "loomreel journal 1 ";
+
+  /** The maximum number of bytes of a segment in which the end of the header line is searched. */
   private static final int MAX_HEADER_BYTES = 128;
 
-  /** Linux gives each boot of the machine an id of its own. */
+  /** The file in which Linux provides the boot id, which is unique for each boot of the machine. */
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-  /** Replaces the boot id where the system has none; equals no other boot id. */
+  /** Used if the system provides no boot id. Never counts as equal to another boot id. */
   private static final String UNKNOWN_BOOT_ID = "unknown";
 
   private final Path directory;
@@ -44,9 +52,10 @@
   }
 
   /**
-   * Locks a directory for this process, and creates it if necessary.
+   * Locks a directory for this process. Creates the directory if it does not exist.
    *
-   * @throws IOException if it cannot be used, or another process has locked it
+   * @throws IOException if the directory cannot be used, or if another process or another instance
+   *     in this process has locked it
    */
   static SegmentDirectory lock(Path directory) throws IOException {
     Files.createDirectories(directory);
@@ -74,7 +83,7 @@
         : UNKNOWN_BOOT_ID;
   }
 
-  /** Sizes in bytes of all segments, by their numbers. */
+  /** Returns the sizes of all segments in bytes, by segment number. */
   SortedMap<Integer, Long> sizes() throws IOException {
     SortedMap<Integer, Long> sizes = new TreeMap<>();
     try (Stream<Path> files = Files.list(directory)) {
@@ -92,15 +101,18 @@
     return directory.resolve(String.format("%010d.journal", segment));
   }
 
-  /** Reads all bytes of a segment, its header included. */
+  /** Reads all bytes of a segment, including its header. */
   ByteBuffer read(int segment) throws IOException {
     return ByteBuffer.wrap(Files.readAllBytes(file(segment)));
   }
 
   /**
-   * Reads the header of a segment, and moves the position past it.
+   * Reads the header line of a segment, and moves the position of the buffer to the first byte
+   * after the header line. If the segment does not begin with a header line, the position does not
+   * change.
    *
-   * @return the boot id in it, or empty where there is no header; the position does not change then
+   * @param segment the buffer, with the content of a segment
+   * @return the boot id in the header line; empty if the segment does not begin with a header line
    */
   static Optional<String> readHeader(ByteBuffer segment) {
     int end = 0;
@@ -117,23 +129,27 @@
     return Optional.of(header.substring(HEADER_PREFIX.length()));
   }
 
-  /** Whether a boot id is known to be that of the boot under which this process runs. */
+  /**
+   * Returns whether a boot id is the id of the current boot of the machine. Returns false if the id
+   * of the current boot is unknown.
+   */
   boolean isThisBoot(String otherBootId) {
     return otherBootId.equals(bootId) && !bootId.equals(UNKNOWN_BOOT_ID);
   }
 
   /**
-   * Creates a segment with nothing but a header; the caller owns its file.
+   * Creates a segment that contains only a header line, and waits until its name in the directory
+   * is synced. The caller owns the returned file.
    *
-   * @throws IOException if it cannot be created; there is no such file then, unless another process
-   *     has created it
+   * @throws IOException if the segment cannot be created. A file that existed before the call is
+   *     not changed. A file that this call has created is deleted again.
    */
   FileChannel create(int segment) throws IOException {
     FileChannel channel =
         FileChannel.open(file(segment), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     try {
       channel.write(ByteBuffer.wrap(header()));
-      syncNames();
+      syncDirectory();
     } catch (IOException e) {
       channel.close();
       delete(segment);
@@ -142,10 +158,10 @@
     return channel;
   }
 
-  /** Without a sync of the directory, a power failure may remove a file's name. */
-  private void syncNames() throws IOException {
-    try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-      names.force(true);
+  /** Syncs the directory. Without this sync, a power failure may remove the name of a new file. */
+  private void syncDirectory() throws IOException {
+    try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+      directoryChannel.force(true);
     }
   }
 
@@ -153,12 +169,12 @@
     return (HEADER_PREFIX + bootId + '\n').getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Size in bytes of the header of a segment that this process creates. */
+  /** Returns the size, in bytes, of the header line of a segment that this process creates. */
   int headerBytes() {
     return header().length;
   }
 
-  /** Deletes a segment. */
+  /** Deletes the file of a segment, if it exists. */
   void delete(int segment) throws IOException {
     Files.deleteIfExists(file(segment));
   }
--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -11,33 +11,47 @@
 import java.util.concurrent.Executor;
 
 /**
- * A log of records in the segments of a directory, which one process at a time has locked.
+ * A write-ahead log of records. The records are stored in segments, which are the files of one
+ * directory. Only one process at a time can use the directory.
  *
- * <p>Once {@link #write} has returned without a {@link #fault}, all records survive the end of the
- * process; once {@link #whenSynced} has run its action, they survive a power failure. All methods
- * are called on one thread, on which the actions run as well; a thread of {@link GroupCommitter}
- * waits for the disk.
+ * <p>If {@link #write} has returned and there is no {@link #fault}, all appended records survive
+ * the end of the process. When an action that was passed to {@link #whenSynced} runs, the records
+ * that were appended before that call also survive a power failure.
+ *
+ * <p>All methods are called on one thread, and the actions run on the same thread. Records are
+ * synced to the disk on another thread ({@link GroupCommitter}), and the calling thread does not
+ * wait for these syncs. The calling thread waits for a sync in two cases only: in {@link #close},
+ * and when a new segment is created, because the directory is then synced. {@link #open} creates a
+ * segment. {@link #write}, and the methods that call it, create a segment if the current segment is
+ * full after the write.
  */
 public final class WriteAheadLog implements Closeable {
-  /** Receives the records of earlier processes. */
+  /** Receives the records that earlier processes have appended to the log. */
   public interface Reader {
     /**
-     * Called for each record.
+     * Called for each record, in the order in which the records were appended.
      *
-     * @param segment the number of the segment that holds it
-     * @param sameBoot whether the machine has not rebooted since it was written; otherwise later
-     *     records may be missing
-     * @throws IOException if the content cannot be used; reading ends with it
+     * @param segment the number of the segment that contains the record
+     * @param sameBoot whether the machine is known not to have rebooted since the record was
+     *     written; if false, records that were appended after this record may be missing
+     * @param content the content of the record
+     * @throws IOException if the content cannot be used; the reading of the log ends then
      */
     void record(int segment, boolean sameBoot, byte[] content) throws IOException;
   }
 
-  /** Buffered records are written beyond this size without a request. */
+  /**
+   * The initial size of the buffer, and the free space in a buffer that has been enlarged, in
+   * bytes. If the next record does not fit into the buffer, the buffered records are written first.
+   */
   private static final int BUFFER_BYTES = 256 * 1024;
 
   private static final int FIRST_SEGMENT = 1;
 
-  // Faktory's clients receive these texts in error replies.
+  // Faktory clients receive these texts in error replies, after the words "jobs cannot be kept: ".
+  // The message of the IOException follows. The first text means that the records of the log cannot
+  // be written to the operating system or that the next segment cannot be opened. The second text
+  // means that the written records cannot be synced to the disk.
   private static final String WRITE_FAILED = "cannot be written: ";
   private static final String SYNC_FAILED = "the disk does not take it over: ";
 
@@ -45,37 +59,43 @@
   private final long segmentBytes;
   private final GroupCommitter committer;
 
-  /** Sizes in bytes of all segments, by their numbers. */
+  /** The sizes of all segments in bytes, by segment number, without the records in the buffer. */
   private final TreeMap<Integer, Long> segmentSizes;
 
   private final SyncWaiters waiters = new SyncWaiters();
 
-  /** Records that are appended and not yet written. */
+  /** The records that are appended but not yet written. */
   private ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
 
-  /** The current segment; null before {@link #open}. */
+  /** The file of the current segment; null before {@link #open}. */
   private FileChannel channel;
 
-  /** How many bytes this process has appended. */
+  /**
+   * The current position of the log, which is the number of bytes that this process has appended.
+   * The headers of records count.
+   */
   private long appendedPosition;
 
-  /** Up to which of these a sync has been requested. */
-  private long requestedPosition;
+  /** The position up to which a sync has been requested. */
+  private long syncRequestedPosition;
 
-  /** The reason why records cannot be stored; empty where they can. */
+  /** The reason of the current fault; empty if there is no fault. */
   private Optional<String> fault = Optional.empty();
 
-  /** Whether a sync has failed, after which the fault stays. */
+  /** Whether a sync has failed. If true, the fault is permanent. */
   private boolean hasSyncFailed;
 
   private int truncatedBytes;
 
   /**
-   * Locks the directory of a log, and creates it if necessary.
+   * Locks the directory of a log. Creates the directory if it does not exist. {@link #open} must be
+   * called before the other methods.
    *
-   * @param segmentBytes a segment that has grown beyond this is followed by another
-   * @param loop runs actions on the thread that calls this log
-   * @throws IOException if the directory cannot be used, or another process has locked it
+   * @param segmentBytes the size of a segment, in bytes, above which the segment is full; the next
+   *     segment is then opened
+   * @param loop runs tasks on the thread that calls the methods of this log
+   * @throws IOException if the directory cannot be used, or if another process or another log of
+   *     this process has locked it
    */
   public WriteAheadLog(Path directory, long segmentBytes, Executor loop) throws IOException {
     this.directory = SegmentDirectory.lock(directory);
@@ -88,11 +108,12 @@
   }
 
   /**
-   * Reads all records of earlier processes, in order, and opens a segment for this process. A
-   * segment is read up to the first byte that belongs to no complete record: a process that is
-   * killed may leave its last one truncated.
+   * Reads the records of earlier processes, in order, and opens a segment for this process. Each
+   * segment is read up to the first record that is incomplete or invalid, because a process that is
+   * killed may leave its last record truncated. A segment without a header line has no records.
    *
-   * @throws IOException if a segment cannot be read, or none can be opened
+   * @throws IOException if a segment cannot be read, if the reader throws this exception, or if no
+   *     segment can be opened for this process
    */
   public void open(Reader reader) throws IOException {
     for (int segment : segmentSizes.keySet()) {
@@ -115,45 +136,60 @@
     }
   }
 
-  /** Bytes at the ends of earlier processes' segments that belonged to no complete record. */
+  /**
+   * Returns the number of bytes in the segments of earlier processes that {@link #open} has not
+   * read as records. These are the bytes from the first incomplete or invalid record to the end of
+   * the segment, and all bytes of a segment without a header line.
+   */
   public int truncatedBytes() {
     return truncatedBytes;
   }
 
   private void openNextSegment() throws IOException {
-    int next = segmentSizes.isEmpty() ? FIRST_SEGMENT : current() + 1;
-    FileChannel opened = directory.create(next);
+    int nextSegment = segmentSizes.isEmpty() ? FIRST_SEGMENT : current() + 1;
+    FileChannel nextChannel = directory.create(nextSegment);
     if (channel != null) {
-      committer.retire(channel, appendedPosition);
+      committer.syncAndClose(channel, appendedPosition);
     }
-    channel = opened;
-    segmentSizes.put(next, (long) directory.headerBytes());
+    channel = nextChannel;
+    segmentSizes.put(nextSegment, (long) directory.headerBytes());
   }
 
-  /** The number of the segment that records are appended to. */
+  /**
+   * Returns the number of the current segment, which is the segment to which records are written.
+   */
   public int current() {
     return segmentSizes.lastKey();
   }
 
-  /** The number of the oldest segment. */
+  /** Returns the number of the oldest segment. */
   public int oldest() {
     return segmentSizes.firstKey();
   }
 
-  /** Bytes in all segments, and of records that are not yet written. */
+  /**
+   * Returns the total size of all segments and of the records that are not yet written, in bytes.
+   */
   public long bytes() {
     return segmentSizes.values().stream().mapToLong(Long::longValue).sum() + buffer.position();
   }
 
-  /** The reason why records cannot be stored at present; empty where they can. */
+  /**
+   * Returns the reason of the current fault: records cannot be written, the next segment cannot be
+   * opened, or a sync has failed. Returns empty if there is no fault. After a failed sync, the log
+   * has a fault permanently.
+   */
   public Optional<String> fault() {
     return fault;
   }
 
   /**
-   * Appends a record; it is in no file before {@link #write}.
+   * Appends a record to the buffer. The record is not in a file before the next {@link #write}. If
+   * the record does not fit into the buffer, first writes the records that are in the buffer.
    *
-   * @return the number of the segment that will hold it
+   * @return the number of the segment that will contain the record
+   * @throws IllegalArgumentException if the content is empty or longer than {@link
+   *     LogRecord#MAX_CONTENT_BYTES}
    */
   public int append(byte[] content) {
     byte[] record = LogRecord.frame(content);
@@ -161,7 +197,7 @@
       write();
     }
     if (buffer.remaining() < record.length) {
-      // Nothing could be written, or the record is larger than the buffer.
+      // The buffered records could not be written, or the record is larger than the buffer.
       ByteBuffer larger = ByteBuffer.allocate(buffer.position() + record.length + BUFFER_BYTES);
       buffer = larger.put(buffer.flip());
     }
@@ -171,9 +207,11 @@
   }
 
   /**
-   * Writes all appended records to the operating system. If that fails, they stay buffered for the
-   * next call, and {@link #fault()} has the reason. If a full segment cannot be followed by
-   * another, {@link #fault()} has the reason as well, and the next call tries again.
+   * Writes all appended records to the operating system. If the write fails, the records stay in
+   * the buffer for the next call, and {@link #fault()} returns the reason. If the current segment
+   * is full after the write, opens the next segment. If the next segment cannot be opened, {@link
+   * #fault()} returns the reason, and the next call tries again. If everything succeeds, the fault
+   * ends, unless a sync has failed.
    */
   public void write() {
     if (buffer.position() == 0 && !isSegmentFull()) {
@@ -199,7 +237,8 @@
         channel.write(buffer, sizeBefore + buffer.position());
       }
     } catch (IOException e) {
-      // The next call overwrites the part that was written.
+      // A part of the buffer may be written. The next call writes the complete buffer again, at the
+      // same place in the file.
       buffer.position(length).limit(buffer.capacity());
       throw e;
     }
@@ -211,17 +250,21 @@
     return segmentSizes.get(current()) > segmentBytes;
   }
 
-  /** Writes, and runs an action once all records appended so far survive a power failure. */
+  /**
+   * Writes all appended records, requests their sync, and runs an action once all these records are
+   * synced and survive a power failure. If all these records are already synced, runs the action at
+   * once. If a sync fails, the actions that still wait for a sync never run.
+   */
   public void whenSynced(Runnable action) {
     sync();
     waiters.runWhenSynced(appendedPosition, action);
   }
 
-  /** Writes, and requests a sync without waiting for it. */
+  /** Writes all appended records and requests their sync. Returns without waiting for the sync. */
   public void sync() {
     write();
-    if (buffer.position() == 0 && requestedPosition < appendedPosition) {
-      requestedPosition = appendedPosition;
+    if (buffer.position() == 0 && syncRequestedPosition < appendedPosition) {
+      syncRequestedPosition = appendedPosition;
       committer.force(channel, appendedPosition);
     }
   }
@@ -232,16 +275,18 @@
   }
 
   /**
-   * Removes the oldest segment. Only the oldest can be removed: a later record may revoke one of an
-   * earlier segment, and must not be removed before it.
+   * Deletes the oldest segment. Other segments cannot be deleted, because a record in a later
+   * segment may revoke a record in an earlier segment. If the later segment were deleted first, the
+   * revoked record would be valid again.
    *
-   * @throws IllegalStateException if it is the current segment
-   * @throws UncheckedIOException if its file cannot be deleted
+   * @throws IllegalStateException if the oldest segment is the current one
+   * @throws UncheckedIOException if the file of the segment cannot be deleted
    */
   public void dropOldest() {
     int segment = oldest();
     if (segment == current()) {
-      throw new IllegalStateException("segment " + segment + " is written to");
+      throw new IllegalStateException(
+          "segment " + segment + " is the current segment and cannot be deleted");
     }
     try {
       directory.delete(segment);
@@ -252,10 +297,11 @@
   }
 
   /**
-   * Writes and syncs all records, and unlocks the directory. Actions that are still waiting do not
-   * run any more.
+   * Writes and syncs all records, and unlocks the directory. Returns after the sync. Actions that
+   * still wait for a sync do not run during this call. They run later only if the executor of this
+   * log still runs tasks.
    *
-   * @throws IOException if records cannot be stored
+   * @throws IOException if there is a {@link #fault}, or if the files cannot be synced or closed
    */
   @Override
   public void close() throws IOException {
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -22,12 +22,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which connections a pool reuses, on real sockets. */
+/** Tests which connections a pool reuses, on real sockets. */
 @Timeout(60)
 class ConnectionPoolTest {
   private static final InetAddress LOOPBACK = loopback();
 
-  private final AtomicInteger connections = new AtomicInteger();
+  private final AtomicInteger acceptedConnections = new AtomicInteger();
+
+  /** The status code of each response, in order of arrival; -1 for an exchange that failed. */
   private final List<Integer> statuses = new ArrayList<>();
 
   private static InetAddress loopback() {
@@ -38,15 +40,15 @@
     }
   }
 
-  /** Accepts connections and responds to each request with the next of these responses. */
-  private ServerSocket respondWith(String... responses) throws Exception {
+  /** Starts a server that sends the given responses in order, one for each request. */
+  private ServerSocket startServer(String... responses) throws Exception {
     ServerSocket listener = new ServerSocket(0, 50, LOOPBACK);
     AtomicInteger next = new AtomicInteger();
     BackgroundThreads.start(
         () -> {
           while (true) {
             Socket socket = listener.accept();
-            connections.incrementAndGet();
+            acceptedConnections.incrementAndGet();
             BackgroundThreads.start(
                 () -> {
                   byte[] request = new byte[1000];
@@ -63,6 +65,7 @@
     return listener;
   }
 
+  /** Sends a request, and then the given number of further requests, one after the other. */
   private void call(EventLoop loop, ConnectionPool pool, int furtherCalls) {
     ByteQueue request = new ByteQueue(loop.pool());
     request.append("GET / HTTP/1.1\r\n\r\n");
@@ -97,7 +100,7 @@
   }
 
   private void runCalls(int calls, String... responses) throws Exception {
-    try (ServerSocket listener = respondWith(responses);
+    try (ServerSocket listener = startServer(responses);
         EventLoop loop = new EventLoop(new BufferPool(100))) {
       ConnectionPool pool =
           new ConnectionPool(
@@ -114,17 +117,18 @@
   }
 
   /**
-   * A rejection may arrive twice, some milliseconds apart: on the same connection the duplicate
-   * would be taken for the response to the next request.
+   * A response other than 2xx may be a rejection. A rejection may arrive twice, some milliseconds
+   * apart. If the connection is reused before the duplicate arrives, the duplicate is taken for the
+   * response to the next request.
    */
   @ParameterizedTest
   @CsvSource({"202,1", "200,1", "503,2", "504,2", "500,2"})
-  void aConnectionIsReusedAtOnceOnlyIfADuplicateOfItsLastResponseWouldBeHarmless(
-      int status, int expected) throws Exception {
+  void aConnectionIsReusedAtOnceOnlyAfterASuccessfulResponse(
+      int status, int expectedConnections) throws Exception {
     String response = "HTTP/1.1 " + status + " x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
     runCalls(2, response, response);
     assertEquals(List.of(status, status), statuses);
-    assertEquals(expected, connections.get());
+    assertEquals(expectedConnections, acceptedConnections.get());
   }
 
   @Test
--- a/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
+++ b/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
@@ -5,21 +5,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The idle timeout and reuse delay that are learned from resets and duplicate responses. */
+/** Tests how resets change the idle timeout, and how duplicate responses change the reuse delay. */
 class IdleTimeoutEstimatorTest {
   private static final long SECOND = 1_000_000;
-  private static final long MAX_IDLE = 60 * SECOND;
+  private static final long MAX_IDLE_MICROS = 60 * SECOND;
 
-  private final IdleTimeoutEstimator estimator = new IdleTimeoutEstimator(MAX_IDLE);
+  private final IdleTimeoutEstimator estimator = new IdleTimeoutEstimator(MAX_IDLE_MICROS);
 
-  /** A duplicate arrives some milliseconds after a response: its connection must be unused then. */
+  /**
+   * A duplicate of a response arrives some milliseconds after the response. The connection must not
+   * be reused before the duplicate has arrived.
+   */
   @Test
   void connectionsAreReusedLaterWhileDuplicateResponsesAreSuspected() {
-    assertEquals(0, estimator.reuseDelay(SECOND));
+    assertEquals(0, estimator.reuseDelayMicros(SECOND));
     estimator.recordUnsolicitedResponse(SECOND);
-    assertTrue(estimator.reuseDelay(SECOND) >= 10_000);
-    assertTrue(estimator.reuseDelay(5 * SECOND) >= 10_000);
-    assertEquals(0, estimator.reuseDelay(60 * SECOND), "the suspicion has ended");
+    assertTrue(estimator.reuseDelayMicros(SECOND) >= 10_000);
+    assertTrue(estimator.reuseDelayMicros(5 * SECOND) >= 10_000);
+    assertEquals(0, estimator.reuseDelayMicros(60 * SECOND), "duplicates are no longer suspected");
   }
 
   @Test
@@ -27,7 +30,7 @@
     for (int i = 0; i < 2; i++) {
       estimator.recordReuse(8 * SECOND, true, SECOND);
     }
-    assertEquals(MAX_IDLE, estimator.idleTimeout(SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(SECOND));
 
     estimator.recordReuse(8 * SECOND, true, SECOND);
 
@@ -41,7 +44,7 @@
     }
 
     assertEquals(12 * SECOND, estimator.idleTimeout(20 * SECOND));
-    assertEquals(MAX_IDLE, estimator.idleTimeout(200 * SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(200 * SECOND));
   }
 
   @Test
@@ -50,7 +53,7 @@
       estimator.recordReuse(49_999, true, SECOND);
     }
 
-    assertEquals(MAX_IDLE, estimator.idleTimeout(SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(SECOND));
   }
 
   @Test
@@ -62,6 +65,6 @@
       }
     }
 
-    assertEquals(MAX_IDLE, estimator.idleTimeout(SECOND));
+    assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(SECOND));
   }
 }
