--- a/src/main/java/loomreel/decision/RetryPolicy.java
+++ b/src/main/java/loomreel/decision/RetryPolicy.java
@@ -38,14 +38,14 @@
     return request.attempts().size() < limits.maxAttempts()
         && now < Math.min(request.deadlines().answerDeadline(), writeDeadline(request))
         && request.attempts().stream()
-            .allMatch(attempt -> allowsAnotherAttemptAfter(request, attempt));
+            .allMatch(attempt -> permitsAnotherAttempt(request, attempt));
   }
 
   /**
    * Returns whether an existing attempt permits another attempt of its request. The existing
    * attempt may be open or ended.
    */
-  private boolean allowsAnotherAttemptAfter(PendingRequest request, AttemptState attempt) {
+  private boolean permitsAnotherAttempt(PendingRequest request, AttemptState attempt) {
     boolean mayOverlap = !attempt.isOpen() || limits.hedging();
     boolean mayRepeat = attempt.neverRan() || request.idempotency != Idempotency.NON_IDEMPOTENT;
     return mayOverlap && mayRepeat && !attempt.isInvalid();
@@ -58,7 +58,7 @@
   boolean allowsWorker(PendingRequest request, WorkerState worker) {
     return worker.endpoint().state() == State.READY
         && workers.get(worker.id) == worker
-        && request.attempts().stream().allMatch(attempt -> allowsAttemptAfter(attempt, worker));
+        && request.attempts().stream().allMatch(attempt -> permitsWorker(attempt, worker));
   }
 
   /**
@@ -67,18 +67,18 @@
    * the earlier attempt. If the request is keyed, both workers must also be in the same
    * deduplication scope.
    */
-  private static boolean allowsAttemptAfter(AttemptState attempt, WorkerState worker) {
+  private static boolean permitsWorker(AttemptState attempt, WorkerState worker) {
     if (attempt.neverRan()) {
       return true;
     }
     PendingRequest request = attempt.request;
-    boolean isDeduplicated =
+    boolean meetsDeduplicationRule =
         request.idempotency != Idempotency.KEYED
             || request
                 .requestClass
                 .deduplicationScope()
                 .sharedBy(attempt.worker.endpoint(), worker.endpoint());
-    return attempt.worker != worker && isDeduplicated;
+    return attempt.worker != worker && meetsDeduplicationRule;
   }
 
   /**
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -124,9 +124,9 @@
     version++;
     poolsByQueue.clear();
     poolsByKind.clear();
-    List<WorkerState> ready = workers.values().stream().filter(this::isEligible).toList();
-    poolsByKind.put(null, ready.toArray(WorkerState[]::new));
-    ready.stream()
+    List<WorkerState> eligible = workers.values().stream().filter(this::isEligible).toList();
+    poolsByKind.put(null, eligible.toArray(WorkerState[]::new));
+    eligible.stream()
         .collect(Collectors.groupingBy(worker -> worker.endpoint().kind()))
         .forEach((kind, pool) -> poolsByKind.put(kind, pool.toArray(WorkerState[]::new)));
   }
