--- a/src/main/java/loomreel/decision/AttemptCanceller.java
+++ b/src/main/java/loomreel/decision/AttemptCanceller.java
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Cancels the open attempts of a request whose start no worker has reported. The method is called
-   * when a worker reports the start of another attempt of the same request.
+   * Cancels those open attempts of a request that have not been reported as started. The method is
+   * called when a worker reports the start of another attempt of the same request.
    */
   void cancelUnstarted(PendingRequest request) {
     cancel(request, false);
--- a/src/main/java/loomreel/decision/DecayingSum.java
+++ b/src/main/java/loomreel/decision/DecayingSum.java
@@ -6,10 +6,9 @@
  */
 final class DecayingSum {
   /**
-   * The time constant, in microseconds, of the sums from which long-term rates and means are
-   * computed. This time constant is long compared with the run time of a job and short compared
-   * with a day. Users of this class pass it to the constructor. Sums for other purposes have other
-   * time constants.
+   * The time constant, in microseconds, of the sums from which most rates and means are computed.
+   * It is 10 seconds, which is long compared with the run time of a job and short compared with a
+   * day. Users of this class pass it to the constructor. Some sums have other time constants.
    */
   static final double RATE_TIME_CONSTANT_MICROS = 10e6;
 
--- a/src/main/java/loomreel/decision/KeyAffinity.java
+++ b/src/main/java/loomreel/decision/KeyAffinity.java
@@ -9,9 +9,10 @@
   private static final long NOT_RANKED = -1;
 
   /**
-   * The demand of the jobs with this key. The expected work of each job, in slots multiplied by
-   * microseconds, is added after a division by the time constant of the sum. The sum is therefore
-   * the mean number of slots that the jobs are expected to occupy.
+   * The demand of the jobs with this key: the mean number of slots that these jobs are expected to
+   * occupy at a time. For each job, the expected work, in slots multiplied by microseconds, is
+   * divided by the time constant of the sum, in microseconds, and the quotient is added to the sum.
+   * Because of this division, the sum is a number of slots.
    */
   private final DecayingSum demand = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -120,8 +120,8 @@
    * of its steady value. The result is greater than 0 and approaches 1.
    */
   double observedFraction() {
-    // The time since the start, negated for the exponent. The additional microsecond keeps the
-    // result above 0.
+    // Unlike in the other methods, the age is negative here: it is the time since the start of the
+    // dispatcher, multiplied by -1. The additional microsecond keeps the result above 0.
     double age = startedAt - context.now() - 1;
     return 1 - Math.exp(age / DecayingSum.RATE_TIME_CONSTANT_MICROS);
   }
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -38,8 +38,8 @@
   private CandidateDraw candidates;
 
   /**
-   * The next round of candidates to consider for health checks; null before the first parameters
-   * are drawn and after the last round.
+   * The first round of candidates that has not been considered for health checks, or that is being
+   * considered now; null before the first parameters are drawn and after the last round.
    */
   private CandidateRound healthCheckRound;
 
@@ -152,14 +152,16 @@
   }
 
   /**
-   * Returns the next round of candidates to consider for health checks; null after the last round.
+   * Returns the first round of candidates that has not been considered for health checks, or that
+   * is being considered now; null after the last round.
    */
   CandidateRound healthCheckRound() {
     return healthCheckRound;
   }
 
   /**
-   * Moves on to the next round of candidates for health checks. The current round must not be null.
+   * Marks the round that {@link #healthCheckRound()} returns as considered, and moves on to the
+   * next round. The round must not be null.
    */
   void advanceHealthCheckRound() {
     healthCheckRound = healthCheckRound.next();
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -11,8 +11,8 @@
  * <p>After a failed poll, the dispatcher waits before the next poll. The backoff grows
  * exponentially with each failure up to {@link Rules#maxPollBackoff()}, and the wait is drawn at
  * random from half the backoff to the full backoff. If a failed poll has lasted at least as long as
- * the maximum backoff, discovery had accepted it, so the backoff starts again from its first value.
- * Times are in microseconds.
+ * the maximum backoff, discovery is assumed to have accepted the poll before it failed. In this
+ * case, the backoff starts again from its first value. Times are in microseconds.
  */
 final class PollBackoff {
   private static final int BACKOFF_FACTOR = 2;
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -12,9 +12,11 @@
   private static final int MAX_REQUESTS_PER_QUEUE_RETRY = 32;
 
   /**
-   * The distance by which the fallback moves on in the ranking of a request's key each time the
-   * request is queued. The fallback considers a sample of consecutive workers in the ranking. The
-   * unit of the distance is the size of this sample.
+   * The amount by which the ranking offset of a request increases each time the request is queued.
+   * If the request has a key, the fallback of {@link WorkerSelector} considers a sample of
+   * consecutive workers in the ranking of the workers for the key. The ranking offset moves the
+   * start of this sample further down the ranking. It is ignored while the mean load of all workers
+   * is high. The unit of the offset is the size of the sample.
    */
   private static final int RANKING_STEP_IN_SAMPLE_SIZES = 2;
 
@@ -56,7 +58,10 @@
     placeWithNewCandidates(request);
   }
 
-  /** Draws new candidates for a request, then places the request. */
+  /**
+   * Replaces the parameters from which the candidate workers of a request are derived, then calls
+   * {@link #place}. {@link CandidateDraw} describes the parameters.
+   */
   private void placeWithNewCandidates(PendingRequest request) {
     selector.drawCandidateParameters(request);
     place(request);
@@ -65,8 +70,8 @@
   /**
    * Places a request. Placing sends the request to a worker, makes it wait for health checks of its
    * candidates, queues it, or gives it up. Does nothing if the request has ended or already waits
-   * for a health check. Also does nothing if no further attempt is allowed while an attempt of the
-   * request is open.
+   * for a health check. Also does nothing if an attempt of the request is open and no further
+   * attempt is allowed.
    */
   private void place(PendingRequest request) {
     if (request.hasEnded() || request.awaitsHealthCheck()) {
--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -18,8 +18,9 @@
  * @param stableWeights whether the weight of a worker stays the same between endpoint lists
  * @param loadReporting which responses of workers include load reports
  * @param reportsJobStart whether workers report that a job has started
- * @param tick the minimum time between two events of this dispatcher; the policy also uses it as
- *     the unit of short intervals, such as the margins before deadlines and the minimum timeouts
+ * @param tick the nominal minimum time between two events of this dispatcher; the policy also
+ *     accepts events that follow each other sooner, and uses the tick as the unit of short
+ *     intervals, such as the margins before deadlines and the minimum timeouts
  * @param clientsMarkRetries whether clients mark their retries
  */
 public record Settings(
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -17,14 +17,17 @@
  */
 final class SlowStartController {
   /**
-   * The safety factor of the rate that is estimated from the work that this dispatcher has sent to
-   * all workers. Only this fraction of the resulting overload limit is used.
+   * The safety factor of the first estimate in {@link #safeRate}, which is derived from the work
+   * that this dispatcher has sent to all workers. Only this fraction of the estimate is used.
+   * {@link #allows} computes the refill rate of the worker's slow-start allowance from the larger of
+   * the two reduced estimates.
    */
   private static final double SENT_WORK_RATE_MARGIN = 0.33;
 
   /**
-   * The safety factor of the rate that is estimated from the slots of the warming worker itself.
-   * Only this fraction of the resulting overload limit is used.
+   * The safety factor of the second estimate in {@link #safeRate}, which is derived from the slots
+   * of the warming worker. Only this fraction of the estimate is used. {@link #allows} computes the
+   * refill rate of the worker's slow-start allowance from the larger of the two reduced estimates.
    */
   private static final double OWN_SLOTS_RATE_MARGIN = 0.8;
 
@@ -56,8 +59,10 @@
   private static final double WARM_UP_DURATION_FACTOR = 1.1;
 
   /**
-   * The work that this dispatcher sends is assumed to be spread over the warm workers, but over at
-   * least the number of listed workers divided by this number, plus 1.
+   * The divisor for the minimum number of workers over which the work that this dispatcher sends is
+   * assumed to be spread. The minimum is 1 plus the number of listed workers divided by this
+   * divisor, rounded down. If more workers than the minimum are warm, the work is assumed to be
+   * spread over the warm workers.
    */
   private static final int MIN_SERVING_WORKERS_DIVISOR = 2;
 
--- a/src/main/java/loomreel/decision/SlowStartLimiter.java
+++ b/src/main/java/loomreel/decision/SlowStartLimiter.java
@@ -10,8 +10,8 @@
  *
  * <p><b>Limit of the platform.</b> A warming worker fails if it receives too much work within the
  * overload window. Let {@code N} be the number of requests of mean work that the platform allows
- * the worker to receive in the window. The number that all processes together send may exceed
- * {@code N} at random, but by no more than the bound of {@code 2 sqrt(N) + 2}.
+ * the worker to receive in the window. The number that all processes together send varies at
+ * random, so it may exceed {@code N}. It is acceptable up to the bound {@code N + 2 sqrt(N) + 2}.
  *
  * <p><b>Work of all dispatchers.</b> Let the allowances of all processes together be refilled at
  * {@code m <= N} requests of mean work per window. Each allowance starts at a value that is drawn
--- a/src/main/java/loomreel/decision/WorkerLoadHistory.java
+++ b/src/main/java/loomreel/decision/WorkerLoadHistory.java
@@ -14,9 +14,10 @@
   private static final double MIN_SAMPLE_WEIGHT = 0.1;
 
   /**
-   * The weight of a new sample approaches 1 as the time since the previous sample grows. The time
-   * constant of this growth is {@link DecayingSum#RATE_TIME_CONSTANT_MICROS} divided by this
-   * factor.
+   * The factor that determines how fast the weight of a new sample in the mean load approaches 1 as
+   * the time since the previous sample increases. The weight is at least {@code 1 - exp(-t f / T)},
+   * where {@code t} is this time in microseconds, {@code f} is this factor, and {@code T} is {@link
+   * DecayingSum#RATE_TIME_CONSTANT_MICROS}.
    */
   private static final double AGE_WEIGHT_RATE_FACTOR = 2;
 
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -48,10 +48,10 @@
   private static final double MAX_LOAD_THRESHOLD = 1.5;
 
   /**
-   * The mean load of all workers from which on the ranking offset of a request is ignored. If the
-   * mean load is at or above this limit, the fallback sample of a queued request starts at the same
-   * position of the ranking as before the request was queued. {@link
-   * PendingRequest#rankingOffsetInSampleSizes} describes the offset.
+   * The limit of the mean load of all workers for the use of ranking offsets. {@link
+   * PendingRequest#rankingOffsetInSampleSizes} describes the offset. If the mean load is below this
+   * limit, the fallback sample of a request is moved by the offset of the request. If the mean load
+   * is at or above this limit, the offset is ignored.
    */
   private static final double MAX_MEAN_LOAD_FOR_RANKING_OFFSET = 0.9;
 
@@ -208,12 +208,12 @@
   }
 
   /**
-   * Returns a sample of consecutive workers in the ranking of a key. The sample starts with the
-   * second worker of the ranking. If the key is hot, that is, needs more workers than it hashes to,
-   * the sample starts at a random position among the workers that the key needs. If the request was
-   * queued and the mean load is not high, the sample is moved on in the ranking by the offset of
-   * the request. At the end of the considered part of the ranking, the sample continues at its
-   * beginning.
+   * Returns a sample of consecutive workers in the ranking of a key. If the key is hot, that is,
+   * needs more workers than it hashes to, the sample starts at a random position among the workers
+   * that the key needs. Otherwise, the sample starts with the second worker of the ranking. If the
+   * request was queued and the mean load is not high, the start of the sample is moved on in the
+   * ranking by the offset of the request. Only the first workers of the ranking are considered.
+   * After the last of these workers, the sample continues with the first worker of the ranking.
    */
   private List<WorkerState> rankedCandidates(
       PendingRequest request, KeyAffinity key, int sampleSize) {
