--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -19,8 +19,8 @@
   /**
    * The safety factor of the first estimate in {@link #safeRate}, which is derived from the work
    * that this dispatcher has sent to all workers. Only this fraction of the estimate is used.
-   * {@link #allows} computes the refill rate of the worker's slow-start allowance from the larger of
-   * the two reduced estimates.
+   * {@link #allows} computes the refill rate of the worker's slow-start allowance from the larger
+   * of the two reduced estimates.
    */
   private static final double SENT_WORK_RATE_MARGIN = 0.33;
 
