--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -37,8 +37,8 @@
   private static final int RUN_COUNT = 1000;
 
   /**
-   * The refill rate of the allowances of all dispatchers together, as a fraction of the rate at
-   * which the worker would get as much work as the overload limit.
+   * The refill rate of the allowances of all dispatchers together, divided by the overload multiple
+   * times the current capacity of the worker.
    */
   private static final double REFILL_FRACTION = 0.8;
 
@@ -50,14 +50,15 @@
 
   /**
    * A cold worker and the dispatchers that send requests to it. Each dispatcher has a request to
-   * send at any time. The worker fails if the work that it gets within the overload window exceeds
-   * a multiple of the work that it can do in that time.
+   * send at any time. The overload window begins when the worker starts. The overload limit is the
+   * overload multiple times the work that the worker can do within the overload window.
    *
    * @param dispatcherCount the number of dispatchers
    * @param relativeCapacity the relative work per second that the worker can do when it is warm
    * @param initialCapacityFraction the fraction of its capacity that the worker has when it starts
    * @param windowSeconds the length of the overload window, in seconds
-   * @param overloadMultiple the multiple of its capacity above which the worker fails
+   * @param overloadMultiple the overload limit divided by the work that the worker can do within
+   *     the overload window
    * @param relativeDeviation the standard deviation of the work of a request, divided by the mean;
    *     the work is distributed lognormally
    */
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Returns the overload limit: the relative work that the worker can get within the overload
-     * window, which begins when the worker starts, without being overloaded.
+     * Returns the overload limit, in relative work. The capacity grows linearly, so its mean over
+     * the overload window is the capacity in the middle of the window.
      */
     double relativeLimit() {
       return overloadMultiple * windowSeconds * relativeCapacityAt(windowMicros() / 2);
@@ -126,19 +127,20 @@
      * Simulates one process of a dispatcher from its start until the end of the overload window. A
      * dispatcher has a single process, unless it is restarted; see {@link #simulateAllDispatchers}.
      *
-     * @param refillFactor the factor that gives the refill rate of the allowance of the process, as
-     *     for {@link #refillFactorPerDispatcher}
-     * @param startedAtMicros the age of the worker when the process starts, in microseconds
+     * @param refillFactor the refill rate of the allowance of the process, in work per microsecond,
+     *     divided by {@link #relativeCapacityAt}
+     * @param startAgeMicros the age of the worker when the process starts, in microseconds; the
+     *     simulation uses the age as its clock
      * @param meanLightWork the mean work of the requests that may go to the worker
      * @return the relative work that the process sends to the worker
      */
     double simulateProcess(
-        SplittableRandom random, double refillFactor, long startedAtMicros, double meanLightWork) {
+        SplittableRandom random, double refillFactor, long startAgeMicros, double meanLightWork) {
       SlowStartLimiter limiter = new SlowStartLimiter();
-      limiter.restart(random.nextDouble() * meanLightWork, startedAtMicros);
+      limiter.restart(random.nextDouble() * meanLightWork, startAgeMicros);
       double relativeWork = 0;
       double workMicros = drawWork(random);
-      for (long nowMicros = startedAtMicros;
+      for (long nowMicros = startAgeMicros;
           nowMicros < windowMicros();
           nowMicros += STEP_MICROS) {
         double refillRate = refillFactor * relativeCapacityAt(nowMicros);
@@ -184,9 +186,10 @@
 
   /**
    * Verifies that the dispatchers together send at least 0.7 of the overload limit on average, and
-   * overload the worker in at most one of 1000 runs. A worker with the limit {@code N}, in relative
-   * work, is overloaded only if it gets more than {@code N + 2 sqrt(N) + 2}. A smaller excess over
-   * the limit counts as chance; see {@link SlowStartLimiter}.
+   * overload the worker in at most one of 1000 runs. Let {@code N} be the overload limit, in
+   * relative work. The worker counts as overloaded if the relative work that it gets exceeds {@code
+   * N + 2 sqrt(N) + 2}. A smaller excess over the overload limit counts as chance; see {@link
+   * SlowStartLimiter}.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/loomreel/decision/SlowStartTest.java
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -97,6 +97,7 @@
 
     double overloadMicros = DispatcherHarness.RULES.overloadMultiple() * capacityMicros;
     assertTrue(workMicros > capacityMicros, "sent " + workMicros + " of " + capacityMicros);
+    // The message states the capacity. The limit is the capacity times the overload multiple.
     assertTrue(workMicros < overloadMicros, "sent " + workMicros + " of " + capacityMicros);
   }
 }
