--- a/src/main/java/loomreel/simulator/WireEventReader.java
+++ b/src/main/java/loomreel/simulator/WireEventReader.java
@@ -37,10 +37,16 @@
    */
   private static final long FLAG_CLIENT_RETRY = 2;
 
-  /** The {@code Sort} of an {@code UpdateOf} event that reports the start of the job. */
+  /**
+   * The value of the field {@code Sort} in an {@code UpdateOf} event that reports the start of the
+   * job.
+   */
   private static final long UPDATE_TYPE_STARTED = 1;
 
-  /** The {@code Sort} of an {@code UpdateOf} event that reports progress of the job. */
+  /**
+   * The value of the field {@code Sort} in an {@code UpdateOf} event that reports progress of the
+   * job.
+   */
   private static final long UPDATE_TYPE_PROGRESSED = 2;
 
   /** The failure domain of an endpoint for which the event states none. */
@@ -64,7 +70,7 @@
       case WireNames.REQUEST_RECEIVED -> requestReceived(event);
       case WireNames.REQUEST_CANCELLED ->
           new RequestCancelledByClient(event.text(WireNames.REQUEST_ID));
-      case WireNames.ATTEMPT_STARTED -> attemptProgress(event);
+      case WireNames.JOB_STARTED -> attemptProgress(event);
       case WireNames.ATTEMPT_UPDATED -> attemptUpdate(event);
       case WireNames.ATTEMPT_COMPLETED -> attemptCompleted(event);
       case WireNames.HEALTH_CHECK_COMPLETED -> healthCheckCompleted(event);
--- a/src/main/java/loomreel/simulator/WireNames.java
+++ b/src/main/java/loomreel/simulator/WireNames.java
@@ -21,7 +21,7 @@
   static final String ENDPOINTS_CHANGED = "Members";
   static final String REQUEST_RECEIVED = "Inbound";
   static final String REQUEST_CANCELLED = "Withdrawn";
-  static final String ATTEMPT_STARTED = "Started";
+  static final String JOB_STARTED = "Started";
   static final String ATTEMPT_UPDATED = "UpdateOf";
   static final String ATTEMPT_COMPLETED = "ReportBack";
   static final String HEALTH_CHECK_COMPLETED = "StatusBack";
--- a/src/main/java/loomreel/simulator/WireObject.java
+++ b/src/main/java/loomreel/simulator/WireObject.java
@@ -67,8 +67,9 @@
   }
 
   /**
-   * Returns the value of a required number field as an integer. The fractional part is discarded.
-   * Of an integer with more than 64 bits, the low 64 bits are returned.
+   * Returns the value of a required number field as a {@code long}. If the number has a fractional
+   * part, that part is discarded. If the number is an integer that does not fit into a {@code
+   * long}, the result is the low 64 bits of the integer.
    */
   long integer(String fieldName) throws MalformedBatchException {
     return requiredNumber(fieldName).longValue();
