--- a/src/test/java/loomreel/decision/DispatcherHarness.java
+++ b/src/test/java/loomreel/decision/DispatcherHarness.java
@@ -31,8 +31,7 @@
   /**
    * The platform rules of the shared settings. The drain grace is 0.5 s and the poll interval 10 s.
    * A worker starts with at least 0.2 of its capacity and has its full capacity after 20 s. The
-   * overload limit is 3 times the capacity of the worker, over 2 s. {@link Rules} defines these
-   * terms.
+   * overload multiple is 3 and the overload window is 2 s. {@link Rules} defines these terms.
    */
   static final Rules RULES = new Rules(SECOND / 2, 10 * SECOND, 0.2, 20 * SECOND, 3, 2 * SECOND);
 
@@ -73,7 +72,10 @@
               "issue", null, 3, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0),
           requestClass("big-only", "big", 3, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0));
 
-  /** The minimum time, in microseconds, between two events of a dispatcher. */
+  /**
+   * The {@code tick} of the shared settings, in microseconds. The policy uses multiples of the tick
+   * as pauses and margins. Tests may deliver events with a smaller distance or at the same time.
+   */
   private static final long TICK_MICROS = 2000;
 
   /** The time, in microseconds, that a client waits for an answer. */
--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -34,7 +34,11 @@
   /** The number of microseconds in a second. */
   static final long SECOND = DispatcherHarness.SECOND;
 
-  /** The time, in microseconds, from a health check of a reachable worker to the result. */
+  /**
+   * The time, in microseconds, from a health check of a reachable worker to the result. The result
+   * for an unreachable worker arrives after {@link #CONNECT_TIMEOUT_MICROS}, but also states this
+   * duration.
+   */
   private static final long ROUND_TRIP_MICROS = 20_000;
 
   /**
@@ -258,6 +262,10 @@
         () -> deliver(dispatcher, healthCheckResult(worker)));
   }
 
+  /**
+   * Returns the result of a health check of the worker. The result states the duration {@link
+   * #ROUND_TRIP_MICROS}, even if the worker is unreachable.
+   */
   private static HealthChecked healthCheckResult(SimulatedWorker worker) {
     String id = worker.endpoint.id();
     return switch (worker.mode) {
--- a/src/test/java/loomreel/decision/FleetSimulationTest.java
+++ b/src/test/java/loomreel/decision/FleetSimulationTest.java
@@ -39,9 +39,9 @@
   /**
    * The settings of each dispatcher. The drain grace is 3 s and the poll interval 10 s. A worker
    * starts with at least 0.2 of its capacity and has its full capacity after 20 s. The overload
-   * limit is 2.5 times the capacity of the worker, over 3 s. A request may have 4 attempts.
-   * Hedging, cancellation and health checks are allowed, and a rejection may give a retry delay of
-   * up to 1 s.
+   * multiple is 2.5 and the overload window is 3 s. A request may have 4 attempts. Hedging,
+   * cancellation and health checks are allowed. A rejection may give a retry delay of up to 1 s.
+   * {@link Rules} and {@link Limits} define these terms.
    */
   private static final Settings SETTINGS =
       Settings.builder()
--- a/src/test/java/loomreel/decision/RandomEvents.java
+++ b/src/test/java/loomreel/decision/RandomEvents.java
@@ -11,7 +11,10 @@
  * random number generator and the records of attempts.
  */
 final class RandomEvents {
-  /** The minimum time between two events of a dispatcher, in microseconds. */
+  /**
+   * The time, in microseconds, by which the clock advances in each step of the run. A dispatcher
+   * may get several events in the same step.
+   */
   static final long TICK_MICROS = 2000;
 
   final Random random;
--- a/src/test/java/loomreel/decision/SimulatedWorker.java
+++ b/src/test/java/loomreel/decision/SimulatedWorker.java
@@ -112,7 +112,10 @@
     activeJobs--;
   }
 
-  /** Returns a load report with the current numbers of queued jobs, active jobs and free slots. */
+  /**
+   * Returns a load report with the current numbers of queued jobs, active jobs and free slots. The
+   * active jobs include the queued jobs.
+   */
   WorkerLoad loadReport() {
     int slots = slotFreeAtMicros.length;
     return DispatcherHarness.loadReport(
