--- a/src/test/java/loomreel/decision/DispatchPolicyTest.java
+++ b/src/test/java/loomreel/decision/DispatchPolicyTest.java
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void eventsOfUnknownRequestsAndTimersAreIgnored() {
+  void eventsOfUnknownRequestsAndTimersAndUnrequestedHealthChecksAreIgnored() {
     DispatcherHarness dispatcherWithWorkers = DispatcherHarness.withWorkers(20);
 
     assertTrue(dispatcherWithWorkers.endAttempt("never", 0, "w01", AttemptOutcome.OK).isEmpty());
--- a/src/test/java/loomreel/decision/FirstAttemptEstimatorTest.java
+++ b/src/test/java/loomreel/decision/FirstAttemptEstimatorTest.java
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void withoutMarksALongRemainingTimeIndicatesARetryAndAShortOneAFirstAttempt() {
+  void withoutMarksARequestIsARetryIfMostButNotAllOfTheClassDeadlineRemains() {
     FirstAttemptEstimator estimator = new FirstAttemptEstimator(false, TIME_CONSTANT_MICROS);
 
     assertEquals(NOW_MICROS, firstAttemptAt(estimator, REQUEST_CLASS.deadline(), false));
--- a/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
+++ b/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
@@ -218,7 +218,9 @@
           completeHealthChecks(dispatcher, arrivalActions, checkedWorkers, IDLE_LOAD);
 
       String worker = onlyAttempt(laterActions).workerId();
-      assertTrue(checkedWorkers.contains(worker), worker + " was not among " + checkedWorkers);
+      assertTrue(
+          checkedWorkers.contains(worker),
+          worker + " was not among the checked workers " + checkedWorkers);
       assertTrue(checkedWorkers.size() <= 3, checkedWorkers.toString());
       usedWorkers.add(worker);
       dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
--- a/src/test/java/loomreel/decision/RandomEventsTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -99,11 +99,12 @@
   }
 
   /**
-   * Changes the state of a random worker and delivers the change to all dispatchers. A worker that
-   * becomes ready has started or restarted at the current time. Otherwise, the worker drains or is
-   * removed.
+   * Draws a worker and its new state, and delivers the change to all dispatchers. If the new state
+   * is ready, the worker starts or restarts at the current time. If the new state is draining or
+   * removed, the endpoint has the start time 0.
    */
   private void changeEndpoint() {
+    // The workers with the numbers from WORKER_COUNT to 15 are not in the first endpoint list.
     int number = randomEvents.random.nextInt(16);
     State state =
         randomEvents.random.nextInt(3) == 0
@@ -136,10 +137,10 @@
   }
 
   /**
-   * Asserts rule 4 for a worker that has restarted. The rule limits the attempts at the worker in
-   * the first overload window after the restart. The limit is 0.35 times the overload multiple
-   * times the number of attempts that a worker gets on average in such a window. Another 3 attempts
-   * are permitted as a margin for chance.
+   * Asserts rule 4 for the last start or restart of a worker. The rule limits the attempts at the
+   * worker in the overload window that begins at this time. The mean is the number of attempts that
+   * one of {@link #WORKER_COUNT} workers gets on average in a window of this length. The limit is
+   * the mean times the overload multiple times 0.35, plus 3 attempts as a margin for chance.
    */
   private void assertNotOverloaded(String worker, long restartedAtMicros) {
     long windowMicros = DispatcherHarness.RULES.overloadWindow();
--- a/src/test/java/loomreel/decision/ReadmeExampleTest.java
+++ b/src/test/java/loomreel/decision/ReadmeExampleTest.java
@@ -16,6 +16,12 @@
       Path.of("src/test/java/loomreel/decision/ReadmeExampleTest.java");
   private static final Path README = Path.of("README.md");
 
+  /**
+   * Verifies that the example starts an attempt at the only worker. The two comments in this method
+   * mark the start and the end of the example. {@link #theReadmeContainsTheExample} searches this
+   * file for these markers and compares the text between them with README.md. The markers must not
+   * be changed, and no other text in front of the example may equal a marker.
+   */
   @Test
   void theExampleSendsTheRequestToTheOnlyWorker() {
     // example
--- a/src/test/java/loomreel/decision/RequestAnswerTest.java
+++ b/src/test/java/loomreel/decision/RequestAnswerTest.java
@@ -37,10 +37,11 @@
   }
 
   /**
-   * Verifies that a request is rejected at once if its answer no longer has a value. The client
-   * marked the request as a retry, and 5 s of the deadline of the class, which is 10 s, have
-   * passed. So the client made its first attempt 5 s ago, and the latency objective cannot be met
-   * any more.
+   * Verifies that a request is rejected at once if it arrives after its latency objective. In this
+   * class, an answer after the latency objective is worthless. The class has a deadline of 10 s.
+   * The client marked the request as a retry, and the request has 5 s left. Therefore, the client
+   * made its first attempt 5 s ago. The latency objective has passed, because it is 3 s after the
+   * first attempt: 1 s plus twice the work of 1 s.
    */
   @Test
   void aRequestThatArrivesTooLateIsRejectedAtOnce() {
@@ -57,7 +58,7 @@
     assertEquals(
         List.of(new Reject("late", SECOND, RejectionReason.ARRIVED_TOO_LATE)),
         actions,
-        "an answer no longer has a value");
+        "the latency objective has passed, so an answer is worthless");
   }
 
   @Test
