--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -156,9 +156,9 @@
 
   /**
    * Watches discovery at another address. The call in flight is abandoned. The first call to the
-   * new address is made at once, because the list at the new address counts as known to the
-   * dispatcher 4 s after the move; {@link WatchTimeouts} explains when a list counts as known. The
-   * complete list is requested, because the versions at the new address may differ.
+   * new address is made at once: by the rules of the platform, the list at the new address counts
+   * as known to the dispatcher 4 s after the move, whether or not the dispatcher has received the
+   * list. The complete list is requested, because the versions at the new address may differ.
    */
   public void moveTo(InetSocketAddress address) {
     if (connection != null) {
@@ -230,8 +230,8 @@
     version = list.version();
     isConfirmed = true;
     trace(TRACE_LIST_RECEIVED, "seq");
-    // Makes the next call before the list is processed. Processing takes time, and the watch would
-    // count as failed if the next call were late.
+    // Makes the next call before the list is processed, because processing takes time. If the next
+    // call is late, the watch counts as failed by the rules of the platform.
     watch();
     if (list.complete() || !list.endpoints().isEmpty()) {
       listener.endpointsReceived(list);
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -23,9 +23,9 @@
  *       known {@link #KNOWN_AFTER_SILENCE_MICROS} after the silence began, or {@link
  *       #KNOWN_AFTER_WAIT_MICROS} after the end of the call's wait for a change, whichever is
  *       later.
- *   <li>Whether or not the calls of the dispatcher succeed, a change counts as known {@link
- *       #KNOWN_AFTER_SILENCE_MICROS} after the time from which discovery has the change and can be
- *       reached.
+ *   <li>Assume that discovery has a change and can be reached from some time on. The change counts
+ *       as known {@link #KNOWN_AFTER_SILENCE_MICROS} after that time, even if the calls of the
+ *       dispatcher fail.
  *   <li>If lists are pushed to an agent, the list of the agent counts as known at once, whether or
  *       not the dispatcher watches the agent. This also applies after an outage.
  *   <li>If a change shows that a worker drains, jobs may be sent to the worker for another {@link
@@ -148,17 +148,20 @@
    *
    * <ul>
    *   <li>A call waits for a change for {@code KNOWN_AFTER_SILENCE_MICROS -
-   *       KNOWN_AFTER_WAIT_MICROS}. With this wait, the two time limits of the rule for silent
-   *       calls end at the same time if a call is silent from its start: {@code
-   *       KNOWN_AFTER_SILENCE_MICROS} after the start of the call. If the silence begins later, the
-   *       change counts as known later.
+   *       KNOWN_AFTER_WAIT_MICROS}. A change that a silent call missed counts as known {@code
+   *       KNOWN_AFTER_SILENCE_MICROS} after the silence began, or {@code KNOWN_AFTER_WAIT_MICROS}
+   *       after the end of the wait, whichever is later. With the chosen wait, both times are {@code
+   *       KNOWN_AFTER_SILENCE_MICROS} after the start of the call if the call is silent from its
+   *       start. If the silence begins later, the change counts as known later.
    *   <li>From the end of the wait, {@code KNOWN_AFTER_WAIT_MICROS} plus the drain grace pass until
    *       sending to a draining worker could violate the rules. Half of this time is the response
    *       timeout of the silent call, and the other half is the response timeout of the call that
    *       replaces it. Each response timeout is at most {@link #MAX_RESPONSE_TIMEOUT_MICROS}.
-   *   <li>A change in an invalid response may count as known from the time at which discovery wrote
-   *       the response. The retry interval after an invalid response therefore leaves time for two
-   *       more calls within the drain grace.
+   *   <li>For an invalid response, this class assumes the worst case: each change in the response
+   *       counts as known to the dispatcher from the time at which discovery wrote the response.
+   *       From that time, jobs may be sent to a draining worker for the drain grace only. The retry
+   *       interval after an invalid response therefore leaves time for two more calls within the
+   *       drain grace.
    * </ul>
    *
    * <p>If lists are pushed to an agent, the known list must be younger than the drain grace. The
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -20,8 +20,9 @@
 
 /**
  * Tests that the dispatcher receives a change of the endpoint list in time, whatever the outcomes
- * of its calls to discovery are. The change that a worker drains is received in time if the rules
- * still allow sending jobs to the worker. {@link WatchTimeouts} describes the rules.
+ * of its calls to discovery are. If a change shows that a worker is draining, the rules of the
+ * platform allow the dispatcher to send jobs to the worker for a limited time. The dispatcher must
+ * receive the change before this time ends. {@link WatchTimeouts} describes the rules.
  */
 class WatchTimeoutsTest {
   /** One second, in microseconds. */
@@ -119,8 +120,11 @@
   }
 
   /**
-   * An invalid response shows that discovery is up and that its list has changed. Changes in the
-   * part of the response that has arrived may already count as known.
+   * Verifies that two more calls can be made within the drain grace after an invalid response.
+   * {@link WatchTimeouts} assumes that the changes in an invalid response count as known to the
+   * dispatcher from the time at which discovery wrote the response. Also verifies the minimum
+   * interval from the first call to the first retry, and that a call that took long is retried at
+   * once.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 0.5, 1, 3, 10})
@@ -138,7 +142,7 @@
       assertTrue(
           thirdCallAt <= graceSeconds * SECOND,
           thirdCallAt + " us until the third call, grace in s: " + graceSeconds);
-      assertTrue(secondCallAt >= 100_000, "there must be a time between retries");
+      assertTrue(secondCallAt >= 100_000, "the first retry is too soon after the first call");
     }
   }
 
