--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -6,10 +6,10 @@
 import loomreel.io.RateLimitedLogger;
 
 /**
- * Limits the number of open client connections to the number of file descriptors that are granted
- * for them. Before the limit is reached, evicts connections that are unproven or idle; {@link
- * ConnectionRegistry} defines these categories. Evicted connections are closed gracefully, so that
- * clients do not lose responses that they have not read yet.
+ * Limits the number of open client connections, because each connection occupies a file descriptor.
+ * {@link #setCapacity} sets the limit. Before the limit is reached, evicts connections that are
+ * unproven or idle; {@link ConnectionRegistry} defines these categories. Evicted connections are
+ * closed gracefully, so that clients do not lose responses that they have not read yet.
  *
  * <p>If the limit is reached nevertheless, closes the oldest half-closed connection at once or, if
  * no connection is half-closed, the oldest unproven connection. If this connection is in its grace
@@ -32,10 +32,11 @@
   private static final double PROVEN_FRACTION = 0.5;
 
   /**
-   * The maximum fraction of the granted file descriptors that idle connections may hold. Clients
-   * may send one request on each connection and leave the connection open. A third of the granted
-   * descriptors is meant for clients, and a descriptor that an idle connection holds is not
-   * available for a new connection, on which a client submits its next job.
+   * The maximum fraction of the file descriptors that idle connections may hold. The fraction
+   * refers to all descriptors that this process may use for HTTP, of which a third is meant for
+   * clients. Clients may send one request on each connection and leave the connection open. A
+   * descriptor that an idle connection holds is not available for a new connection, on which a
+   * client submits its next job.
    */
   private static final double MAX_IDLE_FRACTION = 1 / 8.0;
 
@@ -74,8 +75,9 @@
    * Sets the limits. If connections are currently being accepted, also enforces the limits.
    *
    * @param newMaxConnections the maximum number of open connections
-   * @param grantedDescriptors the number of file descriptors that are granted to this process for
-   *     HTTP; idle connections may hold {@link #MAX_IDLE_FRACTION} of them
+   * @param grantedDescriptors the number of file descriptors that this process may use for HTTP,
+   *     which include the descriptors of connections to workers; idle client connections may hold
+   *     {@link #MAX_IDLE_FRACTION} of these descriptors, but at least {@link #MIN_IDLE_LIMIT}
    */
   void setCapacity(int newMaxConnections, int grantedDescriptors) {
     maxConnections = newMaxConnections;
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -92,8 +92,9 @@
   /**
    * Sets the maximum number of open connections.
    *
-   * @param grantedDescriptors the number of file descriptors that are granted to this process for
-   *     HTTP; idle connections may hold a fraction of them
+   * @param grantedDescriptors the number of file descriptors that this process may use for HTTP,
+   *     which include the descriptors of connections to workers; idle client connections may hold a
+   *     fraction of these descriptors
    */
   public void setCapacity(int maxConnections, int grantedDescriptors) {
     limiter.setCapacity(maxConnections, grantedDescriptors);
@@ -117,10 +118,18 @@
   }
 
   /**
-   * Closes the connections that are waiting for a request. An unproven connection stays open during
-   * its grace period, because its first request may still arrive. A connection whose request is
-   * being received or processed also stays open. This method must therefore be called repeatedly,
-   * until no connection is open. It does not stop accepting connections.
+   * Closes the connections that are waiting for a request. The following connections stay open:
+   *
+   * <ul>
+   *   <li>A connection on which a request is being received or processed.
+   *   <li>A connection on which no job or job status update has arrived, until {@link
+   *       ConnectionLimiter#GRACE_PERIOD_MICROS} have passed since its accept. The first request on
+   *       this connection may still arrive.
+   * </ul>
+   *
+   * <p>One invocation may leave connections open. The graceful shutdown of the process therefore
+   * repeats the invocation until the process exits. This method does not stop accepting
+   * connections.
    */
   @Override
   public void beginDrain() {
@@ -160,7 +169,7 @@
         + " timeouts="
         + timeoutCount
         + " jobs_without_capacity="
-        + requestHandler.jobsWithoutCapacity();
+        + requestHandler.rejectedAtAdmissionCount();
   }
 
   private void accept(SocketChannel channel) throws IOException {
--- a/src/main/java/loomreel/ingress/RequestHandler.java
+++ b/src/main/java/loomreel/ingress/RequestHandler.java
@@ -39,7 +39,7 @@
   /** The indices of the tenants in the settings, by name. */
   private final Map<String, Integer> tenants = new HashMap<>();
 
-  private int jobsWithoutCapacity;
+  private int rejectedAtAdmissionCount;
 
   RequestHandler(
       Dispatcher dispatcher,
@@ -57,9 +57,12 @@
     }
   }
 
-  /** Returns the number of jobs that were rejected for lack of capacity since the start. */
-  int jobsWithoutCapacity() {
-    return jobsWithoutCapacity;
+  /**
+   * Returns the number of jobs that were rejected since the start because the dispatcher had no
+   * capacity, or because this process accepted no jobs while clients were drained from it.
+   */
+  int rejectedAtAdmissionCount() {
+    return rejectedAtAdmissionCount;
   }
 
   /** Handles a request. The response is started during this call or later. */
@@ -93,7 +96,7 @@
       return;
     }
     if (!gate.acceptsJobs() || !dispatcher.hasCapacity()) {
-      rejectForLackOfCapacity(request, requestClass, connection);
+      rejectAtAdmission(request, requestClass, connection);
       return;
     }
     Optional<JobRequest> job =
@@ -112,13 +115,14 @@
   }
 
   /**
-   * Rejects a job with status 503. While this process accepts no jobs because clients are being
-   * drained from it, the response has no {@code Retry-After} header, because other processes have
-   * capacity for the job at once.
+   * Rejects a job with status 503, because the dispatcher has no capacity or this process accepts
+   * no jobs. This process accepts no jobs while clients are drained from it. In this case, the
+   * response has no {@code Retry-After} header, because other processes have capacity for the job
+   * at once.
    */
-  private void rejectForLackOfCapacity(
+  private void rejectAtAdmission(
       HttpMessage request, int requestClass, ClientConnection connection) {
-    jobsWithoutCapacity++;
+    rejectedAtAdmissionCount++;
     dispatcher.metrics().recordDisposition(requestClass, DispatcherMetrics.Disposition.BUSY);
     connection.closeAfterResponse();
     long retryAfterMicros = gate.acceptsJobs() ? RETRY_AFTER_MICROS : 0;
--- a/src/test/java/loomreel/ingress/PipelinedInputTest.java
+++ b/src/test/java/loomreel/ingress/PipelinedInputTest.java
@@ -40,7 +40,7 @@
     assertTrue(input.add(bytes(MAX_BUFFERED_BYTES)));
     assertFalse(input.add(bytes(1)));
     assertTrue(input.isEmpty());
-    assertFalse(input.add(bytes(1)), "input behind a gap is meaningless");
+    assertFalse(input.add(bytes(1)), "input after discarded input must be discarded");
     assertTrue(input.isEmpty());
   }
 
