--- a/src/main/java/loomreel/core/Dispatcher.java
+++ b/src/main/java/loomreel/core/Dispatcher.java
@@ -160,8 +160,9 @@
   }
 
   /**
-   * Returns whether every accepted call has been answered or cancelled. Attempts of these calls may
-   * still be open.
+   * Returns whether every call that this process has accepted is answered or cancelled. Attempts of
+   * these calls may still be open. During a hot restart, the calls of the other process are not
+   * considered.
    */
   public boolean isEmpty() {
     return calls.unansweredCount() == 0;
@@ -178,8 +179,9 @@
   }
 
   /**
-   * Returns whether a call with this id is active in this process or in another process that serves
-   * as the same dispatcher.
+   * Returns whether a call with this id is active in this process or, according to the {@link
+   * CallIdRegistry}, in another process that serves as the same dispatcher, for example during a
+   * hot restart.
    */
   public boolean inUse(String id) {
     return calls.inUse(id);
--- a/src/main/java/loomreel/core/Subchannel.java
+++ b/src/main/java/loomreel/core/Subchannel.java
@@ -18,7 +18,8 @@
 
     /**
      * Aborts the request if it has not been completely written and can still be withdrawn, so that
-     * the job cannot run. Otherwise does nothing. By default does nothing.
+     * the job cannot run. Otherwise returns false without any effect. The default implementation
+     * always returns false without any effect.
      *
      * @return whether the request was aborted
      */
--- a/src/main/java/loomreel/core/WorkerPool.java
+++ b/src/main/java/loomreel/core/WorkerPool.java
@@ -22,8 +22,8 @@
 
   /**
    * Starts to poll the endpoint list. From now on, the pool watches the list: after each successful
-   * poll it polls the list again, until the pool reports {@link Dispatcher#watchFailed}. Does
-   * nothing if a poll is in flight. By default does nothing.
+   * poll it polls the list again, until the pool reports {@link Dispatcher#watchFailed}. If a poll
+   * is in flight, this method has no effect. The default implementation never has an effect.
    */
   default void pollEndpoints() {}
 
--- a/src/main/java/loomreel/upstream/HttpWorkerPool.java
+++ b/src/main/java/loomreel/upstream/HttpWorkerPool.java
@@ -133,8 +133,8 @@
    * <p>If lists are pushed to an agent, the agent is called at once. If discovery is polled, the
    * policy decides when the first call is made.
    *
-   * @param onReady called once, when jobs may be sent to the workers of the pool; during this call
-   *     if the endpoint list is static
+   * @param onReady called once, when jobs may be sent to the workers of the pool; if the endpoint
+   *     list is static, called before this method returns
    */
   public void start(Runnable onReady) {
     if (watcher.isEmpty()) {
--- a/src/main/java/loomreel/upstream/ReachabilityListener.java
+++ b/src/main/java/loomreel/upstream/ReachabilityListener.java
@@ -1,8 +1,9 @@
 package loomreel.upstream;
 
 /**
- * Receives the results of calls to one worker: whether the worker could be reached. Calls that end
- * with a reset, and calls that cancel a job, are not reported to the listener.
+ * Receives the results of calls to one worker: whether the worker has responded or counts as
+ * unreachable. Calls that end with the outcome {@link loomreel.decision.AttemptOutcome#RESET}, and
+ * calls that cancel a job, are not reported to the listener.
  */
 interface ReachabilityListener {
   /** A listener that does nothing. */
@@ -19,8 +20,16 @@
   void reachable();
 
   /**
-   * Called when a call has failed because no connection could be established or no response arrived
-   * in time.
+   * Called when a call has failed without a complete response. There are two cases:
+   *
+   * <ul>
+   *   <li>The request was not completely written. Either no connection could be opened, for example
+   *       because no file descriptor was available, or the connection broke or the write deadline
+   *       passed before the last byte was written.
+   *   <li>The request was completely written, but no complete response arrived in time.
+   * </ul>
+   *
+   * <p>A job call that fails after the worker has accepted the job is not reported.
    */
   void unreachable();
 }
