--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -150,9 +150,9 @@
    *   <li>A call waits for a change for {@code KNOWN_AFTER_SILENCE_MICROS -
    *       KNOWN_AFTER_WAIT_MICROS}. A change that a silent call missed counts as known {@code
    *       KNOWN_AFTER_SILENCE_MICROS} after the silence began, or {@code KNOWN_AFTER_WAIT_MICROS}
-   *       after the end of the wait, whichever is later. With the chosen wait, both times are {@code
-   *       KNOWN_AFTER_SILENCE_MICROS} after the start of the call if the call is silent from its
-   *       start. If the silence begins later, the change counts as known later.
+   *       after the end of the wait, whichever is later. With the chosen wait, both times are
+   *       {@code KNOWN_AFTER_SILENCE_MICROS} after the start of the call if the call is silent from
+   *       its start. If the silence begins later, the change counts as known later.
    *   <li>From the end of the wait, {@code KNOWN_AFTER_WAIT_MICROS} plus the drain grace pass until
    *       sending to a draining worker could violate the rules. Half of this time is the response
    *       timeout of the silent call, and the other half is the response timeout of the call that
