--- a/src/main/java/loomreel/admin/MetricsJson.java
+++ b/src/main/java/loomreel/admin/MetricsJson.java
@@ -8,7 +8,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes metrics as a JSON object. The fields have the same order as the entries of the map. */
+/**
+ * Writes a map of metrics as a JSON object. The fields of the object have the same order as the
+ * entries of the map.
+ */
 final class MetricsJson {
   private static final JsonFactory FACTORY = new JsonFactory();
 
--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -12,8 +12,8 @@
  * A list of workers, as discovery returns it, or the changes to a previous list.
  *
  * @param version the version of the list, or {@link #UNVERSIONED}
- * @param complete true if the list contains all workers, so that a known worker that the list does
- *     not contain is removed; false if the list contains only workers that have changed
+ * @param complete true if the list contains all workers; known workers that are missing from the
+ *     list are then removed. False if the list contains only the workers that have changed
  * @param endpoints the listed workers
  * @param addresses the addresses on which the workers listen, by worker id; a worker in the state
  *     {@link Endpoint.State#REMOVED} may have no address
@@ -32,8 +32,9 @@
   private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * Returns the list that results from a later list. If {@code later} is complete, the result is
-   * {@code later}. Otherwise, the result is this list with the changes in {@code later} applied.
+   * Returns the endpoint list that is valid after {@code later} has been received. If {@code later}
+   * is complete, the result is {@code later}. Otherwise, the result is a copy of this list with the
+   * changes in {@code later} applied.
    */
   public EndpointList updatedBy(EndpointList later) {
     if (later.complete) {
--- a/src/main/java/loomreel/config/ServeConfig.java
+++ b/src/main/java/loomreel/config/ServeConfig.java
@@ -8,8 +8,8 @@
 import loomreel.decision.Settings;
 
 /**
- * The configuration of a dispatcher process. It does not depend on whether the configuration comes
- * from the platform or from a settings file.
+ * The configuration of a dispatcher process. A configuration is read either from the platform's
+ * configuration or from a settings file. This record has the same form for both sources.
  *
  * @param name the dispatcher's name
  * @param listenAddress the address on which the connections of clients and the callbacks of workers
--- a/src/main/java/loomreel/config/ServeConfigReader.java
+++ b/src/main/java/loomreel/config/ServeConfigReader.java
@@ -17,8 +17,9 @@
 public final class ServeConfigReader {
   /**
    * Maximum duration of a shutdown, in microseconds. The platform kills a process no earlier than
-   * 0.7 s after the longest deadline of the request classes. The platform counts a longer deadline
-   * than 3 s as 3 s, so the maximum is 3.7 s.
+   * 0.7 s after the longest deadline of the request classes, counted from the request to shut down.
+   * If the longest deadline is longer than 3 s, the platform uses 3 s instead. The maximum is
+   * therefore 3.7 s.
    */
   private static final long PLATFORM_SHUTDOWN_LIMIT_MICROS = 3_700_000;
 
--- a/src/main/java/loomreel/config/SettingsKeys.java
+++ b/src/main/java/loomreel/config/SettingsKeys.java
@@ -92,7 +92,7 @@
   static final String HEDGING = "SecondCopies";
   static final String CANCELLATION = "Cancelling";
   static final String HEALTH_CHECKS = "Probing";
-  static final String RETRY_AFTER = "RetryAfter";
+  static final String RETRY_AFTER_PERMITTED = "RetryAfter";
   static final String MAX_RETRY_AFTER_SECONDS = "MaxRetryAfterS";
   static final String CONNECT_TIMEOUT_SECONDS = "ConnectTimeoutS";
   static final String IDLE_TIMEOUT_SECONDS = "ConnIdleS";
--- a/src/main/java/loomreel/config/SettingsReader.java
+++ b/src/main/java/loomreel/config/SettingsReader.java
@@ -178,7 +178,7 @@
         flag(root, SettingsKeys.LIMITS, SettingsKeys.HEDGING),
         flag(root, SettingsKeys.LIMITS, SettingsKeys.CANCELLATION),
         flag(root, SettingsKeys.LIMITS, SettingsKeys.HEALTH_CHECKS),
-        flag(root, SettingsKeys.LIMITS, SettingsKeys.RETRY_AFTER),
+        flag(root, SettingsKeys.LIMITS, SettingsKeys.RETRY_AFTER_PERMITTED),
         micros(0, root, SettingsKeys.LIMITS, SettingsKeys.MAX_RETRY_AFTER_SECONDS));
   }
 
