--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -16,9 +16,10 @@
  * Reloads the configuration while the process runs, for example after SIGHUP.
  *
  * <p>Only the address of discovery, the service that provides the endpoint list, can change without
- * a restart. If a new configuration cannot be read, or if it differs from the initial one in a
- * setting that requires a restart, it may belong to another installation, so it is rejected as a
- * whole. Applied and rejected configurations are counted in the metrics.
+ * a restart. A new configuration is rejected as a whole in two cases: the configuration cannot be
+ * read, or it differs from the initial configuration in a setting that cannot change without a
+ * restart. In the second case, the new configuration may belong to another installation. Applied
+ * and rejected configurations are counted in the metrics.
  *
  * <p>Unless stated otherwise, a method may be called on any thread. Its work is done on the event
  * loop's thread.
--- a/src/main/java/loomreel/server/GracefulShutdown.java
+++ b/src/main/java/loomreel/server/GracefulShutdown.java
@@ -14,13 +14,20 @@
  * Shuts a dispatcher process down without losing a job, and triggers the transitions of the
  * process's {@link ServerState}.
  *
- * <p>A shutdown begins with a grace period. If no successor is connected, the process serves as
- * before until the grace period ends: clients reuse their open connections, and there may be no
- * other dispatcher to which they can move. If a successor is connected, the shutdown is the end of
- * a hot restart, in which the successor replaces this process. This process then accepts no more
- * connections, and each client reconnects to the successor after its next response. If the longest
- * deadline of the request classes is shorter than the grace period, the grace period ends at this
- * deadline.
+ * <p>For HTTP, a shutdown begins with a grace period. Faktory has no grace period and drains as
+ * soon as the shutdown is requested.
+ *
+ * <p>If no successor is connected, HTTP clients are served as before until the grace period ends,
+ * because clients reuse their open connections, and there may be no other dispatcher to which the
+ * clients can move. If the startup is not over, it continues in this time (see {@link
+ * ServerState#DRAINING_UNOPENED}).
+ *
+ * <p>If a successor is connected, the shutdown is the end of a hot restart, in which the successor
+ * replaces this process. This process then accepts no more connections, and each client reconnects
+ * to the successor after its next response.
+ *
+ * <p>If the longest deadline of the request classes is shorter than the grace period, the grace
+ * period ends at this deadline.
  *
  * <p>When the grace period ends, idle connections are closed. The event loop stops as soon as each
  * accepted job has its answer, no HTTP connection is open and no Faktory job is pending. This wait
@@ -46,8 +53,10 @@
   private static final long HANDOVER_GRACE_PERIOD_MICROS = 2_300_000;
 
   /**
-   * Minimum time, in microseconds, between the longest deadline of the request classes and the time
-   * at which the platform kills the process. The deadline counts from the request to shut down.
+   * The time, in microseconds, that the platform leaves a process after the longest deadline of the
+   * request classes. The deadline counts from the request to shut down. The platform does not kill
+   * the process before this time has passed. {@link ServeConfig#shutdownLimitMicros} limits the
+   * duration of the shutdown as well, if it is shorter.
    */
   private static final long KILL_DELAY_MICROS = 700_000;
 
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -32,7 +32,10 @@
  * made in the components.
  */
 public final class Server {
-  /** Buffers may use the memory of the process divided by this number. */
+  /**
+   * The memory of the process divided by the buffer memory at which the {@link BufferPool} reports
+   * that buffers are scarce. The pool itself can grow further.
+   */
   private static final int MEMORY_TO_BUFFER_RATIO = 16;
 
   private final RateLimitedLogger log = new RateLimitedLogger("loomreel.server");
@@ -199,9 +202,9 @@
    * @throws IOException if the selector fails
    */
   public void run() throws IOException {
-    // Run start() in the first iteration of the event loop. The loop reads the clock in each
-    // iteration, and until then its time is the time of its creation. Timers that were set relative
-    // to that time would already be due.
+    // Run start() in the first iteration of the event loop. The loop reads the clock once in each
+    // iteration. Before the first iteration, loop.now() is the time at which the loop was created.
+    // A timer that start() set relative to this time would expire too early.
     loop.execute(this::start);
     ingressSummary.start();
     loop.run();
@@ -212,9 +215,11 @@
   private void start() {
     dispatcher.start(operatorControls.disabledWorkers());
     workers.start(this::endpointsKnown);
-    // If a predecessor is connected, it accepts connections until this process has its endpoint
-    // list. Otherwise, this process accepts connections now: clients that connect before the
-    // process is ready would get no answer if it did not.
+    // If a predecessor is connected, the predecessor accepts connections until its own shutdown.
+    // This process starts to accept connections when it has its endpoint list, or earlier if
+    // the predecessor shuts down or disconnects. If no predecessor is connected, this process
+    // accepts connections now: otherwise, clients that connect before this process is ready would
+    // get no answer.
     if (!hotRestart.isPeerConnected()) {
       http.open();
     }
--- a/src/main/java/loomreel/server/ServerAdmissionGate.java
+++ b/src/main/java/loomreel/server/ServerAdmissionGate.java
@@ -33,7 +33,7 @@
 
   @Override
   public boolean isClosing() {
-    return lifecycle.state().isClosing();
+    return lifecycle.state().closesConnectionsWhenIdle();
   }
 
   /**
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -35,15 +35,18 @@
   SERVING,
 
   /**
-   * A shutdown was requested in {@link #STARTING}, while no successor was connected. The process is
-   * not ready for clients yet. It becomes ready if the first endpoint list is received before the
-   * grace period ends.
+   * A shutdown was requested in {@link #STARTING}, while no successor was connected. The process
+   * reports itself as not ready. As in {@link #STARTING}, the process accepts connections and jobs
+   * if no predecessor is connected. The process becomes ready if the first endpoint list is known
+   * before the grace period ends.
    */
   DRAINING_UNOPENED,
 
   /**
-   * A shutdown was requested while no successor was connected. The process serves as before until
-   * the grace period ends.
+   * A shutdown was requested while no successor was connected, and {@link
+   * Trigger#ENDPOINTS_KNOWN} has occurred. HTTP clients are served as in {@link #SERVING} until the
+   * grace period ends. Faktory has no grace period: the Faktory ingress drains as soon as the
+   * shutdown is requested.
    */
   DRAINING,
 
@@ -129,10 +132,11 @@
   }
 
   /**
-   * Returns whether a connection that becomes idle is closed. In {@link #HANDING_OVER}, a
+   * Returns whether an HTTP connection is closed when it becomes idle. This is the case from the
+   * end of the grace period on, and already in {@link #HANDING_OVER}. In {@link #HANDING_OVER}, a
    * connection that was idle before stays open until the grace period ends.
    */
-  boolean isClosing() {
+  boolean closesConnectionsWhenIdle() {
     return this == HANDING_OVER || this == CLOSING || this == STOPPED;
   }
 
--- a/src/test/java/loomreel/server/ServerStateTest.java
+++ b/src/test/java/loomreel/server/ServerStateTest.java
@@ -66,7 +66,9 @@
 
   @Test
   void connectionsThatBecomeIdleAreClosedDuringAHandoverAndAfterTheGracePeriod() {
-    assertEquals(EnumSet.of(HANDING_OVER, CLOSING, STOPPED), statesThat(ServerState::isClosing));
+    assertEquals(
+        EnumSet.of(HANDING_OVER, CLOSING, STOPPED),
+        statesThat(ServerState::closesConnectionsWhenIdle));
   }
 
   @Test
