--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -44,8 +44,9 @@
   private static final double FULL_ALLOWANCE = 1;
 
   /**
-   * The fraction of the slow-start allowance that this process uses after it has handed over to its
-   * successor.
+   * The fraction of the slow-start allowance that this process uses after {@link #handOver}, until
+   * {@link #updateAllowanceAndCallIds} sets the fraction again. That method is called when a peer
+   * connects or disconnects.
    */
   private static final double NO_ALLOWANCE = 0;
 
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -17,6 +17,10 @@
  * A connection to a peer, which is the predecessor or a successor of this process in a hot restart.
  * Both processes send {@link HotRestartMessage}s as HTTP requests on the connection. Neither sends
  * HTTP responses. Owned by its {@link HotRestartChannel}.
+ *
+ * <p>A callback is an HTTP request in which a worker reports the state of a call. A call is a job
+ * that the dispatcher has accepted. If a process receives a callback whose call is not active in
+ * this process, it forwards the callback to a peer.
  */
 final class HotRestartLink extends HttpConnection {
   private final HotRestartChannel owner;
@@ -24,10 +28,10 @@
   private final boolean toSuccessor;
 
   /**
-   * The forwarded callbacks that the peer has not handled yet: the task to run when a callback has
-   * been handled, by callback number.
+   * The tasks of the forwarded callbacks that the peer has not handled yet, by callback number. A
+   * task runs when the peer has handled the callback or when the link closes.
    */
-  private final Map<Long, Runnable> unhandledCallbacks = new HashMap<>();
+  private final Map<Long, Runnable> pendingTasksByCallbackNumber = new HashMap<>();
 
   private long lastCallbackNumber;
 
@@ -90,7 +94,7 @@
    */
   void sendCallback(byte[] callback, Runnable handled) {
     long callbackNumber = ++lastCallbackNumber;
-    unhandledCallbacks.put(callbackNumber, handled);
+    pendingTasksByCallbackNumber.put(callbackNumber, handled);
     send(HotRestartMessage.callback(callbackNumber, callback));
   }
 
@@ -113,7 +117,8 @@
               this,
               message.body(),
               () -> send(HotRestartMessage.callbackHandled(message.callbackNumber())));
-      case CALLBACK_HANDLED -> unhandledCallbacks.remove(message.callbackNumber()).run();
+      case CALLBACK_HANDLED ->
+          pendingTasksByCallbackNumber.remove(message.callbackNumber()).run();
       default -> owner.oneWayMessageReceived(this, message);
     }
   }
@@ -141,7 +146,7 @@
     if (!isClosed()) {
       super.close();
       owner.detach(this);
-      new ArrayList<>(unhandledCallbacks.values()).forEach(Runnable::run);
+      new ArrayList<>(pendingTasksByCallbackNumber.values()).forEach(Runnable::run);
       log.info("hot restart link closed peer=" + (toSuccessor ? "successor" : "predecessor"));
       owner.linkClosed();
     }
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -20,8 +20,9 @@
   /**
    * The notice period of a client drain, in microseconds. For this time after the start of the
    * drain, idle connections stay open and jobs are accepted. The period must be longer than 0.2 s,
-   * the time that load balancers in front of the dispatcher need to notice the drain. It must be
-   * shorter than 2 s, the time after which no job may be accepted.
+   * the time that load balancers in front of the dispatcher need to notice the drain. The period
+   * must be shorter than 2 s, because no job may be accepted later than 2 s after the start of the
+   * drain.
    */
   private static final long NOTICE_PERIOD_MICROS = 1_800_000;
 
@@ -110,8 +111,9 @@
 
   /**
    * Stores and applies a change that operators have made in this process, and sends it to the
-   * peers. While a peer is connected, callers also pass a change that has no effect in this
-   * process: a peer may have sent the opposite change, which has not been received yet.
+   * peers. While a peer is connected, callers call this method even if the change has no effect in
+   * this process: the peer may have sent the opposite change, which this process may not have
+   * received yet.
    */
   private void change(OverrideChange change) throws IOException {
     OperatorOverrides next = change.applyTo(overrides);
@@ -163,8 +165,11 @@
 
   private List<OverrideChange> replace(OperatorOverrides next) {
     try {
-      // The peer stores its own changes in the same file. If a change of the peer and a change of
-      // this process cross, the file must contain both of them in the end.
+      // Each process writes all its overrides to the same file. If a change of the peer and a
+      // change of this process cross, the process that writes last may not know the other change,
+      // and the file then lacks the other change. Therefore each process saves its overrides again
+      // after it has received a change, so that the file contains both changes in the end. If both
+      // changes concern the same override, only one takes effect (see HotRestartCoordinator).
       store.save(next);
     } catch (IOException e) {
       log.warn("operator overrides of the other process not saved reason=" + e.getMessage());
