--- a/src/main/java/loomreel/tracing/JobEnd.java
+++ b/src/main/java/loomreel/tracing/JobEnd.java
@@ -27,8 +27,9 @@
   /**
    * The trace of the dispatcher has no answer to the job. A job counts as lost in two cases: the
    * dispatcher was started again while the job was open, or the job was open at the end of the
-   * trace and had arrived more than 5.5 seconds before the last line. A job that was open at the
-   * end of the trace for a shorter time has no end.
+   * trace and had arrived more than 5.5 seconds before the last line. If a job was open at the end
+   * of the trace and had arrived at most 5.5 seconds before the last line, none of these constants
+   * applies to the job.
    */
   LOST;
 
--- a/src/main/java/loomreel/tracing/TraceSummary.java
+++ b/src/main/java/loomreel/tracing/TraceSummary.java
@@ -19,9 +19,9 @@
  */
 public final class TraceSummary {
   /**
-   * The maximum time, in microseconds, between the arrival of a job and the last line of its
-   * dispatcher for which an open job does not count as lost. This is the longest time that a client
-   * waits (5 s), plus a margin.
+   * The maximum age, in microseconds, of an open job at the last line of its dispatcher. An open
+   * job that is older than this at the last line counts as lost. The value is the longest time that
+   * a client waits (5 s), plus a margin.
    */
   private static final long LOST_AFTER_MICROS = 5_500_000;
 
@@ -65,9 +65,9 @@
       case "refuse" -> openJob(line).ifPresent(job -> end(line, job, rejection(line, job)));
       case "fail" -> openJob(line).ifPresent(job -> end(line, job, JobEnd.FAILED));
       case "withdrawn" -> openJob(line).ifPresent(job -> end(line, job, JobEnd.CANCELLED));
-      case "probe" -> countForWorker(line, "probes", line.text("worker"));
+      case "probe" -> countBySecondAndWorker(line, "probes", line.text("worker"));
       case "probed" -> healthChecked(line);
-      case "handshake" -> countForWorker(line, "handshakes", line.text("peer"));
+      case "handshake" -> countBySecondAndWorker(line, "handshakes", line.text("peer"));
       case "listcall" -> count(line, "list calls");
       case "listlost" -> count(line, "list lost");
       default -> {}
@@ -101,7 +101,8 @@
    *   <li>{@code end} and an outcome for attempts that have ended
    *   <li>{@code probe} and an outcome for health checks that have failed
    *   <li>{@link JobEnd#label} for jobs that have ended, except lost jobs
-   *   <li>{@code why} and a reason for the reasons of these ends
+   *   <li>{@code why} and a reason for jobs that have ended, if the line that reports the end has a
+   *       reason
    * </ul>
    */
   public SortedMap<Long, Map<String, Integer>> countsBySecond() {
@@ -148,13 +149,13 @@
 
   private void attemptStarted(TraceLine line) {
     String workerId = line.text("worker");
-    countForWorker(line, "sends", workerId);
+    countBySecondAndWorker(line, "sends", workerId);
     openJob(line).ifPresent(job -> job.attemptStarted(workerId));
   }
 
   private void attemptEnded(TraceLine line) {
     String outcome = line.text("outcome");
-    countForWorker(line, "end " + outcome, line.text("worker"));
+    countBySecondAndWorker(line, "end " + outcome, line.text("worker"));
     Optional<OpenJob> job = openJob(line);
     job.ifPresent(open -> open.attemptEnded(outcome));
     if ("OK".equals(outcome)) {
@@ -169,7 +170,7 @@
   private void healthChecked(TraceLine line) {
     String outcome = line.text("outcome");
     if (!"OK".equals(outcome)) {
-      countForWorker(line, "probe " + outcome, line.text("worker"));
+      countBySecondAndWorker(line, "probe " + outcome, line.text("worker"));
     }
   }
 
@@ -178,7 +179,7 @@
     Optional<String> reason = Optional.ofNullable(line.text("why")).map(JobEnd::words);
     reason.ifPresent(words -> count(line, "why " + words));
     if (end == JobEnd.LATE) {
-      countForWorker(line, end.label(), job.lastWorkerId());
+      countBySecondAndWorker(line, end.label(), job.lastWorkerId());
     } else {
       count(line, end.label());
     }
@@ -204,12 +205,12 @@
   }
 
   /**
-   * Increments a counter in {@link #countsBySecond} and, if a worker is given, in {@link
-   * #countsByWorker}.
+   * Increments a counter in {@link #countsBySecond}. If a worker is given, also increments the
+   * counter of this worker in {@link #countsByWorker}.
    *
-   * @param workerId the id of the worker, or null for none
+   * @param workerId the id of the worker, or the name of the peer of a handshake; null for none
    */
-  private void countForWorker(TraceLine line, String counter, String workerId) {
+  private void countBySecondAndWorker(TraceLine line, String counter, String workerId) {
     count(line, counter);
     if (workerId != null) {
       increment(countsByWorker, workerId, counter);
--- a/src/test/java/loomreel/tracing/OpenJobTest.java
+++ b/src/test/java/loomreel/tracing/OpenJobTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tests how the end of a job is determined from its attempts and times. */
+/** Tests which {@link JobEnd} a job gets, depending on its attempts and times. */
 class OpenJobTest {
   private static final long ARRIVAL_MICROS = 1_000_000;
   private static final long OBJECTIVE_MICROS = 200_000;
