--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -133,9 +133,11 @@
    * Removes an idle connection that can be reused, and returns it. Returns null if no idle
    * connection can be reused.
    *
-   * <p>A connection can be reused once it has been idle for its reuse delay. The reuse delay is the
-   * time in which a duplicate of the last response may still arrive. If the last response was 2xx,
-   * a duplicate does no harm, and the reuse delay is 0 unless duplicate responses are suspected.
+   * <p>A connection can be reused once it has been idle for the larger of two times, because a
+   * duplicate of the last response may still arrive. The first time is the reuse delay of this
+   * connection. It is 0 after a 2xx response, because a duplicate of a 2xx response does no harm.
+   * The second time applies to all connections ({@link IdleTimeoutEstimator#reuseDelayMicros}). It
+   * is 0 unless duplicate responses are suspected.
    *
    * <p>Prefers the connection that was used most recently. While duplicate responses are suspected,
    * prefers the connection that has been idle longest. If a connection that was selected has
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -28,8 +28,9 @@
   public static final int MAX_BODY = 64 * 1024;
 
   /**
-   * The maximum length, in bytes, of two kinds of line in a chunked body: the line with the size of
-   * a chunk, and the line end after the data of a chunk.
+   * The maximum length of a line in a chunked body, in bytes. The limit applies to the line that
+   * has the size of a chunk. It also applies to the line that follows the data of a chunk. This
+   * line must be empty.
    */
   private static final int MAX_CHUNK_LINE_BYTES = 256;
 
@@ -81,7 +82,7 @@
 
   /**
    * The number of bytes of the body or chunk that have not arrived yet. In state BODY_UNTIL_CLOSE,
-   * the number of further bytes that would exceed the maximum size of a body.
+   * the smallest number of further bytes that make the body larger than its maximum size.
    */
   private int missingBytes;
 
--- a/src/main/java/loomreel/http/IdleTimeoutEstimator.java
+++ b/src/main/java/loomreel/http/IdleTimeoutEstimator.java
@@ -74,11 +74,12 @@
   }
 
   /**
-   * Returns how long a connection must be idle before it may be reused, in microseconds. Returns 0
-   * if no unsolicited response was received in the last {@link #SUSPICION_PERIOD_MICROS}. After an
-   * unsolicited response, duplicate responses are suspected. If a duplicate arrived on a reused
-   * connection, it would be taken for the response to the next request. The duplicate could
-   * then wrongly prove that a running job never ran.
+   * Returns the minimum idle time, in microseconds, before any connection may be reused. Each
+   * connection also has its own reuse delay, and {@link ConnectionPool} applies the larger of the
+   * two values. Returns 0 if no unsolicited response was received in the last {@link
+   * #SUSPICION_PERIOD_MICROS}. After an unsolicited response, duplicate responses are suspected. If
+   * a duplicate arrived on a reused connection, it would be taken for the response to the next
+   * request. The duplicate could then wrongly prove that a running job never ran.
    */
   long reuseDelayMicros(long now) {
     return now < duplicatesSuspectedUntilMicros ? DUPLICATE_WINDOW_MICROS : 0;
--- a/src/main/java/loomreel/http/JobHeader.java
+++ b/src/main/java/loomreel/http/JobHeader.java
@@ -5,14 +5,14 @@
 /** The HTTP headers of the job protocol between clients, dispatchers and workers. */
 public enum JobHeader {
   /**
-   * The id of the call, which is one request of a client to run a job: 16 hexadecimal digits. All
-   * attempts of a call have the same id. If the client retries the job, the retry is another call
-   * with another id.
+   * The id of the call. The id consists of 16 hexadecimal digits. A call is one request of a client
+   * to run a job. All attempts of a call have the same id. If the client retries the job, the retry
+   * is another call with another id.
    */
   CALL_ID("X-Call-Id"),
   /**
-   * The time until the deadline of the call or, in a request to a worker, of the attempt, in
-   * milliseconds.
+   * The time until a deadline, in milliseconds. In a request of a client, this is the deadline of
+   * the call. In a request to a worker, this is the deadline of the attempt.
    */
   BUDGET_MILLIS("X-Budget-Ms"),
   /**
@@ -35,7 +35,7 @@
   /** The load report of a worker, in a response of the worker, as text or JSON. */
   LOAD_REPORT("X-Load-Report");
 
-  /** The value of a header that is a flag, if the flag is set. */
+  /** The value that sets a header that is a flag, such as {@link #IS_RETRY}. */
   private static final String YES = "1";
 
   private final String fieldName;
@@ -51,7 +51,7 @@
     return message.header(lowerCaseName);
   }
 
-  /** Returns whether a message has this header with the value of a flag that is set. */
+  /** Returns whether a message has this header with the value {@code 1}. */
   public boolean isSetIn(HttpMessage message) {
     return YES.equals(valueIn(message));
   }
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -35,7 +35,10 @@
   /** How long the connection was idle before the current exchange; 0 in the first exchange. */
   private long idleBeforeExchangeMicros;
 
-  /** How long the connection must be idle before it may be reused. */
+  /**
+   * The minimum idle time before this connection may be reused. While duplicate responses are
+   * suspected, the pool may require a longer time.
+   */
   private long reuseDelayMicros;
 
   /**
