--- a/src/main/java/loomreel/io/EventLoop.java
+++ b/src/main/java/loomreel/io/EventLoop.java
@@ -239,8 +239,9 @@
   }
 
   /**
-   * Runs a task of one connection or timer. If the task throws a {@link RuntimeException}, logs the
-   * exception and continues, because the process also serves other calls.
+   * Runs the handler of a ready channel, the task of a due timer, or a task that was posted with
+   * {@link #execute}. If the task throws a {@link RuntimeException}, logs the exception and
+   * continues, because the process also serves other calls.
    */
   private void runGuarded(Runnable task) {
     try {
--- a/src/main/java/loomreel/wal/GroupCommitter.java
+++ b/src/main/java/loomreel/wal/GroupCommitter.java
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Waits until all earlier requests are completed and the sync thread has ended. Returns early if
-   * the calling thread is interrupted.
+   * Ends the sync thread after all earlier requests are completed, and waits until the thread has
+   * ended. Returns early if the calling thread is interrupted.
    */
   void close() {
     requests.add(new Stop());
--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -32,8 +32,9 @@
      * Called for each record, in the order in which the records were appended.
      *
      * @param segment the number of the segment that contains the record
-     * @param sameBoot whether the machine is known not to have rebooted since the record was
-     *     written; if false, records that were appended after this record may be missing
+     * @param sameBoot true if the record was certainly written since the last boot of the machine;
+     *     false if the machine has rebooted since the write, or if this is unknown. If false,
+     *     records that were appended after this record may be missing.
      * @param content the content of the record
      * @throws IOException if the content cannot be used; the reading of the log ends then
      */
--- a/src/test/java/loomreel/wal/WriteAheadLogTest.java
+++ b/src/test/java/loomreel/wal/WriteAheadLogTest.java
@@ -32,6 +32,12 @@
   private final BlockingQueue<Runnable> loopTasks = new LinkedBlockingQueue<>();
   @TempDir private Path directory;
 
+  /**
+   * Opens a log in the test directory, and adds the records of earlier logs to a list.
+   *
+   * @param records receives the records that the log reads back
+   * @param segment the size of a segment, in bytes, above which the segment is full
+   */
   private WriteAheadLog open(List<String> records, long segment) throws IOException {
     WriteAheadLog log = new WriteAheadLog(directory, segment, loopTasks::add);
     log.open(
