--- a/src/main/java/loomreel/config/AddressParser.java
+++ b/src/main/java/loomreel/config/AddressParser.java
@@ -23,9 +23,7 @@
     if (host.startsWith("[") && host.endsWith("]")) {
       host = host.substring(1, host.length() - 1);
     }
-    if (!host.matches(NUMERIC_HOST)
-        || !port.matches(PORT)
-        || Integer.parseInt(port) > MAX_PORT) {
+    if (!host.matches(NUMERIC_HOST) || !port.matches(PORT) || Integer.parseInt(port) > MAX_PORT) {
       throw notAnAddress(text);
     }
     InetSocketAddress address = new InetSocketAddress(host, Integer.parseInt(port));
--- a/src/main/java/loomreel/core/ActionExecutor.java
+++ b/src/main/java/loomreel/core/ActionExecutor.java
@@ -121,8 +121,7 @@
   private void reject(Action.Reject reject) {
     Rpc rpc = calls.find(reject.requestId());
     if (rpc != null && !rpc.isCompleted()) {
-      rpc.reject(
-          new UnavailableStatus(reject.retryAfter(), ExternalNames.toText(reject.reason())));
+      rpc.reject(new UnavailableStatus(reject.retryAfter(), ExternalNames.toText(reject.reason())));
       calls.removeIfDone(rpc);
     }
   }
--- a/src/main/java/loomreel/decision/LatencyEstimator.java
+++ b/src/main/java/loomreel/decision/LatencyEstimator.java
@@ -61,8 +61,7 @@
         work += announcedWork;
         serviceTime +=
             Math.min(
-                (double) elapsed,
-                fleetTimePerWork * (announcedWork + serviceTimes.meanRunTime()));
+                (double) elapsed, fleetTimePerWork * (announcedWork + serviceTimes.meanRunTime()));
       }
     }
     return serviceTime / work / fleetTimePerWork;
--- a/src/main/java/loomreel/decision/RetryPolicy.java
+++ b/src/main/java/loomreel/decision/RetryPolicy.java
@@ -37,8 +37,7 @@
     long now = context.now();
     return request.attempts().size() < limits.maxAttempts()
         && now < Math.min(request.deadlines().answerDeadline(), writeDeadline(request))
-        && request.attempts().stream()
-            .allMatch(attempt -> permitsAnotherAttempt(request, attempt));
+        && request.attempts().stream().allMatch(attempt -> permitsAnotherAttempt(request, attempt));
   }
 
   /**
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -201,8 +201,7 @@
     }
     double initialFraction = rules.initialCapacityFraction();
     return Math.max(
-        initialFraction,
-        initialFraction + (1 - initialFraction) * age / rules.slowStartDuration());
+        initialFraction, initialFraction + (1 - initialFraction) * age / rules.slowStartDuration());
   }
 
   /**
--- a/src/main/java/loomreel/decision/WorkerLoadHistory.java
+++ b/src/main/java/loomreel/decision/WorkerLoadHistory.java
@@ -112,9 +112,7 @@
     double ageWeight =
         1
             - Math.exp(
-                (sampledAt - now)
-                    / DecayingSum.RATE_TIME_CONSTANT_MICROS
-                    * AGE_WEIGHT_RATE_FACTOR);
+                (sampledAt - now) / DecayingSum.RATE_TIME_CONSTANT_MICROS * AGE_WEIGHT_RATE_FACTOR);
     return Math.max(1.0 / samples, Math.max(MIN_SAMPLE_WEIGHT, ageWeight));
   }
 }
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -80,9 +80,7 @@
   void drawCandidateParameters(PendingRequest request) {
     boolean isRanked = request.hasKey() && workers.pool(request).length > 0;
     int workersNeeded =
-        isRanked
-            ? workerLoads.workersNeeded(keyAffinities.get(request))
-            : CandidateDraw.UNBOUNDED;
+        isRanked ? workerLoads.workersNeeded(keyAffinities.get(request)) : CandidateDraw.UNBOUNDED;
     long seed = context.random().nextLong();
     request.setCandidates(new CandidateDraw(workersNeeded, seed));
   }
--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -25,9 +25,9 @@
   static final long GRACE_PERIOD_MICROS = 100_000;
 
   /**
-   * The fraction of the maximum number of connections that is protected for proven connections,
-   * on which a job or a job status update has arrived. While the proven connections do not exceed
-   * this fraction, unproven connections are evicted before idle connections.
+   * The fraction of the maximum number of connections that is protected for proven connections, on
+   * which a job or a job status update has arrived. While the proven connections do not exceed this
+   * fraction, unproven connections are evicted before idle connections.
    */
   private static final double PROVEN_FRACTION = 0.5;
 
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -117,8 +117,7 @@
               this,
               message.body(),
               () -> send(HotRestartMessage.callbackHandled(message.callbackNumber())));
-      case CALLBACK_HANDLED ->
-          pendingTasksByCallbackNumber.remove(message.callbackNumber()).run();
+      case CALLBACK_HANDLED -> pendingTasksByCallbackNumber.remove(message.callbackNumber()).run();
       default -> owner.oneWayMessageReceived(this, message);
     }
   }
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -110,8 +110,7 @@
   }
 
   private static BufferPool bufferPool(ServeConfig config) {
-    return new BufferPool(
-        (int) (config.memoryBytes() / MEMORY_TO_BUFFER_RATIO / BufferPool.SIZE));
+    return new BufferPool((int) (config.memoryBytes() / MEMORY_TO_BUFFER_RATIO / BufferPool.SIZE));
   }
 
   private static HttpWorkerPool workerPool(ServeConfig config, Dispatcher dispatcher) {
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -43,10 +43,9 @@
   DRAINING_UNOPENED,
 
   /**
-   * A shutdown was requested while no successor was connected, and {@link
-   * Trigger#ENDPOINTS_KNOWN} has occurred. HTTP clients are served as in {@link #SERVING} until the
-   * grace period ends. Faktory has no grace period: the Faktory ingress drains as soon as the
-   * shutdown is requested.
+   * A shutdown was requested while no successor was connected, and {@link Trigger#ENDPOINTS_KNOWN}
+   * has occurred. HTTP clients are served as in {@link #SERVING} until the grace period ends.
+   * Faktory has no grace period: the Faktory ingress drains as soon as the shutdown is requested.
    */
   DRAINING,
 
--- a/src/main/java/loomreel/upstream/FirstListBarrier.java
+++ b/src/main/java/loomreel/upstream/FirstListBarrier.java
@@ -23,8 +23,10 @@
   private final EventLoop loop;
   private final String sourceName;
   private final RateLimitedLogger log;
+
   /** The time at which the wait began, in microseconds of the event loop's clock. */
   private long startedAt;
+
   private int failedCalls;
 
   /** The delayed callback; empty while no callback is delayed. */
--- a/src/main/java/loomreel/upstream/OutlierDetector.java
+++ b/src/main/java/loomreel/upstream/OutlierDetector.java
@@ -16,6 +16,7 @@
 
   /** The time from the ejection to the first probe, in microseconds. */
   private static final long FIRST_PROBE_DELAY_MICROS = 500_000;
+
   /** The maximum time from a failure to the next probe, in microseconds. */
   private static final long MAX_PROBE_DELAY_MICROS = 5_000_000;
 
@@ -34,6 +35,7 @@
 
   private int consecutiveFailures;
   private boolean ejected;
+
   /** The time from the last failure to the next probe, in microseconds. */
   private long probeDelayMicros;
 
--- a/src/test/java/loomreel/decision/DispatcherHarness.java
+++ b/src/test/java/loomreel/decision/DispatcherHarness.java
@@ -236,14 +236,7 @@
    */
   RequestArrived request(String id, String key, int classIndex, double expectedWorkMicros) {
     return new RequestArrived(
-        id,
-        key,
-        1,
-        classIndex,
-        -1,
-        nowMicros + CLIENT_TIMEOUT_MICROS,
-        false,
-        expectedWorkMicros);
+        id, key, 1, classIndex, -1, nowMicros + CLIENT_TIMEOUT_MICROS, false, expectedWorkMicros);
   }
 
   /** Delivers an event at the current time and returns the actions of the policy. */
--- a/src/test/java/loomreel/decision/FleetSimulationTest.java
+++ b/src/test/java/loomreel/decision/FleetSimulationTest.java
@@ -253,9 +253,7 @@
       fleet.run(fleet.nowMicros + 3 * SECOND / 2);
       updateEndpoints(
           fleet,
-          failingWorkers.stream()
-              .map(worker -> worker.endpoint.withState(State.REMOVED))
-              .toList());
+          failingWorkers.stream().map(worker -> worker.endpoint.withState(State.REMOVED)).toList());
       fleet.run(fleet.nowMicros + 4 * SECOND);
       long restartedAtMicros = fleet.nowMicros;
       List<SimulatedWorker> coldWorkers =
--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -140,9 +140,7 @@
       limiter.restart(random.nextDouble() * meanLightWork, startAgeMicros);
       double relativeWork = 0;
       double workMicros = drawWork(random);
-      for (long nowMicros = startAgeMicros;
-          nowMicros < windowMicros();
-          nowMicros += STEP_MICROS) {
+      for (long nowMicros = startAgeMicros; nowMicros < windowMicros(); nowMicros += STEP_MICROS) {
         double refillRate = refillFactor * relativeCapacityAt(nowMicros);
         if (limiter.allows(
             refillRate, meanLightWork, windowMicros(), workMicros, MAX_WORK_MICROS, nowMicros)) {
--- a/src/test/java/loomreel/decision/WorkerSelectionTest.java
+++ b/src/test/java/loomreel/decision/WorkerSelectionTest.java
@@ -176,9 +176,8 @@
 
   /**
    * Verifies that a queued request is sent to a worker further down in the ranking of workers for
-   * its key if the first workers of the ranking are full. The id ie4bf55
-   * denotes an incident in which each retry considered the same few full workers while other
-   * workers had capacity.
+   * its key if the first workers of the ranking are full. The id ie4bf55 denotes an incident in
+   * which each retry considered the same few full workers while other workers had capacity.
    */
   @Test
   void aQueuedRequestIsRetriedAtWorkersFurtherDownTheRanking() {
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -123,8 +123,8 @@
    */
   @ParameterizedTest
   @CsvSource({"202,1", "200,1", "503,2", "504,2", "500,2"})
-  void aConnectionIsReusedAtOnceOnlyAfterASuccessfulResponse(
-      int status, int expectedConnections) throws Exception {
+  void aConnectionIsReusedAtOnceOnlyAfterASuccessfulResponse(int status, int expectedConnections)
+      throws Exception {
     String response = "HTTP/1.1 " + status + " x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
     runCalls(2, response, response);
     assertEquals(List.of(status, status), statuses);
--- a/src/test/java/loomreel/server/ServerStateTest.java
+++ b/src/test/java/loomreel/server/ServerStateTest.java
@@ -27,8 +27,8 @@
 /** Verifies the transitions of {@link ServerState} for each state and each trigger. */
 class ServerStateTest {
   /**
-   * The transition table of {@link ServerState}: the next state by state and trigger. A
-   * trigger that has no entry for a state leaves the state unchanged.
+   * The transition table of {@link ServerState}: the next state by state and trigger. A trigger
+   * that has no entry for a state leaves the state unchanged.
    */
   private static final Map<ServerState, Map<Trigger, ServerState>> TRANSITIONS =
       Map.of(
--- a/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
@@ -20,11 +20,13 @@
           + "\"RequestClasses\":[{\"Name\":\"c\",\"TargetS\":1,\"DeadlineS\":5,\"Repeat\":\"free\",\"Value\":1}],"
           + "\"PolicyLimits\":{\"MaxAttempts\":3,\"Cancelling\":true},\"Telemetry\":{\"How\":\"none\"},"
           + "\"Invariants\":{\"ColdFrom\":0.2,\"ColdS\":20,\"TipMultiple\":3,\"FallS\":2}}";
+
   /** Events that define an endpoint list of one worker and deliver the list to a dispatcher. */
   private static final String ENDPOINT_LIST_EVENTS =
       "{\"kind\":\"DefineList\",\"RosterId\":2,\"Items\":[{\"Pod\":0,"
           + "\"Executor\":\"e.a\",\"CameUpS\":null,\"Health\":\"live\",\"Az\":\"n\",\"Kind\":\"k\",\"Scale\":1}]},"
           + "{\"kind\":\"Members\",\"Scope\":\"warm_copy\",\"Stamp\":1,\"RosterId\":2}";
+
   /** Events that start a dispatcher and deliver its first endpoint list. */
   private static final String START_EVENTS =
       "{\"kind\":\"Up\",\"Nonce64\":18446744073709551615,\"Setup\":"
--- a/src/test/java/loomreel/simulator/WireEventReaderTest.java
+++ b/src/test/java/loomreel/simulator/WireEventReaderTest.java
@@ -194,8 +194,7 @@
 
     WireEvent event =
         read(
-            "StatusBack",
-            Map.of("Executor", "e.a", "How", 0, "TookS", 0.5, "Usage", reportFields));
+            "StatusBack", Map.of("Executor", "e.a", "How", 0, "TookS", 0.5, "Usage", reportFields));
 
     assertEquals(
         new WireEvent.HealthCheckCompleted(
