--- a/src/main/java/loomreel/decision/DispatchPolicy.java
+++ b/src/main/java/loomreel/decision/DispatchPolicy.java
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Returns the number of listed workers that receive no attempts at the given time, because this
-   * dispatcher has ejected them or an operator has disabled them. The policy must have been started
-   * before.
+   * Returns the number of listed workers that are ejected or disabled at the given time. This
+   * dispatcher ejects a worker for some time if the worker does not respond or is full. An operator
+   * can disable a worker until further notice. The policy must have been started before.
    *
    * @param now the current time, in microseconds
    */
--- a/src/main/java/loomreel/decision/Event.java
+++ b/src/main/java/loomreel/decision/Event.java
@@ -72,8 +72,8 @@
       boolean hasIdempotencyKey)
       implements Event {
     /**
-     * Creates an event for a request without a queue. If the class of the request requires an
-     * idempotency key, the request has one.
+     * Creates an event for a request without a queue. The component {@code hasIdempotencyKey} is
+     * set to true for every request, even if the class of the request does not need such a key.
      */
     public RequestArrived(
         String requestId,
--- a/src/main/java/loomreel/decision/FirstAttemptEstimator.java
+++ b/src/main/java/loomreel/decision/FirstAttemptEstimator.java
@@ -16,13 +16,17 @@
  * <p>If the client marked the request as a retry, the request is a retry. If clients mark their
  * retries and this request has no mark, the request is a first attempt.
  *
- * <p>If clients do not mark their retries, the remaining time decides. A request with at least half
- * of the class's deadline remaining is a retry. A request with less time remaining has a short time
- * budget. It counts as a first attempt, because a client with a short timeout is more likely than a
- * late retry. There is one exception: if this dispatcher's recent rejections number at least half
- * of its recent requests with a short time budget, the request counts as a retry. A rejection with
- * reason {@link RejectionReason#ARRIVED_TOO_LATE} is not counted, because it results from this
- * estimate and would confirm the estimate.
+ * <p>If clients do not mark their retries, the remaining time decides. If at least half of the
+ * class's deadline remains, the request counts as a retry. If less time remains, the request has a
+ * short time budget. It counts as a first attempt, because a client with a short timeout is more
+ * likely than a late retry.
+ *
+ * <p>There is one exception. If this dispatcher has recently rejected many requests, late retries
+ * are likely. A request with a short time budget therefore counts as a retry while the number of
+ * recent rejections is at least half the number of recent requests with a short time budget. A
+ * rejection with reason {@link RejectionReason#ARRIVED_TOO_LATE} is not counted. This rejection may
+ * occur because a first attempt was counted as a retry. If it were counted, more first attempts
+ * would be counted as retries.
  */
 final class FirstAttemptEstimator {
   /**
@@ -32,9 +36,9 @@
   private static final int SHORT_BUDGET_DIVISOR = 2;
 
   /**
-   * The number of requests with a short time budget that one rejection explains as retries. If the
-   * recent rejections explain all recent requests with a short time budget, these requests count as
-   * retries.
+   * The maximum number of retries with a short time budget that one rejection is assumed to cause.
+   * A request with a short time budget counts as a retry if the number of recent requests with a
+   * short time budget is at most the number of recent rejections multiplied by this number.
    */
   private static final double SHORT_BUDGETS_PER_REJECTION = 2;
 
@@ -57,7 +61,8 @@
   /**
    * Returns the estimated time of the client's first attempt for a request that arrives now. For a
    * retry, this is the client's deadline minus the class's deadline. If the request has a short
-   * time budget and no mark decides whether it is a retry, it is counted for later estimates.
+   * time budget and no mark decides whether it is a retry, the request is also added to the number
+   * of recent requests with a short time budget.
    */
   long firstAttemptAt(RequestArrived arrival, RequestClass requestClass, long now) {
     long remaining = arrival.deadline() - now;
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -25,7 +25,7 @@
   private static final double LOAD_DECAY_TIME_CONSTANT_MICROS = 0.8e6;
 
   /**
-   * The time constant with which the weight of a worker's last load report decays, as a multiple of
+   * The time constant with which the weight of a worker's last load sample decays, as a multiple of
    * the mean run time of jobs.
    */
   private static final double REPORT_TIME_CONSTANT_RUN_TIMES = 2;
@@ -62,8 +62,8 @@
   private static final double SAMPLE_WEIGHT = 0.02;
 
   /**
-   * The maximum load in the mean load of all workers. A sample with a higher load is counted with
-   * this value.
+   * The maximum value with which a reported load is counted in the mean load of all workers. A
+   * higher load is counted as this value.
    */
   private static final double MAX_LOAD_IN_MEAN = 2;
 
@@ -96,7 +96,10 @@
     return context.settings().loadReporting() != LoadReporting.NONE;
   }
 
-  /** Returns the mean load of all workers, as a fraction of their slots. */
+  /**
+   * Returns the mean load of all workers, as a fraction of their slots. It is a moving average of
+   * the loads that workers report. If workers do not report their load, the result is 0.
+   */
   double meanLoad() {
     return meanLoad;
   }
@@ -114,10 +117,12 @@
   }
 
   /**
-   * Returns how much of its steady value a {@link DecayingSum} has reached since this dispatcher
-   * started. The sum has the time constant {@link DecayingSum#RATE_TIME_CONSTANT_MICROS}, and
-   * amounts are assumed to be added at a constant rate. A sum divided by the result is an estimate
-   * of its steady value. The result is greater than 0 and approaches 1.
+   * Returns the correction for a {@link DecayingSum} that is too low because this dispatcher
+   * started recently. If amounts are added to a sum at a constant rate, the sum grows from 0 to a
+   * steady value. The result is the fraction of the steady value that the sum has reached now. A
+   * sum divided by the result is therefore an estimate of its steady value. The result is greater
+   * than 0 and approaches 1. It applies to sums that were 0 at the start and have the time constant
+   * {@link DecayingSum#RATE_TIME_CONSTANT_MICROS}.
    */
   double observedFraction() {
     // Unlike in the other methods, the age is negative here: it is the time since the start of the
@@ -130,7 +135,7 @@
    * Returns the number of workers over which the jobs of a key should be spread. The demand of all
    * dispatchers is estimated as the demand at this dispatcher multiplied by the number of
    * dispatchers. The demand at a single dispatcher does not suffice, because all dispatchers
-   * together can fill the hashed workers of a hot key while the demand at each of them is still
+   * together can fill the workers that a key hashes to while the demand at each dispatcher is still
    * low. Demand that may be due to chance is not counted. The result is 0 if no demand is counted.
    */
   int workersNeeded(KeyAffinity key) {
@@ -245,9 +250,9 @@
   }
 
   /**
-   * Returns the weight of a worker's last load in the estimate, from 0 to 1. The weight decays with
-   * the age of the information, which is already {@link WorkerTable#REPORT_DELAY_MICROS} when a
-   * report arrives.
+   * Returns the weight of a worker's last load sample in the estimate, from 0 to 1. The weight
+   * decays with the age of the information. A load report is assumed to have the age {@link
+   * WorkerTable#REPORT_DELAY_MICROS} already when it arrives.
    *
    * @param age the time since the last sample of the worker
    */
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -32,14 +32,14 @@
   private RequestDeadlines deadlines;
 
   /**
-   * The parameters from which the candidates of the request are derived; null until they are first
-   * drawn.
+   * The parameters from which the candidate workers of the request are derived; null until {@link
+   * #setCandidates} is called.
    */
   private CandidateDraw candidates;
 
   /**
    * The first round of candidates that has not been considered for health checks, or that is being
-   * considered now; null before the first parameters are drawn and after the last round.
+   * considered now; null before the first call of {@link #setCandidates} and after the last round.
    */
   private CandidateRound healthCheckRound;
 
@@ -153,7 +153,8 @@
 
   /**
    * Returns the first round of candidates that has not been considered for health checks, or that
-   * is being considered now; null after the last round.
+   * is being considered now; null before the first call of {@link #setCandidates} and after the
+   * last round.
    */
   CandidateRound healthCheckRound() {
     return healthCheckRound;
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -25,8 +25,9 @@
   /**
    * Creates the state of a policy that has just started.
    *
-   * @param processShare the share of this process in the rate at which this dispatcher may send
-   *     work to a warming worker, from 0 to 1
+   * @param processShare the fraction, from 0 to 1, of the dispatcher's rate limit for a warming
+   *     worker that this process may use; the fraction is 1 unless a second process serves as the
+   *     same dispatcher, as in a hot restart
    */
   PolicyState(PolicyContext context, double processShare) {
     this.context = context;
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -11,8 +11,8 @@
  * <p>After a failed poll, the dispatcher waits before the next poll. The backoff grows
  * exponentially with each failure up to {@link Rules#maxPollBackoff()}, and the wait is drawn at
  * random from half the backoff to the full backoff. If a failed poll has lasted at least as long as
- * the maximum backoff, discovery is assumed to have accepted the poll before it failed. In this
- * case, the backoff starts again from its first value. Times are in microseconds.
+ * the maximum backoff, discovery is assumed to have accepted the poll before the poll failed. In
+ * this case, the backoff starts again from its first value. Times are in microseconds.
  */
 final class PollBackoff {
   private static final int BACKOFF_FACTOR = 2;
@@ -56,7 +56,11 @@
   }
 
   /**
-   * Increases the backoff after a poll that has failed now, and returns the time of the next poll.
+   * Updates the backoff and returns the time of the next poll. Must be called when a poll fails. If
+   * the failed poll lasted less than the maximum backoff, the backoff increases, unless it is
+   * already at the maximum. Otherwise the backoff is set to its first value.
+   *
+   * @param now the time at which the poll failed
    */
   long nextPollAt(long now, SplittableRandom random) {
     long previousBackoff = now - lastPollStartedAt < maxBackoff ? backoff : 0;
--- a/src/main/java/loomreel/decision/RequestTable.java
+++ b/src/main/java/loomreel/decision/RequestTable.java
@@ -5,7 +5,10 @@
 import loomreel.decision.Event.RequestArrived;
 import loomreel.decision.Settings.RequestClass;
 
-/** The pending requests, indexed by their ids and by the tokens of their timers. */
+/**
+ * The pending requests, indexed by their ids and by the tokens of their timers. A request that has
+ * ended stays in the table while one of its attempts is open, but can be found only by its id.
+ */
 final class RequestTable {
   private final Map<String, PendingRequest> byId = new HashMap<>();
   private final Map<Long, PendingRequest> byToken = new HashMap<>();
@@ -61,8 +64,9 @@
   }
 
   /**
-   * Removes the timer token of a request that has ended. The timers of the request are ignored from
-   * now on.
+   * Removes the timer token of a request that has ended. {@link #byToken(long)} then returns null
+   * for this token, so timers of the request that fire later are ignored. {@link #get} still
+   * returns the request until {@link #removeIfComplete} removes it.
    */
   void end(PendingRequest request) {
     byToken.remove(request.token);
--- a/src/main/java/loomreel/decision/ServiceRate.java
+++ b/src/main/java/loomreel/decision/ServiceRate.java
@@ -1,18 +1,20 @@
 package loomreel.decision;
 
 /**
- * The total service time and the total work of jobs that were served, as two decaying sums. The
- * jobs are those of one worker or of several workers. The total service time divided by the total
- * work is the time per unit of work. The total work divided by the total service time is the speed.
- * The work of a job is the run time at speed 1 that its request announces, without the number of
- * slots. Work and times are in microseconds.
+ * The service times and the work of the jobs that one worker or several workers have served. Both
+ * are {@link DecayingSum}s, in which recent jobs weigh most. The sum of the service times divided
+ * by the sum of the work is the time per unit of work. The sum of the work divided by the sum of
+ * the service times is the speed. At speed 1, the service time of a job equals its work.
+ *
+ * <p>The work of a job is the run time at speed 1 that its request announces. It is not multiplied
+ * by the number of slots of the job. Work and times are in microseconds.
  */
 final class ServiceRate {
   private final DecayingSum timeSpent;
   private final DecayingSum workDone;
 
   /**
-   * Creates totals of 0.
+   * Creates two sums of 0.
    *
    * @param timeConstantMicros the time constant of both sums
    */
@@ -22,7 +24,7 @@
   }
 
   /**
-   * Adds a job that was served to both totals.
+   * Adds the service time and the work of a job that was served to the sums.
    *
    * @param serviceTime the time that the job took
    * @param work the work that the request of the job announced
@@ -32,12 +34,12 @@
     workDone.add(work, now);
   }
 
-  /** Returns the total service time, as a decayed sum. */
+  /** Returns the decaying sum of the service times at the given time. */
   double timeSpent(long now) {
     return timeSpent.valueAt(now);
   }
 
-  /** Returns the total announced work, as a decayed sum. */
+  /** Returns the decaying sum of the announced work at the given time. */
   double workDone(long now) {
     return workDone.valueAt(now);
   }
--- a/src/main/java/loomreel/decision/ServiceTimeEstimator.java
+++ b/src/main/java/loomreel/decision/ServiceTimeEstimator.java
@@ -32,12 +32,16 @@
   private static final double INITIAL_START_DELAY_DIVISOR = 16;
 
   /**
-   * The minimum timeout of a health check, in ticks. If the latency objective of the request's
-   * class leads to a shorter timeout, that timeout is used.
+   * The minimum, in ticks, of the timeout that is computed from the mean duration of health checks.
+   * A request whose class has a short latency objective may wait for less time than this, because
+   * {@link #HEALTH_CHECK_OBJECTIVE_DIVISOR} limits the wait.
    */
   private static final double MIN_HEALTH_CHECK_TIMEOUT_TICKS = 4;
 
-  /** The timeout of a health check, as a multiple of the mean duration of health checks. */
+  /**
+   * The timeout of a health check, as a multiple of the mean duration of health checks. {@link
+   * #MIN_HEALTH_CHECK_TIMEOUT_TICKS} and {@link #HEALTH_CHECK_OBJECTIVE_DIVISOR} limit the timeout.
+   */
   private static final double HEALTH_CHECK_TIMEOUT_FACTOR = 4;
 
   /**
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -17,17 +17,16 @@
  */
 final class SlowStartController {
   /**
-   * The safety factor of the first estimate in {@link #safeRate}, which is derived from the work
-   * that this dispatcher has sent to all workers. Only this fraction of the estimate is used.
-   * {@link #allows} computes the refill rate of the worker's slow-start allowance from the larger
-   * of the two reduced estimates.
+   * The safety factor of a rate that is estimated from the work that this dispatcher has sent to
+   * all workers. The rate is the work per microsecond that this dispatcher can send to one worker
+   * once the worker is warm. {@link #safeRate} multiplies the estimate by this factor.
    */
   private static final double SENT_WORK_RATE_MARGIN = 0.33;
 
   /**
-   * The safety factor of the second estimate in {@link #safeRate}, which is derived from the slots
-   * of the warming worker. Only this fraction of the estimate is used. {@link #allows} computes the
-   * refill rate of the worker's slow-start allowance from the larger of the two reduced estimates.
+   * The safety factor of a rate that is estimated from the number of slots of a warming worker. The
+   * rate is the work per microsecond that this dispatcher can send to the worker once the worker is
+   * warm. {@link #safeRate} multiplies the estimate by this factor.
    */
   private static final double OWN_SLOTS_RATE_MARGIN = 0.8;
 
@@ -72,10 +71,13 @@
   private final ServiceTimeEstimator serviceTimes;
   private final LoadEstimator workerLoads;
 
-  /** The mean work of all requests that have arrived. */
+  /** The moving average of the work of all requests that arrive. */
   private final MovingAverage meanWork;
 
-  /** The mean work of the requests that were light enough for warming workers when they arrived. */
+  /**
+   * The moving average of the work of light requests. A request is light if its work is at most
+   * {@link SlowStartLimiter#MAX_RELATIVE_WORK} times {@link #meanWork} when it arrives.
+   */
   private final MovingAverage meanLightWork;
 
   /**
@@ -91,9 +93,9 @@
   private final DecayingSum workSent = new DecayingSum(DecayingSum.RATE_TIME_CONSTANT_MICROS);
 
   /**
-   * The share of this process in the rate at which this dispatcher may send work to a warming
-   * worker, from 0 to 1. The share is 1 unless two processes serve as the same dispatcher, as in a
-   * hot restart.
+   * The fraction, from 0 to 1, of the dispatcher's rate limit for a warming worker that this
+   * process may use. The fraction is 1 unless a second process serves as the same dispatcher, as in
+   * a hot restart.
    */
   private double processShare;
 
@@ -120,8 +122,8 @@
   }
 
   /**
-   * Returns the share of this process in the rate at which this dispatcher may send work to a
-   * warming worker. The share is less than 1 while another process serves as the same dispatcher,
+   * Returns the fraction, from 0 to 1, of the dispatcher's rate limit for a warming worker that
+   * this process may use. The fraction is 1 unless a second process serves as the same dispatcher,
    * as in a hot restart.
    */
   double processShare() {
@@ -129,16 +131,16 @@
   }
 
   /**
-   * Sets the share of this process in the rate at which this dispatcher may send work to a warming
-   * worker.
+   * Sets the fraction of the dispatcher's rate limit for a warming worker that this process may
+   * use.
    *
-   * @param fraction the share, from 0 to 1
+   * @param fraction the fraction, from 0 to 1
    */
   void setProcessShare(double fraction) {
     processShare = fraction;
   }
 
-  /** Records the work of a request that has arrived. */
+  /** Adds the work of a request that has arrived to the moving averages. */
   void recordArrival(PendingRequest request) {
     double work = work(request);
     meanWork.add(work);
@@ -150,8 +152,8 @@
   /**
    * Records a job that was served, to measure the speed of the slots of its worker's kind. Ignores
    * a job whose request announced no work. Also ignores a job if its worker was not warm when the
-   * attempt was sent. The recorded work is the announced work of the job, without the number of
-   * slots.
+   * attempt was sent. The recorded work is the announced work of the job, which is not multiplied
+   * by the number of its slots.
    *
    * @param serviceTime the time from the start of the job to its end; if no start was reported, the
    *     time from the send of the attempt to its end
@@ -176,7 +178,10 @@
     workSent.add(serviceTimes.expectedWork(request), context.now());
   }
 
-  /** Returns the mean work of the requests that are light enough for warming workers. */
+  /**
+   * Returns the moving average of the work of the requests that are light enough for warming
+   * workers.
+   */
   double meanLightWork() {
     return meanLightWork.mean();
   }
@@ -189,9 +194,15 @@
   }
 
   /**
-   * Returns a lower bound of the capacity of a worker, as a fraction of its full capacity. During
-   * the warm-up, the fraction grows linearly with time from {@link Rules#initialCapacityFraction()}
-   * to 1. If the worker is warm, the result is at least 1.
+   * Returns the capacity that a worker is assumed to have, as a fraction of its full capacity. If
+   * the result is at least 1, the worker is warm. If the result is less than 1, the worker is
+   * warming, and the result is a lower bound of its capacity.
+   *
+   * <p>The result is {@link Rules#initialCapacityFraction()} when the warm-up starts and grows
+   * linearly with time. It is 1 after {@link Rules#slowStartDuration()}, and then exceeds 1 until
+   * {@link #WARM_UP_DURATION_FACTOR} times that duration has passed. After that time, the result is
+   * exactly 1. It is also 1 if {@link WorkerState#warmUpStartedAt()} is 0, that is, if no warm-up
+   * is known.
    */
   private double warmUpFraction(WorkerState worker, long now) {
     long startedAt = worker.warmUpStartedAt();
@@ -228,8 +239,8 @@
    * divided by the number of workers that are assumed to serve it. This estimate alone is too low
    * if most workers are warming, or if this dispatcher has sent little work so far.
    *
-   * <p>The second estimate is the rate of the work that the slots of the worker can do at least,
-   * divided by the number of dispatchers.
+   * <p>The second estimate is a low estimate of the work per microsecond that all slots of the
+   * worker can do, divided by the number of dispatchers.
    */
   private double safeRate(WorkerState worker) {
     long now = context.now();
@@ -241,7 +252,7 @@
     long servingWorkers =
         Math.max(countWarmWorkers(), 1 + workers.size() / MIN_SERVING_WORKERS_DIVISOR);
     double rateBySentWork = workSent.valueAt(now) / observedMicros / servingWorkers;
-    // For a worker that has not reported its slots, the typical number of slots is used.
+    // If the number of slots of the worker is unknown, an estimate from other workers is used.
     double rateByOwnSlots =
         workerLoads.slots(worker)
             * speed(worker.endpoint().kind())
--- a/src/main/java/loomreel/decision/WorkerState.java
+++ b/src/main/java/loomreel/decision/WorkerState.java
@@ -13,8 +13,9 @@
   private static final double SERVICE_RATE_TIME_CONSTANT_MICROS = 4e6;
 
   /**
-   * The maximum backoff of an ejection, in microseconds. The ejection itself may last up to 1.5
-   * times as long as the backoff.
+   * The limit, in microseconds, up to which the backoff grows when a worker is ejected repeatedly.
+   * The backoff of the first ejection is not limited. The duration of an ejection is drawn at
+   * random from 0.5 to 1.5 times the backoff, so an ejection may last longer than this limit.
    */
   private static final long MAX_EJECTION_MICROS = 16_000_000;
 
@@ -41,9 +42,9 @@
 
   /**
    * The slots of the attempts at this worker that the last load report may not include yet. The
-   * slots of an attempt are added when it is sent and subtracted when it ends. They decay over
-   * time, because later reports include the attempt. The time constant is the age that a load
-   * report has when it arrives.
+   * slots of an attempt are added when it is sent and subtracted when it ends. The added slots
+   * decay over time, because later reports include the attempt. The time constant is the age that a
+   * load report is assumed to have when it arrives.
    */
   final DecayingSum unreportedSlots;
 
@@ -67,9 +68,10 @@
   private final List<AttemptState> openAttempts = new ArrayList<>();
 
   /**
-   * Creates a worker without an endpoint.
+   * Creates the state of a worker that has no entry in the endpoint list yet. {@link #update} sets
+   * the entry.
    *
-   * @param reportDelay the age that a load report has when it arrives
+   * @param reportDelay the age that a load report is assumed to have when it arrives
    */
   WorkerState(String id, double reportDelay) {
     this.id = id;
@@ -160,20 +162,20 @@
   }
 
   /**
-   * Ejects the worker for a duration in microseconds. The backoff of later ejections stays the
-   * same.
+   * Ejects the worker for a duration in microseconds. Does not change the backoff that {@link
+   * #eject} uses.
    */
   void ejectFor(long duration, long now) {
     ejectedUntil = now + duration;
   }
 
   /**
-   * Ejects the worker with exponential backoff. The backoff doubles with each ejection, up to
-   * {@link #MAX_EJECTION_MICROS}. {@link #recordReachable} resets it. The duration of the ejection
-   * is drawn at random from 0.5 to 1.5 times the backoff, so that the dispatchers do not use the
-   * worker again at the same time.
+   * Ejects the worker with exponential backoff. Each further ejection doubles the backoff, up to
+   * {@link #MAX_EJECTION_MICROS}. {@link #recordReachable} and {@link #restart} reset the backoff.
+   * The duration of the ejection is drawn at random from 0.5 to 1.5 times the backoff, so that the
+   * dispatchers do not use the worker again at the same time.
    *
-   * @param firstBackoff the backoff of the first ejection, in microseconds
+   * @param firstBackoff the backoff of the first ejection since the last reset, in microseconds
    */
   void eject(long firstBackoff, long now, SplittableRandom random) {
     ejectionBackoff =
