--- a/src/main/java/loomreel/decision/CandidateRound.java
+++ b/src/main/java/loomreel/decision/CandidateRound.java
@@ -10,9 +10,10 @@
    */
   HASHED,
   /**
-   * A sample of other workers. For a request with a key, the sample consists of workers that follow
-   * in the ranking of the key. If the key needs more workers than are ranked, or the request has no
-   * key, the sample is drawn at random from all workers that are eligible for the request.
+   * A sample of workers. If the request has a key, the sample consists of consecutive workers in
+   * the ranking of the workers for the key. If the request has no key, or the key needs more
+   * workers than are ranked, the sample is drawn at random from all workers that are eligible for
+   * the request.
    */
   FALLBACK;
 
--- a/src/main/java/loomreel/decision/DecayingSum.java
+++ b/src/main/java/loomreel/decision/DecayingSum.java
@@ -25,7 +25,10 @@
     this.timeConstantMicros = timeConstantMicros;
   }
 
-  /** Returns the sum of the amounts that remain at the given time. */
+  /**
+   * Returns the sum as it has decayed until the given time. This time must not be earlier than the
+   * time at which the last amount was added.
+   */
   double valueAt(long now) {
     return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstantMicros);
   }
--- a/src/main/java/loomreel/decision/EndpointUpdater.java
+++ b/src/main/java/loomreel/decision/EndpointUpdater.java
@@ -19,7 +19,7 @@
     pollBackoff = new PollBackoff(context.settings().rules());
   }
 
-  /** Schedules the first poll of the endpoint list. Does nothing if the list is pushed. */
+  /** Schedules the first poll of the endpoint list. Schedules no poll if the list is pushed. */
   void start() {
     schedulePoll(pollBackoff.firstPollAt(context.now(), context.random()));
   }
@@ -30,7 +30,7 @@
     context.emit(new PollEndpoints());
   }
 
-  /** Schedules the next poll after a poll has failed. Does nothing if the list is pushed. */
+  /** Schedules the next poll after a poll has failed. Schedules no poll if the list is pushed. */
   void pollFailed() {
     schedulePoll(pollBackoff.nextPollAt(context.now(), context.random()));
   }
@@ -66,10 +66,11 @@
    * Enables a worker that an operator has disabled. Does nothing if the worker is not disabled.
    *
    * <p>Operators restart the workers that they disable, so the state of the worker is reset and the
-   * worker warms up. If the endpoint list contains a start of the worker's process after the worker
-   * was disabled, the warm-up began at that start. Otherwise the warm-up begins now. The initial
-   * slow-start allowance is the longest of the mean run times of the classes. One job of mean run
-   * time of any class may therefore be sent to the worker at once.
+   * worker warms up. If the start time in the worker's entry is later than the time at which the
+   * worker was disabled, the warm-up began at that start time. Otherwise the warm-up begins now.
+   * The initial slow-start allowance is the longest of the mean run times of the classes. This
+   * allowance usually suffices to send one job with one slot to the worker at once, whatever its
+   * class is.
    */
   void enable(String workerId) {
     if (!state.workers.isDisabled(workerId)) {
--- a/src/main/java/loomreel/decision/HealthCheckPolicy.java
+++ b/src/main/java/loomreel/decision/HealthCheckPolicy.java
@@ -14,8 +14,8 @@
   /**
    * The age limit of a load sample, in microseconds, for the fallback candidates of a request whose
    * hashed candidates were considered before. The request is sent to the first fallback candidate
-   * that has some free capacity, not to the least loaded one. An older sample is accurate enough
-   * for this purpose.
+   * that has some free capacity, not to the least loaded one. This choice needs less accurate
+   * loads, so older samples suffice.
    */
   private static final long MAX_SAMPLE_AGE_FOR_FALLBACK_MICROS = 4 * MAX_SAMPLE_AGE_MICROS;
 
@@ -79,6 +79,9 @@
    * Returns whether a worker needs a health check for a request. A worker needs none if its load is
    * known, or if the request cannot be sent to the worker whatever the result of the health check
    * is.
+   *
+   * @param followsHashedRound whether the worker is a fallback candidate and the hashed candidates
+   *     of the request were considered before
    */
   private boolean shouldCheck(
       PendingRequest request, WorkerState worker, boolean followsHashedRound) {
--- a/src/main/java/loomreel/decision/LoadEstimator.java
+++ b/src/main/java/loomreel/decision/LoadEstimator.java
@@ -8,8 +8,8 @@
  * last report and from the attempts that this dispatcher has sent to it since then. As the last
  * report becomes older, the estimate approaches the mean load of all workers. If workers do not
  * report their load, the estimate is computed from the delays of job starts, from rejected
- * attempts, and from this dispatcher's open attempts. In both cases, a worker whose jobs take
- * longer than at other workers receives a penalty. Times are in microseconds.
+ * attempts, and from this dispatcher's open attempts. In both cases, the estimate for a worker is
+ * increased if its jobs take longer than jobs at other workers. Times are in microseconds.
  */
 final class LoadEstimator {
   /** The assumed number of slots of a worker before the first load report of any worker. */
--- a/src/main/java/loomreel/decision/OutcomeRecorder.java
+++ b/src/main/java/loomreel/decision/OutcomeRecorder.java
@@ -9,7 +9,8 @@
  */
 final class OutcomeRecorder {
   /**
-   * The load sample that is recorded for a worker that has rejected an attempt because it was full.
+   * The load that is recorded for a worker that has rejected an attempt because the worker was
+   * full. The load is a fraction of the worker's slots.
    */
   private static final double FULL_WORKER_LOAD = 2;
 
--- a/src/main/java/loomreel/decision/OutlierEjector.java
+++ b/src/main/java/loomreel/decision/OutlierEjector.java
@@ -48,8 +48,8 @@
 
   /**
    * Ejects an unresponsive worker, unless too many workers are already ejected. If a connection to
-   * the worker failed but the worker has responded recently, only a connection may have been lost,
-   * so the first backoff is short.
+   * the worker failed but the worker has responded recently, the worker may still be up. The first
+   * backoff is short in this case.
    *
    * @param outcome the outcome of the attempt or health check to which the worker did not respond
    */
--- a/src/main/java/loomreel/decision/PendingRequest.java
+++ b/src/main/java/loomreel/decision/PendingRequest.java
@@ -6,8 +6,8 @@
 import loomreel.decision.Settings.RequestClass;
 
 /**
- * A request that the policy still has to handle: it has not ended, or it has open attempts. Times
- * are in microseconds.
+ * A request that the policy still has to handle, because the request has not ended or has open
+ * attempts. Times are in microseconds.
  */
 final class PendingRequest {
   /** The maximum number of health checks that the policy sends because of one request. */
--- a/src/main/java/loomreel/decision/PolicyState.java
+++ b/src/main/java/loomreel/decision/PolicyState.java
@@ -9,8 +9,8 @@
   static final long POLL_TIMER = 0;
 
   /**
-   * The token of the timer that places the queued requests again. Greater tokens belong to the
-   * timers of requests.
+   * The token of the timer for the next retry of the queue. When the timer fires, the policy tries
+   * to place queued requests again. Greater tokens belong to the timers of requests.
    */
   static final long QUEUE_TIMER = 1;
 
--- a/src/main/java/loomreel/decision/PollBackoff.java
+++ b/src/main/java/loomreel/decision/PollBackoff.java
@@ -4,15 +4,19 @@
 import loomreel.decision.Settings.Rules;
 
 /**
- * The times at which a dispatcher polls the endpoint list. Many dispatchers may start together or
- * lose the connection to discovery together, and should then not poll at the same time. The first
- * poll is therefore made at a random time within a part of the poll interval.
+ * The times at which the policy starts polls of the endpoint list. The policy starts the first poll
+ * after the start of the dispatcher, and one poll after each failed poll. It does not start the
+ * polls that follow a successful poll. Times are in microseconds.
  *
- * <p>After a failed poll, the dispatcher waits before the next poll. The backoff grows
+ * <p>Many dispatchers may start together or lose the connection to discovery together, and should
+ * then not poll at the same time. The first poll is therefore made at a random time within a part
+ * of the poll interval.
+ *
+ * <p>After a failed poll, the policy waits before it starts the next poll. The backoff grows
  * exponentially with each failure up to {@link Rules#maxPollBackoff()}, and the wait is drawn at
- * random from half the backoff to the full backoff. If a failed poll has lasted at least as long as
- * the maximum backoff, discovery is assumed to have accepted the poll before the poll failed. In
- * this case, the backoff starts again from its first value. Times are in microseconds.
+ * random from half the backoff to the full backoff. If at least the maximum backoff has passed
+ * between the last poll that the policy started and the failure, discovery is assumed to have
+ * accepted that poll. In this case, the backoff starts again from its first value.
  */
 final class PollBackoff {
   private static final int BACKOFF_FACTOR = 2;
@@ -57,8 +61,9 @@
 
   /**
    * Updates the backoff and returns the time of the next poll. Must be called when a poll fails. If
-   * the failed poll lasted less than the maximum backoff, the backoff increases, unless it is
-   * already at the maximum. Otherwise the backoff is set to its first value.
+   * less than the maximum backoff has passed since the last call of {@link #pollStarted}, the
+   * backoff increases, unless it is already at the maximum. Otherwise the backoff is set to its
+   * first value.
    *
    * @param now the time at which the poll failed
    */
@@ -69,7 +74,7 @@
     return now + backoff / 2 + random.nextLong(1 + backoff / 2);
   }
 
-  /** Records the start of a poll. */
+  /** Records that the policy starts a poll. */
   void pollStarted(long now) {
     lastPollStartedAt = now;
   }
--- a/src/main/java/loomreel/decision/RejectionReason.java
+++ b/src/main/java/loomreel/decision/RejectionReason.java
@@ -29,9 +29,8 @@
    */
   NOT_STARTED_IN_TIME,
   /**
-   * All attempts of the request have ended, and no further attempt is allowed. The request is
-   * invalid, or its idempotency, its deadlines or the maximum number of attempts forbid another
-   * attempt.
+   * No attempt of the request is open, and no further attempt is allowed. The request is invalid,
+   * or its idempotency, its deadlines or the maximum number of attempts forbid another attempt.
    */
   RETRIES_EXHAUSTED,
   /** The client's deadline is about to pass. */
--- a/src/main/java/loomreel/decision/RequestScheduler.java
+++ b/src/main/java/loomreel/decision/RequestScheduler.java
@@ -192,7 +192,9 @@
 
   /**
    * Handles a timer of a request. The timer may have been set for the answer deadline, for the
-   * start deadline, for the start timeout of an attempt, or for the timeout of a health check.
+   * start deadline, for the start timeout of an attempt, or for the timeout of a health check. If
+   * the answer deadline has passed, gives the request up. If the request still waits for health
+   * checks and no attempt is open, ends this wait and places the request.
    */
   void handleRequestTimer(PendingRequest request) {
     if (context.now() >= request.deadlines().answerDeadline()) {
--- a/src/main/java/loomreel/decision/RetryPolicy.java
+++ b/src/main/java/loomreel/decision/RetryPolicy.java
@@ -83,8 +83,8 @@
   /**
    * Returns the time, in microseconds, until which a request may be written to a worker. The time
    * is limited if the request is keyed and an attempt of it may have run. The limit is then shortly
-   * before the end of the deduplication window, which begins with the send of the first such
-   * attempt. In all other cases, the result is {@link Long#MAX_VALUE}.
+   * before the end of the deduplication window. The window begins with the send of the first
+   * attempt that may have run. In all other cases, the result is {@link Long#MAX_VALUE}.
    */
   long writeDeadline(PendingRequest request) {
     long firstSentAt = Timestamp.NEVER;
--- a/src/main/java/loomreel/decision/ServiceTimeEstimator.java
+++ b/src/main/java/loomreel/decision/ServiceTimeEstimator.java
@@ -6,8 +6,8 @@
 /**
  * Estimates three durations: the run times of jobs, the delays between the send of an attempt and
  * the start of its job, and the durations of health checks. The initial estimates of run times and
- * start delays are derived from the latency objectives, and that of health checks from the tick of
- * the dispatcher. Times are in microseconds.
+ * start delays are derived from the latency objectives. The initial estimate of the duration of
+ * health checks is derived from the tick of the dispatcher. Times are in microseconds.
  */
 final class ServiceTimeEstimator {
   /** The weight of a new sample in the mean run time of a class. */
--- a/src/main/java/loomreel/decision/Settings.java
+++ b/src/main/java/loomreel/decision/Settings.java
@@ -105,7 +105,7 @@
    * microseconds.
    *
    * @param drainGrace the time during which attempts may still be started at a draining worker,
-   *     counted from the notification of the dispatcher that the worker drains
+   *     counted from the time at which the dispatcher is notified that the worker drains
    * @param pollInterval the maximum time between two polls of the endpoint list; 0 if the list is
    *     pushed
    * @param initialCapacityFraction the minimum capacity of a worker when it starts, as a fraction
@@ -273,8 +273,8 @@
     }
 
     /**
-     * Sets the minimum time between two events of the dispatcher, in microseconds. The policy also
-     * uses it as the unit of short intervals.
+     * Sets the nominal minimum time between two events of the dispatcher, in microseconds. The
+     * policy also uses this time as the unit of short intervals.
      */
     public Builder tick(long newValue) {
       tick = newValue;
--- a/src/main/java/loomreel/decision/SlowStartController.java
+++ b/src/main/java/loomreel/decision/SlowStartController.java
@@ -8,8 +8,8 @@
  * Limits the work that is sent to workers that warm up. A worker is warming from its start until it
  * has its full capacity, and warm afterwards. A warming worker fails if it receives too much work
  * within the overload window; {@link Rules#overloadMultiple()} describes this load. The limits keep
- * the work that all dispatchers together send below this load, as {@link SlowStartLimiter}
- * explains.
+ * the work that all dispatchers together send below this load. {@link SlowStartLimiter} explains
+ * how, and names the exceptions.
  *
  * <p>Unless stated otherwise, the work of a request is the number of its slots multiplied by its
  * run time in microseconds. The run time is the announced one, or the mean run time of the class if
--- a/src/main/java/loomreel/decision/WorkerLoadHistory.java
+++ b/src/main/java/loomreel/decision/WorkerLoadHistory.java
@@ -28,8 +28,9 @@
   private int samples;
 
   /**
-   * Resets the history because the worker has restarted. The number of slots and the loads remain
-   * as prior values for later samples.
+   * Discards the samples, because the worker has restarted or may have restarted. The number of
+   * slots, the last load and the mean load keep their values until later reports or samples change
+   * them.
    */
   void reset() {
     sampledAt = Timestamp.NEVER;
@@ -46,7 +47,7 @@
     return slots;
   }
 
-  /** Returns the load of the last sample. */
+  /** Returns the load of the last sample; 0 if there has been no sample. */
   double lastLoad() {
     return lastLoad;
   }
@@ -56,7 +57,10 @@
     return meanLoad;
   }
 
-  /** Returns the time of the last sample, or {@link Timestamp#NEVER}. */
+  /**
+   * Returns the time of the last sample; {@link Timestamp#NEVER} if there is none since the last
+   * call of {@link #reset}.
+   */
   long sampledAt() {
     return sampledAt;
   }
--- a/src/main/java/loomreel/decision/WorkerSelector.java
+++ b/src/main/java/loomreel/decision/WorkerSelector.java
@@ -210,8 +210,10 @@
    * needs more workers than it hashes to, the sample starts at a random position among the workers
    * that the key needs. Otherwise, the sample starts with the second worker of the ranking. If the
    * request was queued and the mean load is not high, the start of the sample is moved on in the
-   * ranking by the offset of the request. Only the first workers of the ranking are considered.
-   * After the last of these workers, the sample continues with the first worker of the ranking.
+   * ranking by the offset of the request, and all ranked workers are considered. Otherwise, only
+   * the first workers of the ranking are considered: as many as the key needs, but at least one
+   * more than the sample contains. After the last considered worker, the sample continues with the
+   * first worker of the ranking.
    */
   private List<WorkerState> rankedCandidates(
       PendingRequest request, KeyAffinity key, int sampleSize) {
--- a/src/main/java/loomreel/decision/WorkerTable.java
+++ b/src/main/java/loomreel/decision/WorkerTable.java
@@ -16,8 +16,8 @@
  */
 final class WorkerTable {
   /**
-   * The age that a load report is assumed to have when it arrives, in microseconds. A report does
-   * not include the attempts that were sent within this time before the arrival of the report.
+   * The age that a load report is assumed to have when it arrives, in microseconds. An attempt that
+   * was sent within this time before the arrival of the report may be missing from the report.
    */
   static final double REPORT_DELAY_MICROS = 1e6;
 
@@ -37,8 +37,8 @@
   private final Map<String, WorkerState[]> poolsByKind = new HashMap<>();
 
   /**
-   * The eligible workers by queue and then by kind. A pool is added when a request first names the
-   * queue after {@link #rebuildPools}.
+   * The eligible workers by queue and then by kind. {@link #rebuildPools} removes all pools from
+   * this map. {@link #pool} adds a pool when a request needs it for the first time.
    */
   private final Map<String, Map<String, WorkerState[]>> poolsByQueue = new HashMap<>();
 
