--- a/src/main/java/loomreel/simulator/ActionWriter.java
+++ b/src/main/java/loomreel/simulator/ActionWriter.java
@@ -11,7 +11,8 @@
   /**
    * Creates a writer for the actions of one reply.
    *
-   * @param json the generator that receives the objects; the caller owns and closes it
+   * @param json the generator that receives the objects; the writer does not close the generator,
+   *     so the caller has to close it
    */
   ActionWriter(JsonGenerator json) {
     this.json = json;
--- a/src/main/java/loomreel/simulator/SimulatorAdapter.java
+++ b/src/main/java/loomreel/simulator/SimulatorAdapter.java
@@ -25,8 +25,8 @@
  * adapter writes one reply, which contains the actions of the policies. The adapter only
  * translates; the policies make every decision.
  *
- * <p>The adapter reads and writes on the calling thread. {@link #run()} closes the input stream and
- * leaves the output stream open; the caller owns both.
+ * <p>The adapter reads and writes on the thread that calls {@link #run()}. This method closes the
+ * input stream but not the output stream. The caller decides when to close the output stream.
  */
 public final class SimulatorAdapter {
   /** The initial capacity of the reply buffer, in bytes. */
@@ -56,8 +56,9 @@
   /**
    * Creates an adapter that reads batches from one stream and writes the replies to another.
    *
-   * @param input the stream of batches
-   * @param output the stream that receives the replies and nothing else
+   * @param input the stream of batches, which {@link #run()} closes
+   * @param output the stream that receives the replies and nothing else; the adapter does not close
+   *     the stream
    */
   public SimulatorAdapter(InputStream input, OutputStream output) {
     this.input = input;
@@ -66,7 +67,7 @@
 
   /**
    * Reads batches until the input ends. After each batch, writes the reply to the batch as one line
-   * and flushes the output.
+   * and flushes the output. Closes the input at the end.
    *
    * @throws MalformedBatchException if the input is not JSON or a batch violates the protocol; the
    *     replies to all previous batches are complete, and nothing is written for the batch with the
--- a/src/main/java/loomreel/simulator/WireObject.java
+++ b/src/main/java/loomreel/simulator/WireObject.java
@@ -75,14 +75,18 @@
     return requiredNumber(fieldName).longValue();
   }
 
-  /** Returns the value of a required time or duration field in microseconds. */
+  /**
+   * Returns the value of a required time or duration field. The field is in seconds, and the result
+   * is in microseconds.
+   */
   long micros(String fieldName) throws MalformedBatchException {
     return toMicros(number(fieldName));
   }
 
   /**
-   * Returns the value of a time or duration field in microseconds. If the field is absent, returns
-   * the default in microseconds.
+   * Returns the value of a time or duration field. The field is in seconds, and the result is in
+   * microseconds. If the field is absent, returns the default, also converted from seconds to
+   * microseconds.
    */
   long micros(String fieldName, double defaultSeconds) throws MalformedBatchException {
     return toMicros(number(fieldName, defaultSeconds));
