--- a/src/test/java/loomreel/decision/SlowStartTest.java
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -16,9 +16,9 @@
 class SlowStartTest {
   /**
    * Verifies that 30 dispatchers together do not overload a worker in the 2 s after the worker
-   * restarts. In that time, the worker may get at most 3 times 0.28 of the attempts that a warm
-   * worker gets. The overload multiple is 3. The fraction of its capacity that the worker has is
-   * 0.28 after 2 s, because the fraction grows from 0.2 to 1 within 20 s.
+   * restarts. The capacity of the worker grows from 0.2 to 1 of its full capacity within 20 s, so
+   * it is 0.28 of the full capacity after 2 s. The overload multiple is 3. Therefore, the worker
+   * may get at most 3 times 0.28 of the attempts that a warm worker gets in 2 s.
    */
   @Test
   void allDispatchersTogetherDoNotOverloadAColdWorker() {
@@ -49,22 +49,23 @@
       }
     }
 
-    // Within 2 s, each dispatcher sends 10 requests per second to 20 workers.
+    // In these 2 s, each dispatcher sends 10 requests per second, spread over 20 workers.
     double attemptsAtWarmWorker = 2.0 * dispatcherCount * 10 / 20;
     assertTrue(
         attemptsAtColdWorker <= attemptsAtWarmWorker * 3 * 0.28,
         attemptsAtColdWorker
-            + " attempts in the first two seconds, a warm worker gets "
+            + " attempts at the cold worker within 2 s of its restart; a warm worker gets "
             + attemptsAtWarmWorker);
     assertTrue(allAttempts > 5000);
   }
 
   /**
-   * Verifies that a dispatcher that has just started uses its workers although all workers are
-   * cold, and does not overload the workers.
+   * Verifies that a dispatcher uses its workers but does not overload them if the dispatcher and
+   * all workers have just started. Within 2 s, the dispatcher must send more work than the workers
+   * can do in this time, but less than the overload multiple times that work.
    */
   @Test
-  void coldWorkersGetTheWorkThatTheirSlotsCanDoIfNoWorkerIsWarm() {
+  void coldWorkersAreFullyUsedButNotOverloadedIfNoWorkerIsWarm() {
     DispatcherHarness dispatcher = DispatcherHarness.withHealthChecks(1, 7);
     dispatcher.handle(
         new EndpointSnapshot(
@@ -79,9 +80,9 @@
       for (String worker : List.of("w00", "w01")) {
         dispatcher.reportHealth(worker, loadReport(0, 0, 4));
       }
-      // Each of the two workers has four slots, and a slot of a warm worker does at least 0.45
-      // microseconds of work in a microsecond. A worker starts with 0.2 of its capacity, and would
-      // have its full capacity after 2000 rounds of 0.01 s.
+      // Each of the two workers has four slots. A slot of a warm worker does at least 0.45
+      // microseconds of work per microsecond. A worker starts with 0.2 of its capacity. It would
+      // have its full capacity after 20 s, that is, after 2000 iterations of this loop.
       capacityMicros += 2 * 4 * 0.45 * (0.2 + 0.8 * i / 2000) * SECOND / 100;
       String id = "r" + i;
       List<StartAttempt> sent =
@@ -96,8 +97,8 @@
     }
 
     double overloadMicros = DispatcherHarness.RULES.overloadMultiple() * capacityMicros;
-    assertTrue(workMicros > capacityMicros, "sent " + workMicros + " of " + capacityMicros);
+    assertTrue(workMicros > capacityMicros, "sent " + workMicros + ", capacity " + capacityMicros);
     // The message states the capacity. The limit is the capacity times the overload multiple.
-    assertTrue(workMicros < overloadMicros, "sent " + workMicros + " of " + capacityMicros);
+    assertTrue(workMicros < overloadMicros, "sent " + workMicros + ", capacity " + capacityMicros);
   }
 }
--- a/src/test/java/loomreel/decision/WorkerSelectionTest.java
+++ b/src/test/java/loomreel/decision/WorkerSelectionTest.java
@@ -20,7 +20,7 @@
 import loomreel.decision.Settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Tests which worker gets a request when no health checks are made. */
+/** Tests which worker gets a request if the dispatcher makes no health checks. */
 class WorkerSelectionTest {
   @Test
   void everyDispatcherSendsAKeyToTheSameWorkerWhileThatWorkerIsBelowTheLoadThreshold() {
@@ -50,7 +50,7 @@
    * first worker is full, and to a fallback worker if both workers are full.
    */
   @Test
-  void aFullFirstCandidateIsReplacedByTheSecondAndFullCandidatesByTheFallback() {
+  void aRequestGoesToTheSecondCandidateIfTheFirstIsFullAndToAFallbackIfBothAreFull() {
     DispatcherHarness dispatcher = DispatcherHarness.withWorkers(20);
     Set<String> usedWorkers = new HashSet<>();
     for (int i = 0; i < 3; i++) {
@@ -81,6 +81,7 @@
 
       String worker = dispatcher.dispatch("r" + i, key, DispatcherHarness.BIG_WORKER_CLASS);
 
+      // Workers whose number is a multiple of 3 are of kind big.
       assertEquals(0, DispatcherHarness.workerNumber(worker) % 3);
       dispatcher.endAttempt("r" + i, 0, worker, AttemptOutcome.OK);
     }
@@ -101,8 +102,9 @@
 
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(1)));
 
-    List<Action> later = dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
-    assertEquals("w00", attempts(later).get(0).workerId());
+    List<Action> laterActions =
+        dispatcher.fireTimers(arrivalActions, dispatcher.nowMicros + SECOND);
+    assertEquals("w00", attempts(laterActions).get(0).workerId());
   }
 
   @Test
@@ -121,7 +123,7 @@
       }
     }
 
-    assertTrue(movedKeys > 0 && movedKeys < 50, "moved " + movedKeys);
+    assertTrue(movedKeys > 0 && movedKeys < 50, "moved keys: " + movedKeys);
   }
 
   /**
@@ -146,13 +148,13 @@
       dispatcher.nowMicros += SECOND / 20;
     }
 
-    assertTrue(usedWorkers.size() > 10, "used " + usedWorkers.size());
+    assertTrue(usedWorkers.size() > 10, "used workers: " + usedWorkers.size());
   }
 
   /**
-   * Verifies that a worker counts as loaded for some time if the start of a job there was delayed.
-   * If workers send no load reports, such a delay is how a dispatcher notices the load that other
-   * dispatchers cause.
+   * Verifies that a worker counts as loaded for some time after a job at the worker started with a
+   * delay. If workers send no load reports, a dispatcher uses this delay to recognize the load that
+   * other dispatchers cause.
    */
   @Test
   void withoutLoadReportsADelayedJobStartCountsAsLoadForSomeTime() {
@@ -168,19 +170,20 @@
     String otherWorker = dispatcher.dispatch("b", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.endAttempt("b", 0, otherWorker, AttemptOutcome.OK);
     dispatcher.nowMicros += 5 * SECOND;
-    String later = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
+    String laterWorker = dispatcher.dispatch("c", "key", DispatcherHarness.IDEMPOTENT_CLASS);
 
     assertNotEquals(loadedWorker, otherWorker);
-    assertEquals(loadedWorker, later);
+    assertEquals(loadedWorker, laterWorker);
   }
 
   /**
    * Verifies that a queued request is sent to a worker further down in the ranking of workers for
-   * its key if the first workers of the ranking are full. The id ie4bf55 denotes an incident in
-   * which each retry considered the same few full workers while other workers had capacity.
+   * its key if the first workers of the ranking are full. The dispatcher repeats the selection of a
+   * worker while the request is queued. In the incident ie4bf55, each selection considered the same
+   * few full workers, although other workers had capacity.
    */
   @Test
-  void aQueuedRequestIsRetriedAtWorkersFurtherDownTheRanking() {
+  void aQueuedRequestIsSentToAWorkerFurtherDownTheRankingIfTheFirstWorkersAreFull() {
     DispatcherHarness dispatcher = new DispatcherHarness();
     dispatcher.nowMicros += 30 * SECOND;
     dispatcher.handle(new EndpointSnapshot(DispatcherHarness.endpoints(40)));
@@ -200,10 +203,10 @@
     assertFalse(
         queuedArrivalActions == null, "the first workers of the key's ranking were never all full");
 
-    List<StartAttempt> later =
+    List<StartAttempt> laterAttempts =
         attempts(dispatcher.fireTimers(queuedArrivalActions, dispatcher.nowMicros + SECOND / 3));
 
-    assertEquals(1, later.size());
-    assertFalse(fullWorkers.contains(later.get(0).workerId()));
+    assertEquals(1, laterAttempts.size());
+    assertFalse(fullWorkers.contains(laterAttempts.get(0).workerId()));
   }
 }
