--- a/src/test/java/loomreel/decision/DispatcherHarness.java
+++ b/src/test/java/loomreel/decision/DispatcherHarness.java
@@ -74,7 +74,8 @@
 
   /**
    * The {@code tick} of the shared settings, in microseconds. The policy uses multiples of the tick
-   * as pauses and margins. Tests may deliver events with a smaller distance or at the same time.
+   * as pauses and margins. Tests may deliver two events less than one tick apart, or at the same
+   * time.
    */
   private static final long TICK_MICROS = 2000;
 
@@ -179,7 +180,7 @@
         .build();
   }
 
-  /** Returns the {@link #endpoint}s of {@code count} workers, from worker 0 on, ready and warm. */
+  /** Returns an {@link #endpoint} for each worker from 0 to {@code count - 1}, ready and warm. */
   static List<Endpoint> endpoints(int count) {
     List<Endpoint> endpoints = new ArrayList<>();
     for (int workerNumber = 0; workerNumber < count; workerNumber++) {
--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -35,9 +35,10 @@
   static final long SECOND = DispatcherHarness.SECOND;
 
   /**
-   * The time, in microseconds, from a health check of a reachable worker to the result. The result
-   * for an unreachable worker arrives after {@link #CONNECT_TIMEOUT_MICROS}, but also states this
-   * duration.
+   * The time, in microseconds, from the start of a health check to its result if the worker is
+   * reachable. If the worker is unreachable, the result arrives after {@link
+   * #CONNECT_TIMEOUT_MICROS}. Every result states this constant as the duration of the health
+   * check, even if the worker is unreachable.
    */
   private static final long ROUND_TRIP_MICROS = 20_000;
 
--- a/src/test/java/loomreel/decision/OutlierEjectionTest.java
+++ b/src/test/java/loomreel/decision/OutlierEjectionTest.java
@@ -12,8 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that a worker that is silent, loses a connection or is slow is not selected for some time,
- * and when the worker is selected again.
+ * Tests whether a worker is still selected after an event that may indicate a fault of the worker,
+ * and when it is selected again. The tested events are a missing report of the start of a job, a
+ * cancelled request, a connection that cannot be established, slow jobs, and a job that does not
+ * end.
  */
 class OutlierEjectionTest {
   /** The value of the parameter {@code slowWorker} of {@link #serve} if no worker is slow. */
@@ -43,8 +45,8 @@
 
   /**
    * Verifies that a worker is not selected while its report of the start of a job is overdue, and
-   * is selected again after this report. Other workers report the start of a job after 2 ms, and
-   * the silent worker after 0.5 s.
+   * is selected again 1 s after this report. Other workers report the start of a job after 2 ms.
+   * The silent worker reports the start after 0.5 s.
    */
   @Test
   void aSilentWorkerIsNotSelectedUntilItRespondsAgain() {
@@ -70,13 +72,13 @@
   }
 
   /**
-   * Verifies two cases in which a worker must not stay unused, because both can happen while the
-   * worker is up. If a client cancels a request 1 ms after it was sent to a worker, the worker is
-   * selected for the next request. If a connection to a worker that responded recently fails, the
-   * worker is not selected for the retry, but is selected again 1 s later.
+   * Verifies two cases that can occur although the worker is up. In the first case, a client
+   * cancels a request 1 ms after the request was sent to a worker. The worker is selected for the
+   * next request. In the second case, no connection to a worker can be established, but the worker
+   * responded recently. The worker is not selected for the retry, but is selected again 1 s later.
    */
   @Test
-  void aQuickCancellationOrAFailedConnectionKeepsAWorkerUnusedForAtMostASecond() {
+  void aQuickCancellationDoesNotEjectAWorkerAndAFailedConnectionEjectsItForAtMostASecond() {
     String worker = dispatcher.dispatch("a", "key", DispatcherHarness.IDEMPOTENT_CLASS);
     dispatcher.nowMicros += 1000;
     dispatcher.handle(new RequestCancelled("a"));
--- a/src/test/java/loomreel/decision/RandomEventsTest.java
+++ b/src/test/java/loomreel/decision/RandomEventsTest.java
@@ -140,7 +140,9 @@
    * Asserts rule 4 for the last start or restart of a worker. The rule limits the attempts at the
    * worker in the overload window that begins at this time. The mean is the number of attempts that
    * one of {@link #WORKER_COUNT} workers gets on average in a window of this length. The limit is
-   * the mean times the overload multiple times 0.35, plus 3 attempts as a margin for chance.
+   * the mean times the overload multiple times 0.35, plus 3 attempts as a margin for chance. The
+   * factor 0.35 is an upper bound of the fraction of its full capacity that the worker has in the
+   * window. With {@link DispatcherHarness#RULES}, this fraction grows from 0.2 to 0.28.
    */
   private void assertNotOverloaded(String worker, long restartedAtMicros) {
     long windowMicros = DispatcherHarness.RULES.overloadWindow();
--- a/src/test/java/loomreel/decision/RequestAnswerTest.java
+++ b/src/test/java/loomreel/decision/RequestAnswerTest.java
@@ -17,7 +17,10 @@
 import loomreel.decision.Settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Tests when requests are rejected or failed, and that no action follows this answer. */
+/**
+ * Tests when the policy rejects a request or fails it. Also tests that the policy takes no further
+ * action for a request that has failed or was cancelled.
+ */
 class RequestAnswerTest {
   @Test
   void aRequestWhoseAttemptDoesNotEndFailsOnceByItsDeadline() {
@@ -37,11 +40,12 @@
   }
 
   /**
-   * Verifies that a request is rejected at once if it arrives after its latency objective. In this
-   * class, an answer after the latency objective is worthless. The class has a deadline of 10 s.
-   * The client marked the request as a retry, and the request has 5 s left. Therefore, the client
-   * made its first attempt 5 s ago. The latency objective has passed, because it is 3 s after the
-   * first attempt: 1 s plus twice the work of 1 s.
+   * Verifies that a request is rejected at once if it arrives after its latency objective. The
+   * request belongs to {@link DispatcherHarness#IDEMPOTENT_CLASS}, in which an answer after the
+   * latency objective has no value. The class has a deadline of 10 s. The client marked the request
+   * as a retry, and the deadline of the request is in 5 s. Therefore, the client made its first
+   * attempt 5 s ago. The latency objective was 3 s after the first attempt, because it is 1 s plus
+   * twice the work of the job, and the work is 1 s.
    */
   @Test
   void aRequestThatArrivesTooLateIsRejectedAtOnce() {
@@ -72,7 +76,9 @@
     assertEquals(
         List.of(new Reject("a", SECOND, RejectionReason.NO_ELIGIBLE_WORKER)),
         actionsOf(Reject.class, laterActions));
-    assertTrue(dispatcher.nowMicros < 105 * SECOND, "long before the client's deadline");
+    // The clock of the harness starts at 100 s, so the deadline of the request is at 110 s.
+    assertTrue(
+        dispatcher.nowMicros < 105 * SECOND, "the clock is long before the client's deadline");
   }
 
   @Test
--- a/src/test/java/loomreel/decision/RetryPolicyTest.java
+++ b/src/test/java/loomreel/decision/RetryPolicyTest.java
@@ -118,11 +118,14 @@
   /**
    * Verifies that keyed work that may have run is retried only at workers in the failure domain of
    * the first attempt, and only before the deduplication window ends. The window begins when the
-   * first attempt is sent. The failure domain is checked only for retries that do not start at
-   * once.
+   * first attempt is sent. The first attempt of every second request ends within the window.
    *
-   * <p>At least one of the keys has a second candidate in the failure domain of its first
-   * candidate, so at least one request is retried.
+   * <p>The policy starts a retry either at once when the first attempt ends, or later when a timer
+   * fires. This test checks the failure domain of the later retries only, but checks the window for
+   * all retries.
+   *
+   * <p>At least one request must be retried. For at least one of the keys, another worker in the
+   * failure domain of the first attempt is among the workers that the policy considers.
    */
   @Test
   void keyedWorkIsRetriedOnlyInTheSameFailureDomainAndTheDeduplicationWindow() {
--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -10,8 +10,10 @@
 
 /**
  * Tests how much work {@link SlowStartLimiter} allows many dispatchers together to send to one
- * worker that warms up. Work is in slots times microseconds. Relative work is work divided by
- * {@link #MEAN_WORK_MICROS}.
+ * worker that warms up. Each process of a dispatcher has its own limiter. The limiter holds an
+ * allowance, which is the work that the process may send to the worker now. The allowance grows at
+ * the refill rate and shrinks by the work of each request that is sent. Work is in slots times
+ * microseconds. Relative work is work divided by {@link #MEAN_WORK_MICROS}.
  */
 class SlowStartLimiterTest {
   private static final long SECOND = 1_000_000;
@@ -37,8 +39,9 @@
   private static final int RUN_COUNT = 1000;
 
   /**
-   * The refill rate of the allowances of all dispatchers together, divided by the overload multiple
-   * times the current capacity of the worker.
+   * The sum of the refill rates of all dispatchers, divided by a limit rate. The limit rate is the
+   * overload multiple times the current capacity of the worker. If dispatchers are restarted, the
+   * sum is lower before the restarts; see {@link Scenario#simulateAllDispatchers}.
    */
   private static final double REFILL_FRACTION = 0.8;
 
@@ -84,8 +87,8 @@
     }
 
     /**
-     * Returns the factor that gives the refill rate of one dispatcher's allowance. The refill rate,
-     * in work per microsecond, is this factor times {@link #relativeCapacityAt}.
+     * Returns the refill rate of one dispatcher, in work per microsecond, divided by {@link
+     * #relativeCapacityAt}. The quotient is the same at every age of the worker.
      */
     double refillFactorPerDispatcher() {
       return REFILL_FRACTION * overloadMultiple * MEAN_WORK_MICROS / SECOND / dispatcherCount;
@@ -127,8 +130,8 @@
      * Simulates one process of a dispatcher from its start until the end of the overload window. A
      * dispatcher has a single process, unless it is restarted; see {@link #simulateAllDispatchers}.
      *
-     * @param refillFactor the refill rate of the allowance of the process, in work per microsecond,
-     *     divided by {@link #relativeCapacityAt}
+     * @param refillFactor the refill rate of the process, in work per microsecond, divided by
+     *     {@link #relativeCapacityAt}
      * @param startAgeMicros the age of the worker when the process starts, in microseconds; the
      *     simulation uses the age as its clock
      * @param meanLightWork the mean work of the requests that may go to the worker
@@ -162,8 +165,8 @@
      *
      * <p>A dispatcher that is restarted is simulated as two processes. The first runs for the whole
      * window. The second starts in the middle of the window with an allowance of its own. Each
-     * process uses half of the refill rate for its whole run. {@link #RESTART_DIVISOR} selects the
-     * dispatchers that are restarted.
+     * process has half of the refill rate of a dispatcher that is not restarted, for its whole run.
+     * {@link #RESTART_DIVISOR} selects the dispatchers that are restarted.
      */
     double simulateAllDispatchers(SplittableRandom random, double meanLightWork) {
       double relativeWork = 0;
