--- a/src/main/java/loomreel/simulator/WireBatch.java
+++ b/src/main/java/loomreel/simulator/WireBatch.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One batch of the simulator's protocol. A batch contains events of simulated dispatchers that all
- * happen at the same simulated time.
+ * One batch of the simulator's protocol. A batch contains events of simulated dispatchers. All
+ * events of a batch happen at the same simulated time.
  *
  * @param number the number of the batch, which the reply repeats
  * @param timeMicros the simulated time, in microseconds
--- a/src/main/java/loomreel/simulator/WireEventReader.java
+++ b/src/main/java/loomreel/simulator/WireEventReader.java
@@ -159,7 +159,10 @@
     };
   }
 
-  /** Returns the load report in the field {@code Usage}, or null if that field is not an object. */
+  /**
+   * Returns the load report in the field {@code Usage}, or null if that field is absent or not an
+   * object.
+   */
   private static WorkerLoad load(WireObject event) {
     if (!(event.valueOrNull(WireNames.LOAD_REPORT) instanceof Map<?, ?> reportFields)) {
       return null;
--- a/src/test/java/loomreel/decision/EndpointUpdateTest.java
+++ b/src/test/java/loomreel/decision/EndpointUpdateTest.java
@@ -119,9 +119,9 @@
   }
 
   /**
-   * Verifies that a worker that an operator enables again warms up, because the worker may have
-   * restarted while it was disabled. Of 20 requests that arrive at the same time, at least one but
-   * not all are sent to the worker, although no other worker is available.
+   * Verifies that a worker counts as cold after an operator enables it again, because the worker
+   * may have restarted while it was disabled. Of 20 requests that arrive at the same time, at least
+   * one but not all are sent to the worker, although no other worker is available.
    */
   @Test
   void anEnabledWorkerGetsOnlyItsSlowStartAllowance() {
--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -140,8 +140,8 @@
    * @param untilMicros the time at which the arrivals end
    */
   void addLoad(double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
-    for (int number = 0; number < dispatchers.size(); number++) {
-      addLoad(number, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+    for (int dispatcherIndex = 0; dispatcherIndex < dispatchers.size(); dispatcherIndex++) {
+      addLoad(dispatcherIndex, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
     }
   }
 
@@ -149,12 +149,16 @@
    * Schedules the arrival of random requests at one dispatcher. The requests are like those of
    * {@link #addLoad(double, int, double, long)}, and the other parameters have the same meaning.
    *
-   * @param number the index of the dispatcher in the order of starts
+   * @param dispatcherIndex the index of the dispatcher in the order of starts
    */
   void addLoad(
-      int number, double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
+      int dispatcherIndex,
+      double requestsPerSecond,
+      int keyCount,
+      double meanWorkMicros,
+      long untilMicros) {
     scheduleNextArrival(
-        dispatchers.get(number), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+        dispatchers.get(dispatcherIndex), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
   }
 
   /**
--- a/src/test/java/loomreel/decision/FleetSimulationTest.java
+++ b/src/test/java/loomreel/decision/FleetSimulationTest.java
@@ -120,8 +120,8 @@
 
   /**
    * Asserts that each worker gets less work than the overload limit in each time window of 3 s. The
-   * limit is the overload multiple times the work that the worker can do in the window. The first
-   * window starts at {@code fromMicros}, and the others follow every 0.5 s until 6.5 s later.
+   * limit is the overload multiple times the work that the worker can do in the window. A window
+   * starts every 0.5 s, the first at {@code fromMicros} and the last 6.5 s later.
    */
   private static void assertNotOverloaded(
       List<SimulatedWorker> workers, long fromMicros, long seed) {
@@ -141,9 +141,9 @@
                 + seed
                 + ": "
                 + worker.endpoint.id()
-                + " got "
+                + " got work of "
                 + workMicros
-                + " of "
+                + ", overload limit "
                 + limitMicros);
       }
     }
--- a/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
+++ b/src/test/java/loomreel/decision/HealthCheckPolicyTest.java
@@ -71,7 +71,7 @@
     return otherActions;
   }
 
-  private static boolean isAmong(List<CheckHealth> checks, StartAttempt attempt) {
+  private static boolean isAtCheckedWorker(List<CheckHealth> checks, StartAttempt attempt) {
     return checks.stream().anyMatch(check -> check.workerId().equals(attempt.workerId()));
   }
 
@@ -89,7 +89,7 @@
     }
 
     assertTrue(attempts(arrivalActions).isEmpty());
-    assertTrue(isAmong(checks, onlyAttempt(results)));
+    assertTrue(isAtCheckedWorker(checks, onlyAttempt(results)));
   }
 
   @Test
@@ -116,7 +116,7 @@
           dispatcher.handle(new HealthChecked(check.workerId(), AttemptOutcome.RESET, 500, null)));
     }
 
-    assertTrue(isAmong(checks, attempts(results).get(0)));
+    assertTrue(isAtCheckedWorker(checks, attempts(results).get(0)));
   }
 
   /**
@@ -172,7 +172,7 @@
    * Verifies that a fallback candidate gets a health check before it gets a request. Fallback
    * candidates are the workers that are considered if the hashed candidates, to which the key of
    * the request hashes, are full. A dispatcher that is one of many cannot derive the load of a
-   * worker from the jobs that it has sent to the worker itself.
+   * worker from its own jobs alone, because other dispatchers send jobs to the worker too.
    */
   @Test
   void aFallbackCandidateIsCheckedBeforeItGetsARequest() {
@@ -195,7 +195,7 @@
 
       assertTrue(
           fallbackWorkers.contains(onlyAttempt(laterActions).workerId()),
-          laterActions + " of " + fallbackWorkers + " besides " + hashedWorkers);
+          laterActions + ", checked: " + fallbackWorkers + ", full: " + hashedWorkers);
     }
   }
 
--- a/src/test/java/loomreel/decision/PolicyFilesTest.java
+++ b/src/test/java/loomreel/decision/PolicyFilesTest.java
@@ -103,7 +103,9 @@
   @ValueSource(strings = {"deploy/balancer.toml", "deploy/traced.toml"})
   void theDeployFileListsEveryFileThatEmitsActions(String deployFile) throws IOException {
     Set<Path> missingFiles = emittingFiles();
-    assertTrue(missingFiles.contains(sourceFile("RequestScheduler")), "found: " + missingFiles);
+    assertTrue(
+        missingFiles.contains(sourceFile("RequestScheduler")),
+        "files that emit actions: " + missingFiles);
 
     missingFiles.removeAll(policyFiles(deployFile));
 
--- a/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
+++ b/src/test/java/loomreel/decision/RuleCheckingDispatcher.java
@@ -295,13 +295,13 @@
   }
 
   private void scheduleEnd(
-      RequestRecord request, int number, AttemptOutcome outcome, long endsAtMicros) {
-    AttemptRecord attempt = request.attempts.get(number);
+      RequestRecord request, int attemptNumber, AttemptOutcome outcome, long endsAtMicros) {
+    AttemptRecord attempt = request.attempts.get(attemptNumber);
     schedule(
         endsAtMicros,
         new AttemptEnded(
             request.arrival.requestId(),
-            number,
+            attemptNumber,
             attempt.worker,
             outcome,
             false,
@@ -342,8 +342,8 @@
 
   /**
    * Delivers the events that are due, and asserts that no answer is overdue. Then discards the
-   * records of requests if the request is answered, none of its attempts is open, and its deadline
-   * passed more than 2 s ago.
+   * record of each request that is answered, has no open attempt, and has a deadline that passed
+   * more than 2 s ago.
    */
   void step() {
     while (!scheduledEvents.isEmpty()
--- a/src/test/java/loomreel/decision/SimulatedWorker.java
+++ b/src/test/java/loomreel/decision/SimulatedWorker.java
@@ -34,7 +34,7 @@
   /** For each slot, the time, in microseconds, at which the last job of the slot ends. */
   private final long[] slotFreeAtMicros;
 
-  /** The total work of the attempts that were sent at a time, by that time in microseconds. */
+  /** The total work of the attempts that were sent at the same time, by time in microseconds. */
   private final TreeMap<Long, Double> workMicrosByTime = new TreeMap<>();
 
   /** The number of jobs that run or are queued. */
--- a/src/test/java/loomreel/simulator/ActionWriterTest.java
+++ b/src/test/java/loomreel/simulator/ActionWriterTest.java
@@ -36,15 +36,15 @@
           "{\"kind\":\"Remark\",\"Words\":\"text\"}");
 
   /** A call of a method of an {@link ActionWriter}. */
-  private interface Writing {
+  private interface WriterCall {
     void writeTo(ActionWriter writer) throws IOException;
   }
 
   /** Returns the JSON that a call writes. */
-  private static String write(Writing writeCall) throws IOException {
+  private static String write(WriterCall call) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
-      writeCall.writeTo(new ActionWriter(json));
+      call.writeTo(new ActionWriter(json));
     }
     return text.toString();
   }
--- a/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loomreel/simulator/SimulatorAdapterTest.java
@@ -129,6 +129,7 @@
   @CsvSource(
       delimiter = '|',
       value = {
+        // line | message
         "{\"SimTimeS\":1,                                        | malformed JSON",
         "[]                                                      | batch is not a JSON object",
         "{\"SimTimeS\":1,\"parts\":[]}                           | batch lacks the field batch",
--- a/src/test/java/loomreel/simulator/WireEventReaderTest.java
+++ b/src/test/java/loomreel/simulator/WireEventReaderTest.java
@@ -23,7 +23,8 @@
 
   /**
    * Reads the arrival of a request with these flags. The request names no tenant, because its field
-   * {@code Owner} is not a string. The field for the expected work is present with any flags.
+   * {@code Owner} is not a string. The field {@code WeightHintS} is always present. It states the
+   * expected work.
    */
   private static WireEvent.RequestReceived readRequest(int flags) throws MalformedBatchException {
     Map<String, Object> fields =
@@ -45,6 +46,7 @@
 
   @ParameterizedTest
   @CsvSource({
+    // outcomeCode, outcome
     "0, OK",
     "5, ERROR",
     "11, REJECTED",
