--- a/src/test/java/loomreel/decision/DispatcherHarness.java
+++ b/src/test/java/loomreel/decision/DispatcherHarness.java
@@ -39,10 +39,10 @@
   static final int IDEMPOTENT_CLASS = 0;
 
   /**
-   * The index in {@link #CLASSES} of the class whose requests need an idempotency key to be
-   * repeated after an attempt that may have run ({@link Idempotency#KEYED}). Workers of the same
-   * failure domain deduplicate requests with the same idempotency key for 3 s. The idempotency key
-   * is not the {@code key} of {@link #request}, which is a routing key.
+   * The index in {@link #CLASSES} of the class with {@link Idempotency#KEYED}. If an attempt of a
+   * request in this class may have run, the request is repeated only if it has an idempotency key.
+   * Workers of the same failure domain deduplicate requests with the same idempotency key for 3 s.
+   * The idempotency key is not the {@code key} of {@link #request}, which is a routing key.
    */
   static final int KEYED_CLASS = 1;
 
--- a/src/test/java/loomreel/decision/SlowStartTest.java
+++ b/src/test/java/loomreel/decision/SlowStartTest.java
@@ -25,6 +25,7 @@
     int dispatcherCount = 30;
     int attemptsAtColdWorker = 0;
     int allAttempts = 0;
+    // The clock of each dispatcher starts at this time.
     long startMicros = 100 * SECOND;
     for (int seed = 0; seed < dispatcherCount; seed++) {
       DispatcherHarness dispatcher =
@@ -56,6 +57,7 @@
         attemptsAtColdWorker
             + " attempts at the cold worker within 2 s of its restart; a warm worker gets "
             + attemptsAtWarmWorker);
+    // All dispatchers together get 6600 requests in the first 22 s.
     assertTrue(allAttempts > 5000);
   }
 
