--- a/src/test/java/loomreel/decision/FleetSimulation.java
+++ b/src/test/java/loomreel/decision/FleetSimulation.java
@@ -35,9 +35,10 @@
   static final long SECOND = DispatcherHarness.SECOND;
 
   /**
-   * The time, in microseconds, from a health check of a reachable worker to the result. The result
-   * for an unreachable worker arrives after {@link #CONNECT_TIMEOUT_MICROS}, but also states this
-   * duration.
+   * The time, in microseconds, from the start of a health check to its result if the worker is
+   * reachable. If the worker is unreachable, the result arrives after {@link
+   * #CONNECT_TIMEOUT_MICROS}. Every result states this constant as the duration of the health
+   * check, even if the worker is unreachable.
    */
   private static final long ROUND_TRIP_MICROS = 20_000;
 
@@ -139,8 +140,8 @@
    * @param untilMicros the time at which the arrivals end
    */
   void addLoad(double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
-    for (int number = 0; number < dispatchers.size(); number++) {
-      addLoad(number, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+    for (int dispatcherIndex = 0; dispatcherIndex < dispatchers.size(); dispatcherIndex++) {
+      addLoad(dispatcherIndex, requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
     }
   }
 
@@ -148,12 +149,16 @@
    * Schedules the arrival of random requests at one dispatcher. The requests are like those of
    * {@link #addLoad(double, int, double, long)}, and the other parameters have the same meaning.
    *
-   * @param number the index of the dispatcher in the order of starts
+   * @param dispatcherIndex the index of the dispatcher in the order of starts
    */
   void addLoad(
-      int number, double requestsPerSecond, int keyCount, double meanWorkMicros, long untilMicros) {
+      int dispatcherIndex,
+      double requestsPerSecond,
+      int keyCount,
+      double meanWorkMicros,
+      long untilMicros) {
     scheduleNextArrival(
-        dispatchers.get(number), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
+        dispatchers.get(dispatcherIndex), requestsPerSecond, keyCount, meanWorkMicros, untilMicros);
   }
 
   /**
