--- a/src/main/java/loomreel/core/ActionExecutor.java
+++ b/src/main/java/loomreel/core/ActionExecutor.java
@@ -64,10 +64,19 @@
   /**
    * Adds an attempt to a call and starts the attempt.
    *
-   * <p>If the attempt must not be started, or if no worker with the given id is listed, the attempt
-   * is still added to the call, but it ends at once. The policy and the dispatcher both number the
-   * attempts of a call by counting the {@link Action.StartAttempt} actions for the call, so each of
-   * these actions must add an attempt.
+   * <p>In the following cases, the attempt is added to the call, but ends at once instead of being
+   * started:
+   *
+   * <ul>
+   *   <li>The call is completed.
+   *   <li>The call already has the maximum number of attempts.
+   *   <li>The deadline of the attempt has passed.
+   *   <li>An earlier attempt of the call at the same worker has not ended.
+   *   <li>No worker with the given id is listed.
+   * </ul>
+   *
+   * <p>The attempt is added even in these cases, because the policy and the dispatcher both number
+   * the attempts of a call by counting the {@link Action.StartAttempt} actions for the call.
    */
   private void startAttempt(Action.StartAttempt start) {
     Rpc rpc = calls.find(start.requestId());
--- a/src/main/java/loomreel/core/CallAttempt.java
+++ b/src/main/java/loomreel/core/CallAttempt.java
@@ -149,8 +149,9 @@
   }
 
   /**
-   * Answers the call with the result of the job and ends the attempt. Does nothing if the attempt
-   * has ended.
+   * Records that the worker has completed the job: answers the call with the result of the job,
+   * unless the call has already been answered or cancelled, and ends the attempt with {@link
+   * AttemptOutcome#OK}. Does nothing if the attempt has ended.
    *
    * @param load the load that the worker reported, or null if none was reported
    */
--- a/src/main/java/loomreel/core/Dispatcher.java
+++ b/src/main/java/loomreel/core/Dispatcher.java
@@ -161,8 +161,8 @@
 
   /**
    * Returns whether every call that this process has accepted is answered or cancelled. Attempts of
-   * these calls may still be open. During a hot restart, the calls of the other process are not
-   * considered.
+   * these calls may not have ended. During a hot restart, another process serves as the same
+   * dispatcher; the calls that the other process has accepted are not considered.
    */
   public boolean isEmpty() {
     return calls.unansweredCount() == 0;
@@ -254,7 +254,9 @@
   }
 
   /**
-   * Returns the unfinished attempt of a call at a worker, or null if there is none.
+   * Returns the attempt of a call at a worker if this attempt has not ended. Returns null if there
+   * is no such attempt. The state of the returned attempt is {@link CallAttemptState#OPEN} or
+   * {@link CallAttemptState#ACCEPTED}.
    *
    * @param id the id of the call
    * @param worker the id of the worker
--- a/src/main/java/loomreel/core/Rpc.java
+++ b/src/main/java/loomreel/core/Rpc.java
@@ -7,9 +7,17 @@
 import loomreel.io.ByteQueue;
 
 /**
- * A call of a client, from its acceptance until it is completed and all of its attempts have ended.
- * A call is completed when it is answered or cancelled. Owns the request body, which is released on
- * completion.
+ * A call: the request of a client to have a job processed, together with the attempts to process
+ * the job at a worker. In this package, the term <em>call</em> always refers to an object of this
+ * type. Owns the request body, which is released when the call is completed.
+ *
+ * <p>A call is active from its acceptance until it is done:
+ *
+ * <ul>
+ *   <li>The call is <em>completed</em> when it is answered or cancelled. See {@link #isCompleted}.
+ *   <li>The call is <em>done</em> when it is completed and all of its attempts have ended. See
+ *       {@link #isDone}. Some attempts may end only after the call is completed.
+ * </ul>
  */
 public final class Rpc {
   /**
@@ -92,7 +100,10 @@
     return caller.attemptStarting();
   }
 
-  /** Returns whether the call has been answered or cancelled. */
+  /**
+   * Returns whether the call has been answered or cancelled. Attempts of a completed call may not
+   * have ended; {@link #isDone} also checks the attempts.
+   */
   public boolean isCompleted() {
     return completed;
   }
@@ -132,7 +143,10 @@
     return attempts.get(number);
   }
 
-  /** Returns the unfinished attempt at a worker, or null if there is none. */
+  /**
+   * Returns the attempt at the given worker that has not ended, or null if there is none. The state
+   * of this attempt is {@link CallAttemptState#OPEN} or {@link CallAttemptState#ACCEPTED}.
+   */
   CallAttempt openAttemptAt(String worker) {
     for (CallAttempt attempt : attempts) {
       if (!attempt.hasEnded() && attempt.worker().equals(worker)) {
@@ -175,8 +189,10 @@
   }
 
   /**
-   * Completes the call without informing the {@link Caller}. Releases the request body, and aborts
-   * each attempt whose request has not been completely written.
+   * Marks the call as completed, which means that the call is answered or cancelled. Does not
+   * inform the {@link Caller}. Releases the request body, and aborts each attempt whose request has
+   * not been completely written. The other attempts may end later; {@link #isDone} returns whether
+   * all attempts have ended.
    *
    * @return true if this invocation has completed the call, false if the call was already completed
    */
--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -44,7 +44,10 @@
    */
   private static final long NO_VERSION = -1;
 
-  /** The maximum wait, in microseconds, of a call that does not wait for a change of the list. */
+  /**
+   * The value of the maximum wait, in microseconds, that requests a response at once, whether or
+   * not the list has changed.
+   */
   private static final long NO_WAIT = 0;
 
   private static final String ENDPOINTS_PATH = "/registry/instances";
@@ -155,10 +158,14 @@
   }
 
   /**
-   * Watches discovery at another address. The call in flight is abandoned. The first call to the
-   * new address is made at once: by the rules of the platform, the list at the new address counts
-   * as known to the dispatcher 4 s after the move, whether or not the dispatcher has received the
-   * list. The complete list is requested, because the versions at the new address may differ.
+   * Watches discovery at another address. The call in flight is abandoned. The complete list is
+   * requested, because the versions at the new address may differ.
+   *
+   * <p>The first call to the new address is made at once, because the platform has a rule for the
+   * move of discovery. This rule is not one of those that {@link WatchTimeouts} lists. It states
+   * that the list at the new address counts as known to the dispatcher 4 s after the move, whether
+   * or not the dispatcher has received the list. {@link WatchTimeouts} explains what <em>counts as
+   * known</em> means.
    */
   public void moveTo(InetSocketAddress address) {
     if (connection != null) {
@@ -179,6 +186,8 @@
     try {
       accept(parseNewer(message));
     } catch (InvalidEndpointListException e) {
+      // Any response with status 200 counts as an invalid list, even if its body is no list at all.
+      // Any other status shows that discovery is unavailable.
       boolean hasList = message.status() == HttpStatus.OK;
       handleFailure(e.getMessage(), WatchTimeouts.Failure.of(AttemptOutcome.ERROR, hasList, false));
     }
@@ -187,7 +196,7 @@
   /**
    * Handles the end of the call in flight without a complete response.
    *
-   * @param isResponseStarted whether a part of a response with an endpoint list has arrived
+   * @param isResponseStarted whether the head of a response with status 200 has arrived
    */
   void callFailed(AttemptOutcome outcome, boolean isResponseStarted) {
     endCall();
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -70,24 +70,32 @@
     long responseTimeoutMicros,
     long retryIntervalMicros,
     long invalidResponseRetryIntervalMicros) {
-  /** The state of discovery that the failure of a call indicates. */
+  /** The kinds of failures of a call to discovery. */
   enum Failure {
     /**
-     * Discovery did not respond in time. Also used if no connection could be established and the
-     * previous call was silent.
+     * The response was not complete in time. Also used if no connection could be established and
+     * the previous call was silent.
      */
     SILENT,
     /**
-     * Discovery sent an invalid list, a list that is older than the known one, or a part of a list.
+     * A response with status 200 contained an invalid list or a list that is older than the known
+     * one, or the end of this response was not received because the connection was lost or the
+     * response was malformed.
      */
     INVALID_RESPONSE,
-    /** Discovery is overloaded or down. */
+    /**
+     * Any other failure: no connection could be established, no head of a response was received
+     * because the connection was lost or the response was malformed, or the response had another
+     * status than 200. Discovery is overloaded or down.
+     */
     UNAVAILABLE;
 
     /**
-     * Returns the state that the outcome of a failed call indicates.
+     * Returns the kind of failure of a call.
      *
-     * @param isResponseStarted whether a part of a response with an endpoint list has arrived
+     * @param outcome the outcome of the call; {@link AttemptOutcome#ERROR} if a complete response
+     *     arrived that is not a valid and current list
+     * @param isResponseStarted whether the head of a response with status 200 has arrived
      * @param wasPreviousCallSilent whether the previous call was silent
      */
     static Failure of(
@@ -213,7 +221,8 @@
    *       interval.
    *   <li>A call with an invalid response is retried after the interval for invalid responses.
    *       There is no backoff, because discovery is up.
-   *   <li>If discovery is overloaded or down, the policy determines the backoff.
+   *   <li>After any other failure, discovery is overloaded or down, and the policy determines the
+   *       backoff.
    * </ul>
    *
    * <p>All intervals begin at the start of the failed call.
--- a/src/main/java/loomreel/ingress/ClientConnection.java
+++ b/src/main/java/loomreel/ingress/ClientConnection.java
@@ -37,7 +37,8 @@
   private static final byte[] NO_BODY = new byte[0];
   private static final double MICROS_PER_SECOND = 1e6;
 
-  // The names of trace events.
+  // The names of trace events. The method closeIfIdle writes the first event before it reads the
+  // pending input. If this input contains a request, the connection may stay open.
   private static final String TRACE_CLOSED_WHILE_IDLE = "letgo";
   private static final String TRACE_OUTPUT_SHUT_DOWN = "shut";
 
@@ -218,8 +219,8 @@
 
   /**
    * Responds to the current request, which is a job status update, after {@link
-   * HttpIngress.AdmissionGate#forwardStatusUpdate} has forwarded the update. Does nothing if the
-   * connection is closed.
+   * HttpIngress.AdmissionGate#forwardStatusUpdate} has completed. Does nothing if the connection is
+   * closed.
    */
   void statusUpdateForwarded() {
     if (!isClosed()) {
--- a/src/main/java/loomreel/ingress/ConnectionLimiter.java
+++ b/src/main/java/loomreel/ingress/ConnectionLimiter.java
@@ -11,16 +11,24 @@
  * unproven or idle; {@link ConnectionRegistry} defines these categories. Evicted connections are
  * closed gracefully, so that clients do not lose responses that they have not read yet.
  *
- * <p>If the limit is reached nevertheless, closes the oldest half-closed connection at once or, if
- * no connection is half-closed, the oldest unproven connection. If this connection is in its grace
- * period, or if no connection is half-closed or unproven, accepting is paused instead.
+ * <p>If the limit is reached nevertheless, closes one connection without waiting for its client.
+ * This is the oldest half-closed connection or, if no connection is half-closed, the oldest
+ * unproven connection. If this connection is in its grace period ({@link #GRACE_PERIOD_MICROS}), or
+ * if no connection is half-closed or unproven, accepting is paused instead.
  */
 final class ConnectionLimiter {
   /**
-   * The grace period of unproven and half-closed connections, in microseconds. An unproven
-   * connection is not evicted or closed until this time has passed since its accept, because its
-   * first request may not have been read yet. A half-closed connection is not closed at once until
-   * this time has passed since the shutdown of its output.
+   * The grace period of unproven and half-closed connections, in microseconds.
+   *
+   * <ul>
+   *   <li>The grace period of an unproven connection begins when the connection is accepted. During
+   *       this period, the limiter does not close the connection for being unproven, because its
+   *       first request may not have been read yet. However, an unproven connection is idle after a
+   *       readiness check has been answered on it. While the connection is idle, it may be closed
+   *       before the end of the grace period, like any other idle connection.
+   *   <li>The grace period of a half-closed connection begins when its output is shut down. During
+   *       this period, the limiter does not close the connection.
+   * </ul>
    */
   static final long GRACE_PERIOD_MICROS = 100_000;
 
@@ -91,7 +99,8 @@
    * Evicts connections until {@link #RESERVED_FRACTION} of the maximum number of connections is
    * free, where half-closed connections count as free, or until no further connection may be
    * evicted. If the maximum number of connections is open nevertheless, half-closed connections
-   * included, closes one connection at once or pauses accepting. Must be called after each accept.
+   * included, closes one connection without waiting for its client, or pauses accepting. Must be
+   * called after each accept.
    */
   void evictExcess() {
     int reserved = (int) Math.max(1, maxConnections * RESERVED_FRACTION);
@@ -130,9 +139,9 @@
    * of the registry.
    *
    * <p>Normally the oldest unproven connection is selected. Clients that open many connections
-   * therefore do not displace clients that send jobs or workers that send status updates. An
-   * unproven connection is not selected during its grace period, because its first request may not
-   * have been read yet.
+   * therefore do not displace clients that send jobs or workers that send status updates. During
+   * its grace period, a connection is not selected for being unproven, because its first request
+   * may not have been read yet.
    *
    * <p>If the proven connections exceed {@link #PROVEN_FRACTION}, or if no connection is unproven,
    * the connection that has been idle longest is selected instead, provided that any connection is
--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -28,7 +28,8 @@
     boolean acceptsClients();
 
     /**
-     * Returns whether this process accepts jobs. If it does not, other processes accept the jobs.
+     * Returns whether this process accepts jobs. If it does not, operators direct the clients to
+     * other dispatchers, which accept the jobs.
      */
     boolean acceptsJobs();
 
@@ -48,8 +49,8 @@
      * this process.
      *
      * @param body the update as it was received
-     * @param completed called when the other process has handled the update or has disconnected, or
-     *     at once if there is no other process
+     * @param completed called when the other process has handled the update or has disconnected;
+     *     called at once if no other process is connected
      */
     void forwardStatusUpdate(byte[] body, Runnable completed);
   }
--- a/src/main/java/loomreel/ingress/RequestHandler.java
+++ b/src/main/java/loomreel/ingress/RequestHandler.java
@@ -59,7 +59,8 @@
 
   /**
    * Returns the number of jobs that were rejected since the start because the dispatcher had no
-   * capacity, or because this process accepted no jobs while clients were drained from it.
+   * capacity, or because this process accepted no jobs during a client drain, with which operators
+   * direct clients to other dispatchers.
    */
   int rejectedAtAdmissionCount() {
     return rejectedAtAdmissionCount;
@@ -116,9 +117,9 @@
 
   /**
    * Rejects a job with status 503, because the dispatcher has no capacity or this process accepts
-   * no jobs. This process accepts no jobs while clients are drained from it. In this case, the
-   * response has no {@code Retry-After} header, because other processes have capacity for the job
-   * at once.
+   * no jobs. This process accepts no jobs during a client drain, with which operators direct
+   * clients to other dispatchers. In this case, the response has no {@code Retry-After} header,
+   * because other dispatchers have capacity for the job at once.
    */
   private void rejectAtAdmission(
       HttpMessage request, int requestClass, ClientConnection connection) {
@@ -169,9 +170,11 @@
       connection.respond(HttpStatus.OK);
       update.get().applyTo(dispatcher);
     } else {
-      // Responds only after the other process has handled the update. A worker does not repeat an
-      // update that was answered. If this process responded earlier, an update that does not reach
-      // the other process would be lost.
+      // The call may be active in another process that serves as the same dispatcher, for example
+      // during a hot restart. The update is forwarded to that process, and the response is sent
+      // only after that process has handled the update or has disconnected. If this process
+      // responded earlier, an update that does not reach the other process would be lost, because a
+      // worker does not repeat an update that was answered.
       gate.forwardStatusUpdate(body, connection::statusUpdateForwarded);
     }
     request.body().release();
--- a/src/main/java/loomreel/upstream/FirstListBarrier.java
+++ b/src/main/java/loomreel/upstream/FirstListBarrier.java
@@ -7,14 +7,19 @@
 
 /**
  * Delays a callback until discovery has sent the first endpoint list or has confirmed the last
- * known list. The callback is not delayed any longer once {@link #MAX_FAILED_CALLS} calls to
- * discovery have failed or {@link WatchTimeouts#FIRST_LIST_TIMEOUT_MICROS} have passed.
+ * known list. The callback is run earlier if discovery was unavailable for {@link
+ * #MAX_FAILED_CALLS} calls, or if {@link WatchTimeouts#FIRST_LIST_TIMEOUT_MICROS} have passed.
+ *
+ * <p>A call counts as failed only if it is reported to {@link
+ * loomreel.discovery.EndpointWatcher.Listener#watchFailed}, which means that discovery was
+ * unavailable. For example, a call without a response in time and a call with an invalid list do
+ * not count. If lists are pushed to an agent, no failed call counts.
  */
 final class FirstListBarrier {
   /**
-   * The number of failed calls to discovery after which the callback is no longer delayed. A single
-   * failure may be caused by a short overload of discovery. A second failure indicates that
-   * discovery is unavailable for longer.
+   * The callback is no longer delayed once this number of calls has failed because discovery was
+   * unavailable. A single failure may be caused by a short overload of discovery. A second failure
+   * indicates that discovery is unavailable for longer.
    */
   private static final int MAX_FAILED_CALLS = 2;
 
@@ -27,6 +32,7 @@
   /** The time at which the wait began, in microseconds of the event loop's clock. */
   private long startedAt;
 
+  /** The number of calls that have failed because discovery was unavailable. */
   private int failedCalls;
 
   /** The delayed callback; empty while no callback is delayed. */
@@ -46,8 +52,8 @@
   /**
    * Starts to delay a callback.
    *
-   * @param callback run once: by {@link #callSucceeded}, by {@link #callFailed} after too many
-   *     failed calls, or on the timeout
+   * @param callback run once: by {@link #callSucceeded}, by {@link #callFailed} after {@link
+   *     #MAX_FAILED_CALLS} failed calls, or on the timeout
    */
   void await(Runnable callback) {
     onReady = Optional.of(callback);
--- a/src/main/java/loomreel/upstream/JobStatusUpdate.java
+++ b/src/main/java/loomreel/upstream/JobStatusUpdate.java
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Applies this update to the unfinished attempt of the call at the worker that sent the update.
-   * Does nothing if the call has no unfinished attempt at this worker.
+   * Applies this update to the attempt of the call at the worker that sent the update, if this
+   * attempt has not ended. Does nothing if the call has no such attempt.
    */
   public void applyTo(Dispatcher dispatcher) {
     CallAttempt attempt = dispatcher.openAttemptAt(callId, workerId);
--- a/src/main/java/loomreel/upstream/OutlierDetector.java
+++ b/src/main/java/loomreel/upstream/OutlierDetector.java
@@ -86,7 +86,13 @@
 
   /**
    * Returns whether a probe of the ejected worker is due. If a probe is due, records that a probe
-   * is in flight. No other probe is due until {@link #recordFailure} has been called.
+   * is in flight. No other probe is due until {@link #recordFailure} has been called. If {@link
+   * #recordSuccess} is called instead, the worker is no longer ejected and needs no probe.
+   *
+   * <p>If a probe ends with the outcome {@link loomreel.decision.AttemptOutcome#RESET}, neither
+   * method is called (see {@link ReachabilityListener}). The probe then still counts as in flight:
+   * the worker stays ejected without further probes until another call to the worker is recorded as
+   * a success or a failure.
    *
    * @param now the current time, in microseconds
    */
--- a/src/main/java/loomreel/upstream/OutlierEjector.java
+++ b/src/main/java/loomreel/upstream/OutlierEjector.java
@@ -26,7 +26,9 @@
 
   /**
    * Returns whether a probe of the ejected worker is due. If a probe is due, records that a probe
-   * is in flight. No other probe is due until {@link #unreachable} has been called.
+   * is in flight. No other probe is due until {@link #unreachable} has been called. {@link
+   * OutlierDetector#startProbeIfDue} describes a probe after which neither {@link #reachable} nor
+   * {@link #unreachable} is called.
    */
   boolean startProbeIfDue() {
     return detector.startProbeIfDue(loop.now());
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -102,7 +102,7 @@
     assertEquals(
         6_500_000,
         retryAt(timeouts, repeatedlySilent, true, 5_500_000, 5_750_000),
-        "no connection is established after a silent call");
+        "a call without a connection after a silent call is retried after the interval");
     assertEquals(7_000_000, retryAt(timeouts, silent, true, 5_500_000, 7_000_000));
     for (AttemptOutcome unavailableOutcome :
         new AttemptOutcome[] {AttemptOutcome.RESET, AttemptOutcome.ERROR}) {
