--- a/src/main/java/loomreel/ingress/HttpIngress.java
+++ b/src/main/java/loomreel/ingress/HttpIngress.java
@@ -101,7 +101,10 @@
     limiter.setCapacity(maxConnections, grantedDescriptors);
   }
 
-  /** Stops accepting connections permanently, because another process accepts them. */
+  /**
+   * Stops accepting connections permanently. Called during a hot restart, when the successor of
+   * this process accepts the connections.
+   */
   public void stopAccepting() {
     acceptor.stop();
   }
--- a/src/test/java/loomreel/core/CallAttemptStateTest.java
+++ b/src/test/java/loomreel/core/CallAttemptStateTest.java
@@ -8,6 +8,7 @@
 /** Tests the transition table of {@link CallAttemptState}. */
 class CallAttemptStateTest {
   @ParameterizedTest
+  // The columns are the state, the next state, and whether the transition is allowed.
   @CsvSource({
     "OPEN,OPEN,false",
     "OPEN,ACCEPTED,true",
--- a/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loomreel/discovery/WatchTimeoutsTest.java
@@ -28,6 +28,11 @@
   /** One second, in microseconds. */
   private static final long SECOND = 1_000_000;
 
+  /**
+   * Returns rules with the given drain grace. The other rules are: a poll interval of 10 s, an
+   * initial capacity fraction of 0.1, a slow start of 20 s, an overload multiple of 3, and an
+   * overload window of 2 s.
+   */
   private static Rules rules(double graceSeconds) {
     return new Rules((long) (graceSeconds * SECOND), 10 * SECOND, 0.1, 20 * SECOND, 3, 2 * SECOND);
   }
@@ -69,6 +74,8 @@
   @ValueSource(doubles = {0.3, 0.5, 1, 3, 10})
   void theListOfAnAgentIsNeverOlderThanTheGrace(double graceSeconds) {
     WatchTimeouts timeouts = timeouts(graceSeconds, false);
+    // A call ends with its timeout at the latest. The next call responds within the response
+    // timeout. A fifth of the grace must be left after these two calls.
     assertTrue(
         timeouts.deadline(0, true) + timeouts.responseTimeoutMicros()
             <= 0.8 * graceSeconds * SECOND,
@@ -150,15 +157,15 @@
   void aCallToAnAgentIsRetriedAtAnIntervalAfterEachFailure() {
     WatchTimeouts timeouts = timeouts(0.5, false);
     for (Failure failure : Failure.values()) {
-      for (boolean silent : new boolean[] {false, true}) {
+      for (boolean wasPreviousCallSilent : new boolean[] {false, true}) {
         assertEquals(
             100_000,
-            retryAt(timeouts, failure, silent, 0, 1000),
-            failure + " is retried after the interval");
+            retryAt(timeouts, failure, wasPreviousCallSilent, 0, 1000),
+            "a short call is retried after the interval: " + failure);
         assertEquals(
             300_000,
-            retryAt(timeouts, failure, silent, 0, 300_000),
-            failure + " after a longer call is retried at once");
+            retryAt(timeouts, failure, wasPreviousCallSilent, 0, 300_000),
+            "a call longer than the interval is retried at once: " + failure);
       }
     }
   }
@@ -204,11 +211,14 @@
     Ending[] endings = Ending.values();
     for (int length = 1; length <= 5; length++) {
       for (int index = 0; index < Math.pow(endings.length, length); index++) {
+        // The digits of the index, to the base of the number of endings, select the endings.
         Ending[] sequence = new Ending[length];
         for (int i = 0, remainder = index; i < length; i++, remainder /= endings.length) {
           sequence[i] = endings[remainder % endings.length];
         }
         long delayMicros = microsFromLastCallToNextCall(graceSeconds, sequence, index);
+        // A change counts as known to the dispatcher 6 s after discovery can be reached. After
+        // that, the drain grace and a tolerance of 0.05 s pass before a send violates the rules.
         assertTrue(
             delayMicros + SECOND / 2 <= (6 + graceSeconds + 0.05) * SECOND,
             "called "
@@ -240,6 +250,9 @@
   /**
    * Returns the time, in microseconds, from the start of a process to the start of its second call,
    * if the first call fails.
+   *
+   * @param ending the way in which the first call fails
+   * @param seed the seed of the policy's random number generator
    */
   private static long microsFromStartToSecondCall(double graceSeconds, Ending ending, long seed) {
     WatchTimeouts timeouts = timeouts(graceSeconds, true);
@@ -262,6 +275,9 @@
   /**
    * Returns the time, in microseconds, from the start of the last call in a sequence of failed
    * calls to the start of the next call.
+   *
+   * @param sequence the endings of the failed calls, in the order of the calls
+   * @param seed the seed of the policy's random number generator
    */
   private static long microsFromLastCallToNextCall(
       double graceSeconds, Ending[] sequence, long seed) {
@@ -271,13 +287,14 @@
     Rules rules = rules(graceSeconds);
     long calledAt = 0;
     long nextCallAt = 0;
-    boolean silent = false;
+    boolean wasPreviousCallSilent = false;
     for (Ending ending : sequence) {
       calledAt = nextCallAt;
       long endedAt = calledAt + ending.durationMicros(timeouts.deadline(0, true));
-      Failure failure = Failure.of(ending.outcome, false, silent);
-      OptionalLong retryTime = timeouts.retryTime(failure, silent, calledAt, endedAt);
-      silent = failure == Failure.SILENT;
+      Failure failure = Failure.of(ending.outcome, false, wasPreviousCallSilent);
+      OptionalLong retryTime =
+          timeouts.retryTime(failure, wasPreviousCallSilent, calledAt, endedAt);
+      wasPreviousCallSilent = failure == Failure.SILENT;
       if (retryTime.isPresent()) {
         nextCallAt = retryTime.getAsLong();
       } else {
@@ -286,12 +303,18 @@
         Action.SetTimer timer = (Action.SetTimer) actions.get(0);
         nextCallAt = timer.time();
         policy.on(new Event.TimerFired(timer.token()), nextCallAt, actions);
-        assertTrue(nextCallAt - endedAt >= rules.maxPollBackoff() / 8, "the policy backs off");
+        assertTrue(
+            nextCallAt - endedAt >= rules.maxPollBackoff() / 8, "the policy delays the next call");
       }
     }
     return nextCallAt - calledAt;
   }
 
+  /**
+   * Returns a policy that has been started at time 0.
+   *
+   * @param actions the list to which the actions of the start are added
+   */
   private static DispatchPolicy startedPolicy(
       double graceSeconds, long seed, List<Action> actions) {
     DispatchPolicy policy = new DispatchPolicy();
--- a/src/test/java/loomreel/ingress/ClientConnectionStateTest.java
+++ b/src/test/java/loomreel/ingress/ClientConnectionStateTest.java
@@ -25,6 +25,7 @@
       new EnumMap<>(ClientConnectionState.class);
 
   static {
+    // The arguments are the state, the event and the next state.
     put(READING, Event.REQUEST_RECEIVED, PROCESSING);
     put(READING, Event.FINAL_RESPONSE_STARTED, RESPONDING_FINAL);
     put(READING, Event.OUTPUT_SHUT_DOWN, HALF_CLOSED);
--- a/src/test/java/loomreel/ingress/JobRequestTest.java
+++ b/src/test/java/loomreel/ingress/JobRequestTest.java
@@ -32,6 +32,7 @@
   }
 
   @ParameterizedTest
+  // The columns are the value of the header X-Call-Info and the expected number of slots.
   @CsvSource(
       delimiter = '|',
       value = {"slots=3|3", "a=1, slots=2.5 ,slots=9|2.5", "slots|1", "a=b=c,,|1", "slots=0|0"})
--- a/src/test/java/loomreel/ingress/RequestRouteTest.java
+++ b/src/test/java/loomreel/ingress/RequestRouteTest.java
@@ -13,6 +13,7 @@
   private static final Set<String> REQUEST_CLASSES = Set.of("copy", "issue");
 
   @ParameterizedTest
+  // The columns are the target of the request and the expected kind.
   @CsvSource({
     "/health/ready, READINESS_CHECK",
     "/health/ready?verbose=1, READINESS_CHECK",
--- a/src/test/java/loomreel/upstream/JobStatusUpdateTest.java
+++ b/src/test/java/loomreel/upstream/JobStatusUpdateTest.java
@@ -41,6 +41,7 @@
   }
 
   @ParameterizedTest
+  // The columns are the name of the state in the callback and the expected state.
   @CsvSource({
     "started, STARTED",
     "running, RUNNING",
--- a/src/test/java/loomreel/upstream/OutlierDetectorTest.java
+++ b/src/test/java/loomreel/upstream/OutlierDetectorTest.java
@@ -22,7 +22,7 @@
     assertEquals(Change.NONE, detector.recordFailure(0));
     assertEquals(Change.NONE, detector.recordFailure(0));
     assertEquals(Change.EJECTED, detector.recordFailure(0));
-    assertEquals(Change.NONE, detector.recordFailure(0), "it is ejected already");
+    assertEquals(Change.NONE, detector.recordFailure(0), "the worker is ejected already");
     assertTrue(detector.isEjected());
     assertEquals(Change.RECOVERED, detector.recordSuccess());
     assertFalse(detector.isEjected());
@@ -33,6 +33,7 @@
     for (int i = 0; i < 3; i++) {
       detector.recordFailure(0);
     }
+    // The first probe is due 500 ms after the ejection.
     assertFalse(detector.startProbeIfDue(499 * MICROS_PER_MILLI));
     int probes = 0;
     for (long now = 500 * MICROS_PER_MILLI;
@@ -42,10 +43,11 @@
         probes++;
         assertFalse(
             detector.startProbeIfDue(now + 50 * MICROS_PER_MILLI),
-            "the probe in flight has not ended");
+            "no other probe is due while a probe is in flight");
         detector.recordFailure(now + 60 * MICROS_PER_MILLI);
       }
     }
+    // The delay before a probe doubles after each failed probe, up to 5 s.
     assertTrue(probes >= 10 && probes <= 16, probes + " probes in a minute");
   }
 }
