--- a/src/main/java/loomreel/discovery/EndpointWatcher.java
+++ b/src/main/java/loomreel/discovery/EndpointWatcher.java
@@ -92,7 +92,8 @@
    * list, calls do not wait for a change of the list, because the known list may have been outdated
    * for a long time.
    *
-   * @param discovery the connections to discovery, or to the agent if lists are pushed to an agent
+   * @param discovery the connections to discovery or, if lists are pushed to an agent on this
+   *     machine, the connections to the agent
    * @param version the version of the known endpoint list
    */
   public EndpointWatcher(
--- a/src/main/java/loomreel/discovery/WatchTimeouts.java
+++ b/src/main/java/loomreel/discovery/WatchTimeouts.java
@@ -14,6 +14,10 @@
  * list before that time has passed. The timeouts depend only on these rules. All times are in
  * microseconds.
  *
+ * <p>The dispatcher gets the endpoint list in one of two ways. Either the dispatcher polls
+ * discovery, or the lists are pushed to an <em>agent</em> on this machine and the dispatcher calls
+ * the agent instead.
+ *
  * <p>The platform has the following rules for the endpoint list. The rules state when a change of
  * the list <em>counts as known</em> to the dispatcher, whether or not the dispatcher has received
  * the change.
--- a/src/main/java/loomreel/upstream/FirstListBarrier.java
+++ b/src/main/java/loomreel/upstream/FirstListBarrier.java
@@ -13,7 +13,8 @@
  * <p>A call counts as failed only if it is reported to {@link
  * loomreel.discovery.EndpointWatcher.Listener#watchFailed}, which means that discovery was
  * unavailable. For example, a call without a response in time and a call with an invalid list do
- * not count. If lists are pushed to an agent, no failed call counts.
+ * not count. If lists are pushed to an agent on this machine, the agent is called instead of
+ * discovery, and no failed call counts.
  */
 final class FirstListBarrier {
   /**
--- a/src/main/java/loomreel/upstream/HttpSubchannel.java
+++ b/src/main/java/loomreel/upstream/HttpSubchannel.java
@@ -136,8 +136,8 @@
   }
 
   /**
-   * Checks whether the worker can be reached. The result is reported to the {@link
-   * ReachabilityListener} only, not to the dispatcher.
+   * Checks whether the worker can be reached. Used as the probe of an ejected worker. The result is
+   * reported to the {@link ReachabilityListener} only, not to the dispatcher.
    */
   void checkReachability() {
     pool.call(request("GET", LOAD_PATH, 0), new ReachabilityCheck());
--- a/src/main/java/loomreel/upstream/OutlierDetector.java
+++ b/src/main/java/loomreel/upstream/OutlierDetector.java
@@ -3,7 +3,8 @@
 /**
  * Detects whether one worker of a static endpoint list is an outlier, which is a worker that cannot
  * be reached. Ejects the worker after several consecutive failures. While the worker is ejected,
- * schedules probes with exponential backoff until the worker responds.
+ * schedules probes with exponential backoff until the worker responds. A probe is a call that only
+ * checks whether the worker can be reached, see {@link HttpSubchannel#checkReachability}.
  *
  * <p>Reads no clock and performs no I/O: all times are parameters, in microseconds.
  */
--- a/src/main/java/loomreel/upstream/OutlierEjector.java
+++ b/src/main/java/loomreel/upstream/OutlierEjector.java
@@ -26,9 +26,10 @@
 
   /**
    * Returns whether a probe of the ejected worker is due. If a probe is due, records that a probe
-   * is in flight. No other probe is due until {@link #unreachable} has been called. {@link
-   * OutlierDetector#startProbeIfDue} describes a probe after which neither {@link #reachable} nor
-   * {@link #unreachable} is called.
+   * is in flight. No other probe is due until {@link #unreachable} has been called. After a probe
+   * that ends with the outcome {@link loomreel.decision.AttemptOutcome#RESET}, neither {@link
+   * #reachable} nor {@link #unreachable} is called; {@link OutlierDetector#startProbeIfDue}
+   * describes the consequence.
    */
   boolean startProbeIfDue() {
     return detector.startProbeIfDue(loop.now());
