--- a/src/main/java/loomreel/upstream/OutlierDetector.java
+++ b/src/main/java/loomreel/upstream/OutlierDetector.java
@@ -3,7 +3,8 @@
 /**
  * Detects whether one worker of a static endpoint list is an outlier, which is a worker that cannot
  * be reached. Ejects the worker after several consecutive failures. While the worker is ejected,
- * schedules probes with exponential backoff until the worker responds.
+ * schedules probes with exponential backoff until the worker responds. A probe is a call that only
+ * checks whether the worker can be reached, see {@link HttpSubchannel#checkReachability}.
  *
  * <p>Reads no clock and performs no I/O: all times are parameters, in microseconds.
  */
@@ -86,7 +87,13 @@
 
   /**
    * Returns whether a probe of the ejected worker is due. If a probe is due, records that a probe
-   * is in flight. No other probe is due until {@link #recordFailure} has been called.
+   * is in flight. No other probe is due until {@link #recordFailure} has been called. If {@link
+   * #recordSuccess} is called instead, the worker is no longer ejected and needs no probe.
+   *
+   * <p>If a probe ends with the outcome {@link loomreel.decision.AttemptOutcome#RESET}, neither
+   * method is called (see {@link ReachabilityListener}). The probe then still counts as in flight:
+   * the worker stays ejected without further probes until another call to the worker is recorded as
+   * a success or a failure.
    *
    * @param now the current time, in microseconds
    */
