--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -32,21 +32,22 @@
  */
 public final class HotRestart implements CallIdRegistry {
   /**
-   * The fraction of the slow-start allowance that this process uses while a peer is connected and
-   * no process has handed over.
+   * The fraction of the slow-start allowance that {@link #updateAllowanceAndCallIds} sets if a peer
+   * is connected.
    */
   private static final double HALF_ALLOWANCE = 0.5;
 
   /**
-   * The fraction of the slow-start allowance that this process uses while no peer is connected or
-   * after the predecessor has handed over.
+   * The fraction of the slow-start allowance that {@link #updateAllowanceAndCallIds} sets if no
+   * peer is connected. {@link #takeFullAllowance} sets the same fraction after a peer has begun to
+   * shut down and has left its part of the allowance to this process.
    */
   private static final double FULL_ALLOWANCE = 1;
 
   /**
-   * The fraction of the slow-start allowance that this process uses after {@link #handOver}, until
-   * {@link #updateAllowanceAndCallIds} sets the fraction again. That method is called when a peer
-   * connects or disconnects.
+   * The fraction of the slow-start allowance that {@link #handOver} sets, because this process
+   * leaves its part of the allowance to its successor. The next call of {@link
+   * #updateAllowanceAndCallIds} replaces this fraction.
    */
   private static final double NO_ALLOWANCE = 0;
 
@@ -129,6 +130,7 @@
 
   /**
    * Forwards a callback to a peer, because the callback's call is not active in this process.
+   * {@link HotRestartMessage} defines when a callback counts as handled.
    *
    * @param callback the body of the callback as the worker sent it
    * @param handled run when the peer has handled the callback or has disconnected; run at once if
@@ -148,7 +150,8 @@
    *
    * <p>If a peer is connected, this process uses half of the slow-start allowance and sends the ids
    * of its active calls to each peer. Otherwise, this process uses the full allowance and discards
-   * the ids that peers have sent.
+   * the ids that peers have sent. In both cases, the new fraction replaces the fraction that {@link
+   * #handOver} or {@link #takeFullAllowance} has set.
    */
   public void updateAllowanceAndCallIds() {
     boolean isPeerConnected = isPeerConnected();
@@ -161,15 +164,18 @@
   }
 
   /**
-   * Stops using the slow-start allowance and tells each peer, so that the successor uses the full
-   * allowance.
+   * Stops using the slow-start allowance, because this process shuts down and its successor
+   * replaces it. Tells each peer, so that the peer uses the full allowance.
    */
   public void handOver() {
     dispatcher.setCapacityFraction(NO_ALLOWANCE);
     send(HotRestartMessage.oneWayMessage(HotRestartMessage.Type.HANDING_OVER, ""));
   }
 
-  /** Uses the full slow-start allowance from now on, because a peer has handed over. */
+  /**
+   * Uses the full slow-start allowance, because a peer shuts down and has stopped using the
+   * allowance. The next call of {@link #updateAllowanceAndCallIds} sets the fraction again.
+   */
   void takeFullAllowance() {
     dispatcher.setCapacityFraction(FULL_ALLOWANCE);
   }
--- a/src/main/java/loomreel/process/HotRestartChannel.java
+++ b/src/main/java/loomreel/process/HotRestartChannel.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Maximum number of pending connections in the kernel's accept queue. It is small, because only
-   * successors of this process connect.
+   * Maximum number of connections that wait in the kernel's accept queue until this process accepts
+   * them. The number is small, because only successors of this process connect.
    */
   private static final int BACKLOG = 4;
 
@@ -182,7 +182,8 @@
   /**
    * Forwards a callback that a worker has sent to this process, because the callback's call is not
    * active in this process. The callback goes to the predecessor if it is connected, and otherwise
-   * to the successor that connected first.
+   * to the successor that connected first. {@link HotRestartMessage} defines when a callback counts
+   * as handled.
    *
    * @param callback the body of the callback as the worker sent it
    * @param handled run when the peer has handled the callback or has disconnected; run at once if
--- a/src/main/java/loomreel/process/HotRestartCoordinator.java
+++ b/src/main/java/loomreel/process/HotRestartCoordinator.java
@@ -7,7 +7,10 @@
  * applies the messages that peers send. Confined to the event loop's thread.
  */
 public final class HotRestartCoordinator implements HotRestartChannel.Listener {
-  /** The components of this process that are affected by peers. */
+  /**
+   * The operations on other components of this process that the coordinator calls when a peer
+   * connects, disconnects or sends a message.
+   */
   public interface Host {
     /**
      * Sets the number of file descriptors that this process may use: all file descriptors of the
@@ -24,7 +27,8 @@
     void acceptClients();
 
     /**
-     * Delivers a callback that a peer has received and forwarded.
+     * Delivers a callback that a peer has received and forwarded. A callback is a request in which
+     * a worker reports the state of a call. A call is a job that the dispatcher has accepted.
      *
      * @param callback the body of the callback as the worker sent it
      * @return whether the callback's call is active in this process, so that the callback was
@@ -92,14 +96,18 @@
   }
 
   /**
-   * Applies a change of an override that a peer has sent. If the change alters an override of this
-   * process, it is relayed to the other peers.
+   * Applies a change that a peer has made to an override. If the change alters an override of this
+   * process, this process sends the change to its other peers as well.
+   *
+   * <p>A predecessor and its successor may change the same override at the same time. Each process
+   * then receives the change of the other process after it has made its own change, and replaces
+   * its own change by the received one. The two processes would then differ.
    *
-   * <p>A predecessor and its successor may change the same override at the same time, so that their
-   * messages cross. Each process then replaces its own change by the change that it receives, and
-   * the processes disagree. To resolve the conflict, the successor's change takes effect in both
-   * processes: if the predecessor has sent a change of the same override before, it sends the
-   * successor's change back, and the successor applies its own change again.
+   * <p>To prevent this, the predecessor's process repeats the change of the successor: if a
+   * predecessor has ever sent a change of the same override to the successor, it sends each change
+   * that it receives from the successor back. The successor then applies its own change again, so
+   * that this change takes effect in both processes. If the two changes were not made at the same
+   * time, the repeated change has no effect.
    */
   private void overrideReceived(HotRestartLink source, OverrideChange change) {
     if (operatorControls.changeReceived(change)) {
--- a/src/main/java/loomreel/process/HotRestartLink.java
+++ b/src/main/java/loomreel/process/HotRestartLink.java
@@ -79,18 +79,20 @@
   }
 
   /**
-   * Returns whether this process has sent a change of the override of a target on this link. If so,
-   * a change of the same override that the peer sends may cross the message of this process.
+   * Returns whether this process has sent a change of the override with this target on this link.
+   * If so, the peer may have sent a change of the same override before it received the change of
+   * this process.
    */
   boolean hasSentOverride(OverrideChange.Target target) {
     return overridesSent.contains(target);
   }
 
   /**
-   * Forwards a callback to the peer with a new callback number.
+   * Forwards a callback to the peer with a new callback number. {@link HotRestartMessage} defines
+   * when a callback counts as handled.
    *
    * @param callback the body of the callback as the worker sent it
-   * @param handled run when the peer has handled the callback or has disconnected
+   * @param handled run when the peer has handled the callback or when this link closes
    */
   void sendCallback(byte[] callback, Runnable handled) {
     long callbackNumber = ++lastCallbackNumber;
--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -20,7 +20,9 @@
  * the format must not change.
  *
  * <p>In this class, a call is a job that the dispatcher has accepted. A callback is a request in
- * which a worker reports the state of a call.
+ * which a worker reports the state of a call. A forwarded callback counts as handled when it was
+ * delivered to its call. It also counts as handled when it was discarded, because its call is not
+ * active in the receiver and the receiver has no other peer that could handle the callback.
  */
 final class HotRestartMessage {
   /**
@@ -34,19 +36,28 @@
      */
     CALLBACK("news"),
 
-    /** Confirms that the callback with the callback number was handled. The body is empty. */
+    /**
+     * Confirms that the sender has handled a {@link #CALLBACK}. The header {@code X-Number} of this
+     * message contains the callback number of that {@link #CALLBACK}. The sender has either
+     * delivered or discarded the callback. The body is empty.
+     */
     CALLBACK_HANDLED("taken"),
 
-    /** The call whose id is in the body has become active at the sender. */
+    /**
+     * The call whose id is in the body is active at the sender. Sent when the call becomes active.
+     * Sent again for each active call when a peer connects, and when a peer disconnects while
+     * another peer remains connected.
+     */
     CALL_ID_ACQUIRED("holds"),
 
     /** The call whose id is in the body is no longer active at the sender. */
     CALL_ID_RELEASED("frees"),
 
     /**
-     * The sender shuts down. It accepts no more connections, and it leaves the full slow-start
-     * allowance to the receiver. The allowance limits the load that a dispatcher sends to workers
-     * which started recently. The body is empty.
+     * The sender shuts down while a successor is connected to it. The sender accepts no more
+     * connections and no longer uses the slow-start allowance, so that the receiver uses the full
+     * allowance. The allowance limits the load that a dispatcher sends to workers which started
+     * recently. The body is empty.
      */
     HANDING_OVER("leaving"),
 
@@ -106,7 +117,12 @@
     return new HotRestartMessage(Type.CALLBACK, callbackNumber, callback);
   }
 
-  /** Creates a message that confirms that the callback with this number was handled. */
+  /**
+   * Creates a message that confirms that a callback was handled, that is, delivered or discarded.
+   *
+   * @param callbackNumber the callback number of the {@link Type#CALLBACK} that this process
+   *     received
+   */
   static HotRestartMessage callbackHandled(long callbackNumber) {
     return new HotRestartMessage(Type.CALLBACK_HANDLED, callbackNumber, EMPTY_BODY);
   }
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -49,7 +49,7 @@
       new LinkedHashMap<>();
 
   /**
-   * The timer that ends the notice period. It is pending while the state of the client drain is
+   * The timer that ends the notice period. It is scheduled while the state of the client drain is
    * {@link ClientDrainState#NOTIFYING}.
    */
   private Optional<EventLoop.Timer> noticePeriodTimer = Optional.empty();
--- a/src/main/java/loomreel/process/OperatorOverridesStore.java
+++ b/src/main/java/loomreel/process/OperatorOverridesStore.java
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Returns the overrides that any process of this dispatcher saved last, or {@link
+   * Returns the overrides that a process of this dispatcher saved most recently, or {@link
    * OperatorOverrides#NONE} if there is no file.
    *
    * @throws IOException if the file cannot be read
