--- a/src/main/java/loomreel/admin/AdminServer.java
+++ b/src/main/java/loomreel/admin/AdminServer.java
@@ -22,12 +22,15 @@
 public final class AdminServer {
   /**
    * Maximum number of open connections. If a further connection is accepted, the oldest connection
-   * is closed. The oldest connection has no request that awaits a response, because the server
+   * is closed. No operator waits for a response on the oldest connection, because the server
    * responds to a request as soon as it has received the request.
    */
   private static final int MAX_CONNECTIONS = 8;
 
-  /** Maximum number of pending connections in the kernel's accept queue. */
+  /**
+   * Maximum number of connections that wait in the kernel's accept queue until this process accepts
+   * them.
+   */
   private static final int BACKLOG = 128;
 
   private final AdminOperations operations;
--- a/src/main/java/loomreel/config/ServeConfig.java
+++ b/src/main/java/loomreel/config/ServeConfig.java
@@ -8,8 +8,9 @@
 import loomreel.decision.Settings;
 
 /**
- * The configuration of a dispatcher process. A configuration is read either from the platform's
- * configuration or from a settings file. This record has the same form for both sources.
+ * The configuration of a dispatcher process. {@link ServeConfigReader} reads a configuration from
+ * the platform's JSON file and environment variables. The {@code daemon} command instead translates
+ * its settings file into a configuration.
  *
  * @param name the dispatcher's name
  * @param listenAddress the address on which the connections of clients and the callbacks of workers
@@ -25,7 +26,8 @@
  * @param descriptorLimit the maximum number of file descriptors of the dispatcher; during a hot
  *     restart, its processes share them
  * @param memoryBytes the maximum memory of the process, in bytes
- * @param initialEndpoints the last known endpoint list
+ * @param initialEndpoints the endpoint list at the start; if {@code discoveryAddress} is not null,
+ *     discovery later confirms, updates or replaces this list
  * @param settings the settings of the decision module
  * @param connectTimeoutMicros the maximum time to establish a connection to a worker, in
  *     microseconds
--- a/src/main/java/loomreel/config/SettingsKeys.java
+++ b/src/main/java/loomreel/config/SettingsKeys.java
@@ -16,7 +16,7 @@
   static final String SETTINGS = "settings";
 
   // RESOURCES, a field of the root object, is an object with the resources of the process. The
-  // other constants are its fields.
+  // other constants of this section are its fields.
   static final String RESOURCES = "limits";
   static final String MAX_DESCRIPTORS = "sockets";
   static final String MEMORY_MEBIBYTES = "memory_mb";
@@ -39,7 +39,7 @@
   static final String LOAD_REPORTING_WITH_HEALTH_CHECKS = "probe";
 
   // REQUEST_CLASSES, a field of the settings object, is the list of request classes. The other
-  // constants are the fields of a request class, and values of these fields.
+  // constants of this section are the fields of a request class, and values of these fields.
   static final String REQUEST_CLASSES = "RequestClasses";
   static final String CLASS_NAME = "Name";
   static final String LATENCY_OBJECTIVE_SECONDS = "TargetS";
@@ -57,16 +57,17 @@
   static final String DEDUPLICATION_SCOPE_FAILURE_DOMAIN = "cell";
   static final String DEDUPLICATION_WINDOW_SECONDS = "WindowS";
 
-  // TENANTS, a field of the settings object, is the list of tenants. The other constants are the
-  // fields of a tenant.
+  // TENANTS, a field of the settings object, is the list of tenants. The other constants of this
+  // section are the fields of a tenant.
   static final String TENANTS = "Tenants";
   static final String TENANT_NAME = "Name";
   static final String QUOTA_PER_SECOND = "AllowancePerS";
 
   // EXTENSIONS, a field of the settings object, is an object with further settings. The other
-  // constants are its fields, except WORKER_KINDS, which is a field of the settings object itself.
-  // Each field whose constant begins with CLASS is a list. An element of such a list applies to the
-  // request class at the same position in REQUEST_CLASSES.
+  // constants of this section are its fields, except WORKER_KINDS, which is a field of the settings
+  // object itself. The fields CLASS_PRIORITIES, CLASS_LATENCY_OBJECTIVES_PER_WORK and
+  // CLASS_WORKER_KINDS are lists. An element of these lists applies to the request class at the
+  // same position in REQUEST_CLASSES.
   static final String EXTENSIONS = "Specifics";
   static final String REPORTS_JOB_START = "TellsStart";
   static final String CLASS_PRIORITIES = "ClassPriority";
@@ -75,7 +76,7 @@
   static final String WORKER_KINDS = "HostTypes";
 
   // RULES, a field of the settings object, is an object with the rules that each dispatcher must
-  // follow. The other constants are its fields.
+  // follow. The other constants of this section are its fields.
   static final String RULES = "Invariants";
   static final String DRAIN_GRACE_SECONDS = "StopSendingWithinS";
   static final String POLL_INTERVAL_SECONDS = "AskWithinS";
@@ -86,7 +87,8 @@
   static final String ANSWER_GRACE_SECONDS = "AnswerSlackS";
 
   // LIMITS, a field of the settings object, is an object with the limits that the deployment sets
-  // and the features that the deployment permits. The other constants are its fields.
+  // and the features that the deployment permits. The other constants of this section are its
+  // fields.
   static final String LIMITS = "PolicyLimits";
   static final String MAX_ATTEMPTS = "MaxAttempts";
   static final String HEDGING = "SecondCopies";
--- a/src/main/java/loomreel/config/package-info.java
+++ b/src/main/java/loomreel/config/package-info.java
@@ -1,7 +1,9 @@
 /**
- * The configuration of a dispatcher process and the endpoint lists. The platform passes the
- * configuration as a JSON file and environment variables. Endpoint lists, which name the workers,
- * are received from discovery, and the configuration contains one as well. Both have the same JSON
- * format.
+ * The configuration of a dispatcher process and the endpoint lists.
+ *
+ * <p>The platform passes the configuration as a JSON file and environment variables. An endpoint
+ * list names the workers. Discovery provides endpoint lists while the process runs, and the
+ * configuration contains an initial endpoint list. The initial list has the same JSON format as the
+ * lists of discovery.
  */
 package loomreel.config;
--- a/src/main/java/loomreel/process/HotRestart.java
+++ b/src/main/java/loomreel/process/HotRestart.java
@@ -25,8 +25,9 @@
  *       active in this process.
  * </ul>
  *
- * <p>There is no channel to peers if hot restart is disabled or no loopback port could be opened.
- * In this case, this process uses the full slow-start allowance and forwards nothing.
+ * <p>There is no channel to peers if hot restart is disabled, if no loopback port could be opened,
+ * or if the port file could not be written. In this case, this process uses the full slow-start
+ * allowance and forwards nothing.
  *
  * <p>Confined to the event loop's thread, except for {@link #connect}.
  */
--- a/src/main/java/loomreel/process/HotRestartCoordinator.java
+++ b/src/main/java/loomreel/process/HotRestartCoordinator.java
@@ -101,13 +101,13 @@
    *
    * <p>A predecessor and its successor may change the same override at the same time. Each process
    * then receives the change of the other process after it has made its own change, and replaces
-   * its own change by the received one. The two processes would then differ.
+   * its own change by the received one. Without a further step, the two processes would differ.
    *
-   * <p>To prevent this, the predecessor's process repeats the change of the successor: if a
-   * predecessor has ever sent a change of the same override to the successor, it sends each change
-   * that it receives from the successor back. The successor then applies its own change again, so
-   * that this change takes effect in both processes. If the two changes were not made at the same
-   * time, the repeated change has no effect.
+   * <p>To prevent this, the successor's change takes effect in both processes. If the predecessor
+   * has sent a change of the same override to the successor before, the predecessor sends the
+   * successor's change back. The successor then applies its own change again. The predecessor does
+   * this even if the two changes were not made at the same time, because it cannot detect whether
+   * they were.
    */
   private void overrideReceived(HotRestartLink source, OverrideChange change) {
     if (operatorControls.changeReceived(change)) {
--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -20,9 +20,15 @@
  * the format must not change.
  *
  * <p>In this class, a call is a job that the dispatcher has accepted. A callback is a request in
- * which a worker reports the state of a call. A forwarded callback counts as handled when it was
- * delivered to its call. It also counts as handled when it was discarded, because its call is not
- * active in the receiver and the receiver has no other peer that could handle the callback.
+ * which a worker reports the state of a call. A forwarded callback counts as handled in the
+ * following cases:
+ *
+ * <ul>
+ *   <li>A process has delivered the callback to its call.
+ *   <li>The call is not active in the process that received the callback, and that process has no
+ *       other peer to which it can forward the callback. The callback is discarded.
+ *   <li>The connection on which the callback was forwarded has closed.
+ * </ul>
  */
 final class HotRestartMessage {
   /**
@@ -37,9 +43,9 @@
     CALLBACK("news"),
 
     /**
-     * Confirms that the sender has handled a {@link #CALLBACK}. The header {@code X-Number} of this
-     * message contains the callback number of that {@link #CALLBACK}. The sender has either
-     * delivered or discarded the callback. The body is empty.
+     * Confirms that a {@link #CALLBACK} was handled, that is, that the callback was delivered to
+     * its call or was discarded. The header {@code X-Number} contains the same number as in that
+     * {@link #CALLBACK}. The body is empty.
      */
     CALLBACK_HANDLED("taken"),
 
@@ -118,10 +124,9 @@
   }
 
   /**
-   * Creates a message that confirms that a callback was handled, that is, delivered or discarded.
+   * Creates a message that confirms that a forwarded callback was handled.
    *
-   * @param callbackNumber the callback number of the {@link Type#CALLBACK} that this process
-   *     received
+   * @param callbackNumber the callback number of the {@link Type#CALLBACK} that was handled
    */
   static HotRestartMessage callbackHandled(long callbackNumber) {
     return new HotRestartMessage(Type.CALLBACK_HANDLED, callbackNumber, EMPTY_BODY);
--- a/src/main/java/loomreel/process/OperatorOverrides.java
+++ b/src/main/java/loomreel/process/OperatorOverrides.java
@@ -9,9 +9,9 @@
  * The overrides that operators have set: whether clients are drained, and which workers are
  * disabled. An override stays in force until operators change it or the dispatcher ends.
  *
- * <p>A restarted dispatcher has the same overrides as before if {@link OperatorOverridesStore} has
- * a file. The store has no file if no state directory is configured. The {@code daemon} command
- * never configures one.
+ * <p>If a state directory is configured, {@link OperatorOverridesStore} stores the overrides in a
+ * file, and a restarted dispatcher uses the stored overrides. The {@code daemon} command uses no
+ * state directory, so its overrides are not stored.
  *
  * @param clientsDrained whether clients are drained, which directs them to other dispatchers
  * @param disabledWorkers the ids of the workers that receive no jobs
--- a/src/main/java/loomreel/server/ClientListener.java
+++ b/src/main/java/loomreel/server/ClientListener.java
@@ -9,8 +9,8 @@
 /** Opens the listening socket for the connections of clients and for callbacks of workers. */
 final class ClientListener {
   /**
-   * Maximum number of pending connections in the kernel's accept queue. If the queue is full, a
-   * client that tries to connect retries after one second.
+   * Maximum number of connections that wait in the kernel's accept queue until this process accepts
+   * them. If the queue is full, a client that tries to connect retries after one second.
    */
   private static final int BACKLOG = 4096;
 
--- a/src/main/java/loomreel/server/ConfigReloader.java
+++ b/src/main/java/loomreel/server/ConfigReloader.java
@@ -16,10 +16,18 @@
  * Reloads the configuration while the process runs, for example after SIGHUP.
  *
  * <p>Only the address of discovery, the service that provides the endpoint list, can change without
- * a restart. A new configuration is rejected as a whole in two cases: the configuration cannot be
- * read, or it differs from the initial configuration in a setting that cannot change without a
- * restart. In the second case, the new configuration may belong to another installation. Applied
- * and rejected configurations are counted in the metrics.
+ * a restart. A new configuration is rejected as a whole in two cases:
+ *
+ * <ul>
+ *   <li>The configuration cannot be read.
+ *   <li>It differs from the initial configuration in a setting that cannot change without a
+ *       restart. {@link ServeConfig#changesRequiringRestart} and the caller determine these
+ *       settings. The whole configuration is rejected in this case, because it may be meant for
+ *       another installation.
+ * </ul>
+ *
+ * <p>All other differences, for example a different seed, are ignored. Applied and rejected
+ * configurations are counted in the metrics.
  *
  * <p>Unless stated otherwise, a method may be called on any thread. Its work is done on the event
  * loop's thread.
@@ -60,9 +68,9 @@
   /**
    * Applies or rejects a configuration that the caller has read again.
    *
-   * @param otherChanges the names of further settings that have changed and are not part of a
-   *     {@link ServeConfig}. If the list is not empty, the configuration is rejected, because these
-   *     settings cannot change without a restart.
+   * @param otherChanges the names of further settings that have changed and that {@link
+   *     ServeConfig#changesRequiringRestart} does not compare. If the list is not empty, the
+   *     configuration is rejected, because these settings cannot change without a restart.
    */
   public void reload(ServeConfig next, List<String> otherChanges) {
     loop.execute(
--- a/src/main/java/loomreel/server/DescriptorBudget.java
+++ b/src/main/java/loomreel/server/DescriptorBudget.java
@@ -6,10 +6,11 @@
  *
  * @param nonFaktoryDescriptors the number of descriptors of this process that are not reserved for
  *     Faktory; some of them are used for purposes other than connections with clients and workers
- * @param upstreamConnections the maximum number of open connections to workers
+ * @param upstreamConnections the maximum number of open connections that this process opens to
+ *     workers, to send jobs
  * @param jobs the maximum number of accepted jobs that have not ended
- * @param clientConnections the maximum number of open connections that this process has accepted;
- *     clients send jobs on them, and workers send callbacks
+ * @param clientConnections the maximum number of open connections that this process accepts; they
+ *     include the connections that workers open to send callbacks
  */
 record DescriptorBudget(
     int nonFaktoryDescriptors, int upstreamConnections, int jobs, int clientConnections) {
@@ -44,8 +45,8 @@
    * @param descriptorLimit the number of file descriptors that the platform grants to the
    *     dispatcher
    * @param reservedForFaktory the number of these descriptors that are reserved for Faktory
-   * @param shared whether two processes serve as this dispatcher during a hot restart; each of them
-   *     then uses half of the descriptors that are not reserved for Faktory
+   * @param shared whether another process of this dispatcher is connected, as during a hot restart;
+   *     if so, this process uses half of the descriptors that are not reserved for Faktory
    */
   static DescriptorBudget divide(int descriptorLimit, int reservedForFaktory, boolean shared) {
     int nonFaktoryDescriptors = (descriptorLimit - reservedForFaktory) / (shared ? 2 : 1);
--- a/src/main/java/loomreel/server/GracefulShutdown.java
+++ b/src/main/java/loomreel/server/GracefulShutdown.java
@@ -30,9 +30,10 @@
  * period ends at this deadline.
  *
  * <p>When the grace period ends, idle connections are closed. The event loop stops as soon as each
- * accepted job has its answer, no HTTP connection is open and no Faktory job is pending. This wait
- * is limited: at the answer deadline, each job without an answer fails, and the wait for Faktory
- * jobs ends. The wait for HTTP connections ends {@link #LAST_RESPONSES_RESERVE_MICROS} later.
+ * accepted job has its answer, no HTTP connection is open and the Faktory ingress has no unfinished
+ * work. This wait is limited: at the answer deadline, each job without an answer fails, and the
+ * wait for Faktory jobs ends. The wait for HTTP connections ends {@link
+ * #LAST_RESPONSES_RESERVE_MICROS} later.
  *
  * <p>All times are in microseconds of the event loop's clock. Confined to the event loop's thread.
  */
@@ -53,10 +54,10 @@
   private static final long HANDOVER_GRACE_PERIOD_MICROS = 2_300_000;
 
   /**
-   * The time, in microseconds, that the platform leaves a process after the longest deadline of the
-   * request classes. The deadline counts from the request to shut down. The platform does not kill
-   * the process before this time has passed. {@link ServeConfig#shutdownLimitMicros} limits the
-   * duration of the shutdown as well, if it is shorter.
+   * The minimum time, in microseconds, from the longest deadline of the request classes until the
+   * platform kills the process. The deadline counts from the request to shut down. The duration of
+   * the shutdown is therefore limited to the sum of the longest deadline and this time, or to
+   * {@link ServeConfig#shutdownLimitMicros} if that is shorter.
    */
   private static final long KILL_DELAY_MICROS = 700_000;
 
@@ -180,8 +181,9 @@
   }
 
   /**
-   * Returns whether the shutdown must still wait for Faktory jobs. It waits until the answer
-   * deadline at most.
+   * Returns whether the shutdown must still wait for Faktory jobs. These are the jobs that Faktory
+   * workers process and, if Faktory jobs do not outlive the process, also the jobs that are ready
+   * for a worker. The shutdown waits until the answer deadline at most.
    */
   private boolean isFaktoryPending() {
     return faktory.isPresent() && faktory.get().hasPendingWork() && loop.now() < answerDeadline;
--- a/src/main/java/loomreel/server/HotRestartHost.java
+++ b/src/main/java/loomreel/server/HotRestartHost.java
@@ -8,7 +8,8 @@
 
 /**
  * Implements what {@link HotRestartCoordinator} needs from the components of this process during a
- * hot restart, in which two processes serve as one dispatcher.
+ * hot restart, in which two or more processes serve as one dispatcher. The body of a callback
+ * contains a {@link JobStatusUpdate}.
  */
 final class HotRestartHost implements HotRestartCoordinator.Host {
   private final Dispatcher dispatcher;
--- a/src/main/java/loomreel/server/Server.java
+++ b/src/main/java/loomreel/server/Server.java
@@ -33,8 +33,9 @@
  */
 public final class Server {
   /**
-   * The memory of the process divided by the buffer memory at which the {@link BufferPool} reports
-   * that buffers are scarce. The pool itself can grow further.
+   * The number by which the memory of the process is divided to compute the scarcity threshold of
+   * the {@link BufferPool}. If the acquired buffers occupy at least this part of the memory, the
+   * pool reports that buffers are scarce, but still allocates further buffers.
    */
   private static final int MEMORY_TO_BUFFER_RATIO = 16;
 
--- a/src/main/java/loomreel/server/ServerState.java
+++ b/src/main/java/loomreel/server/ServerState.java
@@ -35,10 +35,11 @@
   SERVING,
 
   /**
-   * A shutdown was requested in {@link #STARTING}, while no successor was connected. The process
-   * reports itself as not ready. As in {@link #STARTING}, the process accepts connections and jobs
-   * if no predecessor is connected. The process becomes ready if the first endpoint list is known
-   * before the grace period ends.
+   * A shutdown was requested in {@link #STARTING} while no successor was connected, and the first
+   * endpoint list is still awaited. The process reports itself as not ready. It accepts connections
+   * and jobs under the same condition as in {@link #STARTING}: no predecessor is connected, or the
+   * predecessor has begun to shut down. If the first endpoint list becomes known before the grace
+   * period ends, the process changes to {@link #DRAINING} and reports itself as ready.
    */
   DRAINING_UNOPENED,
 
@@ -56,14 +57,16 @@
   HANDING_OVER,
 
   /**
-   * The grace period has ended, and idle connections are closed. The process stops as soon as no
-   * job, answer or connection is pending, or at the time limit of the shutdown.
+   * The grace period has ended, and idle connections are closed. The process stops as soon as each
+   * accepted job has its answer, no HTTP connection is open and the Faktory ingress has no
+   * unfinished work. At the time limit of the shutdown, the process stops even if HTTP connections
+   * are open or the Faktory ingress has unfinished work.
    */
   CLOSING,
 
   /**
    * The event loop stops. Each accepted job has its answer. If the time limit of the shutdown was
-   * reached, connections may still be open, and Faktory jobs may be pending.
+   * reached, HTTP connections may still be open, and the Faktory ingress may have unfinished work.
    */
   STOPPED;
 
@@ -85,7 +88,9 @@
     GRACE_PERIOD_ENDED,
 
     /**
-     * No job, answer or connection is pending, or the time limit of the shutdown has been reached.
+     * The process may stop. Each accepted job has its answer. In addition, no HTTP connection is
+     * open and the Faktory ingress has no unfinished work, or the time limit of the shutdown has
+     * been reached.
      */
     EMPTIED
   }
@@ -131,9 +136,11 @@
   }
 
   /**
-   * Returns whether an HTTP connection is closed when it becomes idle. This is the case from the
-   * end of the grace period on, and already in {@link #HANDING_OVER}. In {@link #HANDING_OVER}, a
-   * connection that was idle before stays open until the grace period ends.
+   * Returns whether an HTTP connection is closed as soon as it becomes idle, that is, as soon as no
+   * request is being received or processed on the connection. This is the case in {@link
+   * #HANDING_OVER} and from the end of the grace period on. A connection that was already idle when
+   * the state changed to {@link #HANDING_OVER} stays open at first. It is closed after its next
+   * response, or when the grace period ends.
    */
   boolean closesConnectionsWhenIdle() {
     return this == HANDING_OVER || this == CLOSING || this == STOPPED;
