--- a/src/test/java/loomreel/admin/AdminRouteTest.java
+++ b/src/test/java/loomreel/admin/AdminRouteTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Verifies the paths and HTTP methods of the requests for operators. They are part of the public
- * interface.
+ * Verifies the paths and HTTP methods of the requests that operators send. Paths and methods are
+ * part of the public interface and must not change.
  */
 class AdminRouteTest {
   @ParameterizedTest
--- a/src/test/java/loomreel/config/EndpointListUpdateTest.java
+++ b/src/test/java/loomreel/config/EndpointListUpdateTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void changesReplaceTheEntriesThatTheyName() throws IOException {
+  void aListOfChangesReplacesTheListedEntriesAndKeepsTheOthers() throws IOException {
     EndpointList updated =
         known.updatedBy(list(43, false, entry("w1", "DRAINING", 3), entry("w2", "SERVING", 4)));
 
--- a/src/test/java/loomreel/process/HotRestartMessageTest.java
+++ b/src/test/java/loomreel/process/HotRestartMessageTest.java
@@ -14,8 +14,10 @@
  * versions exchange messages.
  */
 class HotRestartMessageTest {
-  /** Returns the HTTP request that versions up to 0.2 send for a message. */
-  private static String wireFormat(String wireName, long callbackNumber, String body) {
+  /**
+   * Returns the HTTP request in which a message is sent. The format is the same in all versions.
+   */
+  private static String httpRequest(String wireName, long callbackNumber, String body) {
     return "POST /"
         + wireName
         + " HTTP/1.1\r\nHost: sibling\r\nX-Number: "
@@ -41,10 +43,10 @@
     "CLIENT_DRAIN_STOPPED, serve, ''",
     "OPERATOR_OVERRIDES, state, 'down wé'"
   })
-  void aOneWayMessageIsEncodedAndDecodedInTheFormatOfEarlierVersions(
+  void aOneWayMessageIsEncodedAndDecodedInTheFormatThatAllVersionsUse(
       HotRestartMessage.Type type, String wireName, String body) {
     assertEquals(
-        wireFormat(wireName, 0, body), encoded(HotRestartMessage.oneWayMessage(type, body)));
+        httpRequest(wireName, 0, body), encoded(HotRestartMessage.oneWayMessage(type, body)));
     HotRestartMessage read =
         HotRestartMessage.decode("/" + wireName, "0", body.getBytes(StandardCharsets.UTF_8));
     assertEquals(type, read.type());
@@ -66,7 +68,7 @@
 
   @Test
   void theConfirmationOfACallbackIsEncodedAndDecodedWithItsNumber() {
-    assertEquals(wireFormat("taken", 7, ""), encoded(HotRestartMessage.callbackHandled(7)));
+    assertEquals(httpRequest("taken", 7, ""), encoded(HotRestartMessage.callbackHandled(7)));
     HotRestartMessage read = HotRestartMessage.decode("/taken", "7", new byte[0]);
     assertEquals(HotRestartMessage.Type.CALLBACK_HANDLED, read.type());
     assertEquals(7, read.callbackNumber());
--- a/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
+++ b/src/test/java/loomreel/process/OperatorOverridesStoreTest.java
@@ -17,7 +17,7 @@
  * change, because processes of other versions read the file.
  */
 class OperatorOverridesStoreTest {
-  /** The content of the file that versions up to 0.2 write for {@link #OVERRIDES}. */
+  /** The content of the file for {@link #OVERRIDES}. The format is the same in all versions. */
   private static final String FILE_CONTENT = "drained\ndown s-5be2a07c\ndown w 0\n";
 
   private static final OperatorOverrides OVERRIDES =
@@ -34,13 +34,13 @@
   }
 
   @Test
-  void aFileOfAnEarlierVersionIsRead() throws IOException {
+  void aFileInTheFormatThatAllVersionsUseIsRead() throws IOException {
     Files.writeString(file(), FILE_CONTENT);
     assertEquals(OVERRIDES, store().load());
   }
 
   @Test
-  void aFileIsWrittenInTheFormatOfEarlierVersions() throws IOException {
+  void aFileIsWrittenInTheFormatThatAllVersionsUse() throws IOException {
     store()
         .save(
             OperatorOverrides.NONE
@@ -63,12 +63,12 @@
   }
 
   @Test
-  void withoutAFileThereAreNoOverrides() throws IOException {
+  void ifTheFileDoesNotExistThereAreNoOverrides() throws IOException {
     assertEquals(OperatorOverrides.NONE, store().load());
   }
 
   @Test
-  void withoutADirectoryNothingIsStored() throws IOException {
+  void ifNoFileIsConfiguredNothingIsStored() throws IOException {
     OperatorOverridesStore store = new OperatorOverridesStore(Optional.empty());
     store.save(OVERRIDES);
     assertEquals(OperatorOverrides.NONE, store.load());
--- a/src/test/java/loomreel/server/DescriptorBudgetTest.java
+++ b/src/test/java/loomreel/server/DescriptorBudgetTest.java
@@ -4,16 +4,23 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Verifies how the limits of connections and jobs follow from the number of file descriptors. */
+/**
+ * Verifies how the limits of connections and jobs follow from the number of file descriptors.
+ *
+ * <p>The arguments of {@link DescriptorBudget} are: descriptors that are not reserved for Faktory,
+ * connections to workers, jobs, accepted connections. The arguments of {@link
+ * DescriptorBudget#divide} are: descriptors of the dispatcher, descriptors that are reserved for
+ * Faktory, and whether another process shares the descriptors.
+ */
 class DescriptorBudgetTest {
   @Test
-  void workersGetAQuarterOfTheConnectionsAndJobsGetThreeQuartersOfTheRest() {
+  void aQuarterOfTheConnectionsIsForWorkersAndJobsMayUseThreeQuartersOfTheOthers() {
     assertEquals(
         new DescriptorBudget(1024, 248, 558, 744), DescriptorBudget.divide(1024, 0, false));
   }
 
   @Test
-  void eachOfTwoProcessesGetsHalfOfTheDescriptors() {
+  void aProcessThatSharesTheDescriptorsUsesHalfOfThem() {
     assertEquals(new DescriptorBudget(512, 120, 270, 360), DescriptorBudget.divide(1024, 0, true));
   }
 
@@ -23,7 +30,7 @@
   }
 
   @Test
-  void theMinimumNumberOfConnectionsIsBudgetedIfThereAreFewerDescriptors() {
+  void limitsAreComputedForTheMinimumNumberOfConnectionsIfThereAreFewerDescriptors() {
     assertEquals(new DescriptorBudget(10, 4, 9, 12), DescriptorBudget.divide(10, 0, false));
   }
 }
