--- a/src/main/java/loomreel/admin/AdminRoute.java
+++ b/src/main/java/loomreel/admin/AdminRoute.java
@@ -14,7 +14,7 @@
   ENABLE_WORKER("POST", "/ops/copy-workers/up"),
   /** Starts a client drain, which directs clients to other dispatchers. */
   START_DRAIN("POST", "/ops/drain/start"),
-  /** Stops the client drain, so that jobs of clients are accepted again. */
+  /** Stops the client drain, so that clients are no longer directed to other dispatchers. */
   STOP_DRAIN("POST", "/ops/drain/stop");
 
   private final String method;
--- a/src/main/java/loomreel/config/EndpointList.java
+++ b/src/main/java/loomreel/config/EndpointList.java
@@ -49,7 +49,8 @@
   }
 
   /**
-   * Parses an endpoint list in discovery's JSON format.
+   * Parses an endpoint list in discovery's JSON format. If an entry contains no positive weight,
+   * the worker's weight is 1.
    *
    * @param json the list as a tree that {@link JsonTree} has returned
    * @throws IllegalArgumentException if a required field is missing or a value is invalid; the
--- a/src/main/java/loomreel/config/ServeConfigReader.java
+++ b/src/main/java/loomreel/config/ServeConfigReader.java
@@ -9,10 +9,18 @@
 import loomreel.decision.Settings;
 
 /**
- * Reads the platform's configuration. The environment variable {@code BALANCER_CONFIG} contains the
- * path of a JSON file. The environment variables {@code BALANCER_NAME}, {@code BALANCER_LISTEN},
- * {@code BALANCER_MGMT} and {@code BALANCER_DISCOVERY} override the fields {@code name}, {@code
- * listen}, {@code mgmt} and {@code discovery} of the file.
+ * Reads the platform's configuration from a JSON file and from the following environment variables:
+ *
+ * <ul>
+ *   <li>{@code BALANCER_CONFIG} contains the path of the JSON file.
+ *   <li>{@code BALANCER_NAME}, {@code BALANCER_LISTEN}, {@code BALANCER_MGMT} and {@code
+ *       BALANCER_DISCOVERY} override the fields {@code name}, {@code listen}, {@code mgmt} and
+ *       {@code discovery} of the file.
+ *   <li>{@code BALANCER_LISTEN_FD} is 0 if the process inherits the listening socket as descriptor
+ *       0. Otherwise it is empty or not set.
+ *   <li>{@code TMPDIR} contains the state directory, in which a process stores what the next
+ *       process of the dispatcher reads. If the variable is empty or not set, nothing is stored.
+ * </ul>
  */
 public final class ServeConfigReader {
   /**
--- a/src/main/java/loomreel/process/AdminOperations.java
+++ b/src/main/java/loomreel/process/AdminOperations.java
@@ -7,7 +7,10 @@
  * The operations that operators can request. All methods must be called on the event loop's thread.
  */
 public interface AdminOperations {
-  /** Returns whether this process reports itself as ready to serve clients. */
+  /**
+   * Returns whether this process is ready to serve clients. A client drain does not change the
+   * result.
+   */
   boolean isReady();
 
   /** Returns the metrics by name. A value is a number or a nested map from names to numbers. */
--- a/src/main/java/loomreel/process/OperatorControls.java
+++ b/src/main/java/loomreel/process/OperatorControls.java
@@ -165,11 +165,12 @@
 
   private List<OverrideChange> replace(OperatorOverrides next) {
     try {
-      // Each process writes all its overrides to the same file. If a change of the peer and a
-      // change of this process cross, the process that writes last may not know the other change,
-      // and the file then lacks the other change. Therefore each process saves its overrides again
-      // after it has received a change, so that the file contains both changes in the end. If both
-      // changes concern the same override, only one takes effect (see HotRestartCoordinator).
+      // Each process writes all its overrides to the same file. If a peer and this process make
+      // changes at the same time, the process that writes last may not have received the other
+      // change yet. The file then lacks the other change. Therefore each process saves its
+      // overrides again after it has received a change, so that the file contains both changes in
+      // the end. If both changes concern the same override, only one takes effect (see
+      // HotRestartCoordinator).
       store.save(next);
     } catch (IOException e) {
       log.warn("operator overrides of the other process not saved reason=" + e.getMessage());
--- a/src/main/java/loomreel/process/OverrideChange.java
+++ b/src/main/java/loomreel/process/OverrideChange.java
@@ -10,7 +10,7 @@
   /**
    * The target of an override: one worker, or all clients of the dispatcher.
    *
-   * @param worker the id of the worker; empty if the target is the clients
+   * @param worker the id of the worker; empty if the override applies to all clients
    */
   record Target(Optional<String> worker) {
     private static final Target CLIENTS = new Target(Optional.empty());
--- a/src/main/java/loomreel/server/GracefulShutdown.java
+++ b/src/main/java/loomreel/server/GracefulShutdown.java
@@ -49,7 +49,8 @@
    * The grace period if a successor is connected, in microseconds. A connection that is idle when
    * the shutdown is requested stays open for this time. If the client sends a request on the
    * connection in this time, the response tells the client to close the connection. If this process
-   * closed the idle connection instead, the close could cross a request of the client.
+   * closed the idle connection at once, the client could send a request before it notices the
+   * close, and would get no response.
    */
   private static final long HANDOVER_GRACE_PERIOD_MICROS = 2_300_000;
 
