--- a/src/main/java/loomreel/process/HotRestartMessage.java
+++ b/src/main/java/loomreel/process/HotRestartMessage.java
@@ -20,7 +20,15 @@
  * the format must not change.
  *
  * <p>In this class, a call is a job that the dispatcher has accepted. A callback is a request in
- * which a worker reports the state of a call.
+ * which a worker reports the state of a call. A forwarded callback counts as handled in the
+ * following cases:
+ *
+ * <ul>
+ *   <li>A process has delivered the callback to its call.
+ *   <li>The call is not active in the process that received the callback, and that process has no
+ *       other peer to which it can forward the callback. The callback is discarded.
+ *   <li>The connection on which the callback was forwarded has closed.
+ * </ul>
  */
 final class HotRestartMessage {
   /**
@@ -34,19 +42,28 @@
      */
     CALLBACK("news"),
 
-    /** Confirms that the callback with the callback number was handled. The body is empty. */
+    /**
+     * Confirms that a {@link #CALLBACK} was handled, that is, that the callback was delivered to
+     * its call or was discarded. The header {@code X-Number} contains the same number as in that
+     * {@link #CALLBACK}. The body is empty.
+     */
     CALLBACK_HANDLED("taken"),
 
-    /** The call whose id is in the body has become active at the sender. */
+    /**
+     * The call whose id is in the body is active at the sender. Sent when the call becomes active.
+     * Sent again for each active call when a peer connects, and when a peer disconnects while
+     * another peer remains connected.
+     */
     CALL_ID_ACQUIRED("holds"),
 
     /** The call whose id is in the body is no longer active at the sender. */
     CALL_ID_RELEASED("frees"),
 
     /**
-     * The sender shuts down. It accepts no more connections, and it leaves the full slow-start
-     * allowance to the receiver. The allowance limits the load that a dispatcher sends to workers
-     * which started recently. The body is empty.
+     * The sender shuts down while a successor is connected to it. The sender accepts no more
+     * connections and no longer uses the slow-start allowance, so that the receiver uses the full
+     * allowance. The allowance limits the load that a dispatcher sends to workers which started
+     * recently. The body is empty.
      */
     HANDING_OVER("leaving"),
 
@@ -106,7 +123,11 @@
     return new HotRestartMessage(Type.CALLBACK, callbackNumber, callback);
   }
 
-  /** Creates a message that confirms that the callback with this number was handled. */
+  /**
+   * Creates a message that confirms that a forwarded callback was handled.
+   *
+   * @param callbackNumber the callback number of the {@link Type#CALLBACK} that was handled
+   */
   static HotRestartMessage callbackHandled(long callbackNumber) {
     return new HotRestartMessage(Type.CALLBACK_HANDLED, callbackNumber, EMPTY_BODY);
   }
