--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -12,10 +12,13 @@
 
 /**
  * A pool of HTTP connections to one peer. The pool opens connections on demand and reuses idle
- * connections. It prefers the idle connection that was used most recently. While duplicate
- * responses are suspected (see {@link IdleTimeoutEstimator}), it prefers the connection that has
- * been idle longest instead. The pool owns its connections. Used on the event loop's thread only.
- * Times are in microseconds of the loop's clock.
+ * connections. Normally, the pool prefers the idle connection that was used most recently. While
+ * the peer is suspected of sending responses twice (see {@link IdleTimeoutEstimator}), the pool
+ * prefers the connection that has been idle longest. On this connection, a duplicate of the last
+ * response has had the most time to arrive, and a connection with unexpected input is not reused.
+ *
+ * <p>The pool owns its connections. Used on the event loop's thread only. Times are in microseconds
+ * of the loop's clock.
  */
 public final class ConnectionPool {
   /** The name of the trace event for an opened connection. */
@@ -44,7 +47,8 @@
    *
    * @param peerName the name of the peer in log and trace lines
    * @param descriptorQuota limits the total number of open connections of all pools that share it
-   * @param connectTimeout the maximum time to establish a connection, in microseconds
+   * @param connectTimeout the maximum time to establish a connection and to write the first request
+   *     on it, in microseconds
    * @param idleTimeout estimates how long a connection may be idle before it must not be reused
    */
   public ConnectionPool(
@@ -133,16 +137,17 @@
    * Removes an idle connection that can be reused, and returns it. Returns null if no idle
    * connection can be reused.
    *
-   * <p>A connection can be reused once it has been idle for the larger of two times, because a
-   * duplicate of the last response may still arrive. The first time is the reuse delay of this
-   * connection. It is 0 after a 2xx response, because a duplicate of a 2xx response does no harm.
-   * The second time applies to all connections ({@link IdleTimeoutEstimator#reuseDelayMicros}). It
-   * is 0 unless duplicate responses are suspected.
+   * <p>After a response, the peer may send a duplicate of the response. Therefore a connection can
+   * be reused only if it has been idle for at least two times. The first time is the reuse delay of
+   * this connection. This delay is 0 after a 2xx response, because a duplicate of a 2xx response
+   * does no harm. The second time applies to all connections ({@link
+   * IdleTimeoutEstimator#reuseDelayMicros}). The second time is 0 unless the peer is suspected of
+   * sending responses twice.
    *
-   * <p>Prefers the connection that was used most recently. While duplicate responses are suspected,
-   * prefers the connection that has been idle longest. If a connection that was selected has
-   * unexpected input, has reached the end of its input, or has failed, closes this connection and
-   * tries the next.
+   * <p>Prefers the connection that was used most recently. While the peer is suspected of sending
+   * responses twice, prefers the connection that has been idle longest. If the selected connection
+   * has unexpected input, has reached the end of its input, or has failed, closes this connection
+   * and tries the next.
    */
   private PooledConnection pollReusable() {
     long minIdleMicros = idleTimeout.reuseDelayMicros(loop.now());
@@ -172,13 +177,13 @@
    * Returns a connection to the pool after its exchange is complete. If the connection is of an
    * earlier generation or the descriptor quota is exceeded, closes the connection instead.
    *
-   * <p>A duplicate of the last response may arrive after the connection is reused. The duplicate is
-   * then taken for the response to the next request. A duplicate of a rejection would wrongly prove
-   * that the next request did not run.
+   * <p>If a duplicate of the last response arrives after the connection is reused, the duplicate is
+   * taken for the response to the next request. If the duplicate is a rejection, the dispatcher
+   * concludes that the next request did not run, although the peer may have run this request.
    *
-   * @param mayReuseAtOnce true if such a duplicate would lead to no wrong conclusion, as after a
-   *     2xx response, so that the connection may be reused at once; if false, the connection is not
-   *     reused for {@link IdleTimeoutEstimator#DUPLICATE_WINDOW_MICROS}
+   * @param mayReuseAtOnce true if the connection may be reused at once, because a duplicate of the
+   *     last response does no harm; false if the connection must not be reused for {@link
+   *     IdleTimeoutEstimator#DUPLICATE_WINDOW_MICROS}
    */
   void release(PooledConnection connection, boolean mayReuseAtOnce) {
     if (connection.generation() != generation || descriptorQuota.isExceeded()) {
@@ -221,7 +226,10 @@
     idleTimeout.recordReuse(idleMicros, reset, loop.now());
   }
 
-  /** Returns the maximum time to establish a connection, in microseconds. */
+  /**
+   * Returns the maximum time to establish a connection and to write the first request on it, in
+   * microseconds.
+   */
   public long connectTimeout() {
     return connectTimeout;
   }
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -82,7 +82,8 @@
 
   /**
    * The number of bytes of the body or chunk that have not arrived yet. In state BODY_UNTIL_CLOSE,
-   * the smallest number of further bytes that make the body larger than its maximum size.
+   * the length of the body is not known in advance: if this number of further bytes arrives, the
+   * body is larger than {@link #MAX_BODY}.
    */
   private int missingBytes;
 
@@ -106,9 +107,9 @@
   }
 
   /**
-   * Returns whether the head of a response has arrived, but not the end of the response. Clears
-   * this state, so that at most one call per response returns true. Always returns false if
-   * requests are parsed.
+   * Returns whether the head of the current response has arrived, but not the end of the response.
+   * Returns true at most once for each response: further calls return false. Always returns false
+   * if requests are parsed. Interim responses do not count.
    */
   boolean testAndClearHeadReceived() {
     boolean received = !parsesRequests && hasUnreportedHead;
--- a/src/main/java/loomreel/http/IdleTimeoutEstimator.java
+++ b/src/main/java/loomreel/http/IdleTimeoutEstimator.java
@@ -26,8 +26,9 @@
   private static final double RESET_IDLE_FRACTION = 0.75;
 
   /**
-   * The value of {@link #resetScore} at which the estimate is shortened. Fewer resets may be caused
-   * by worker processes that end.
+   * The value of {@link #resetScore} at which a reset shortens the estimate. One or two resets are
+   * not sufficient, because they may have another cause: connections are also reset when the
+   * process at the peer ends.
    */
   private static final double RESET_SCORE_THRESHOLD = 3;
 
@@ -40,7 +41,10 @@
   /** The maximum time, in microseconds, between a response and the arrival of its duplicate. */
   static final long DUPLICATE_WINDOW_MICROS = 20_000;
 
-  /** How long duplicate responses are suspected after one was received, in microseconds. */
+  /**
+   * How long, in microseconds after an unsolicited response, the peer is suspected of sending
+   * responses twice.
+   */
   private static final long SUSPICION_PERIOD_MICROS = 10_000_000;
 
   private final long maxIdleTimeoutMicros;
@@ -77,9 +81,12 @@
    * Returns the minimum idle time, in microseconds, before any connection may be reused. Each
    * connection also has its own reuse delay, and {@link ConnectionPool} applies the larger of the
    * two values. Returns 0 if no unsolicited response was received in the last {@link
-   * #SUSPICION_PERIOD_MICROS}. After an unsolicited response, duplicate responses are suspected. If
-   * a duplicate arrived on a reused connection, it would be taken for the response to the next
-   * request. The duplicate could then wrongly prove that a running job never ran.
+   * #SUSPICION_PERIOD_MICROS}.
+   *
+   * <p>After an unsolicited response, the peer is suspected of sending responses twice. If a
+   * duplicate arrived on a reused connection, the duplicate would be taken for the response to the
+   * next request. If the duplicate were a rejection, the dispatcher would conclude that the job in
+   * the next request never ran, although the peer may be running this job.
    */
   long reuseDelayMicros(long now) {
     return now < duplicatesSuspectedUntilMicros ? DUPLICATE_WINDOW_MICROS : 0;
--- a/src/main/java/loomreel/http/PooledConnection.java
+++ b/src/main/java/loomreel/http/PooledConnection.java
@@ -36,8 +36,8 @@
   private long idleBeforeExchangeMicros;
 
   /**
-   * The minimum idle time before this connection may be reused. While duplicate responses are
-   * suspected, the pool may require a longer time.
+   * The minimum idle time before this connection may be reused. While the peer is suspected of
+   * sending responses twice, the pool may require a longer time.
    */
   private long reuseDelayMicros;
 
@@ -126,19 +126,23 @@
 
   private void timedOut() {
     failExchange(hasSent() ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
-    // The host has probably failed. Its idle connections would be reset once the host is up again,
-    // so they are closed now.
+    // A timeout in any phase of the exchange can mean that the peer has failed. A failed peer that
+    // is started again resets its earlier connections. Therefore the idle connections to the peer
+    // are closed now.
     pool.closeIdle();
   }
 
   /**
-   * Returns whether the idle connection is still usable: it has no unread input, is not at the end
-   * of its input, and has not failed. Unread input would be taken for the response to the next
-   * request. If the peer has ended its output, the peer would reset the connection on the next
-   * request.
+   * Tries to read one byte, and returns whether the idle connection is still usable. The connection
+   * is usable if no byte is available, the end of the input is not reached, and the read does not
+   * fail. If a byte is read, records an unsolicited response in the pool.
    *
-   * <p>If this method returns false, the connection must be closed, because a byte of the input may
-   * have been consumed. Reads into a separate buffer, because the loop's read buffer may be in use.
+   * <p>Unread input would be taken for the response to the next request. If the peer has ended its
+   * output, the peer would reset the connection on the next request.
+   *
+   * <p>If this method returns false, the caller must close the connection, because a byte of the
+   * input may have been consumed. Reads into a separate buffer, because the loop's read buffer may
+   * be in use.
    */
   boolean hasNoPendingInput() {
     try {
@@ -208,8 +212,10 @@
   }
 
   /**
-   * Processes input that has arrived. To be called before {@link #abandon}, so that a response that
-   * has already arrived is not lost.
+   * Reads and processes input that has already arrived, at most one buffer ({@link
+   * loomreel.io.BufferPool#SIZE} bytes). To be called before {@link #abandon}, so that a response
+   * that has already arrived is not lost. If the response does not fit into one buffer, its rest is
+   * not read by this call.
    */
   public void readPending() {
     readNow();
--- a/src/main/java/loomreel/tracing/JobEnd.java
+++ b/src/main/java/loomreel/tracing/JobEnd.java
@@ -11,9 +11,9 @@
   SERVED,
   /** The job was answered with success, but later than its latency objective allows. */
   LATE,
-  /** The job was rejected at the time of its arrival, before any attempt. */
+  /** The job was rejected before any attempt, at the time of its arrival. */
   REJECTED_ON_ARRIVAL,
-  /** The job was rejected later than at its arrival, but before any attempt. */
+  /** The job was rejected before any attempt, at a later time than that of its arrival. */
   REJECTED_WHILE_QUEUED,
   /**
    * The job was rejected after at least one attempt. A rejection means that no attempt has run the
--- a/src/main/java/loomreel/tracing/UnsuccessfulJob.java
+++ b/src/main/java/loomreel/tracing/UnsuccessfulJob.java
@@ -3,7 +3,8 @@
 import java.util.Optional;
 
 /**
- * A job that was not served in time.
+ * A job that has ended in any way other than {@link JobEnd#SERVED}. This includes jobs that were
+ * answered with success, but too late ({@link JobEnd#LATE}).
  *
  * @param node the name of the dispatcher at which the job arrived
  * @param id the id of the job
--- a/src/main/java/loomreel/wal/SegmentDirectory.java
+++ b/src/main/java/loomreel/wal/SegmentDirectory.java
@@ -165,11 +165,12 @@
     }
   }
 
+  /** Returns the content of the header line that this process writes, including the line end. */
   private byte[] header() {
     return (HEADER_PREFIX + bootId + '\n').getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Returns the size, in bytes, of the header line of a segment that this process creates. */
+  /** Returns the length, in bytes, of the header line that this process writes. */
   int headerBytes() {
     return header().length;
   }
--- a/src/main/java/loomreel/wal/WriteAheadLog.java
+++ b/src/main/java/loomreel/wal/WriteAheadLog.java
@@ -42,8 +42,9 @@
   }
 
   /**
-   * The initial size of the buffer, and the free space in a buffer that has been enlarged, in
-   * bytes. If the next record does not fit into the buffer, the buffered records are written first.
+   * The initial size of the buffer, in bytes. If {@link #append} must enlarge the buffer for a
+   * record, the larger buffer has this number of free bytes after the record. The buffer is
+   * enlarged only if the record does not fit after an attempt to write the buffered records.
    */
   private static final int BUFFER_BYTES = 256 * 1024;
 
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -43,7 +43,7 @@
   /** Starts a server that sends the given responses in order, one for each request. */
   private ServerSocket startServer(String... responses) throws Exception {
     ServerSocket listener = new ServerSocket(0, 50, LOOPBACK);
-    AtomicInteger next = new AtomicInteger();
+    AtomicInteger nextResponseIndex = new AtomicInteger();
     BackgroundThreads.start(
         () -> {
           while (true) {
@@ -56,7 +56,7 @@
                     socket
                         .getOutputStream()
                         .write(
-                            responses[next.getAndIncrement()].getBytes(
+                            responses[nextResponseIndex.getAndIncrement()].getBytes(
                                 StandardCharsets.ISO_8859_1));
                   }
                 });
@@ -80,20 +80,20 @@
           @Override
           public void responseReceived(HttpMessage message) {
             statuses.add(message.status());
-            next(furtherCalls);
+            sendNextOrStop(furtherCalls);
           }
 
           @Override
           public void failed(AttemptOutcome outcome) {
             statuses.add(-1);
-            next(furtherCalls);
+            sendNextOrStop(furtherCalls);
           }
 
-          private void next(int remaining) {
-            if (remaining == 0) {
+          private void sendNextOrStop(int remainingCalls) {
+            if (remainingCalls == 0) {
               loop.stop();
             } else {
-              call(loop, pool, remaining - 1);
+              call(loop, pool, remainingCalls - 1);
             }
           }
         });
