--- a/src/main/java/loomreel/http/HttpConnection.java
+++ b/src/main/java/loomreel/http/HttpConnection.java
@@ -52,7 +52,8 @@
 
   /**
    * Returns whether another message may be parsed now. If this method returns false, {@link
-   * #bytesReceived} leaves the rest of the input in the buffer. Returns true by default.
+   * #bytesReceived} leaves the rest of the input in the buffer. A subclass that needs this input
+   * later overrides {@link #bytesReceived} and stores the input. Returns true by default.
    */
   protected boolean acceptsMessages() {
     return true;
--- a/src/main/java/loomreel/http/HttpMessageParser.java
+++ b/src/main/java/loomreel/http/HttpMessageParser.java
@@ -76,7 +76,7 @@
 
   /**
    * Whether the head of the current message is complete and {@link #testAndClearHeadReceived} has
-   * not been called since then.
+   * not been called since then. The head of an interim response does not count.
    */
   private boolean hasUnreportedHead;
 
--- a/src/main/java/loomreel/http/IdleTimeoutEstimator.java
+++ b/src/main/java/loomreel/http/IdleTimeoutEstimator.java
@@ -16,7 +16,7 @@
 public final class IdleTimeoutEstimator {
   /**
    * The minimum idle time, in microseconds, after which the reuse of a connection affects the
-   * estimate. A reset after a shorter idle time has another cause than the idle time.
+   * estimate. If a connection is reset after a shorter idle time, the idle time is not the cause.
    */
   private static final long MIN_IDLE_MICROS = 50_000;
 
--- a/src/main/java/loomreel/http/LineReader.java
+++ b/src/main/java/loomreel/http/LineReader.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads the lines that the chunked transfer coding has besides the data: the lines around each
- * chunk and the lines of the trailer. The input may be split at any byte.
+ * Reads the lines of a chunked body: the line with the size of a chunk, the empty line after the
+ * data of a chunk, and the lines of the trailer. The input may be split at any byte.
  */
 final class LineReader {
   /** The part of the line that has arrived. A complete line does not include its line end. */
--- a/src/main/java/loomreel/io/EventLoop.java
+++ b/src/main/java/loomreel/io/EventLoop.java
@@ -129,9 +129,10 @@
   }
 
   /**
-   * Returns the current time, in microseconds. The time is read once per iteration, after the wait
-   * for events. It equals Unix time when the loop is created and is monotonic from then on.
-   * Therefore it can be compared with the start times that workers report.
+   * Returns the time of the loop's clock, in microseconds. The loop reads the clock once per
+   * iteration, after the wait for events. The clock equals Unix time when the loop is created, and
+   * is monotonic from then on. Therefore the time can be compared with the start times that workers
+   * report.
    */
   public long now() {
     return now;
@@ -190,8 +191,8 @@
   }
 
   /**
-   * Waits until a channel is ready, a timer is due or a task is posted, and for at most {@link
-   * #MAX_WAIT_MICROS} if there are no timers.
+   * Waits until a channel is ready, a timer is due or a task is posted. If no timer is scheduled,
+   * waits for at most {@link #MAX_WAIT_MICROS}.
    */
   private void select() throws IOException {
     timers.removeCancelled();
--- a/src/main/java/loomreel/tracing/TraceSummary.java
+++ b/src/main/java/loomreel/tracing/TraceSummary.java
@@ -30,10 +30,13 @@
   private final SortedMap<Long, Map<String, Integer>> countsBySecond = new TreeMap<>();
   private final SortedMap<String, Map<String, Integer>> countsByWorker = new TreeMap<>();
 
-  /** The open jobs by id, by the name of the dispatcher. */
+  /** The open jobs. The outer key is the name of the dispatcher; the inner key is the job id. */
   private final Map<String, Map<String, OpenJob>> openJobsByDispatcher = new HashMap<>();
 
-  /** The time of the last line in microseconds of Unix time, by the name of the dispatcher. */
+  /**
+   * The time of the last line of each dispatcher, in microseconds of Unix time. The key is the name
+   * of the dispatcher.
+   */
   private final Map<String, Long> lastLineMicrosByDispatcher = new HashMap<>();
 
   private final List<UnsuccessfulJob> unsuccessfulJobs = new ArrayList<>();
@@ -112,7 +115,7 @@
   /**
    * Returns an unmodifiable view of the counts by worker, in ascending order of the outer key. The
    * outer key is the id of a worker. The inner key is a label, and the value is the number of
-   * events with this label at the worker. The labels are a part of those of {@link
+   * events with this label at the worker. The labels are some of the labels of {@link
    * #countsBySecond}: {@code sends}, {@code probes}, {@code handshakes}, {@code end} and an
    * outcome, {@code probe} and an outcome, and the label of {@link JobEnd#LATE}. Other ends of jobs
    * are not counted by worker.
--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -120,6 +120,8 @@
    * A response other than 2xx may be a rejection. A rejection may arrive twice, some milliseconds
    * apart. If the connection is reused before the duplicate arrives, the duplicate is taken for the
    * response to the next request.
+   *
+   * <p>The columns are the status of both responses and the expected number of connections.
    */
   @ParameterizedTest
   @CsvSource({"202,1", "200,1", "503,2", "504,2", "500,2"})
--- a/src/test/java/loomreel/http/HttpMessageParserTest.java
+++ b/src/test/java/loomreel/http/HttpMessageParserTest.java
@@ -107,6 +107,7 @@
     assertFalse(requestParser.expectsContinue());
   }
 
+  // Columns: the input, the expected status, the expected message.
   @ParameterizedTest
   @CsvSource({
     "'GET /a\r\n\r\n',400,malformed first line",
--- a/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
+++ b/src/test/java/loomreel/http/IdleTimeoutEstimatorTest.java
@@ -34,6 +34,7 @@
 
     estimator.recordReuse(8 * SECOND, true, SECOND);
 
+    // Three quarters of the idle time before the reset.
     assertEquals(6 * SECOND, estimator.idleTimeout(SECOND));
   }
 
@@ -43,6 +44,7 @@
       estimator.recordReuse(8 * SECOND, true, 0);
     }
 
+    // The resets shorten the timeout to 6 seconds.
     assertEquals(12 * SECOND, estimator.idleTimeout(20 * SECOND));
     assertEquals(MAX_IDLE_MICROS, estimator.idleTimeout(200 * SECOND));
   }
--- a/src/test/java/loomreel/http/JobHeaderTest.java
+++ b/src/test/java/loomreel/http/JobHeaderTest.java
@@ -12,10 +12,11 @@
 
 /** Tests the names of the headers of the job protocol. */
 class JobHeaderTest {
-  private static HttpMessage withHeaders(String... namesAndValues) {
+  private static HttpMessage messageWithHeaders(String... namesAndValues) {
     return new HttpMessage(List.of(), List.of(namesAndValues), null, true);
   }
 
+  // Columns: the header, its name in written lines, its name in received messages.
   @ParameterizedTest
   @CsvSource({
     "CALL_ID, X-Call-Id, x-call-id",
@@ -31,8 +32,8 @@
   })
   void eachHeaderIsWrittenAndReadUnderItsName(JobHeader header, String written, String received) {
     assertEquals(written + ": v", header.line("v"));
-    assertEquals("v", header.valueIn(withHeaders("other", "x", received, "v")));
-    assertNull(header.valueIn(withHeaders("other", "x")));
+    assertEquals("v", header.valueIn(messageWithHeaders("other", "x", received, "v")));
+    assertNull(header.valueIn(messageWithHeaders("other", "x")));
   }
 
   @Test
@@ -42,8 +43,8 @@
 
   @Test
   void aFlagIsSetOnlyByTheValueOne() {
-    assertTrue(JobHeader.IS_RETRY.isSetIn(withHeaders("x-again", "1")));
-    assertFalse(JobHeader.IS_RETRY.isSetIn(withHeaders("x-again", "true")));
-    assertFalse(JobHeader.IS_RETRY.isSetIn(withHeaders()));
+    assertTrue(JobHeader.IS_RETRY.isSetIn(messageWithHeaders("x-again", "1")));
+    assertFalse(JobHeader.IS_RETRY.isSetIn(messageWithHeaders("x-again", "true")));
+    assertFalse(JobHeader.IS_RETRY.isSetIn(messageWithHeaders()));
   }
 }
--- a/src/test/java/loomreel/io/AcceptorTest.java
+++ b/src/test/java/loomreel/io/AcceptorTest.java
@@ -49,7 +49,7 @@
     loop.close();
   }
 
-  private Acceptor acceptor(int maxPerIteration, Acceptor.ConnectionHandler handler)
+  private Acceptor createAcceptor(int maxPerIteration, Acceptor.ConnectionHandler handler)
       throws IOException {
     return new Acceptor(loop, listener, maxPerIteration, new RateLimitedLogger("test"), handler);
   }
@@ -69,7 +69,7 @@
 
   @Test
   void nothingIsAcceptedBeforeTheStart() throws IOException {
-    Acceptor acceptor = acceptor(CONNECTIONS, this::record);
+    Acceptor acceptor = createAcceptor(CONNECTIONS, this::record);
     runBriefly();
     assertEquals(0, accepted.size());
     assertFalse(acceptor.isAccepting());
@@ -77,7 +77,7 @@
 
   @Test
   void acceptedConnectionsAreNonBlockingWithTcpNoDelay() throws IOException {
-    acceptor(CONNECTIONS, this::record).start();
+    createAcceptor(CONNECTIONS, this::record).start();
     loop.run();
     for (SocketChannel channel : accepted) {
       assertFalse(channel.isBlocking());
@@ -87,7 +87,7 @@
 
   @Test
   void oneIterationAcceptsNoMoreThanTheLimit() throws IOException {
-    acceptor(1, this::record).start();
+    createAcceptor(1, this::record).start();
     loop.run();
     assertEquals(
         CONNECTIONS, acceptedAtMicros.stream().distinct().count(), acceptedAtMicros.toString());
@@ -97,7 +97,7 @@
   void acceptingResumesAfterThePause() throws IOException {
     Acceptor[] acceptor = new Acceptor[1];
     acceptor[0] =
-        acceptor(
+        createAcceptor(
             CONNECTIONS,
             channel -> {
               record(channel);
@@ -116,7 +116,7 @@
   void aStoppedAcceptorResumesNeitherAfterAPauseNorByStart() throws IOException {
     Acceptor[] acceptor = new Acceptor[1];
     acceptor[0] =
-        acceptor(
+        createAcceptor(
             CONNECTIONS,
             channel -> {
               record(channel);
@@ -133,7 +133,7 @@
 
   @Test
   void aConnectionIsClosedIfItsHandlerFails() throws IOException {
-    acceptor(
+    createAcceptor(
             CONNECTIONS,
             channel -> {
               record(channel);
--- a/src/test/java/loomreel/io/ByteQueueTest.java
+++ b/src/test/java/loomreel/io/ByteQueueTest.java
@@ -13,13 +13,17 @@
 
 /** Tests a queue of bytes that spans several pooled buffers. */
 class ByteQueueTest {
+  /** The length of the content, in bytes. The content fills two buffers and a part of a third. */
   private static final int LENGTH = 2 * BufferPool.SIZE + 100;
 
+  /** A pool that is scarce if the three buffers of the content are acquired. */
   private final BufferPool pool = new BufferPool(3);
   private final ByteQueue queue = new ByteQueue(pool);
   private final byte[] content = new byte[LENGTH];
 
   ByteQueueTest() {
+    // Neighbouring bytes and bytes at the same place of two buffers differ, so that a comparison
+    // detects bytes in a wrong place.
     for (int i = 0; i < LENGTH; i++) {
       content[i] = (byte) (i * 31 + i / 256);
     }
@@ -78,7 +82,7 @@
   }
 
   @Test
-  void appendMovesNoMoreThanTheLimit() {
+  void appendConsumesNoMoreThanTheLimit() {
     ByteBuffer source = ByteBuffer.wrap(content);
 
     queue.append(source, 5);
--- a/src/test/java/loomreel/tracing/TraceSummaryTest.java
+++ b/src/test/java/loomreel/tracing/TraceSummaryTest.java
@@ -13,8 +13,10 @@
 class TraceSummaryTest {
   private static final long SECOND = 1_000_000;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
+  /** The latency objective of a job is 200 ms plus twice the expected work of the job. */
   private final TraceSummary summary = new TraceSummary(200_000, 2);
 
+  /** Adds the written lines. A prefix precedes each trace line, as may be the case in a log. */
   private void addAll(TraceWriter trace, String dispatcher) {
     trace.flush();
     log.toString(StandardCharsets.UTF_8)
@@ -24,21 +26,22 @@
     log.reset();
   }
 
-  private TraceWriter trace() {
+  private TraceWriter createTraceWriter() {
     return new TraceWriter(log);
   }
 
   @Test
   void jobsAreTrackedByDispatcherAndCountedOverTheFleet() {
-    TraceWriter first = trace();
+    TraceWriter first = createTraceWriter();
     first.line(10 * SECOND, "start");
     first.line(10 * SECOND, "arrival", "id", "x", "work", 100_000.0);
     first.line(10 * SECOND, "send", "id", "x", "worker", "w1");
+    // The latency objective of this job is 400 ms, so its answer after 500 ms is late.
     first.line(10 * SECOND + 500_000, "end", "id", "x", "worker", "w1", "outcome", "OK");
     first.line(11 * SECOND, "arrival", "id", "y", "work", 100_000.0);
     first.line(11 * SECOND + 50_000, "refuse", "id", "y", "why", "NO_ROOM_IN_TIME");
     addAll(first, "n0");
-    TraceWriter second = trace();
+    TraceWriter second = createTraceWriter();
     second.line(10 * SECOND, "arrival", "id", "x", "work", Double.NaN);
     second.line(10 * SECOND, "send", "id", "x", "worker", "w1");
     second.line(10 * SECOND, "end", "id", "x", "worker", "w1", "outcome", "RESET");
@@ -73,7 +76,7 @@
     assertEquals(
         "v",
         summary.unsuccessfulJobs(JobEnd.LOST).get(0).id(),
-        "open for longer than any client waits");
+        "a job that is open for longer than any client waits is lost");
   }
 
   @Test
--- a/src/test/java/loomreel/wal/LogRecordTest.java
+++ b/src/test/java/loomreel/wal/LogRecordTest.java
@@ -40,6 +40,8 @@
     assertTrue(LogRecord.readNext(segment).isEmpty());
   }
 
+  // Offsets: the first byte of the length, of the checksum and of the content, and the last byte of
+  // the content.
   @ParameterizedTest
   @ValueSource(ints = {0, 4, 8, 16})
   void aRecordWithAChangedByteIsNotRead(int offset) {
--- a/src/test/java/loomreel/wal/WriteAheadLogTest.java
+++ b/src/test/java/loomreel/wal/WriteAheadLogTest.java
@@ -36,10 +36,10 @@
    * Opens a log in the test directory, and adds the records of earlier logs to a list.
    *
    * @param records receives the records that the log reads back
-   * @param segment the size of a segment, in bytes, above which the segment is full
+   * @param segmentBytes the size of a segment, in bytes, above which the segment is full
    */
-  private WriteAheadLog open(List<String> records, long segment) throws IOException {
-    WriteAheadLog log = new WriteAheadLog(directory, segment, loopTasks::add);
+  private WriteAheadLog open(List<String> records, long segmentBytes) throws IOException {
+    WriteAheadLog log = new WriteAheadLog(directory, segmentBytes, loopTasks::add);
     log.open(
         (number, sameBoot, content) -> records.add(new String(content, StandardCharsets.UTF_8)));
     return log;
@@ -78,7 +78,7 @@
             && end + written.get(completeCount).length() + LogRecord.HEADER_BYTES <= length) {
           end += written.get(completeCount++).length() + LogRecord.HEADER_BYTES;
         }
-        assertEquals(written.subList(0, completeCount), read, "cut at " + length);
+        assertEquals(written.subList(0, completeCount), read, "segment cut at byte " + length);
         assertEquals(length < recordsStart ? length : length - end, log.truncatedBytes());
         // Records that are appended after the truncation are written to a new segment.
         add(log, "later");
@@ -86,6 +86,7 @@
       List<String> recordsAfterReopen = new ArrayList<>();
       open(recordsAfterReopen, SEGMENT_BYTES).close();
       assertEquals("later", recordsAfterReopen.get(recordsAfterReopen.size() - 1));
+      // Deletes the segments that this iteration has created.
       for (int i = 2; Files.deleteIfExists(segment(i)); i++) {}
     }
   }
@@ -126,13 +127,15 @@
 
   /**
    * Each record is written exactly once, even if the records fill the buffer and the next segment
-   * cannot be opened.
+   * cannot be opened. Both record lengths exceed the size of a segment. With its header, a record
+   * of the second length fills the initial buffer of the log exactly.
    */
   @ParameterizedTest
   @ValueSource(ints = {120, 256 * 1024 - LogRecord.HEADER_BYTES})
   void recordsAreStoredOnceIfTheNextSegmentCannotBeOpened(int recordLength) throws Exception {
     String large = "x".repeat(recordLength);
     try (WriteAheadLog log = open(new ArrayList<>(), 100)) {
+      // Segment 2 cannot be created while a directory has its name.
       Files.createDirectory(segment(2));
       add(log, large);
       log.write();
@@ -212,6 +215,7 @@
     try (WriteAheadLog log = new WriteAheadLog(directory, SEGMENT_BYTES, loopTasks::add)) {
       log.open((segment, sameBoot, content) -> sameBootFlags.add(sameBoot));
     }
+    // On a system without boot ids, sameBoot is always false.
     assertEquals(Files.exists(Path.of("/proc/sys/kernel/random/boot_id")), sameBootFlags.get(0));
     assertFalse(sameBootFlags.get(1));
   }
