--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -138,11 +138,11 @@
    * connection can be reused.
    *
    * <p>After a response, the peer may send a duplicate of the response. Therefore a connection can
-   * be reused only if it has been idle for at least two times. The first time is the reuse delay of
-   * this connection. This delay is 0 after a 2xx response, because a duplicate of a 2xx response
-   * does no harm. The second time applies to all connections ({@link
-   * IdleTimeoutEstimator#reuseDelayMicros}). The second time is 0 unless the peer is suspected of
-   * sending responses twice.
+   * be reused only after a minimum idle time. The minimum is the larger of two delays. The first
+   * delay is the reuse delay of the connection. It is 0 after a 2xx response, because a duplicate of
+   * a 2xx response does no harm. The second delay applies to all connections ({@link
+   * IdleTimeoutEstimator#reuseDelayMicros}). It is 0 unless the peer is suspected of sending
+   * responses twice.
    *
    * <p>Prefers the connection that was used most recently. While the peer is suspected of sending
    * responses twice, prefers the connection that has been idle longest. If the selected connection
