--- a/src/main/java/loomreel/http/ConnectionPool.java
+++ b/src/main/java/loomreel/http/ConnectionPool.java
@@ -139,8 +139,8 @@
    *
    * <p>After a response, the peer may send a duplicate of the response. Therefore a connection can
    * be reused only after a minimum idle time. The minimum is the larger of two delays. The first
-   * delay is the reuse delay of the connection. It is 0 after a 2xx response, because a duplicate of
-   * a 2xx response does no harm. The second delay applies to all connections ({@link
+   * delay is the reuse delay of the connection. It is 0 after a 2xx response, because a duplicate
+   * of a 2xx response does no harm. The second delay applies to all connections ({@link
    * IdleTimeoutEstimator#reuseDelayMicros}). It is 0 unless the peer is suspected of sending
    * responses twice.
    *
