--- a/src/test/java/loomreel/http/ConnectionPoolTest.java
+++ b/src/test/java/loomreel/http/ConnectionPoolTest.java
@@ -43,7 +43,7 @@
   /** Starts a server that sends the given responses in order, one for each request. */
   private ServerSocket startServer(String... responses) throws Exception {
     ServerSocket listener = new ServerSocket(0, 50, LOOPBACK);
-    AtomicInteger next = new AtomicInteger();
+    AtomicInteger nextResponseIndex = new AtomicInteger();
     BackgroundThreads.start(
         () -> {
           while (true) {
@@ -56,7 +56,7 @@
                     socket
                         .getOutputStream()
                         .write(
-                            responses[next.getAndIncrement()].getBytes(
+                            responses[nextResponseIndex.getAndIncrement()].getBytes(
                                 StandardCharsets.ISO_8859_1));
                   }
                 });
@@ -80,20 +80,20 @@
           @Override
           public void responseReceived(HttpMessage message) {
             statuses.add(message.status());
-            next(furtherCalls);
+            sendNextOrStop(furtherCalls);
           }
 
           @Override
           public void failed(AttemptOutcome outcome) {
             statuses.add(-1);
-            next(furtherCalls);
+            sendNextOrStop(furtherCalls);
           }
 
-          private void next(int remaining) {
-            if (remaining == 0) {
+          private void sendNextOrStop(int remainingCalls) {
+            if (remainingCalls == 0) {
               loop.stop();
             } else {
-              call(loop, pool, remaining - 1);
+              call(loop, pool, remainingCalls - 1);
             }
           }
         });
@@ -120,6 +120,8 @@
    * A response other than 2xx may be a rejection. A rejection may arrive twice, some milliseconds
    * apart. If the connection is reused before the duplicate arrives, the duplicate is taken for the
    * response to the next request.
+   *
+   * <p>The columns are the status of both responses and the expected number of connections.
    */
   @ParameterizedTest
   @CsvSource({"202,1", "200,1", "503,2", "504,2", "500,2"})
