--- a/src/test/java/loomreel/program/CiRunTest.java
+++ b/src/test/java/loomreel/program/CiRunTest.java
@@ -17,11 +17,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How {@code .ci/run} treats the list of known failures; Maven and shellcheck are stubs. */
+/**
+ * Tests how {@code .ci/run} handles the list of known failures, {@code KNOWN-RED.txt}. Stub scripts
+ * replace Maven and shellcheck.
+ */
 @Timeout(60)
 class CiRunTest {
-  /** Test b.Red#fails fails, b.Green#passes passes, and no other one exists. */
-  private static final String MAVEN =
+  /**
+   * The stub of Maven. If it is called for a single test, b.Red#fails fails, b.Green#passes passes,
+   * and every other test is reported as missing. A run of all tests fails if the environment
+   * variable ALL is 1, and a run that excludes tests fails if OTHERS is 1.
+   */
+  private static final String MAVEN_STUB =
       """
       #!/usr/bin/env bash
       echo "mvn $*"
@@ -34,30 +41,33 @@
       esac
       """;
 
-  private static final String SHELLCHECK =
+  /** The stub of shellcheck, which fails if the environment variable FINDINGS is 1. */
+  private static final String SHELLCHECK_STUB =
       """
       #!/usr/bin/env bash
       exit ${FINDINGS:-0}
       """;
 
-  private static final String RED = "b.Red#fails | -Dtest=b.Red seed 7 | late lists | 28\n";
+  /** A complete entry of the list. Its test is b.Red#fails. */
+  private static final String RED_ENTRY = "b.Red#fails | -Dtest=b.Red seed 7 | late lists | 28\n";
 
   @TempDir private Path root;
 
   private record Result(int exitCode, String output) {}
 
   /**
-   * Runs the script.
+   * Runs {@code .ci/run} and waits until it exits.
    *
-   * @param list the text of KNOWN-RED.txt, or null for no such file
-   * @param failing the variable of the stub that is to fail, or NONE
+   * @param list the text of KNOWN-RED.txt, or null if the file is not created
+   * @param failure the environment variable that makes a stub fail (ALL, OTHERS or FINDINGS), or
+   *     NONE
    */
-  private Result run(String list, String failing) throws IOException, InterruptedException {
+  private Result run(String list, String failure) throws IOException, InterruptedException {
     Files.createDirectories(root.resolve(".ci"));
     Files.copy(Path.of(".ci", "run"), root.resolve(".ci/run"));
     Path bin = Files.createDirectories(root.resolve("bin"));
     for (Map.Entry<String, String> stub :
-        Map.of("mvn", MAVEN, "shellcheck", SHELLCHECK).entrySet()) {
+        Map.of("mvn", MAVEN_STUB, "shellcheck", SHELLCHECK_STUB).entrySet()) {
       Path program = Files.writeString(bin.resolve(stub.getKey()), stub.getValue());
       assertTrue(program.toFile().setExecutable(true));
     }
@@ -67,7 +77,7 @@
     ProcessBuilder builder =
         new ProcessBuilder("bash", ".ci/run").directory(root.toFile()).redirectErrorStream(true);
     builder.environment().put("PATH", bin + File.pathSeparator + System.getenv("PATH"));
-    builder.environment().put(failing, "1");
+    builder.environment().put(failure, "1");
     Process process = builder.start();
     String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     return new Result(process.waitFor(), output);
@@ -75,14 +85,14 @@
 
   @ParameterizedTest
   @CsvSource({"NONE,0", "ALL,1"})
-  void withoutAListEveryTestHasToPass(String failing, int expected) throws Exception {
-    Result result = run(null, failing);
+  void withoutAListEveryTestMustPass(String failure, int expectedExitCode) throws Exception {
+    Result result = run(null, failure);
     assertEquals("mvn -B verify", result.output().strip());
-    assertEquals(expected, result.exitCode());
+    assertEquals(expectedExitCode, result.exitCode());
   }
 
   @Test
-  void aScriptWithFindingsFailsTheRun() throws Exception {
+  void aShellcheckFindingFailsTheRunBeforeAnyTest() throws Exception {
     Result result = run(null, "FINDINGS");
     assertEquals(1, result.exitCode(), result.output());
     assertFalse(result.output().contains("mvn"), result.output());
@@ -90,27 +100,28 @@
 
   @ParameterizedTest
   @CsvSource({"NONE,0", "OTHERS,1"})
-  void listedTestsAreExcludedAndAllOthersHaveToPass(String failing, int expected) throws Exception {
-    Result result = run("# known\n" + RED, failing);
+  void listedTestsAreExcludedAndAllOthersMustPass(String failure, int expectedExitCode)
+      throws Exception {
+    Result result = run("# known\n" + RED_ENTRY, failure);
     String output = result.output();
     assertTrue(output.contains("mvn -B verify -Dtest=!b.Red#fails"), output);
-    assertEquals(expected, result.exitCode(), output);
-    assertEquals(expected == 0, output.contains(RED.strip()), output);
+    assertEquals(expectedExitCode, result.exitCode(), output);
+    assertEquals(expectedExitCode == 0, output.contains(RED_ENTRY.strip()), output);
   }
 
-  /** A fault may show only now and then, so a listed test may pass; its result is printed. */
+  /** A known fault may be intermittent, so a listed test may pass. The run succeeds either way. */
   @ParameterizedTest
   @CsvSource({"b.Red#fails,failed", "b.Green#passes,passed"})
-  void theResultOfAListedTestIsPrinted(String test, String expected) throws Exception {
+  void theResultOfAListedTestIsPrinted(String test, String expectedResult) throws Exception {
     Result result = run(test + " | seed 7 | late lists | 28\n", "NONE");
     assertEquals(0, result.exitCode(), result.output());
-    String line = "known red: " + test + " " + expected + " in this run";
+    String line = "known red: " + test + " " + expectedResult + " in this run";
     assertTrue(result.output().contains(line), result.output());
   }
 
   @Test
   void aListedTestThatDoesNotExistFailsTheRun() throws Exception {
-    Result result = run(RED + "b.None#exists | seed 7 | y | 2\n", "NONE");
+    Result result = run(RED_ENTRY + "b.None#exists | seed 7 | y | 2\n", "NONE");
     assertEquals(1, result.exitCode(), result.output());
     assertTrue(result.output().contains("b.None#exists is no test"), result.output());
   }
@@ -132,16 +143,16 @@
   }
 
   @Test
-  void anyNumberOfTestsMayBeListed() throws Exception {
-    Result result = run(RED.repeat(4), "NONE");
+  void allOfSeveralListedTestsAreExcluded() throws Exception {
+    Result result = run(RED_ENTRY.repeat(4), "NONE");
     assertEquals(0, result.exitCode(), result.output());
     String excluded = "!b.Red#fails,".repeat(3) + "!b.Red#fails";
     assertTrue(result.output().contains("-Dtest=" + excluded), result.output());
   }
 
-  /** A play of a bench is no test of this run. */
+  /** A bench entry describes a failed benchmark run, which is not part of {@code .ci/run}. */
   @Test
-  void aBenchEntryIsPrintedAndLeavesNoTestOut() throws Exception {
+  void aBenchEntryIsPrintedAndExcludesNoTest() throws Exception {
     String entry = "bench | score --day 4 seed 1 | drain broken | 35";
     Result result = run(entry + "\n", "NONE");
     assertEquals(0, result.exitCode(), result.output());
--- a/src/test/java/loomreel/program/ClientConnectionTest.java
+++ b/src/test/java/loomreel/program/ClientConnectionTest.java
@@ -11,15 +11,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Client connections that end early, or that have several requests at once. */
+/**
+ * Tests client connections that are closed before the response, and connections with pipelined
+ * requests.
+ */
 @Timeout(120)
 class ClientConnectionTest {
   @Test
-  void theJobOfADisconnectedClientIsCancelled() throws Exception {
+  void theRunningJobOfADisconnectedClientIsCancelledAtItsWorker() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit("/copy", "");
       program.worker(0).nextRequest().respond(202, "");
-      // The response to a status update shows that the 202 has been read.
+      // The dispatcher reads the 202 before it answers the status update.
       program.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
 
       job.connection().close();
@@ -30,7 +33,7 @@
   }
 
   @Test
-  void pipelinedRequestsAreAnsweredOneByOneInTheirOrder() throws Exception {
+  void pipelinedRequestsAreForwardedAndAnsweredOneAtATimeInOrder() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect()) {
       String[] ids = new String[3];
--- a/src/test/java/loomreel/program/ClientDisconnectTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -19,9 +19,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** After a client has closed or reset its connection, nothing more is started for its request. */
+/**
+ * Verifies that the dispatcher starts no further work for a request after its client has closed or
+ * reset the connection, and that it cancels a job that runs at a worker.
+ */
 @Timeout(120)
 class ClientDisconnectTest {
+  /** Closes a client connection: with a TCP reset if {@code reset}, else normally. */
   private static void disconnect(Socket client, boolean reset) throws IOException {
     if (reset) {
       client.setSoLinger(true, 0);
@@ -29,7 +33,10 @@
     client.close();
   }
 
-  /** Submits a job that its worker accepts, which the dispatcher has read. */
+  /**
+   * Submits a job that the worker accepts with status 202. The dispatcher has read the 202 when
+   * this method returns.
+   */
   private static SubmittedJob submitRunning(StepControlledServer server) throws Exception {
     SubmittedJob job = server.submit("/copy", "");
     server.worker(0).nextRequest().respond(202, "");
@@ -43,14 +50,17 @@
         "DELETE /jobs/" + job.id() + " HTTP/1.1", server.worker(0).nextRequest().startLine());
   }
 
-  /** Whether or not the deployment allows cancellation: the job has not been sent. */
+  /**
+   * The attempt ends without a request to the worker. This holds with and without support for
+   * cancellation at workers, because the job has not been sent.
+   */
   @ParameterizedTest
   @CsvSource({"false,false", "true,false", "false,true", "true,true"})
   void aJobIsNotSentOnAConnectionThatIsEstablishedAfterTheDisconnect(
       boolean reset, boolean cancellation) throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(1, new TestConfiguration().cancellation(cancellation));
-        StalledListener stalled = server.worker(0).stall()) {
+        StalledListener stalledWorker = server.worker(0).stall()) {
       SubmittedJob job = server.submit("/issue", "");
       assertEquals(job.id(), server.awaitStep(Step.ATTEMPT_STARTED).field("id"));
 
@@ -58,10 +68,10 @@
 
       ReachedStep end = server.awaitStep(Step.ATTEMPT_ENDED);
       assertEquals(job.id(), end.field("id"));
-      assertEquals("MOOT", end.field("outcome").toString(), "it never ran");
-      // The connection for the next job is established, and has that job.
+      assertEquals("MOOT", end.field("outcome").toString(), "the job must not run");
+      // The first request that reaches the worker is the next job.
       SubmittedJob next = server.submit("/copy", "");
-      HttpMessage first = HttpIo.read(stalled.nextConnection(HttpIo.TIMEOUT_MILLIS));
+      HttpMessage first = HttpIo.read(stalledWorker.nextConnection(HttpIo.TIMEOUT_MILLIS));
       assertEquals(next.id(), first.header("X-Call-Id"));
     }
   }
@@ -73,7 +83,7 @@
       SubmittedJob job = server.submit("/copy", "");
       int worker = server.awaitAttemptWorker();
       HttpMessage post = server.worker(worker).nextRequest();
-      try (StalledListener stalled = server.worker(1 - worker).stall()) {
+      try (StalledListener stalledWorker = server.worker(1 - worker).stall()) {
         post.connection().close();
         assertEquals(1 - worker, server.awaitAttemptWorker());
 
@@ -81,7 +91,7 @@
 
         server.awaitStep(Step.JOB_CANCELLED);
         SubmittedJob next = server.submit("/copy", "");
-        Socket connection = stalled.nextConnection(HttpIo.TIMEOUT_MILLIS);
+        Socket connection = stalledWorker.nextConnection(HttpIo.TIMEOUT_MILLIS);
         assertEquals(next.id(), HttpIo.read(connection).header("X-Call-Id"));
       }
     }
@@ -89,12 +99,12 @@
 
   @ParameterizedTest
   @ValueSource(ints = {20_000, 100_000, 250_000})
-  void aDisconnectIsNoticedBehindPipelinedInput(int size) throws Exception {
+  void aDisconnectAfterPipelinedInputCancelsTheJob(int minInputBytes) throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = submitRunning(server);
       String request = HttpIo.lines("POST /copy HTTP/1.1", "X-Padding: " + "x".repeat(500), "");
 
-      HttpIo.write(job.connection(), request.repeat(size / 500));
+      HttpIo.write(job.connection(), request.repeat(minInputBytes / 500));
       disconnect(job.connection(), false);
 
       assertEquals(job.id(), server.awaitStep(Step.JOB_CANCELLED).field("id"));
@@ -103,17 +113,17 @@
   }
 
   @Test
-  void endlessPipelinedInputEndsTheConnection() throws Exception {
+  void pipelinedInputBeyondTheDiscardLimitIsRejectedAndCancelsTheJob() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = submitRunning(server);
-      Thread flood = new Thread(() -> writeUntilClosed(job.connection()));
+      Thread writer = new Thread(() -> writeUntilClosed(job.connection()));
 
-      flood.start();
+      writer.start();
 
       assertEquals(413, job.response().status());
       assertCancelledAtWorker(server, job);
-      flood.join(HttpIo.TIMEOUT_MILLIS);
-      assertFalse(flood.isAlive(), "its input is not read for ever");
+      writer.join(HttpIo.TIMEOUT_MILLIS);
+      assertFalse(writer.isAlive(), "the dispatcher must stop reading the input");
     }
   }
 
@@ -127,9 +137,12 @@
     }
   }
 
-  /** Input beyond the limit costs the connection, and not the request before it. */
+  /**
+   * The dispatcher discards pipelined input beyond its buffer limit. It still answers the current
+   * request, and closes the connection with that response.
+   */
   @Test
-  void aRequestIsAnsweredHoweverMuchInputFollowsIt() throws Exception {
+  void aRequestIsAnsweredIfPipelinedInputExceedsTheBuffer() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       server.worker(0).nextRequest().respond(202, "");
@@ -144,10 +157,13 @@
     }
   }
 
-  /** A process without CPU time finds the request and the disconnect at once. */
+  /**
+   * A dispatcher that gets no CPU time for a while reads the request and the disconnect in the same
+   * iteration of its event loop. The test pauses the loop to reproduce this.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aRequestThatIsReadAfterTheDisconnectIsNotServed(boolean withPipelinedInput)
+  void aRequestThatIsReadTogetherWithTheDisconnectIsNotServed(boolean withPipelinedInput)
       throws Exception {
     try (StepControlledServer server = new StepControlledServer(1);
         Socket client = server.connect()) {
@@ -168,11 +184,11 @@
   }
 
   @Test
-  void ofABurstOnlyTheJobsOfConnectedClientsAreSent() throws Exception {
+  void onlyWaitingJobsOfConnectedClientsAreSent() throws Exception {
     TestConfiguration configuration =
         new TestConfiguration().cancellation(false).connectTimeoutSeconds(20);
     try (StepControlledServer server = new StepControlledServer(1, configuration);
-        StalledListener stalled = server.worker(0).stall()) {
+        StalledListener stalledWorker = server.worker(0).stall()) {
       SubmittedJob[] jobs = new SubmittedJob[4];
       for (int i = 0; i < jobs.length; i++) {
         jobs[i] = server.submit("/copy/" + i, "");
@@ -187,7 +203,7 @@
       }
 
       for (int i = 1; i < jobs.length; i += 2) {
-        Socket connection = stalled.nextConnection(HttpIo.TIMEOUT_MILLIS);
+        Socket connection = stalledWorker.nextConnection(HttpIo.TIMEOUT_MILLIS);
         String target = HttpIo.read(connection).startLine();
         int number = Integer.parseInt(target.replaceAll("POST /copy/(\\d) .*", "$1"));
         assertEquals(1, number % 2, target);
--- a/src/test/java/loomreel/program/CommandLineTest.java
+++ b/src/test/java/loomreel/program/CommandLineTest.java
@@ -19,9 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The commands of the program: their exit codes, their messages, and the classes they load. */
+/** Tests the commands of the program: exit codes, messages, and the classes that are loaded. */
 @Timeout(120)
 class CommandLineTest {
+  /** A configuration that {@code serve} accepts. No service listens at the discovery address. */
   private static final String CONFIGURATION =
       """
       {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":192,"sockets":1024},
@@ -31,28 +32,35 @@
 
   @TempDir private Path directory;
 
-  /** Starts a command of the program with these JVM flags. */
-  private Process run(List<String> flags, String... command) throws IOException {
+  /**
+   * Starts a command of the program in a JVM with the given flags. Standard output and standard
+   * error are merged.
+   */
+  private Process startCommand(List<String> flags, String... command) throws IOException {
     ProcessBuilder builder =
         new ProcessBuilder(ProgramCommand.program(flags, command)).redirectErrorStream(true);
-    builder.environment().put("BALANCER_CONFIG", file("configuration.json", CONFIGURATION));
+    builder.environment().put("BALANCER_CONFIG", writeFile("configuration.json", CONFIGURATION));
     return builder.start();
   }
 
-  private String file(String name, String text) throws IOException {
+  /** Writes a file in the temporary directory and returns its path. */
+  private String writeFile(String name, String text) throws IOException {
     return Files.writeString(directory.resolve(name), text).toString();
   }
 
-  /** The exit code of a process, and its output on the following lines. */
-  private static String outcome(Process process) throws Exception {
+  /**
+   * Waits until a process exits. Returns the exit code on the first line and the output on the
+   * following lines.
+   */
+  private static String awaitOutcome(Process process) throws Exception {
     String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     return process.waitFor() + "\n" + text;
   }
 
   @Test
-  void allFaultsOfASettingsFileAreReported() throws Exception {
-    String bad =
-        file(
+  void allErrorsOfASettingsFileAreReported() throws Exception {
+    String settingsFile =
+        writeFile(
             "bad.cue",
             """
             name: "n"
@@ -62,7 +70,7 @@
             limits: attempts: 5
             """);
     for (String command : new String[] {"check", "daemon"}) {
-      String outcome = outcome(run(List.of(), command, bad));
+      String outcome = awaitOutcome(startCommand(List.of(), command, settingsFile));
       assertTrue(outcome.startsWith("2\n"), outcome);
       assertTrue(outcome.contains("bad.cue:2:15: listen.http:"), outcome);
       assertTrue(outcome.contains("bad.cue:5:19: limits.attempts:"), outcome);
@@ -71,23 +79,23 @@
 
   @Test
   void theSampleSettingsFileIsValid() throws Exception {
-    String outcome = outcome(run(List.of(), "check", "deploy/loomreel.cue"));
+    String outcome = awaitOutcome(startCommand(List.of(), "check", "deploy/loomreel.cue"));
     assertTrue(outcome.startsWith("0\n"), outcome);
   }
 
   @Test
   void aMissingSettingsFileIsReported() throws Exception {
-    String outcome = outcome(run(List.of(), "check", "nowhere.cue"));
+    String outcome = awaitOutcome(startCommand(List.of(), "check", "nowhere.cue"));
     assertTrue(outcome.contains("there is no such file"), outcome);
   }
 
   @Test
-  void anUnknownClassOfAQueueIsReported() throws Exception {
+  void anUnknownRequestClassOfAQueueIsReported() throws Exception {
     String features =
-        file(
+        writeFile(
             "features.cue",
             "faktory: {listen: \"127.0.0.1:0\", queues: q: class: \"issue\", spool: \"none\"}\n");
-    String outcome = outcome(run(List.of(), "serve", "--settings", features));
+    String outcome = awaitOutcome(startCommand(List.of(), "serve", "--settings", features));
     assertTrue(outcome.startsWith("2\n"), outcome);
     assertTrue(outcome.contains("faktory.queues.q.class: no class is called issue"), outcome);
   }
@@ -101,7 +109,7 @@
         "{\"listen\":\"nowhere\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\"}"
       })
   void aBadConfigurationIsReportedInOneLine(String configuration) throws Exception {
-    Path file = Path.of(file("bad.json", configuration));
+    Path file = Path.of(writeFile("bad.json", configuration));
     for (String command : new String[] {"serve", "check-config"}) {
       Process process = ProgramCommand.of(file, command, "").start();
       String errors = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -111,7 +119,7 @@
     }
   }
 
-  /** Scripts may have the names of earlier versions. */
+  /** Existing scripts may use the command names of earlier versions. */
   @ParameterizedTest
   @CsvSource({
     "benchlink, simulate",
@@ -121,24 +129,27 @@
     "tally, trace-summary"
   })
   void aCommandIsFoundByItsFormerName(String formerName, String name) throws Exception {
-    String outcome = outcome(run(List.of(), "help", formerName));
+    String outcome = awaitOutcome(startCommand(List.of(), "help", formerName));
     assertTrue(outcome.startsWith("0\nUsage: loomreel " + name), outcome);
   }
 
-  /** The class archive is made from its run: a start, jobs of every kind, and a shutdown. */
+  /**
+   * The build creates the class archive (CDS) from the classes that this command loads. The command
+   * starts a dispatcher, sends it jobs of every kind, and shuts it down.
+   */
   @Test
-  void theClassArchiveTrainingServesItsJobsAndEnds() throws Exception {
-    String outcome = outcome(run(List.of(), "rehearse"));
+  void classArchiveTrainingServesAllJobsAndExits() throws Exception {
+    String outcome = awaitOutcome(startCommand(List.of(), "rehearse"));
     assertTrue(
         outcome.startsWith("0\n") && outcome.contains("accepted=40 served=40 rejected=0 failed=0"),
         outcome);
   }
 
-  /** The build makes the archive, which may have failed. */
+  /** The class archive is missing if the build could not create it. */
   @Test
-  void aDispatcherWithoutAClassArchiveServes() throws Exception {
+  void aDispatcherWithoutAClassArchiveListensForClients() throws Exception {
     String missing = directory.resolve("none.jsa").toString();
-    Process process = run(List.of("-XX:SharedArchiveFile=" + missing), "serve");
+    Process process = startCommand(List.of("-XX:SharedArchiveFile=" + missing), "serve");
     try (BufferedReader lines = process.inputReader()) {
       assertTrue(
           lines.lines().anyMatch(l -> l.contains("listening for clients")), "it never listened");
@@ -147,22 +158,30 @@
     }
   }
 
-  /** Neither disabled features nor the command-line parser: both would make the start slow. */
+  /**
+   * The classes of disabled features and of the command-line parser are not loaded, because loading
+   * them would slow down the start.
+   */
   @Test
   void classesOfDisabledFeaturesAreNotLoaded() throws Exception {
     assertEquals(List.of(), loadedOptionalClasses(List.of("serve")));
     String features =
-        file(
+        writeFile(
             "features.cue",
             "faktory: {listen: \"127.0.0.1:0\", queues: q: class: \"copy\", spool: \"none\"}\n");
     assertFalse(
         loadedOptionalClasses(List.of("serve", "--settings", features)).isEmpty(),
-        "classes of an enabled feature are found");
+        "classes of an enabled feature must be found");
   }
 
-  /** The classes of optional features that a command loads until it listens. */
+  /**
+   * Starts a command and returns the class-loading log lines of optional classes up to the moment
+   * at which it listens for clients. Optional classes are those of optional features, and those of
+   * the libraries that only these features and the command-line parser use.
+   */
   private List<String> loadedOptionalClasses(List<String> command) throws Exception {
-    Process process = run(List.of("-Xlog:class+load:stdout"), command.toArray(String[]::new));
+    Process process =
+        startCommand(List.of("-Xlog:class+load:stdout"), command.toArray(String[]::new));
     List<String> loaded = new ArrayList<>();
     try (BufferedReader lines = process.inputReader()) {
       String line = lines.readLine();
