--- a/src/test/java/loomreel/program/CommandLineTest.java
+++ b/src/test/java/loomreel/program/CommandLineTest.java
@@ -134,7 +134,7 @@
   }
 
   /**
-   * The build creates the class archive (CDS) from the classes that this command loads. The command
+   * The build records the class data sharing archive while this command runs. The command
    * starts a dispatcher, sends it jobs of every kind, and shuts it down.
    */
   @Test
@@ -152,7 +152,8 @@
     Process process = startCommand(List.of("-XX:SharedArchiveFile=" + missing), "serve");
     try (BufferedReader lines = process.inputReader()) {
       assertTrue(
-          lines.lines().anyMatch(l -> l.contains("listening for clients")), "it never listened");
+          lines.lines().anyMatch(line -> line.contains("listening for clients")),
+          "the process never listened");
     } finally {
       process.destroyForcibly().waitFor();
     }
@@ -176,8 +177,8 @@
 
   /**
    * Starts a command and returns the class-loading log lines of optional classes up to the moment
-   * at which it listens for clients. Optional classes are those of optional features, and those of
-   * the libraries that only these features and the command-line parser use.
+   * at which it listens for clients. Optional classes belong to optional features, to the libraries
+   * of these features, or to the command-line parser.
    */
   private List<String> loadedOptionalClasses(List<String> command) throws Exception {
     Process process =
@@ -195,7 +196,7 @@
         }
         line = lines.readLine();
       }
-      assertTrue(line != null, "it never listened");
+      assertTrue(line != null, "the process never listened");
     } finally {
       process.destroyForcibly().waitFor();
     }
--- a/src/test/java/loomreel/program/ConfigurationReloadTest.java
+++ b/src/test/java/loomreel/program/ConfigurationReloadTest.java
@@ -19,10 +19,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** SIGHUP: a new address of discovery is applied, and any other change is rejected. */
+/**
+ * Tests the configuration reload on SIGHUP. A new discovery address is applied. A configuration
+ * that cannot be read, or with a change that requires a restart, is rejected.
+ */
 @Timeout(120)
 class ConfigurationReloadTest {
-  /** A change that needs a restart, and the field that the log names. */
+  /**
+   * A configuration change that requires a restart, with the field name that the log line of the
+   * rejected reload contains.
+   */
   private enum RestartOnlyChange {
     CLASS_NAME("settings"),
     POLL_INTERVAL("settings"),
@@ -49,11 +55,14 @@
   }
 
   /**
-   * The list of the new discovery applies even with a lower sequence number. A JVM without a
-   * handler for SIGHUP would end at the signal, with another exit code.
+   * The endpoint list of the new discovery service applies even if its sequence number is lower
+   * than that of the last applied list.
+   *
+   * <p>At the end the test sends SIGHUP and SIGTERM, and expects the exit code of SIGTERM, 143. A
+   * JVM without a handler for SIGHUP would exit at that signal, with another exit code.
    */
   @Test
-  void aReloadMovesTheWatchAtOnce() throws Exception {
+  void aReloadWithANewDiscoveryAddressMovesTheWatchImmediately() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/copy", "");
       HttpMessage watch = program.discovery().nextRequest();
@@ -61,12 +70,12 @@
       for (int sequence : new int[] {7, 3}) {
         try (StubHttpServer previous = program.moveDiscovery()) {
           previous.awaitClosed(watch.connection());
-          HttpMessage complete = program.discovery().nextRequest();
-          assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
+          HttpMessage fullListRequest = program.discovery().nextRequest();
+          assertEquals("GET /registry/instances HTTP/1.1", fullListRequest.startLine());
           Health first = sequence == 7 ? Health.SERVING : Health.DRAINING;
           program
               .endpointList(sequence, Extent.COMPLETE, first, Health.SERVING)
-              .respondTo(complete);
+              .respondTo(fullListRequest);
           watch = program.discovery().nextRequest();
           assertTrue(watch.startLine().contains("?from=" + sequence + "&"), watch.startLine());
           assertFalse(previous.hasPendingRequest());
@@ -84,28 +93,32 @@
     }
   }
 
-  /** The file may be of another deployment: neither its settings nor its discovery apply. */
+  /**
+   * A file with a change that requires a restart may belong to another deployment. For this reason
+   * its discovery address is not applied either.
+   */
   @ParameterizedTest
   @EnumSource(RestartOnlyChange.class)
-  void aReloadThatNeedsARestartIsRejectedAsAWhole(RestartOnlyChange change) throws Exception {
+  void aReloadThatRequiresARestartIsRejectedCompletely(RestartOnlyChange change) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
-        StubHttpServer other = new StubHttpServer()) {
+        StubHttpServer otherDiscovery = new StubHttpServer()) {
       HttpMessage watch = program.discovery().nextRequest();
 
-      TestConfiguration moved = program.configuration().discoveryAddress(other.address());
-      program.reload(change.applyTo(moved).toJson());
+      TestConfiguration movedConfiguration =
+          program.configuration().discoveryAddress(otherDiscovery.address());
+      program.reload(change.applyTo(movedConfiguration).toJson());
 
       String logged = program.awaitLog("configuration reload rejected");
       String reason =
           "the old configuration stays reason=restart required to change " + change.field;
       assertTrue(logged.endsWith(reason), logged);
       assertServesAsBefore(program, watch, "/issue");
-      assertFalse(other.hasPendingRequest());
+      assertFalse(otherDiscovery.hasPendingRequest());
     }
   }
 
   @Test
-  void anInvalidConfigurationChangesNothing() throws Exception {
+  void aReloadOfAnInvalidConfigurationIsRejected() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       HttpMessage watch = program.discovery().nextRequest();
 
@@ -117,6 +130,11 @@
     }
   }
 
+  /**
+   * Checks that the previous configuration is still in use. The dispatcher applies the response to
+   * its pending poll, polls the same discovery service again from sequence number 42, and serves a
+   * job.
+   */
   private static void assertServesAsBefore(
       DispatcherProcess program, HttpMessage watch, String path) throws Exception {
     program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(watch);
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -22,41 +22,47 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Input that arrives at the very moment at which the dispatcher closes a client connection. */
+/** Tests input that arrives while the dispatcher closes a client connection. */
 @Timeout(120)
 class ConnectionCloseRaceTest {
-  /** With this limit clients may have 24 connections, 8 of them idle. */
-  private static final int DESCRIPTORS = 64;
+  /**
+   * The descriptor limit of the dispatcher under test. It permits {@link #MAX_CLIENT_CONNECTIONS}
+   * client connections, of which {@link #MAX_IDLE_CONNECTIONS} may be idle.
+   */
+  private static final int DESCRIPTOR_LIMIT = 64;
 
-  private static final int CLIENT_CONNECTIONS = 24;
-  private static final int IDLE_CONNECTIONS = 8;
+  private static final int MAX_CLIENT_CONNECTIONS = 24;
+  private static final int MAX_IDLE_CONNECTIONS = 8;
 
-  /** Why the dispatcher closes a connection between two requests. */
+  /** The reason for which the dispatcher closes a connection between two requests. */
   private enum CloseReason {
     SHUTDOWN,
-    /** More connections are idle than may be. */
+    /** The number of idle connections exceeds the limit. */
     IDLE_LIMIT,
-    /** No request was received on it, and others connect. */
+    /** The client has sent no request, and the number of connections approaches its limit. */
     CONNECTION_LIMIT
   }
 
   private static StepControlledServer start() throws Exception {
-    return new StepControlledServer(1, new TestConfiguration().descriptorLimit(DESCRIPTORS));
+    return new StepControlledServer(1, new TestConfiguration().descriptorLimit(DESCRIPTOR_LIMIT));
   }
 
-  /** A connection between two requests, and the further ones that have it closed. */
-  private static final class ClosedClient implements AutoCloseable {
+  /**
+   * A client whose connection the dispatcher closes between two requests, and the additional
+   * connections that make the dispatcher close it.
+   */
+  private static final class CloseCandidate implements AutoCloseable {
     private final StepControlledServer server;
     private final List<Socket> others = new ArrayList<>();
     private final Socket connection;
 
-    ClosedClient(StepControlledServer server) throws IOException {
+    CloseCandidate(StepControlledServer server) throws IOException {
       this.server = server;
       connection = server.connect();
     }
 
-    /** Makes the connection ready to be closed, and has the server close it. */
-    void haveClosed(CloseReason reason) throws Exception {
+    /** Prepares the connection for the close reason and makes the dispatcher close it. */
+    void triggerClose(CloseReason reason) throws Exception {
       if (reason != CloseReason.CONNECTION_LIMIT) {
         SubmittedJob job = server.submit(connection, "/copy", 20_000, "");
         server.serveNextJob(0, "first");
@@ -67,7 +73,7 @@
         case SHUTDOWN -> server.requestShutdown();
         case IDLE_LIMIT -> addIdleConnections();
         case CONNECTION_LIMIT -> {
-          for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
+          for (int i = 0; i < MAX_CLIENT_CONNECTIONS; i++) {
             others.add(server.connect());
           }
         }
@@ -75,7 +81,7 @@
     }
 
     private void addIdleConnections() throws IOException {
-      for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+      for (int i = 0; i < MAX_IDLE_CONNECTIONS; i++) {
         Socket other = server.connect();
         others.add(other);
         HttpIo.write(other, DispatcherHarness.READINESS_HEAD + "\r\n");
@@ -91,48 +97,56 @@
     }
   }
 
-  /** The request arrived before the output is shut, and counts as accepted. */
+  /** A request that arrives before the output side is shut down counts as accepted. */
   @ParameterizedTest
   @EnumSource(CloseReason.class)
   void aRequestThatArrivesJustBeforeTheCloseIsServed(CloseReason reason) throws Exception {
     try (StepControlledServer server = start();
-        ClosedClient client = new ClosedClient(server)) {
-      SubmittedJob[] racing = new SubmittedJob[1];
+        CloseCandidate client = new CloseCandidate(server)) {
+      SubmittedJob[] racingJob = new SubmittedJob[1];
       server.onStep(
           Step.IDLE_CONNECTION_CLOSING,
-          () -> racing[0] = server.submit(client.connection, "/copy", 20_000, ""));
+          () -> racingJob[0] = server.submit(client.connection, "/copy", 20_000, ""));
 
-      client.haveClosed(reason);
+      client.triggerClose(reason);
 
       server.awaitStep(Step.IDLE_CONNECTION_CLOSING);
       server.serveNextJob(0, "racing");
-      assertEquals("racing", racing[0].response().body());
+      assertEquals("racing", racingJob[0].response().body());
     }
   }
 
-  /** The client has to send the request again: it is read and discarded. */
+  /**
+   * The dispatcher reads and discards a request that arrives after the output side is shut down.
+   * The client has to send the request again.
+   */
   @ParameterizedTest
   @EnumSource(CloseReason.class)
-  void aRequestThatArrivesAfterTheCloseIsNotForwarded(CloseReason reason) throws Exception {
+  void aRequestThatArrivesAfterTheOutputIsShutDownIsNotForwarded(CloseReason reason)
+      throws Exception {
     try (StepControlledServer server = start();
-        ClosedClient client = new ClosedClient(server)) {
+        CloseCandidate client = new CloseCandidate(server)) {
       server.onStep(
           Step.OUTPUT_SHUT, () -> server.submit(client.connection, "/copy/racing", 20_000, ""));
 
-      client.haveClosed(reason);
+      client.triggerClose(reason);
 
       server.awaitStep(Step.OUTPUT_SHUT);
-      assertNull(HttpIo.read(client.connection), "an end of input, and no reset");
-      // The client stays connected: the job of a disconnected one would not be forwarded either.
+      assertNull(HttpIo.read(client.connection), "expected an end of input without a reset");
+      // The client is still connected. A job of a disconnected client would not be forwarded in any
+      // case, so the check would prove nothing.
       server.awaitPendingInputRead();
       assertFalse(server.worker(0).hasPendingRequest());
       client.connection.close();
     }
   }
 
-  /** A reset would discard the response that was just written. */
+  /**
+   * Input that arrives after the last response must not make the dispatcher reset the connection. A
+   * reset would discard the response before the client has read it.
+   */
   @Test
-  void theLastResponseIsReceivedWhateverArrivesBehindIt() throws Exception {
+  void theLastResponseIsReceivedIfFurtherInputArrivesAfterIt() throws Exception {
     try (StepControlledServer server = start()) {
       SubmittedJob job = server.submit("/copy", "");
       server.onStep(
@@ -148,12 +162,13 @@
     }
   }
 
+  /** The partial request is a job, or the status update that completes another job. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aPartialRequestAtAShutdownIsCompleted(boolean isStatusUpdate) throws Exception {
+  void aPartialRequestAtAShutdownIsReadAndServed(boolean isStatusUpdate) throws Exception {
     try (StepControlledServer server = start();
-        Socket partial = server.connect();
-        Socket idle = server.connect()) {
+        Socket partialConnection = server.connect();
+        Socket idleConnection = server.connect()) {
       SubmittedJob job = server.submit("/copy", "");
       server.worker(0).nextRequest().respond(202, "");
       String request =
@@ -162,19 +177,21 @@
               : DispatcherHarness.jobRequest("/copy/partial", "00000000000000dd", 9000, "", "");
       server.awaitPendingInputRead();
 
-      // The connection that was opened first is the first to be closed.
+      // The dispatcher closes the connection that was opened first before the others, so the step
+      // is that of partialConnection.
       server.onStep(
-          Step.IDLE_CONNECTION_CLOSING, () -> HttpIo.write(partial, request.substring(0, 30)));
+          Step.IDLE_CONNECTION_CLOSING,
+          () -> HttpIo.write(partialConnection, request.substring(0, 30)));
       server.requestShutdown();
-      assertNull(HttpIo.read(idle));
-      HttpIo.write(partial, request.substring(30));
+      assertNull(HttpIo.read(idleConnection));
+      HttpIo.write(partialConnection, request.substring(30));
 
       if (isStatusUpdate) {
-        assertEquals(200, HttpIo.read(partial).status());
+        assertEquals(200, HttpIo.read(partialConnection).status());
       } else {
         assertEquals("POST /copy/partial HTTP/1.1", server.worker(0).nextRequest().startLine());
         server.reportDone("00000000000000dd", "w0", "partial");
-        assertEquals("partial", HttpIo.read(partial).body());
+        assertEquals("partial", HttpIo.read(partialConnection).body());
         server.reportDone(job.id(), "w0", "r");
       }
       assertEquals("r", job.response().body());
@@ -186,16 +203,19 @@
     return HttpIo.withBody(DispatcherHarness.STATUS_UPDATE_HEAD, body);
   }
 
-  /** The end of the process resets connections that are not closed. */
+  /**
+   * The exit of a process resets connections that are still open, so the dispatcher waits for its
+   * clients to disconnect.
+   */
   @Test
-  void theProcessEndsAfterItsClientsHaveDisconnected() throws Exception {
+  void theLoopStopsAfterAllClientsHaveDisconnected() throws Exception {
     try (StepControlledServer server = start()) {
       SubmittedJob job = server.submit("/copy", "");
       server.serveNextJob(0, "r");
       assertEquals("r", job.response().body());
       AtomicBoolean disconnected = new AtomicBoolean();
-      AtomicBoolean endedBefore = new AtomicBoolean();
-      server.onStep(Step.LOOP_STOPPED, () -> endedBefore.set(!disconnected.get()));
+      AtomicBoolean stoppedBeforeDisconnect = new AtomicBoolean();
+      server.onStep(Step.LOOP_STOPPED, () -> stoppedBeforeDisconnect.set(!disconnected.get()));
 
       server.requestShutdown();
       server.requestShutdown();
@@ -204,12 +224,12 @@
       job.connection().close();
 
       server.awaitStep(Step.LOOP_STOPPED);
-      assertFalse(endedBefore.get(), "it ended while a client was connected");
+      assertFalse(stoppedBeforeDisconnect.get(), "the loop stopped while a client was connected");
       assertTrue(server.awaitLoopEnd());
     }
   }
 
-  /** The platform counts the time to the end from the first request. */
+  /** The platform measures the time until the exit from the first shutdown request. */
   @Test
   void aSecondShutdownRequestChangesNothing() throws Exception {
     try (StepControlledServer server = start()) {
--- a/src/test/java/loomreel/program/ConnectionLimitTest.java
+++ b/src/test/java/loomreel/program/ConnectionLimitTest.java
@@ -17,25 +17,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients at the limit of descriptors, or beyond what is fair to the others. */
+/**
+ * Tests the limits on client connections: the descriptor limit, the limit on idle connections, and
+ * the pause after each rejected request.
+ */
 @Timeout(120)
 class ConnectionLimitTest {
-  private static DispatcherProcess withDescriptorLimit(int descriptors) throws IOException {
-    return new DispatcherProcess(1, new TestConfiguration().descriptorLimit(descriptors));
+  private static DispatcherProcess startWithDescriptorLimit(int descriptorLimit)
+      throws IOException {
+    return new DispatcherProcess(1, new TestConfiguration().descriptorLimit(descriptorLimit));
   }
 
-  /** Without status updates no job would end. */
+  /**
+   * The dispatcher keeps descriptors free for status updates, because no job ends without a status
+   * update. A descriptor limit of 52 permits 11 jobs at a time.
+   */
   @Test
-  void clientsAtTheLimitDoNotKeepStatusUpdatesOut() throws Exception {
-    try (DispatcherProcess program = withDescriptorLimit(52)) {
+  void statusUpdatesAreAcceptedWhenClientsHaveReachedTheJobLimit() throws Exception {
+    try (DispatcherProcess program = startWithDescriptorLimit(52)) {
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 11; i++) {
         jobs.add(program.submit("/copy", ""));
       }
-      // Once a later request is answered, all of these have been read, in whatever order.
+      // When this later request is answered, the dispatcher has read all the jobs, in any order.
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\n", "").status());
 
-      assertEquals(503, program.submit("/copy", "").response().status(), "beyond the limit");
+      assertEquals(503, program.submit("/copy", "").response().status(), "job beyond the limit");
 
       for (int i = 0; i < jobs.size(); i++) {
         program.serveNextJob(0, "served");
@@ -50,27 +57,31 @@
   }
 
   @Test
-  void connectionsWithoutACompleteRequestDoNotEvictClientsWithJobs() throws Exception {
-    try (DispatcherProcess program = withDescriptorLimit(64)) {
+  void connectionsWithoutACompleteRequestDoNotEvictAClientThatSentAJob() throws Exception {
+    try (DispatcherProcess program = startWithDescriptorLimit(64)) {
       SubmittedJob first = program.submit("/copy", "");
       program.serveNextJob(0, "first");
       assertEquals("first", first.response().body());
 
-      List<Socket> silent = new ArrayList<>();
+      List<Socket> unprovenConnections = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
-        silent.add(program.connect());
-        HttpIo.write(silent.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
+        unprovenConnections.add(program.connect());
+        HttpIo.write(unprovenConnections.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
       }
 
       SubmittedJob second = program.submit(first.connection(), "/copy", 20_000, "");
       program.serveNextJob(0, "second");
       assertEquals("second", second.response().body());
-      for (Socket socket : silent) {
-        assertTrue(isClosedOrTimedOut(socket), "it is closed, with or without a 408");
+      for (Socket socket : unprovenConnections) {
+        assertTrue(isClosedOrTimedOut(socket), "must be closed, with or without a 408");
       }
     }
   }
 
+  /**
+   * Closes a client connection and returns whether the dispatcher had closed or reset it, or
+   * answered with 408 (request timeout).
+   */
   private static boolean isClosedOrTimedOut(Socket socket) throws IOException {
     try (socket) {
       HttpMessage response = HttpIo.read(socket);
@@ -80,9 +91,10 @@
     }
   }
 
+  /** A descriptor limit of 64 permits 8 idle connections, and the test leaves 10 idle. */
   @Test
-  void theLongestIdleConnectionsAreClosed() throws Exception {
-    try (DispatcherProcess program = withDescriptorLimit(64)) {
+  void theLongestIdleConnectionsAreClosedBeyondTheIdleLimit() throws Exception {
+    try (DispatcherProcess program = startWithDescriptorLimit(64)) {
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         jobs.add(program.submit("/copy", ""));
@@ -99,17 +111,18 @@
   }
 
   @Test
-  void aClientThatRepeatsBadRequestsIsThrottled() throws Exception {
+  void aClientThatRepeatsRejectedRequestsIsThrottled() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect()) {
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
 
       HttpIo.write(client, "GET /nowhere HTTP/1.1\r\n\r\n".repeat(5));
       for (int i = 0; i < 5; i++) {
         assertEquals(404, HttpIo.read(client).status());
       }
 
-      assertTrue(System.nanoTime() - start >= 400_000_000, "four pauses of 0.1 s at least");
+      assertTrue(
+          System.nanoTime() - startNanos >= 400_000_000, "expected at least four pauses of 0.1 s");
     }
   }
 }
--- a/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -19,20 +19,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Connections to workers that are established when their job may no longer be sent. */
+/**
+ * Tests jobs that wait for a connection to a worker and that the dispatcher may no longer send to
+ * this worker when the connection is established.
+ */
 @Timeout(120)
 class DelayedWorkerConnectionTest {
-  /** A job that is not sent leaves no connection within this time. */
-  private static final int NO_CONNECTION_MILLIS = 100;
+  /** The time, in milliseconds, for which a test checks that no connection arrives. */
+  private static final int NO_CONNECTION_WAIT_MILLIS = 100;
 
-  /** How an endpoint list takes the first of two workers out of use. */
+  /** The way in which an endpoint list takes the first of two workers out of service. */
   private enum Removal {
     DRAINING,
     DELETED,
-    /** A complete list does not have it. */
+    /** The list is complete and does not contain the worker. */
     MISSING;
 
-    EndpointList list(DispatcherHarness harness) {
+    /** Creates the endpoint list, with sequence number 43. The second worker serves. */
+    EndpointList createList(DispatcherHarness harness) {
       if (this == MISSING) {
         return new EndpointList(43, Extent.COMPLETE)
             .with("w1", harness.worker(1).address(), Health.SERVING);
@@ -41,51 +45,61 @@
     }
   }
 
-  /** Connections may take longer than any test. */
-  private static TestConfiguration longConnectTimeout() {
+  /**
+   * Creates a configuration with a connect timeout of 25 s, so that no attempt to connect times out
+   * during a test.
+   */
+  private static TestConfiguration configurationWithLongConnectTimeout() {
     return new TestConfiguration().connectTimeoutSeconds(25);
   }
 
-  /** At the start the first worker serves, and the second one drains. */
-  private static StepControlledServer startWithFirstWorker() throws Exception {
+  /** Starts a dispatcher with two workers: w0 serves, and w1 drains. */
+  private static StepControlledServer startWithFirstWorkerServing() throws Exception {
     return new StepControlledServer(
-        2, longConnectTimeout().knownHealth(Health.SERVING, Health.DRAINING));
+        2, configurationWithLongConnectTimeout().knownHealth(Health.SERVING, Health.DRAINING));
   }
 
-  /** Submits a job whose attempt at the first worker waits for its connection. */
+  /**
+   * Submits a job and waits until its attempt at the first worker has started. The listener of this
+   * worker is stalled, so the attempt waits for its connection.
+   */
   private static SubmittedJob submitToFirstWorker(StepControlledServer server) throws Exception {
     SubmittedJob job = server.submit("/issue", "");
     assertEquals("w0", server.awaitStep(Step.ATTEMPT_STARTED).field("worker"));
     return job;
   }
 
+  /** Checks that the second worker serves the job and that the first worker gets no connection. */
   private static void assertServedBySecondWorker(
       StepControlledServer server, SubmittedJob job, StalledListener firstWorker) throws Exception {
     server.serveNextJob(1, "elsewhere");
     assertEquals("elsewhere", job.response().body());
-    assertNull(firstWorker.nextConnection(NO_CONNECTION_MILLIS), "nothing is sent there");
+    assertNull(firstWorker.nextConnection(NO_CONNECTION_WAIT_MILLIS), "nothing is sent there");
   }
 
-  /** The grace of a drain runs from the endpoint list on, and the connection may outlast it. */
+  /**
+   * The grace period of a drain starts when the endpoint list is received, and the connection
+   * attempt may last longer than the grace period. The dispatcher does not wait for the connection.
+   */
   @ParameterizedTest
   @EnumSource(Removal.class)
-  void anUnsentJobOfADrainingWorkerGoesToAnotherWorker(Removal removal) throws Exception {
-    try (StepControlledServer server = startWithFirstWorker();
-        StalledListener stalled = server.worker(0).stall()) {
+  void anUnsentJobOfARemovedOrDrainingWorkerGoesToAnotherWorker(Removal removal) throws Exception {
+    try (StepControlledServer server = startWithFirstWorkerServing();
+        StalledListener stalledWorker = server.worker(0).stall()) {
       SubmittedJob job = submitToFirstWorker(server);
 
-      removal.list(server).respondTo(server.discovery().nextRequest());
+      removal.createList(server).respondTo(server.discovery().nextRequest());
 
       assertEquals(
           "MOOT", server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(), "not sent");
-      assertServedBySecondWorker(server, job, stalled);
+      assertServedBySecondWorker(server, job, stalledWorker);
     }
   }
 
   @Test
   void anUnsentJobOfADisabledWorkerGoesToAnotherWorker() throws Exception {
-    try (StepControlledServer server = startWithFirstWorker();
-        StalledListener stalled = server.worker(0).stall()) {
+    try (StepControlledServer server = startWithFirstWorkerServing();
+        StalledListener stalledWorker = server.worker(0).stall()) {
       SubmittedJob job = submitToFirstWorker(server);
       server
           .endpointList(43, Extent.CHANGES, Health.SERVING, Health.SERVING)
@@ -94,18 +108,19 @@
 
       server.disableWorker("w0");
 
-      assertServedBySecondWorker(server, job, stalled);
+      assertServedBySecondWorker(server, job, stalledWorker);
     }
   }
 
   /**
-   * Workers recognise a repetition by its key for 0.8 s, and the client waits for 20 s: a retry is
-   * sent within the window or never, and the job fails at once.
+   * Workers recognise a repeated job by its idempotency key for 0.8 s (the deduplication window). A
+   * retry is sent within this window or not at all. When the window has passed, the job fails at
+   * once, although the client would wait for 20 s.
    */
   @Test
   void aRetryThatCannotBeSentWithinTheDeduplicationWindowFails() throws Exception {
     TestConfiguration configuration =
-        longConnectTimeout()
+        configurationWithLongConnectTimeout()
             .requestClasses(RequestClass.hold(0.8), RequestClass.copy(), RequestClass.issue());
     try (StepControlledServer server = new StepControlledServer(2, configuration)) {
       SubmittedJob job = server.submitWithKey("/hold/1", "a-key");
@@ -113,7 +128,7 @@
       HttpMessage post = server.worker(worker).nextRequest();
       assertEquals("a-key", post.header("Idempotency-Key"));
 
-      try (StalledListener stalled = server.worker(1 - worker).stall()) {
+      try (StalledListener stalledWorker = server.worker(1 - worker).stall()) {
         post.connection().close();
 
         assertEquals(1 - worker, server.awaitAttemptWorker());
@@ -123,7 +138,8 @@
             "not sent");
         server.awaitStep(Step.JOB_FAILED);
         assertEquals(500, job.response().status());
-        assertNull(stalled.nextConnection(NO_CONNECTION_MILLIS), "nothing is sent there");
+        assertNull(
+            stalledWorker.nextConnection(NO_CONNECTION_WAIT_MILLIS), "nothing is sent there");
       }
     }
   }
--- a/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
+++ b/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
@@ -22,35 +22,38 @@
 import org.junit.jupiter.api.condition.OS;
 
 /**
- * The sockets and child processes of the program with the JVM flags of {@code run} in {@code
- * deploy/balancer.toml}. The full fleet's platform refuses sockets other than TCP and UDP over
- * IPv4, and other programs (STANDING, "The bench's clock"). They are read from {@code /proc} while
- * an old process and its successor serve, since the hot-restart link between them is the one
- * feature of {@code serve} that opens a socket of its own.
+ * Tests which sockets and child processes the program has when it runs with the JVM flags of {@code
+ * run} in {@code deploy/balancer.toml}. The platform of the full fleet permits only TCP and UDP
+ * sockets over IPv4, and it does not permit the start of other programs (page STANDING, "The
+ * bench's clock"). The test reads the sockets from {@code /proc} while an old process and its
+ * successor serve. The hot-restart link between them is the one feature of {@code serve} that opens
+ * a socket of its own.
  */
 @Timeout(120)
 @EnabledOnOs(OS.LINUX)
 class DeployedProcessSocketsTest {
-  private static final Pattern SOCKET = Pattern.compile("socket:\\[(\\d+)]");
+  /** The target of a symbolic link in {@code /proc/PID/fd} for a socket; group 1 is the inode. */
+  private static final Pattern SOCKET_LINK = Pattern.compile("socket:\\[(\\d+)]");
 
   @Test
-  void anUpgradeUsesOnlyIpv4SocketsAndStartsNoProgram() throws Exception {
+  void duringAnUpgradeProcessesUseOnlyIpv4SocketsAndStartNoProgram() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.deployed(1)) {
       program.startSuccessor();
       assertEquals(2, program.instances().size());
-      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
+      long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
       for (ProcessHandle process : program.instances()) {
-        assertEquals(0, process.children().count(), "no other program is started");
-        Set<String> held = sockets(process.pid());
+        assertEquals(0, process.children().count(), "the program must not start another program");
+        Set<String> openSockets = openSocketInodes(process.pid());
         assertTrue(
-            held.size() >= 3, "a listener, one for operators and the link at least: " + held);
-        Set<String> unlisted = unlisted(held);
-        // A TCP socket that is not connected yet, was reset, or was closed since the descriptors
-        // were read is in no table. One that stays in none is of a kind that the tables do not
-        // have.
-        while (!unlisted.isEmpty() && System.nanoTime() < until) {
+            openSockets.size() >= 3,
+            "expected at least two listeners and the hot-restart link: " + openSockets);
+        Set<String> unlisted = findUnlisted(openSockets);
+        // A TCP socket is in no table if it is not connected yet, was reset, or was closed after
+        // the descriptors were read, so the loop reads the descriptors and tables again. A socket
+        // that never appears in a table is of a type that the tables do not contain.
+        while (!unlisted.isEmpty() && System.nanoTime() < deadlineNanos) {
           Thread.sleep(20);
-          unlisted.retainAll(unlisted(sockets(process.pid())));
+          unlisted.retainAll(findUnlisted(openSocketInodes(process.pid())));
         }
         assertEquals(Set.of(), unlisted, "sockets that are neither TCP nor UDP, by inode");
       }
@@ -58,68 +61,77 @@
   }
 
   /**
-   * Those of the sockets {@code held} that are in no table of IPv4 TCP or UDP. Fails on a socket
-   * over IPv6 and on a Unix socket with a path.
+   * Returns the inodes in {@code openSockets} that are in no IPv4 table of TCP or UDP and do not
+   * belong to an unnamed Unix socket. Fails if one belongs to an IPv6 socket or to a Unix socket
+   * with a path.
    */
-  private static Set<String> unlisted(Set<String> held) throws IOException {
-    Set<String> unlisted = new HashSet<>(held);
+  private static Set<String> findUnlisted(Set<String> openSockets) throws IOException {
+    Set<String> unlisted = new HashSet<>(openSockets);
     for (String table : List.of("tcp", "udp")) {
       unlisted.removeAll(inodes("/proc/net/" + table, 9));
       for (String inode : inodes("/proc/net/" + table + "6", 9)) {
-        assertFalse(held.contains(inode), "a socket over IPv6, inode " + inode);
+        assertFalse(openSockets.contains(inode), "a socket over IPv6, inode " + inode);
       }
     }
-    // The JDK holds one end of an unnamed pair of Unix sockets for closing descriptors safely.
-    // Nobody can connect to it, and the platform allows it. One with a path is refused.
-    unlisted.removeAll(unnamedUnix());
+    // The JDK holds one end of an unnamed pair of Unix sockets for closing descriptors safely. No
+    // process can connect to this socket, and the platform permits it. The platform rejects a Unix
+    // socket with a path.
+    unlisted.removeAll(unnamedUnixSocketInodes());
     for (String inode : inodes("/proc/net/unix", 6, fields -> fields.length > 7)) {
-      assertFalse(held.contains(inode), "a Unix socket with a path, inode " + inode);
+      assertFalse(openSockets.contains(inode), "a Unix socket with a path, inode " + inode);
     }
     return unlisted;
   }
 
   /**
-   * The inodes in column {@code column} of a table of {@code /proc/net}, whose first line names the
-   * columns.
+   * Returns the inodes in a column of a table of {@code /proc/net}. Columns count from 0. The first
+   * line of the table, with the column names, is skipped, as are rows without this column.
    */
   private static Set<String> inodes(String table, int column) throws IOException {
     return inodes(table, column, fields -> fields.length > column);
   }
 
-  /** The inodes of Unix sockets without a path: column 7 of {@code /proc/net/unix} is missing. */
-  private static Set<String> unnamedUnix() throws IOException {
+  /**
+   * Returns the inodes of Unix sockets without a path. Their rows in {@code /proc/net/unix} lack
+   * column 7, the path.
+   */
+  private static Set<String> unnamedUnixSocketInodes() throws IOException {
     return inodes("/proc/net/unix", 6, fields -> fields.length == 7);
   }
 
-  private static Set<String> inodes(String table, int column, Predicate<String[]> rows)
+  /**
+   * Returns the inodes in a column of those rows that match the filter; empty if the table does not
+   * exist.
+   */
+  private static Set<String> inodes(String table, int column, Predicate<String[]> rowFilter)
       throws IOException {
     Set<String> inodes = new HashSet<>();
     List<String> lines =
         Files.exists(Path.of(table)) ? Files.readAllLines(Path.of(table)) : List.of();
     for (String line : lines.subList(Math.min(1, lines.size()), lines.size())) {
       String[] fields = line.trim().split(" +");
-      if (rows.test(fields)) {
+      if (rowFilter.test(fields)) {
         inodes.add(fields[column]);
       }
     }
     return inodes;
   }
 
-  /** The inodes of the sockets that a process holds. */
-  private static Set<String> sockets(long pid) throws IOException {
-    Set<String> held = new HashSet<>();
+  /** Returns the inodes of the sockets that a process has open. */
+  private static Set<String> openSocketInodes(long pid) throws IOException {
+    Set<String> openSockets = new HashSet<>();
     try (Stream<Path> descriptors = Files.list(Path.of("/proc", Long.toString(pid), "fd"))) {
       for (Path descriptor : descriptors.toList()) {
         try {
-          Matcher socket = SOCKET.matcher(Files.readSymbolicLink(descriptor).toString());
+          Matcher socket = SOCKET_LINK.matcher(Files.readSymbolicLink(descriptor).toString());
           if (socket.matches()) {
-            held.add(socket.group(1));
+            openSockets.add(socket.group(1));
           }
         } catch (IOException closed) {
-          // A descriptor that was closed meanwhile shows nothing.
+          // The descriptor was closed after the directory was listed.
         }
       }
     }
-    return held;
+    return openSockets;
   }
 }
