--- a/src/test/java/loomreel/program/CiRunTest.java
+++ b/src/test/java/loomreel/program/CiRunTest.java
@@ -85,10 +85,10 @@
 
   @ParameterizedTest
   @CsvSource({"NONE,0", "ALL,1"})
-  void withoutAListEveryTestMustPass(String failure, int expectedExitCode) throws Exception {
+  void withoutAListEveryTestMustPass(String failure, int expected) throws Exception {
     Result result = run(null, failure);
     assertEquals("mvn -B verify", result.output().strip());
-    assertEquals(expectedExitCode, result.exitCode());
+    assertEquals(expected, result.exitCode());
   }
 
   @Test
@@ -100,22 +100,22 @@
 
   @ParameterizedTest
   @CsvSource({"NONE,0", "OTHERS,1"})
-  void listedTestsAreExcludedAndAllOthersMustPass(String failure, int expectedExitCode)
+  void listedTestsAreExcludedAndAllOthersMustPass(String failure, int expected)
       throws Exception {
     Result result = run("# known\n" + RED_ENTRY, failure);
     String output = result.output();
     assertTrue(output.contains("mvn -B verify -Dtest=!b.Red#fails"), output);
-    assertEquals(expectedExitCode, result.exitCode(), output);
-    assertEquals(expectedExitCode == 0, output.contains(RED_ENTRY.strip()), output);
+    assertEquals(expected, result.exitCode(), output);
+    assertEquals(expected == 0, output.contains(RED_ENTRY.strip()), output);
   }
 
   /** A known fault may be intermittent, so a listed test may pass. The run succeeds either way. */
   @ParameterizedTest
   @CsvSource({"b.Red#fails,failed", "b.Green#passes,passed"})
-  void theResultOfAListedTestIsPrinted(String test, String expectedResult) throws Exception {
+  void theResultOfAListedTestIsPrinted(String test, String expected) throws Exception {
     Result result = run(test + " | seed 7 | late lists | 28\n", "NONE");
     assertEquals(0, result.exitCode(), result.output());
-    String line = "known red: " + test + " " + expectedResult + " in this run";
+    String line = "known red: " + test + " " + expected + " in this run";
     assertTrue(result.output().contains(line), result.output());
   }
 
--- a/src/test/java/loomreel/program/CommandLineTest.java
+++ b/src/test/java/loomreel/program/CommandLineTest.java
@@ -39,12 +39,12 @@
   private Process startCommand(List<String> flags, String... command) throws IOException {
     ProcessBuilder builder =
         new ProcessBuilder(ProgramCommand.program(flags, command)).redirectErrorStream(true);
-    builder.environment().put("BALANCER_CONFIG", writeFile("configuration.json", CONFIGURATION));
+    builder.environment().put("BALANCER_CONFIG", file("configuration.json", CONFIGURATION));
     return builder.start();
   }
 
   /** Writes a file in the temporary directory and returns its path. */
-  private String writeFile(String name, String text) throws IOException {
+  private String file(String name, String text) throws IOException {
     return Files.writeString(directory.resolve(name), text).toString();
   }
 
@@ -52,7 +52,7 @@
    * Waits until a process exits. Returns the exit code on the first line and the output on the
    * following lines.
    */
-  private static String awaitOutcome(Process process) throws Exception {
+  private static String outcome(Process process) throws Exception {
     String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     return process.waitFor() + "\n" + text;
   }
@@ -60,7 +60,7 @@
   @Test
   void allErrorsOfASettingsFileAreReported() throws Exception {
     String settingsFile =
-        writeFile(
+        file(
             "bad.cue",
             """
             name: "n"
@@ -70,7 +70,7 @@
             limits: attempts: 5
             """);
     for (String command : new String[] {"check", "daemon"}) {
-      String outcome = awaitOutcome(startCommand(List.of(), command, settingsFile));
+      String outcome = outcome(startCommand(List.of(), command, settingsFile));
       assertTrue(outcome.startsWith("2\n"), outcome);
       assertTrue(outcome.contains("bad.cue:2:15: listen.http:"), outcome);
       assertTrue(outcome.contains("bad.cue:5:19: limits.attempts:"), outcome);
@@ -79,23 +79,23 @@
 
   @Test
   void theSampleSettingsFileIsValid() throws Exception {
-    String outcome = awaitOutcome(startCommand(List.of(), "check", "deploy/loomreel.cue"));
+    String outcome = outcome(startCommand(List.of(), "check", "deploy/loomreel.cue"));
     assertTrue(outcome.startsWith("0\n"), outcome);
   }
 
   @Test
   void aMissingSettingsFileIsReported() throws Exception {
-    String outcome = awaitOutcome(startCommand(List.of(), "check", "nowhere.cue"));
+    String outcome = outcome(startCommand(List.of(), "check", "nowhere.cue"));
     assertTrue(outcome.contains("there is no such file"), outcome);
   }
 
   @Test
   void anUnknownRequestClassOfAQueueIsReported() throws Exception {
     String features =
-        writeFile(
+        file(
             "features.cue",
             "faktory: {listen: \"127.0.0.1:0\", queues: q: class: \"issue\", spool: \"none\"}\n");
-    String outcome = awaitOutcome(startCommand(List.of(), "serve", "--settings", features));
+    String outcome = outcome(startCommand(List.of(), "serve", "--settings", features));
     assertTrue(outcome.startsWith("2\n"), outcome);
     assertTrue(outcome.contains("faktory.queues.q.class: no class is called issue"), outcome);
   }
@@ -109,7 +109,7 @@
         "{\"listen\":\"nowhere\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\"}"
       })
   void aBadConfigurationIsReportedInOneLine(String configuration) throws Exception {
-    Path file = Path.of(writeFile("bad.json", configuration));
+    Path file = Path.of(file("bad.json", configuration));
     for (String command : new String[] {"serve", "check-config"}) {
       Process process = ProgramCommand.of(file, command, "").start();
       String errors = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -129,7 +129,7 @@
     "tally, trace-summary"
   })
   void aCommandIsFoundByItsFormerName(String formerName, String name) throws Exception {
-    String outcome = awaitOutcome(startCommand(List.of(), "help", formerName));
+    String outcome = outcome(startCommand(List.of(), "help", formerName));
     assertTrue(outcome.startsWith("0\nUsage: loomreel " + name), outcome);
   }
 
@@ -139,7 +139,7 @@
    */
   @Test
   void classArchiveTrainingServesAllJobsAndExits() throws Exception {
-    String outcome = awaitOutcome(startCommand(List.of(), "rehearse"));
+    String outcome = outcome(startCommand(List.of(), "rehearse"));
     assertTrue(
         outcome.startsWith("0\n") && outcome.contains("accepted=40 served=40 rejected=0 failed=0"),
         outcome);
@@ -152,7 +152,7 @@
     Process process = startCommand(List.of("-XX:SharedArchiveFile=" + missing), "serve");
     try (BufferedReader lines = process.inputReader()) {
       assertTrue(
-          lines.lines().anyMatch(line -> line.contains("listening for clients")),
+          lines.lines().anyMatch(logLine -> logLine.contains("listening for clients")),
           "the process never listened");
     } finally {
       process.destroyForcibly().waitFor();
@@ -167,7 +167,7 @@
   void classesOfDisabledFeaturesAreNotLoaded() throws Exception {
     assertEquals(List.of(), loadedOptionalClasses(List.of("serve")));
     String features =
-        writeFile(
+        file(
             "features.cue",
             "faktory: {listen: \"127.0.0.1:0\", queues: q: class: \"copy\", spool: \"none\"}\n");
     assertFalse(
--- a/src/test/java/loomreel/program/ConfigurationReloadTest.java
+++ b/src/test/java/loomreel/program/ConfigurationReloadTest.java
@@ -70,12 +70,12 @@
       for (int sequence : new int[] {7, 3}) {
         try (StubHttpServer previous = program.moveDiscovery()) {
           previous.awaitClosed(watch.connection());
-          HttpMessage fullListRequest = program.discovery().nextRequest();
-          assertEquals("GET /registry/instances HTTP/1.1", fullListRequest.startLine());
+          HttpMessage completeListRequest = program.discovery().nextRequest();
+          assertEquals("GET /registry/instances HTTP/1.1", completeListRequest.startLine());
           Health first = sequence == 7 ? Health.SERVING : Health.DRAINING;
           program
               .endpointList(sequence, Extent.COMPLETE, first, Health.SERVING)
-              .respondTo(fullListRequest);
+              .respondTo(completeListRequest);
           watch = program.discovery().nextRequest();
           assertTrue(watch.startLine().contains("?from=" + sequence + "&"), watch.startLine());
           assertFalse(previous.hasPendingRequest());
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void aReloadOfAnInvalidConfigurationIsRejected() throws Exception {
+  void aReloadOfAnInvalidConfigurationIsRejectedAndChangesNothing() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       HttpMessage watch = program.discovery().nextRequest();
 
--- a/src/test/java/loomreel/program/ConnectionLimitTest.java
+++ b/src/test/java/loomreel/program/ConnectionLimitTest.java
@@ -23,9 +23,9 @@
  */
 @Timeout(120)
 class ConnectionLimitTest {
-  private static DispatcherProcess startWithDescriptorLimit(int descriptorLimit)
+  private static DispatcherProcess startWithDescriptorLimit(int maxDescriptors)
       throws IOException {
-    return new DispatcherProcess(1, new TestConfiguration().descriptorLimit(descriptorLimit));
+    return new DispatcherProcess(1, new TestConfiguration().descriptorLimit(maxDescriptors));
   }
 
   /**
--- a/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
+++ b/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
@@ -47,13 +47,13 @@
         assertTrue(
             openSockets.size() >= 3,
             "expected at least two listeners and the hot-restart link: " + openSockets);
-        Set<String> unlisted = findUnlisted(openSockets);
+        Set<String> unlisted = unlisted(openSockets);
         // A TCP socket is in no table if it is not connected yet, was reset, or was closed after
         // the descriptors were read, so the loop reads the descriptors and tables again. A socket
         // that never appears in a table is of a type that the tables do not contain.
         while (!unlisted.isEmpty() && System.nanoTime() < deadlineNanos) {
           Thread.sleep(20);
-          unlisted.retainAll(findUnlisted(openSocketInodes(process.pid())));
+          unlisted.retainAll(unlisted(openSocketInodes(process.pid())));
         }
         assertEquals(Set.of(), unlisted, "sockets that are neither TCP nor UDP, by inode");
       }
@@ -65,7 +65,7 @@
    * belong to an unnamed Unix socket. Fails if one belongs to an IPv6 socket or to a Unix socket
    * with a path.
    */
-  private static Set<String> findUnlisted(Set<String> openSockets) throws IOException {
+  private static Set<String> unlisted(Set<String> openSockets) throws IOException {
     Set<String> unlisted = new HashSet<>(openSockets);
     for (String table : List.of("tcp", "udp")) {
       unlisted.removeAll(inodes("/proc/net/" + table, 9));
--- a/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -24,18 +24,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Discovery after an outage, a bad response or a move: its list is applied before a job could be
- * sent to a worker beyond the grace of its drain.
+ * Tests the recovery of the endpoint watch after an outage of discovery, an unusable list, or a
+ * move of discovery to another address. The dispatcher has to apply the new endpoint list before it
+ * could send a job to a draining worker whose grace period is over.
  */
 @Timeout(120)
 class DiscoveryRecoveryTest {
-  private static final int DESCRIPTORS = 64;
+  /** The descriptor limit of the dispatcher under test. */
+  private static final int DESCRIPTOR_LIMIT = 64;
 
-  /** Descriptors are reserved for the watch, for workers and for status updates. */
+  /**
+   * Client connections cannot use all descriptors, because the dispatcher reserves descriptors for
+   * the watch, for workers and for status updates.
+   */
   @Test
-  void idleClientsDoNotKeepTheWatchFromRecovering() throws Exception {
+  void theWatchRecoversWhileIdleClientsReachTheConnectionLimit() throws Exception {
     try (StepControlledServer server =
-        new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTORS))) {
+        new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTOR_LIMIT))) {
       HttpMessage watch = server.discovery().nextRequest();
       int port = server.discovery().socketAddress().getPort();
       server.discovery().close();
@@ -59,20 +64,27 @@
     }
   }
 
-  /** More than the dispatcher has descriptors; every third one sends no request. */
+  /**
+   * Opens twice as many client connections as the dispatcher has descriptors. Every third client
+   * sends no request; the others send a readiness check.
+   */
   private static List<Socket> connectIdleClients(StepControlledServer server) throws IOException {
     List<Socket> clients = new ArrayList<>();
-    for (int i = 0; i < 2 * DESCRIPTORS; i++) {
+    for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
       clients.add(server.connect());
       HttpIo.write(clients.get(i), i % 3 == 0 ? "" : DispatcherHarness.READINESS_HEAD + "\r\n");
     }
     return clients;
   }
 
-  /** A list that cannot be used may have a drain in it; the backoff is for outages. */
+  /**
+   * An unusable list may contain the drain of a worker. The dispatcher therefore requests the list
+   * again without the backoff, which applies only while discovery is unavailable.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"cut", "nonsense", "older"})
-  void anUnusableListIsRequestedAgainAtOnceDespiteEarlierFailures(String fault) throws Exception {
+  void anUnusableListIsRequestedAgainWithoutBackoffAfterEarlierFailures(String fault)
+      throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(4))) {
       for (int i = 0; i < 3; i++) {
@@ -93,6 +105,12 @@
     }
   }
 
+  /**
+   * Responds to a poll with a list that cannot be used.
+   *
+   * @param fault "cut" for a response that ends early, "nonsense" for a truncated JSON text, or
+   *     "older" for a sequence number (40) below that of the known list (41)
+   */
   private static void respondWithUnusableList(
       StepControlledServer server, HttpMessage watch, String fault) throws IOException {
     int sequence = fault.equals("older") ? 40 : 43;
@@ -102,8 +120,8 @@
     switch (fault) {
       case "cut" -> {
         String response = HttpIo.withBody("HTTP/1.1 200 x\r\n", json);
-        int missing = json.length() - 50;
-        HttpIo.write(watch.connection(), response.substring(0, response.length() - missing));
+        int missingBytes = json.length() - 50;
+        HttpIo.write(watch.connection(), response.substring(0, response.length() - missingBytes));
         watch.connection().close();
       }
       case "nonsense" -> watch.respond(200, json.substring(0, 50));
@@ -111,26 +129,31 @@
     }
   }
 
-  /** A move while a poll is pending, or while nothing listens at the old address. */
+  /**
+   * Discovery moves to another address. In the outage case nothing listens at the previous address;
+   * otherwise a poll is pending there.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aMoveOfDiscoveryAppliesAtOnceAlsoDuringAnOutage(boolean outage) throws Exception {
+  void aMoveOfDiscoveryAppliesImmediatelyEvenDuringAnOutage(boolean duringOutage) throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(60));
-        StubHttpServer next = new StubHttpServer()) {
+        StubHttpServer movedDiscovery = new StubHttpServer()) {
       HttpMessage watch = server.discovery().nextRequest();
-      if (outage) {
+      if (duringOutage) {
         server.discovery().close();
         watch.connection().close();
         server.awaitStep(Step.WATCH_FAILED);
       }
 
-      server.moveDiscovery(next.socketAddress());
+      server.moveDiscovery(movedDiscovery.socketAddress());
 
-      HttpMessage complete = next.nextRequest();
-      assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
-      server.endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(complete);
-      assertTrue(next.nextRequest().startLine().contains("?from=7&"));
+      HttpMessage completeListRequest = movedDiscovery.nextRequest();
+      assertEquals("GET /registry/instances HTTP/1.1", completeListRequest.startLine());
+      server
+          .endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING)
+          .respondTo(completeListRequest);
+      assertTrue(movedDiscovery.nextRequest().startLine().contains("?from=7&"));
       server.assertAllServedBy(1, 8);
     }
   }
--- a/src/test/java/loomreel/program/EndpointWatchTest.java
+++ b/src/test/java/loomreel/program/EndpointWatchTest.java
@@ -17,11 +17,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch of polled endpoint lists: which lists are applied, and how a failed watch restarts. */
+/**
+ * Tests the watch of the endpoint list by polling: which lists the dispatcher applies, and how it
+ * polls again after a failed poll.
+ */
 @Timeout(120)
 class EndpointWatchTest {
   @Test
-  void theEndpointListIsWatchedAndADrainingWorkerGetsNoJobs() throws Exception {
+  void theEndpointListIsPolledForChangesAndADrainingWorkerGetsNoJobs() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       HttpMessage watch = program.discovery().nextRequest();
       assertTrue(
@@ -37,8 +40,9 @@
     }
   }
 
+  /** The list contains the first worker twice: first serving, then draining. */
   @Test
-  void theLastEntryOfAWorkerInAListApplies() throws Exception {
+  void theLastOfTwoEntriesOfAWorkerInAListApplies() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       EndpointList serving =
           program.endpointList(43, Extent.COMPLETE, Health.SERVING, Health.SERVING);
@@ -53,11 +57,11 @@
   }
 
   /**
-   * An older list might have a draining worker as serving. A complete list that the dispatcher has
-   * requested applies whatever its sequence number.
+   * A list with a lower sequence number could show a draining worker as serving, so it is ignored.
+   * The dispatcher then requests a complete list, which applies with any sequence number.
    */
   @Test
-  void anOlderListIsIgnoredAndACompleteListRequested() throws Exception {
+  void anOlderListIsIgnoredAndACompleteListIsRequested() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       program
           .endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING)
@@ -67,24 +71,31 @@
           .endpointList(42, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
           .respondTo(program.discovery().nextRequest());
 
-      HttpMessage complete = program.discovery().nextRequest();
+      HttpMessage completeListRequest = program.discovery().nextRequest();
       assertTrue(
-          complete.startLine().startsWith("GET /registry/instances HTTP"), complete.startLine());
+          completeListRequest.startLine().startsWith("GET /registry/instances HTTP"),
+          completeListRequest.startLine());
       program.assertAllServedBy(1, 8);
-      program.endpointList(7, Extent.COMPLETE, Health.SERVING, Health.DRAINING).respondTo(complete);
+      program
+          .endpointList(7, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
+          .respondTo(completeListRequest);
       assertTrue(
           program.discovery().nextRequest().startLine().contains("from=7&"),
-          "its sequence number applies from now on");
+          "the next poll must use the sequence number of the complete list");
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "back");
       assertEquals("back", job.response().body());
     }
   }
 
-  /** The last list stays in use meanwhile. */
+  /**
+   * The dispatcher polls again, and uses the last list until then. The failure is a 503 response, a
+   * response with an invalid list ("nonsense") or with truncated JSON ("cut"), a closed connection,
+   * or no response ("silent").
+   */
   @ParameterizedTest
   @ValueSource(strings = {"503", "nonsense", "cut", "closed", "silent"})
-  void aFailedWatchIsRestarted(String failure) throws Exception {
+  void aFailedPollIsRepeatedAndTheLastListStaysInUse(String failure) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       HttpMessage watch = program.discovery().nextRequest();
 
@@ -106,9 +117,12 @@
     }
   }
 
-  /** The second response is discarded, and its connection is not used for the next poll. */
+  /**
+   * Discovery sends two responses to one poll. The dispatcher applies the first list, discards the
+   * second response, and makes the next poll on a new connection.
+   */
   @Test
-  void aListThatIsSentTwiceAppliesOnce() throws Exception {
+  void aSecondResponseToTheSamePollIsDiscarded() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       HttpMessage watch = program.discovery().nextRequest();
       String first =
--- a/src/test/java/loomreel/program/FaktoryTranscriptTest.java
+++ b/src/test/java/loomreel/program/FaktoryTranscriptTest.java
@@ -15,10 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The exchange with Faktory clients and workers, compared byte for byte with a transcript. */
+/**
+ * Compares the exchange between the program and Faktory clients and workers with a recorded
+ * transcript, byte for byte.
+ */
 @Timeout(120)
 class FaktoryTranscriptTest {
   private static final String PASSWORD = "secret";
+  /** The number of SHA-256 rounds of the password hash, {@code iterations} in the settings. */
   private static final int HASH_ITERATIONS = 7;
 
   private static final String FAKTORY_SETTINGS =
@@ -36,7 +40,8 @@
 
   private final Transcript transcript = new Transcript();
 
-  private static String push(String jid, String queue) {
+  /** Returns the command that pushes a job with the given id to a queue. */
+  private static String pushCommand(String jid, String queue) {
     return "PUSH {\"jid\":\""
         + jid
         + "\",\"jobtype\":\"Make\",\"queue\":\""
@@ -44,44 +49,53 @@
         + "\",\"args\":[1]}";
   }
 
-  /** Connects, and sends HELLO with the hash of the password and the salt of the greeting. */
-  private RecordedFaktoryClient hello(DaemonProcess daemon, String name, String more)
-      throws Exception {
+  /**
+   * Connects and sends HELLO. The password is hashed with the salt of the server's greeting.
+   *
+   * @param furtherFields further JSON members of HELLO, with a leading comma; may be empty
+   */
+  private RecordedFaktoryClient connectAndSendHello(
+      DaemonProcess daemon, String name, String furtherFields) throws Exception {
     RecordedFaktoryClient client = new RecordedFaktoryClient(transcript, name, daemon.faktory());
     Matcher salt = Pattern.compile("\"s\":\"([^\"]+)\"").matcher(client.receive());
     assertTrue(salt.find());
-    byte[] hash = (PASSWORD + salt.group(1)).getBytes(StandardCharsets.UTF_8);
+    byte[] passwordHash = (PASSWORD + salt.group(1)).getBytes(StandardCharsets.UTF_8);
     for (int i = 0; i < HASH_ITERATIONS; i++) {
-      hash = MessageDigest.getInstance("SHA-256").digest(hash);
+      passwordHash = MessageDigest.getInstance("SHA-256").digest(passwordHash);
     }
-    String password = HexFormat.of().formatHex(hash);
-    client.call("HELLO {\"v\":2,\"pwdhash\":\"" + password + "\"" + more + "}");
+    String hexHash = HexFormat.of().formatHex(passwordHash);
+    client.call("HELLO {\"v\":2,\"pwdhash\":\"" + hexHash + "\"" + furtherFields + "}");
     return client;
   }
 
-  /** Fetches a job; its id at the worker. */
+  /** Fetches a job from a queue and returns the id that the worker received. */
   private static String fetch(RecordedFaktoryClient worker, String queue) throws IOException {
     Matcher jid = Pattern.compile("\"jid\":\"([0-9a-f]+)\"").matcher(worker.call("FETCH " + queue));
     assertTrue(jid.find());
     return jid.group(1);
   }
 
+  /**
+   * The exchange covers PUSH (also with a repeated id and with an unknown queue), an unknown
+   * command, FETCH, TRACK, BEAT, ACK, FAIL, INFO, FLUSH and END. The last client sends HELLO
+   * without a password hash.
+   */
   @Test
-  void faktoryClientsAndWorkersAreServed() throws Exception {
+  void faktoryExchangeMatchesTheTranscript() throws Exception {
     try (DaemonProcess daemon = new DaemonProcess(DaemonProcess.writeSettings(FAKTORY_SETTINGS))) {
-      try (RecordedFaktoryClient client = hello(daemon, "client", "");
-          RecordedFaktoryClient worker = hello(daemon, "worker", ",\"wid\":\"f0\"")) {
+      try (RecordedFaktoryClient client = connectAndSendHello(daemon, "client", "");
+          RecordedFaktoryClient worker = connectAndSendHello(daemon, "worker", ",\"wid\":\"f0\"")) {
         client.call("INFO");
-        client.call(push("copy-0001", "copies"));
-        client.call(push("copy-0001", "copies"));
-        client.call(push("copy-0002", "nowhere"));
+        client.call(pushCommand("copy-0001", "copies"));
+        client.call(pushCommand("copy-0001", "copies"));
+        client.call(pushCommand("copy-0002", "nowhere"));
         client.call("NONSENSE");
         String copy = fetch(worker, "copies");
         client.call("TRACK GET copy-0001");
         worker.call("BEAT {\"wid\":\"f0\"}");
         worker.call("ACK {\"jid\":\"" + copy + "\",\"result\":\"done\"}");
         client.call("TRACK GET copy-0001");
-        client.call(push("issue-001", "renewals"));
+        client.call(pushCommand("issue-001", "renewals"));
         String issue = fetch(worker, "renewals");
         worker.call("FAIL {\"jid\":\"" + issue + "\",\"errtype\":\"E\",\"message\":\"no\"}");
         client.call("TRACK GET issue-001");
--- a/src/test/java/loomreel/program/GracefulShutdownTest.java
+++ b/src/test/java/loomreel/program/GracefulShutdownTest.java
@@ -13,24 +13,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** SIGTERM without a successor: no job that was accepted is lost. */
+/** Tests that a shutdown on SIGTERM without a successor loses no accepted job. */
 @Timeout(120)
 class GracefulShutdownTest {
   /**
-   * Clients use their connections for a grace period, jobs that were accepted are served, and those
-   * that are not done in time fail before the process ends.
+   * During the grace period after SIGTERM the dispatcher serves jobs on existing and new
+   * connections as before. A job that is not done at the shutdown deadline fails with status 500.
+   * Then the process exits.
    */
   @Test
-  void acceptedJobsAreServedBeforeTheProcessEnds() throws Exception {
+  void acceptedJobsAreServedOrFailedBeforeTheProcessExits() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      SubmittedJob before = program.submit("/copy", "");
+      SubmittedJob jobBeforeShutdown = program.submit("/copy", "");
       program.serveNextJob(0, "first");
-      assertEquals("first", before.response().body());
+      assertEquals("first", jobBeforeShutdown.response().body());
 
       program.process().toHandle().destroy();
       program.awaitLog("graceful shutdown started successor=false");
 
-      SubmittedJob onOldConnection = program.submit(before.connection(), "/copy", 20_000, "");
+      SubmittedJob onOldConnection =
+          program.submit(jobBeforeShutdown.connection(), "/copy", 20_000, "");
       program.serveNextJob(0, "second");
       HttpMessage response = onOldConnection.response();
       assertEquals("second", response.body());
@@ -38,36 +40,41 @@
       SubmittedJob onNewConnection = program.submit("/copy", "");
       program.serveNextJob(0, "third");
       assertEquals("third", onNewConnection.response().body());
-      SubmittedJob endless = program.submit(onOldConnection.connection(), "/issue", 20_000, "");
+      SubmittedJob unfinished = program.submit(onOldConnection.connection(), "/issue", 20_000, "");
       program.worker(0).nextRequest().respond(202, "");
-      assertEquals(500, endless.response().status());
-      assertNull(HttpIo.read(endless.connection()));
+      assertEquals(500, unfinished.response().status());
+      assertNull(HttpIo.read(unfinished.connection()));
       assertTrue(program.process().waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
-  /** A pipelined request was read with the one before it, and counts as accepted. */
+  /**
+   * A pipelined request counts as accepted, because the dispatcher reads it together with the
+   * request before it. The dispatcher closes the connection after the response to the last
+   * pipelined request.
+   */
   @Test
   void pipelinedRequestsAreAnsweredBeforeTheConnectionIsClosed() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
-        Socket pipelining = program.connect()) {
+        Socket pipelinedConnection = program.connect()) {
       SubmittedJob idle = program.submit("/copy", "");
       program.serveNextJob(0, "idle");
       assertEquals("idle", idle.response().body());
-      SubmittedJob first = program.submit(pipelining, "/copy/1", 20_000, "");
-      SubmittedJob second = program.submit(pipelining, "/copy/2", 20_000, "");
+      SubmittedJob first = program.submit(pipelinedConnection, "/copy/1", 20_000, "");
+      SubmittedJob second = program.submit(pipelinedConnection, "/copy/2", 20_000, "");
       program.worker(0).nextRequest().respond(202, "");
 
       program.process().toHandle().destroy();
-      assertNull(HttpIo.read(idle.connection()), "connections are closed from now on");
+      assertNull(
+          HttpIo.read(idle.connection()), "idle connections must be closed after the grace period");
 
       program.reportDone(first.id(), "w0", "1");
-      HttpMessage firstResponse = HttpIo.read(pipelining);
+      HttpMessage firstResponse = HttpIo.read(pipelinedConnection);
       assertEquals("1", firstResponse.body());
       assertNull(firstResponse.header("Connection"));
       assertEquals("POST /copy/2 HTTP/1.1", program.worker(0).nextRequest().startLine());
       program.reportDone(second.id(), "w0", "2");
-      HttpMessage secondResponse = HttpIo.read(pipelining);
+      HttpMessage secondResponse = HttpIo.read(pipelinedConnection);
       assertEquals("2", secondResponse.body());
       assertEquals("close", secondResponse.header("Connection"));
       assertTrue(program.process().waitFor(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
--- a/src/test/java/loomreel/program/HotRestartTest.java
+++ b/src/test/java/loomreel/program/HotRestartTest.java
@@ -22,15 +22,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Processes that replace each other while a supervisor owns the listening socket. */
+/**
+ * Tests hot restarts: a successor replaces the running dispatcher process while a supervisor owns
+ * the listening socket.
+ */
 @Timeout(120)
 class HotRestartTest {
-  /** The name of the statistic that counts the disabled workers. */
+  /** The name of the statistic that holds the number of disabled workers. */
   private static final String DISABLED_WORKERS = "hosts_down";
 
   /**
-   * The successor takes over new clients while the old process ends its jobs. Status updates reach
-   * either of the two, and operator overrides hold for both and for the process after them.
+   * The successor serves new client connections while the old process completes its jobs. A status
+   * update may reach either process. Operator overrides apply to both, and to the next successor.
    */
   @Test
   void anUpgradeLosesNoJobAndNoOperatorOverride() throws Exception {
@@ -38,17 +41,17 @@
       assertEquals(200, program.disableWorker(0, "w0"));
       SubmittedJob first = submitAccepted(program);
       SubmittedJob second = submitAccepted(program);
-      SubmittedJob idle = program.submit("/copy", "");
+      SubmittedJob completedJob = program.submit("/copy", "");
       program.serveNextJob(1, "r");
-      assertEquals("r", idle.response().body());
+      assertEquals("r", completedJob.response().body());
 
       program.startSuccessor();
-      assertOverridesReachOldProcess(program);
+      assertOverrideChangesReachOldProcess(program);
       program.instance(0).destroy();
       program.awaitLog("graceful shutdown started successor=true");
-      assertOldProcessServesItsConnections(program, idle);
+      assertOldProcessServesItsConnections(program, completedJob);
       assertSuccessorServesNewConnections(program);
-      assertOldProcessEndsItsJobs(program, first, second);
+      assertOldProcessCompletesItsJobs(program, first, second);
       program.awaitExit(0);
 
       assertEquals(200, program.startClientDrain(1));
@@ -57,7 +60,7 @@
     }
   }
 
-  /** Submits a job that the second worker accepts, and that must not run twice. */
+  /** Submits a job that must not run twice. The second worker accepts the job with status 202. */
   private static SubmittedJob submitAccepted(DispatcherProcess program) throws Exception {
     SubmittedJob job = program.submit("/issue", "");
     program.worker(1).nextRequest().respond(202, "");
@@ -65,10 +68,13 @@
   }
 
   /**
-   * Swaps the disabled worker and swaps it back, at the successor. Each change has to reach the old
-   * process before the next one; the response of the management API does not wait for that.
+   * Changes overrides through the management API of the successor, and checks that each change
+   * reaches the old process. Only w0 is disabled before the first change and after the last one.
+   * The method waits after each change, because the API responds before the old process has the
+   * change.
    */
-  private static void assertOverridesReachOldProcess(DispatcherProcess program) throws Exception {
+  private static void assertOverrideChangesReachOldProcess(DispatcherProcess program)
+      throws Exception {
     assertEquals(200, program.disableWorker(1, "w1"));
     program.awaitStatistic(0, DISABLED_WORKERS, 2);
     assertEquals(200, program.enableWorker(1, "w0"));
@@ -79,9 +85,13 @@
     program.awaitStatistic(0, DISABLED_WORKERS, 1);
   }
 
+  /**
+   * Checks that the old process serves a job on a connection that it accepted before, and that the
+   * response announces the close of the connection.
+   */
   private static void assertOldProcessServesItsConnections(
-      DispatcherProcess program, SubmittedJob idle) throws Exception {
-    SubmittedJob job = program.submit(idle.connection(), "/copy", 20_000, "");
+      DispatcherProcess program, SubmittedJob completedJob) throws Exception {
+    SubmittedJob job = program.submit(completedJob.connection(), "/copy", 20_000, "");
     program.serveNextJob(1, "by the old process");
     HttpMessage response = job.response();
     assertEquals("by the old process", response.body());
@@ -95,8 +105,11 @@
     assertNull(job.response().header("Connection"));
   }
 
-  /** Status updates reach the successor, which forwards them. */
-  private static void assertOldProcessEndsItsJobs(
+  /**
+   * Checks that the old process completes its jobs. The test sends the status updates on new
+   * connections, which the successor accepts. The successor forwards them to the old process.
+   */
+  private static void assertOldProcessCompletesItsJobs(
       DispatcherProcess program, SubmittedJob first, SubmittedJob second) throws Exception {
     assertEquals(200, program.reportDone(first.id(), "w1", "forwarded"));
     HttpMessage response = first.response();
@@ -105,7 +118,8 @@
     String head =
         HttpIo.lines(
             "POST /copy HTTP/1.1", "Host: x", "X-Budget-Ms: 900", "X-Call-Id: " + second.id());
-    assertEquals(400, program.request(head, "").status(), "the old process has a job of this id");
+    assertEquals(
+        400, program.request(head, "").status(), "the old process has a job with this id");
     assertEquals(200, program.reportDone(second.id(), "w1", ""));
     assertEquals(200, second.response().status());
   }
@@ -114,49 +128,52 @@
     assertEquals(1, program.statistic(2, DISABLED_WORKERS));
     assertEquals(503, program.readinessStatus());
     assertEquals(200, program.stopClientDrain(2));
-    // Either process may answer, and the older one gets the override a moment later.
+    // Either process may answer the readiness check. The old process gets the override later.
     while (program.readinessStatus() != 200) {
       Thread.sleep(1);
     }
   }
 
-  /** Their connections are in the backlog of the socket, which the supervisor owns. */
+  /**
+   * While no process runs, the connections wait in the backlog of the listening socket, which the
+   * supervisor owns.
+   */
   @Test
-  void clientsThatConnectWhileNoProcessRunsAreServed() throws Exception {
+  void jobsSubmittedWhileNoProcessRunsAreServedOnceByTheNextProcess() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(1)) {
-      SubmittedJob cut = program.submit("/copy", "");
+      SubmittedJob interrupted = program.submit("/copy", "");
       program.worker(0).nextRequest().respond(202, "");
       program.killInstance(0);
       assertThrows(
           IOException.class,
           () -> {
-            if (cut.response() == null) {
+            if (interrupted.response() == null) {
               throw new EOFException();
             }
           });
-      List<SubmittedJob> waiting = new ArrayList<>();
+      List<SubmittedJob> waitingJobs = new ArrayList<>();
       for (int i = 0; i < 24; i++) {
-        waiting.add(program.submit(i % 2 == 0 ? "/copy" : "/issue", ""));
+        waitingJobs.add(program.submit(i % 2 == 0 ? "/copy" : "/issue", ""));
       }
 
       program.startSuccessor();
 
       Set<String> forwarded = new HashSet<>();
-      for (int i = 0; i < waiting.size(); i++) {
+      for (int i = 0; i < waitingJobs.size(); i++) {
         HttpMessage post = program.worker(0).nextRequest();
         post.respond(202, "");
         String id = post.header("X-Call-Id");
         assertTrue(forwarded.add(id), id + " is sent twice");
         assertEquals(200, program.reportDone(id, "w0", id));
       }
-      for (SubmittedJob job : waiting) {
+      for (SubmittedJob job : waitingJobs) {
         assertEquals(job.id(), job.response().body());
       }
     }
   }
 
   @Test
-  void onlyDescriptor0IsAcceptedAsTheListeningSocket() throws Exception {
+  void aListeningSocketOtherThanDescriptor0IsRejected() throws Exception {
     Path file = Files.createTempFile("loomreel", ".json");
     ProcessBuilder builder = ProgramCommand.of(file, "serve", "");
     builder.environment().put("BALANCER_LISTEN_FD", "3");
