--- a/src/test/java/loomreel/program/CiRunTest.java
+++ b/src/test/java/loomreel/program/CiRunTest.java
@@ -60,7 +60,7 @@
    *
    * @param list the text of KNOWN-RED.txt, or null if the file is not created
    * @param failure the environment variable that makes a stub fail (ALL, OTHERS or FINDINGS), or
-   *     NONE
+   *     NONE if no stub fails
    */
   private Result run(String list, String failure) throws IOException, InterruptedException {
     Files.createDirectories(root.resolve(".ci"));
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -177,8 +177,8 @@
               : DispatcherHarness.jobRequest("/copy/partial", "00000000000000dd", 9000, "", "");
       server.awaitPendingInputRead();
 
-      // The dispatcher closes the connection that was opened first before the others, so the step
-      // is that of partialConnection.
+      // The dispatcher closes the connection that was opened first before the others, so the action
+      // runs when the dispatcher is about to close partialConnection.
       server.onStep(
           Step.IDLE_CONNECTION_CLOSING,
           () -> HttpIo.write(partialConnection, request.substring(0, 30)));
--- a/src/test/java/loomreel/program/GracefulShutdownTest.java
+++ b/src/test/java/loomreel/program/GracefulShutdownTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tests that a shutdown on SIGTERM without a successor loses no accepted job. */
+/**
+ * Verifies that each accepted job gets a response before the process exits, if it receives SIGTERM
+ * and has no successor.
+ */
 @Timeout(120)
 class GracefulShutdownTest {
   /**
