--- a/src/test/java/loomreel/program/BadInputTest.java
+++ b/src/test/java/loomreel/program/BadInputTest.java
@@ -16,50 +16,69 @@
  */
 @Timeout(120)
 class BadInputTest {
-  /** The start of a job's head, without the two required headers that the next constants hold. */
+  /**
+   * The first lines of a job request. They lack the two required headers, which are in {@link
+   * #CALL_ID} and {@link #BUDGET}.
+   */
   private static final String JOB = HttpIo.lines("POST /copy HTTP/1.1", "Host: x");
   private static final String CALL_ID = HttpIo.lines("X-Call-Id: 00000000000000bb");
   private static final String BUDGET = HttpIo.lines("X-Budget-Ms: 900");
 
-  /** An invalid request and the status code that is expected in the response. */
+  /**
+   * An invalid request.
+   *
+   * @param status the expected status code of the response
+   * @param bytes the complete text of the request
+   */
   private record BadRequest(int status, String bytes) {
-    /** Creates a request without a body. Its head is {@code prefix} followed by {@code lines}. */
-    static BadRequest head(int status, String prefix, String... lines) {
+    /**
+     * Creates an invalid request without a body.
+     *
+     * @param status the expected status code of the response
+     * @param prefix the start of the head: complete lines with their line breaks, or an empty text
+     * @param lines the further lines of the head, without line breaks
+     */
+    static BadRequest ofHead(int status, String prefix, String... lines) {
       return new BadRequest(status, prefix + HttpIo.lines(lines) + HttpIo.lines(""));
     }
   }
 
+  /**
+   * The invalid requests, in groups: the syntax or the HTTP version is invalid, the target is
+   * unknown, the method is not allowed, the headers of a job are invalid, its body is invalid or
+   * too large (more than 65,536 bytes), and its head is too large.
+   */
   private static final List<BadRequest> REQUESTS =
       List.of(
-          BadRequest.head(400, "", "hello"),
-          BadRequest.head(400, "", "GET /health/ready HTTP/1.1", "no colon"),
+          BadRequest.ofHead(400, "", "hello"),
+          BadRequest.ofHead(400, "", "GET /health/ready HTTP/1.1", "no colon"),
           new BadRequest(400, "GET /health/ready HTTP/1.1\n\n"),
-          BadRequest.head(505, "", "GET /health/ready HTTP/2.0"),
-          BadRequest.head(404, "", "GET /nowhere HTTP/1.1"),
-          BadRequest.head(404, HttpIo.lines("POST /copies HTTP/1.1") + CALL_ID + BUDGET),
-          BadRequest.head(405, "", "GET /copy HTTP/1.1"),
-          BadRequest.head(405, "", "POST /health/ready HTTP/1.1"),
-          BadRequest.head(405, "", "GET /_jobs/news HTTP/1.1"),
-          BadRequest.head(400, JOB + BUDGET),
-          BadRequest.head(400, JOB + CALL_ID),
-          BadRequest.head(400, JOB + BUDGET, "X-Call-Id: nothex"),
-          BadRequest.head(400, JOB + CALL_ID, "X-Budget-Ms: -5"),
-          BadRequest.head(400, JOB + CALL_ID, "X-Budget-Ms: 1.5"),
-          BadRequest.head(400, JOB + CALL_ID + BUDGET, "X-Call-Cost: -1"),
-          BadRequest.head(400, JOB + CALL_ID + BUDGET, "X-Call-Cost: 1e300"),
-          BadRequest.head(400, JOB + CALL_ID + BUDGET, "X-Call-Info: slots=99999"),
-          BadRequest.head(400, JOB + CALL_ID + BUDGET, "Content-Length: two"),
-          BadRequest.head(400, JOB + CALL_ID + BUDGET, "Content-Length: 1", "Content-Length: 2"),
-          BadRequest.head(
+          BadRequest.ofHead(505, "", "GET /health/ready HTTP/2.0"),
+          BadRequest.ofHead(404, "", "GET /nowhere HTTP/1.1"),
+          BadRequest.ofHead(404, HttpIo.lines("POST /copies HTTP/1.1") + CALL_ID + BUDGET),
+          BadRequest.ofHead(405, "", "GET /copy HTTP/1.1"),
+          BadRequest.ofHead(405, "", "POST /health/ready HTTP/1.1"),
+          BadRequest.ofHead(405, "", "GET /_jobs/news HTTP/1.1"),
+          BadRequest.ofHead(400, JOB + BUDGET),
+          BadRequest.ofHead(400, JOB + CALL_ID),
+          BadRequest.ofHead(400, JOB + BUDGET, "X-Call-Id: nothex"),
+          BadRequest.ofHead(400, JOB + CALL_ID, "X-Budget-Ms: -5"),
+          BadRequest.ofHead(400, JOB + CALL_ID, "X-Budget-Ms: 1.5"),
+          BadRequest.ofHead(400, JOB + CALL_ID + BUDGET, "X-Call-Cost: -1"),
+          BadRequest.ofHead(400, JOB + CALL_ID + BUDGET, "X-Call-Cost: 1e300"),
+          BadRequest.ofHead(400, JOB + CALL_ID + BUDGET, "X-Call-Info: slots=99999"),
+          BadRequest.ofHead(400, JOB + CALL_ID + BUDGET, "Content-Length: two"),
+          BadRequest.ofHead(400, JOB + CALL_ID + BUDGET, "Content-Length: 1", "Content-Length: 2"),
+          BadRequest.ofHead(
               400, JOB + CALL_ID + BUDGET, "Content-Length: 1", "Transfer-Encoding: chunked"),
           new BadRequest(
               400, JOB + CALL_ID + BUDGET + HttpIo.lines("Transfer-Encoding: chunked", "", "zz")),
-          BadRequest.head(501, JOB + CALL_ID + BUDGET, "Transfer-Encoding: gzip"),
-          BadRequest.head(413, JOB + CALL_ID + BUDGET, "Content-Length: 65537"),
+          BadRequest.ofHead(501, JOB + CALL_ID + BUDGET, "Transfer-Encoding: gzip"),
+          BadRequest.ofHead(413, JOB + CALL_ID + BUDGET, "Content-Length: 65537"),
           new BadRequest(
               413,
               JOB + CALL_ID + BUDGET + HttpIo.lines("Transfer-Encoding: chunked", "", "10001")),
-          BadRequest.head(431, JOB, "X-Long: " + "y".repeat(9000)));
+          BadRequest.ofHead(431, JOB, "X-Long: " + "y".repeat(9000)));
 
   @Test
   void invalidRequestsAreRejectedWithTheExpectedStatus() throws Exception {
--- a/src/test/java/loomreel/program/CiRunTest.java
+++ b/src/test/java/loomreel/program/CiRunTest.java
@@ -24,9 +24,10 @@
 @Timeout(60)
 class CiRunTest {
   /**
-   * The stub of Maven. If it is called for a single test, b.Red#fails fails, b.Green#passes passes,
-   * and every other test is reported as missing. A run of all tests fails if the environment
-   * variable ALL is 1, and a run that excludes tests fails if OTHERS is 1.
+   * The stub of Maven, which prints its arguments first. If {@code .ci/run} calls it for a single
+   * test, b.Red#fails fails, b.Green#passes passes, and every other test is reported as missing. If
+   * the environment variable ALL is 1, a run of all tests fails. If the environment variable OTHERS
+   * is 1, a run that excludes the listed tests fails.
    */
   private static final String MAVEN_STUB =
       """
@@ -48,7 +49,10 @@
       exit ${FINDINGS:-0}
       """;
 
-  /** A complete entry of the list. Its test is b.Red#fails. */
+  /**
+   * A complete entry of the list, for the test b.Red#fails. The columns of an entry are the test,
+   * the command and seed, what was seen, and the issue.
+   */
   private static final String RED_ENTRY = "b.Red#fails | -Dtest=b.Red seed 7 | late lists | 28\n";
 
   @TempDir private Path root;
@@ -56,9 +60,9 @@
   private record Result(int exitCode, String output) {}
 
   /**
-   * Runs {@code .ci/run} and waits until it exits.
+   * Runs {@code .ci/run} and waits until the script exits.
    *
-   * @param list the text of KNOWN-RED.txt, or null if the file is not created
+   * @param list the text of KNOWN-RED.txt, or null for a run without this file
    * @param failure the environment variable that makes a stub fail (ALL, OTHERS or FINDINGS), or
    *     NONE if no stub fails
    */
@@ -85,10 +89,10 @@
 
   @ParameterizedTest
   @CsvSource({"NONE,0", "ALL,1"})
-  void withoutAListEveryTestMustPass(String failure, int expected) throws Exception {
+  void withoutAListEveryTestMustPass(String failure, int expectedExitCode) throws Exception {
     Result result = run(null, failure);
     assertEquals("mvn -B verify", result.output().strip());
-    assertEquals(expected, result.exitCode());
+    assertEquals(expectedExitCode, result.exitCode());
   }
 
   @Test
@@ -100,22 +104,25 @@
 
   @ParameterizedTest
   @CsvSource({"NONE,0", "OTHERS,1"})
-  void listedTestsAreExcludedAndAllOthersMustPass(String failure, int expected)
+  void listedTestsAreExcludedAndAllOthersMustPass(String failure, int expectedExitCode)
       throws Exception {
     Result result = run("# known\n" + RED_ENTRY, failure);
     String output = result.output();
     assertTrue(output.contains("mvn -B verify -Dtest=!b.Red#fails"), output);
-    assertEquals(expected, result.exitCode(), output);
-    assertEquals(expected == 0, output.contains(RED_ENTRY.strip()), output);
+    assertEquals(expectedExitCode, result.exitCode(), output);
+    assertEquals(expectedExitCode == 0, output.contains(RED_ENTRY.strip()), output);
   }
 
-  /** A known fault may be intermittent, so a listed test may pass. The run succeeds either way. */
+  /**
+   * A known fault may be intermittent, so a listed test may fail or pass. The run succeeds in both
+   * cases.
+   */
   @ParameterizedTest
   @CsvSource({"b.Red#fails,failed", "b.Green#passes,passed"})
-  void theResultOfAListedTestIsPrinted(String test, String expected) throws Exception {
+  void theResultOfAListedTestIsPrinted(String test, String expectedResult) throws Exception {
     Result result = run(test + " | seed 7 | late lists | 28\n", "NONE");
     assertEquals(0, result.exitCode(), result.output());
-    String line = "known red: " + test + " " + expected + " in this run";
+    String line = "known red: " + test + " " + expectedResult + " in this run";
     assertTrue(result.output().contains(line), result.output());
   }
 
@@ -126,6 +133,11 @@
     assertTrue(result.output().contains("b.None#exists is no test"), result.output());
   }
 
+  /**
+   * The columns of an entry are the test, the command and seed, what was seen, and the issue. The
+   * first entry consists of the test only. The second one has no issue, and in the third one
+   * the column for what was seen is empty. In the last two entries, the test has no method name.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -150,7 +162,10 @@
     assertTrue(result.output().contains("-Dtest=" + excluded), result.output());
   }
 
-  /** A bench entry describes a failed benchmark run, which is not part of {@code .ci/run}. */
+  /**
+   * A bench entry has the word {@code bench} in place of a test. It describes a failure that was
+   * seen in a run of a bench. The script {@code .ci/run} runs no bench.
+   */
   @Test
   void aBenchEntryIsPrintedAndExcludesNoTest() throws Exception {
     String entry = "bench | score --day 4 seed 1 | drain broken | 35";
--- a/src/test/java/loomreel/program/ClientConnectionTest.java
+++ b/src/test/java/loomreel/program/ClientConnectionTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Tests client connections that are closed before the response, and connections with pipelined
- * requests.
+ * Tests two kinds of client connections: those that the client closes before it has received a
+ * response, and those on which the client sends pipelined requests.
  */
 @Timeout(120)
 class ClientConnectionTest {
@@ -22,7 +22,8 @@
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit("/copy", "");
       program.worker(0).nextRequest().respond(202, "");
-      // The dispatcher reads the 202 before it answers the status update.
+      // The dispatcher reads the 202 before it answers the status update. So it knows that the
+      // worker has accepted the job before the client disconnects.
       program.reportStatus(job.id(), "w0", "running", ",\"share\":0.1");
 
       job.connection().close();
--- a/src/test/java/loomreel/program/ClientDisconnectTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Verifies that the dispatcher starts no further work for a request after its client has closed or
- * reset the connection, and that it cancels a job that runs at a worker.
+ * Verifies what the dispatcher does after a client has closed or reset its connection. The
+ * dispatcher starts no further work for the client's request. If a worker has accepted the job, the
+ * dispatcher cancels the job at this worker.
  */
 @Timeout(120)
 class ClientDisconnectTest {
@@ -34,8 +35,8 @@
   }
 
   /**
-   * Submits a job that the worker accepts with status 202. The dispatcher has read the 202 when
-   * this method returns.
+   * Submits a job and has the worker accept it with status 202. When this method returns, the
+   * dispatcher has read the 202, because it reads the 202 before it answers the status update.
    */
   private static SubmittedJob submitRunning(StepControlledServer server) throws Exception {
     SubmittedJob job = server.submit("/copy", "");
@@ -44,6 +45,7 @@
     return job;
   }
 
+  /** Checks that the worker receives a request that cancels the job. */
   private static void assertCancelledAtWorker(StepControlledServer server, SubmittedJob job)
       throws InterruptedException {
     assertEquals(
@@ -51,8 +53,9 @@
   }
 
   /**
-   * The attempt ends without a request to the worker. This holds with and without support for
-   * cancellation at workers, because the job has not been sent.
+   * The client disconnects while the dispatcher connects to the worker. The dispatcher ends the
+   * attempt and does not send the job. The setting that allows cancellation at workers makes no
+   * difference, because a job that was not sent need not be cancelled at the worker.
    */
   @ParameterizedTest
   @CsvSource({"false,false", "true,false", "false,true", "true,true"})
@@ -69,13 +72,17 @@
       ReachedStep end = server.awaitStep(Step.ATTEMPT_ENDED);
       assertEquals(job.id(), end.field("id"));
       assertEquals("MOOT", end.field("outcome").toString(), "the job must not run");
-      // The first request that reaches the worker is the next job.
+      // The worker receives the next job as its first request, so the first job was not sent.
       SubmittedJob next = server.submit("/copy", "");
       HttpMessage first = HttpIo.read(stalledWorker.nextConnection(HttpIo.TIMEOUT_MILLIS));
       assertEquals(next.id(), first.header("X-Call-Id"));
     }
   }
 
+  /**
+   * The first worker closes the connection without a response, so the dispatcher retries the job at
+   * the other worker. The client disconnects while the dispatcher connects to the other worker.
+   */
   @Test
   void aRetryIsNotSentOnAConnectionThatIsEstablishedAfterTheDisconnect() throws Exception {
     try (StepControlledServer server =
@@ -97,6 +104,12 @@
     }
   }
 
+  /**
+   * While a job runs, the dispatcher reads the input behind the job's request. It has to do so
+   * because it detects the disconnect only at the end of the input.
+   *
+   * @param minInputBytes the least size of the pipelined input, in bytes
+   */
   @ParameterizedTest
   @ValueSource(ints = {20_000, 100_000, 250_000})
   void aDisconnectAfterPipelinedInputCancelsTheJob(int minInputBytes) throws Exception {
@@ -112,6 +125,11 @@
     }
   }
 
+  /**
+   * The dispatcher buffers a limited amount of pipelined input. It reads and discards input beyond
+   * this buffer limit. If the discarded input of a connection exceeds the discard limit of 256 KiB,
+   * the dispatcher cancels the job and answers the job's request with status 413.
+   */
   @Test
   void pipelinedInputBeyondTheDiscardLimitIsRejectedAndCancelsTheJob() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
@@ -138,8 +156,9 @@
   }
 
   /**
-   * The dispatcher discards pipelined input beyond its buffer limit. It still answers the current
-   * request, and closes the connection with that response.
+   * The input of 100,000 bytes exceeds the buffer limit for pipelined input, but not the discard
+   * limit. The dispatcher discards the input and still answers the current request. The response
+   * announces that the dispatcher closes the connection.
    */
   @Test
   void aRequestIsAnsweredIfPipelinedInputExceedsTheBuffer() throws Exception {
@@ -158,8 +177,9 @@
   }
 
   /**
-   * A dispatcher that gets no CPU time for a while reads the request and the disconnect in the same
-   * iteration of its event loop. The test pauses the loop to reproduce this.
+   * If the dispatcher gets no CPU time for a while, a request and the disconnect of its client may
+   * both have arrived when the dispatcher reads the connection. The test pauses the event loop to
+   * reproduce this case.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -183,6 +203,10 @@
     }
   }
 
+  /**
+   * Four jobs wait for connections to a worker. The client of job 0 resets its connection, and the
+   * client of job 2 closes its connection. The dispatcher sends only jobs 1 and 3.
+   */
   @Test
   void onlyWaitingJobsOfConnectedClientsAreSent() throws Exception {
     TestConfiguration configuration =
--- a/src/test/java/loomreel/program/CommandLineTest.java
+++ b/src/test/java/loomreel/program/CommandLineTest.java
@@ -33,8 +33,9 @@
   @TempDir private Path directory;
 
   /**
-   * Starts a command of the program in a JVM with the given flags. Standard output and standard
-   * error are merged.
+   * Starts a command of the program in a JVM with the given flags. The environment variable
+   * BALANCER_CONFIG names a file with {@link #CONFIGURATION}. Standard error is merged into
+   * standard output.
    */
   private Process startCommand(List<String> flags, String... command) throws IOException {
     ProcessBuilder builder =
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Waits until a process exits. Returns the exit code on the first line and the output on the
-   * following lines.
+   * Waits until a process exits, and returns a text with its exit code on the first line and its
+   * output on the following lines.
    */
   private static String outcome(Process process) throws Exception {
     String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -119,7 +120,7 @@
     }
   }
 
-  /** Existing scripts may use the command names of earlier versions. */
+  /** Scripts may still use the names that commands had in earlier versions. */
   @ParameterizedTest
   @CsvSource({
     "benchlink, simulate",
@@ -134,8 +135,10 @@
   }
 
   /**
-   * The build records the class data sharing archive while this command runs. The command
-   * starts a dispatcher, sends it jobs of every kind, and shuts it down.
+   * The command {@code rehearse}, an alias of {@code train-archive}, starts a dispatcher, sends it
+   * 40 HTTP jobs of two request classes, and shuts the dispatcher down. To create the class data
+   * sharing archive, the script {@code deploy/archive} runs {@code train-archive}, and the JVM
+   * archives the classes that are loaded during this run.
    */
   @Test
   void classArchiveTrainingServesAllJobsAndExits() throws Exception {
@@ -145,7 +148,7 @@
         outcome);
   }
 
-  /** The class archive is missing if the build could not create it. */
+  /** If the class data sharing archive is missing, the program starts without it. */
   @Test
   void aDispatcherWithoutAClassArchiveListensForClients() throws Exception {
     String missing = directory.resolve("none.jsa").toString();
@@ -160,8 +163,9 @@
   }
 
   /**
-   * The classes of disabled features and of the command-line parser are not loaded, because loading
-   * them would slow down the start.
+   * A start without {@code --settings} loads neither the classes of optional features nor those of
+   * the command-line parser, because loading them would slow down the start. The second start
+   * enables Faktory, to verify that the check finds optional classes that are loaded.
    */
   @Test
   void classesOfDisabledFeaturesAreNotLoaded() throws Exception {
@@ -176,9 +180,10 @@
   }
 
   /**
-   * Starts a command and returns the class-loading log lines of optional classes up to the moment
-   * at which it listens for clients. Optional classes belong to optional features, to the libraries
-   * of these features, or to the command-line parser.
+   * Starts a command that runs a dispatcher, and returns the log lines about the loading of
+   * optional classes, up to the moment at which the dispatcher listens for clients. Optional
+   * classes belong to optional features, to the libraries of these features, or to the command-line
+   * parser.
    */
   private List<String> loadedOptionalClasses(List<String> command) throws Exception {
     Process process =
