--- a/src/test/java/loomreel/program/ConfigurationReloadTest.java
+++ b/src/test/java/loomreel/program/ConfigurationReloadTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Tests the configuration reload on SIGHUP. A new discovery address is applied. A configuration
- * that cannot be read, or with a change that requires a restart, is rejected.
+ * Tests the configuration reload on SIGHUP. The dispatcher applies a new discovery address. It
+ * rejects a configuration that it cannot read, or that contains a change that requires a restart.
  */
 @Timeout(120)
 class ConfigurationReloadTest {
   /**
-   * A configuration change that requires a restart, with the field name that the log line of the
-   * rejected reload contains.
+   * A configuration change that requires a restart. If a reload is rejected because of the change,
+   * the log line contains the name of the changed field.
    */
   private enum RestartOnlyChange {
     CLASS_NAME("settings"),
@@ -41,6 +41,7 @@
       this.field = field;
     }
 
+    /** Changes the configuration in place and returns it. */
     TestConfiguration applyTo(TestConfiguration configuration) {
       return switch (this) {
         case CLASS_NAME -> {
@@ -55,29 +56,31 @@
   }
 
   /**
-   * The endpoint list of the new discovery service applies even if its sequence number is lower
-   * than that of the last applied list.
+   * Discovery moves twice. Each time the dispatcher requests and applies the complete endpoint list
+   * of the new discovery service. It applies the second list although this list has a lower
+   * sequence number (3) than the first list (7).
    *
-   * <p>At the end the test sends SIGHUP and SIGTERM, and expects the exit code of SIGTERM, 143. A
-   * JVM without a handler for SIGHUP would exit at that signal, with another exit code.
+   * <p>At the end the test sends SIGHUP and SIGTERM. It expects exit code 143, which stands for
+   * SIGTERM. Without a handler for SIGHUP, the JVM would exit with another code as soon as it
+   * receives SIGHUP.
    */
   @Test
   void aReloadWithANewDiscoveryAddressMovesTheWatchImmediately() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/copy", "");
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
 
       for (int sequence : new int[] {7, 3}) {
         try (StubHttpServer previous = program.moveDiscovery()) {
-          previous.awaitClosed(watch.connection());
+          previous.awaitClosed(poll.connection());
           HttpMessage completeListRequest = program.discovery().nextRequest();
           assertEquals("GET /registry/instances HTTP/1.1", completeListRequest.startLine());
           Health first = sequence == 7 ? Health.SERVING : Health.DRAINING;
           program
               .endpointList(sequence, Extent.COMPLETE, first, Health.SERVING)
               .respondTo(completeListRequest);
-          watch = program.discovery().nextRequest();
-          assertTrue(watch.startLine().contains("?from=" + sequence + "&"), watch.startLine());
+          poll = program.discovery().nextRequest();
+          assertTrue(poll.startLine().contains("?from=" + sequence + "&"), poll.startLine());
           assertFalse(previous.hasPendingRequest());
         }
       }
@@ -94,15 +97,16 @@
   }
 
   /**
-   * A file with a change that requires a restart may belong to another deployment. For this reason
-   * its discovery address is not applied either.
+   * The new configuration contains a change that requires a restart and a new discovery address.
+   * Because of the change, the configuration may belong to another deployment. The dispatcher
+   * therefore does not apply the discovery address either.
    */
   @ParameterizedTest
   @EnumSource(RestartOnlyChange.class)
   void aReloadThatRequiresARestartIsRejectedCompletely(RestartOnlyChange change) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         StubHttpServer otherDiscovery = new StubHttpServer()) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
 
       TestConfiguration movedConfiguration =
           program.configuration().discoveryAddress(otherDiscovery.address());
@@ -112,7 +116,7 @@
       String reason =
           "the old configuration stays reason=restart required to change " + change.field;
       assertTrue(logged.endsWith(reason), logged);
-      assertServesAsBefore(program, watch, "/issue");
+      assertServesAsBefore(program, poll, "/issue");
       assertFalse(otherDiscovery.hasPendingRequest());
     }
   }
@@ -120,24 +124,27 @@
   @Test
   void aReloadOfAnInvalidConfigurationIsRejectedAndChangesNothing() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
 
       program.reload("{\"name\":");
 
       String logged = program.awaitLog("configuration reload rejected");
       assertTrue(logged.contains("the old configuration stays"));
-      assertServesAsBefore(program, watch, "/copy");
+      assertServesAsBefore(program, poll, "/copy");
     }
   }
 
   /**
-   * Checks that the previous configuration is still in use. The dispatcher applies the response to
-   * its pending poll, polls the same discovery service again from sequence number 42, and serves a
-   * job.
+   * Checks that the previous configuration is still in use. The method answers the pending poll of
+   * the dispatcher with an endpoint list. The dispatcher has to apply the list, poll the same
+   * discovery service again from sequence number 42, and serve a job.
+   *
+   * @param poll the pending poll
+   * @param path the target of the job
    */
   private static void assertServesAsBefore(
-      DispatcherProcess program, HttpMessage watch, String path) throws Exception {
-    program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(watch);
+      DispatcherProcess program, HttpMessage poll, String path) throws Exception {
+    program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(poll);
     assertTrue(program.discovery().nextRequest().startLine().contains("?from=42&"));
     SubmittedJob job = program.submit(path, "");
     program.serveNextJob(0, "as before");
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -26,20 +26,26 @@
 @Timeout(120)
 class ConnectionCloseRaceTest {
   /**
-   * The descriptor limit of the dispatcher under test. It permits {@link #MAX_CLIENT_CONNECTIONS}
-   * client connections, of which {@link #MAX_IDLE_CONNECTIONS} may be idle.
+   * The descriptor limit of the dispatcher under test. From this limit the dispatcher derives the
+   * limits {@link #MAX_CLIENT_CONNECTIONS} and {@link #MAX_IDLE_CONNECTIONS}.
    */
   private static final int DESCRIPTOR_LIMIT = 64;
 
+  /** The maximum number of client connections, including those that are idle. */
   private static final int MAX_CLIENT_CONNECTIONS = 24;
+
+  /** The maximum number of idle client connections. A connection is idle between two requests. */
   private static final int MAX_IDLE_CONNECTIONS = 8;
 
-  /** The reason for which the dispatcher closes a connection between two requests. */
+  /** The reason for which the dispatcher closes a client connection that has no request. */
   private enum CloseReason {
     SHUTDOWN,
-    /** The number of idle connections exceeds the limit. */
+    /** The number of idle client connections exceeds its limit. */
     IDLE_LIMIT,
-    /** The client has sent no request, and the number of connections approaches its limit. */
+    /**
+     * The number of client connections reaches its limit, and the client has not sent a request on
+     * this connection.
+     */
     CONNECTION_LIMIT
   }
 
@@ -48,8 +54,9 @@
   }
 
   /**
-   * A client whose connection the dispatcher closes between two requests, and the additional
-   * connections that make the dispatcher close it.
+   * A client connection that the dispatcher closes while the connection has no request. If a limit
+   * on connections is the reason for the close, this class also holds the further connections that
+   * make the dispatcher reach the limit.
    */
   private static final class CloseCandidate implements AutoCloseable {
     private final StepControlledServer server;
@@ -61,7 +68,10 @@
       connection = server.connect();
     }
 
-    /** Prepares the connection for the close reason and makes the dispatcher close it. */
+    /**
+     * Makes the dispatcher close the connection for a reason. A first job is served on the
+     * connection before, unless the reason is {@link CloseReason#CONNECTION_LIMIT}.
+     */
     void triggerClose(CloseReason reason) throws Exception {
       if (reason != CloseReason.CONNECTION_LIMIT) {
         SubmittedJob job = server.submit(connection, "/copy", 20_000, "");
@@ -80,6 +90,7 @@
       }
     }
 
+    /** Opens connections that become idle after a readiness check. */
     private void addIdleConnections() throws IOException {
       for (int i = 0; i < MAX_IDLE_CONNECTIONS; i++) {
         Socket other = server.connect();
@@ -97,7 +108,11 @@
     }
   }
 
-  /** A request that arrives before the output side is shut down counts as accepted. */
+  /**
+   * The client sends a job when the dispatcher starts to close the connection. The dispatcher reads
+   * the input once more before it shuts down the output side of the connection. A request that it
+   * reads at this time is accepted and served.
+   */
   @ParameterizedTest
   @EnumSource(CloseReason.class)
   void aRequestThatArrivesJustBeforeTheCloseIsServed(CloseReason reason) throws Exception {
@@ -117,8 +132,9 @@
   }
 
   /**
-   * The dispatcher reads and discards a request that arrives after the output side is shut down.
-   * The client has to send the request again.
+   * The client sends a job when the dispatcher shuts down the output side of the connection. From
+   * this moment on, the dispatcher reads and discards the input. The client has to send the job
+   * again on another connection.
    */
   @ParameterizedTest
   @EnumSource(CloseReason.class)
@@ -133,8 +149,8 @@
 
       server.awaitStep(Step.OUTPUT_SHUT);
       assertNull(HttpIo.read(client.connection), "expected an end of input without a reset");
-      // The client is still connected. A job of a disconnected client would not be forwarded in any
-      // case, so the check would prove nothing.
+      // The client stays connected until the check is done. The job of a disconnected client is
+      // never forwarded, so the check would prove nothing after a disconnect.
       server.awaitPendingInputRead();
       assertFalse(server.worker(0).hasPendingRequest());
       client.connection.close();
@@ -142,8 +158,9 @@
   }
 
   /**
-   * Input that arrives after the last response must not make the dispatcher reset the connection. A
-   * reset would discard the response before the client has read it.
+   * The client sends further input when the dispatcher shuts down the output side after the last
+   * response. This input must not make the dispatcher reset the connection, because a reset would
+   * discard a response that the client has not read yet.
    */
   @Test
   void theLastResponseIsReceivedIfFurtherInputArrivesAfterIt() throws Exception {
@@ -162,7 +179,14 @@
     }
   }
 
-  /** The partial request is a job, or the status update that completes another job. */
+  /**
+   * During a shutdown the dispatcher closes idle connections. When it starts to close one of them,
+   * the first 30 bytes of a request arrive on this connection. The dispatcher has to wait for the
+   * rest and serve the request.
+   *
+   * @param isStatusUpdate whether the request is the status update that completes another job; if
+   *     false, it is a job
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aPartialRequestAtAShutdownIsReadAndServed(boolean isStatusUpdate) throws Exception {
@@ -177,8 +201,8 @@
               : DispatcherHarness.jobRequest("/copy/partial", "00000000000000dd", 9000, "", "");
       server.awaitPendingInputRead();
 
-      // The dispatcher closes the connection that was opened first before the others, so the action
-      // runs when the dispatcher is about to close partialConnection.
+      // The dispatcher closes idle connections in the order in which they were opened. So the first
+      // connection that it starts to close is partialConnection, and the action runs at this time.
       server.onStep(
           Step.IDLE_CONNECTION_CLOSING,
           () -> HttpIo.write(partialConnection, request.substring(0, 30)));
@@ -198,14 +222,15 @@
     }
   }
 
+  /** Returns a status update that completes a job with the result "r". */
   private static String doneUpdate(String id) {
     String body = DispatcherHarness.statusUpdate(id, "w0", "done", DispatcherHarness.result("r"));
     return HttpIo.withBody(DispatcherHarness.STATUS_UPDATE_HEAD, body);
   }
 
   /**
-   * The exit of a process resets connections that are still open, so the dispatcher waits for its
-   * clients to disconnect.
+   * The exit of a process resets the connections that are still open. The dispatcher therefore
+   * waits until its clients have disconnected, and then stops its event loop.
    */
   @Test
   void theLoopStopsAfterAllClientsHaveDisconnected() throws Exception {
@@ -229,7 +254,10 @@
     }
   }
 
-  /** The platform measures the time until the exit from the first shutdown request. */
+  /**
+   * The platform measures the time until the exit of the process from the first shutdown request
+   * on, so a second request must not start the shutdown again.
+   */
   @Test
   void aSecondShutdownRequestChangesNothing() throws Exception {
     try (StepControlledServer server = start()) {
--- a/src/test/java/loomreel/program/ConnectionLimitTest.java
+++ b/src/test/java/loomreel/program/ConnectionLimitTest.java
@@ -29,8 +29,9 @@
   }
 
   /**
-   * The dispatcher keeps descriptors free for status updates, because no job ends without a status
-   * update. A descriptor limit of 52 permits 11 jobs at a time.
+   * A job that a worker has accepted can complete only with a status update. The dispatcher
+   * therefore keeps descriptors free for the connections on which workers send status updates. A
+   * descriptor limit of 52 permits 11 jobs at a time.
    */
   @Test
   void statusUpdatesAreAcceptedWhenClientsHaveReachedTheJobLimit() throws Exception {
@@ -39,7 +40,8 @@
       for (int i = 0; i < 11; i++) {
         jobs.add(program.submit("/copy", ""));
       }
-      // When this later request is answered, the dispatcher has read all the jobs, in any order.
+      // The dispatcher may read the jobs in any order. When it has answered this later request, it
+      // has read all of them.
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\n", "").status());
 
       assertEquals(503, program.submit("/copy", "").response().status(), "job beyond the limit");
@@ -56,6 +58,11 @@
     }
   }
 
+  /**
+   * A descriptor limit of 64 permits 24 client connections. The test opens 60 connections. On half
+   * of them it sends nothing, and on the others only the start of a job. The dispatcher closes
+   * these connections, but not the connection on which it has received a complete job before.
+   */
   @Test
   void connectionsWithoutACompleteRequestDoNotEvictAClientThatSentAJob() throws Exception {
     try (DispatcherProcess program = startWithDescriptorLimit(64)) {
@@ -63,24 +70,25 @@
       program.serveNextJob(0, "first");
       assertEquals("first", first.response().body());
 
-      List<Socket> unprovenConnections = new ArrayList<>();
+      List<Socket> incompleteConnections = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
-        unprovenConnections.add(program.connect());
-        HttpIo.write(unprovenConnections.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
+        incompleteConnections.add(program.connect());
+        HttpIo.write(incompleteConnections.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
       }
 
       SubmittedJob second = program.submit(first.connection(), "/copy", 20_000, "");
       program.serveNextJob(0, "second");
       assertEquals("second", second.response().body());
-      for (Socket socket : unprovenConnections) {
+      for (Socket socket : incompleteConnections) {
         assertTrue(isClosedOrTimedOut(socket), "must be closed, with or without a 408");
       }
     }
   }
 
   /**
-   * Closes a client connection and returns whether the dispatcher had closed or reset it, or
-   * answered with 408 (request timeout).
+   * Waits until the dispatcher closes the connection, resets it or sends a response. Returns true
+   * unless there is a response with another status than 408 (request timeout). Then closes the
+   * client's side of the connection.
    */
   private static boolean isClosedOrTimedOut(Socket socket) throws IOException {
     try (socket) {
@@ -91,7 +99,10 @@
     }
   }
 
-  /** A descriptor limit of 64 permits 8 idle connections, and the test leaves 10 idle. */
+  /**
+   * A descriptor limit of 64 permits 8 idle connections. The test leaves 10 connections idle, so
+   * the dispatcher closes the two that have been idle longest.
+   */
   @Test
   void theLongestIdleConnectionsAreClosedBeyondTheIdleLimit() throws Exception {
     try (DispatcherProcess program = startWithDescriptorLimit(64)) {
@@ -110,6 +121,10 @@
     }
   }
 
+  /**
+   * After each response with a 4xx status, the dispatcher waits for 0.1 s before it processes the
+   * next request of the connection.
+   */
   @Test
   void aClientThatRepeatsRejectedRequestsIsThrottled() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
--- a/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -20,22 +20,25 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Tests jobs that wait for a connection to a worker and that the dispatcher may no longer send to
- * this worker when the connection is established.
+ * Tests jobs that wait until a connection to a worker is established. While a job waits, an event
+ * occurs after which the dispatcher must not send the job to this worker: the worker drains, is
+ * removed or is disabled, or the time for a retry ends.
  */
 @Timeout(120)
 class DelayedWorkerConnectionTest {
-  /** The time, in milliseconds, for which a test checks that no connection arrives. */
+  /** The time, in milliseconds, for which a test checks that a worker gets no connection. */
   private static final int NO_CONNECTION_WAIT_MILLIS = 100;
 
-  /** The way in which an endpoint list takes the first of two workers out of service. */
+  /** How an endpoint list tells the dispatcher to send no more jobs to the first of two workers. */
   private enum Removal {
+    /** The list contains the worker as draining. */
     DRAINING,
+    /** The list contains the worker as deleted. */
     DELETED,
     /** The list is complete and does not contain the worker. */
     MISSING;
 
-    /** Creates the endpoint list, with sequence number 43. The second worker serves. */
+    /** Creates the endpoint list, with sequence number 43, in which the second worker serves. */
     EndpointList createList(DispatcherHarness harness) {
       if (this == MISSING) {
         return new EndpointList(43, Extent.COMPLETE)
@@ -46,8 +49,8 @@
   }
 
   /**
-   * Creates a configuration with a connect timeout of 25 s, so that no attempt to connect times out
-   * during a test.
+   * Creates a configuration with a connect timeout of 25 s. The timeout is so long that the
+   * dispatcher does not give up a connection to a stalled worker during a test.
    */
   private static TestConfiguration configurationWithLongConnectTimeout() {
     return new TestConfiguration().connectTimeoutSeconds(25);
@@ -60,8 +63,8 @@
   }
 
   /**
-   * Submits a job and waits until its attempt at the first worker has started. The listener of this
-   * worker is stalled, so the attempt waits for its connection.
+   * Submits a job and waits until the dispatcher has started an attempt of the job at the first
+   * worker. The listener of this worker is stalled, so the attempt waits for its connection.
    */
   private static SubmittedJob submitToFirstWorker(StepControlledServer server) throws Exception {
     SubmittedJob job = server.submit("/issue", "");
@@ -74,12 +77,16 @@
       StepControlledServer server, SubmittedJob job, StalledListener firstWorker) throws Exception {
     server.serveNextJob(1, "elsewhere");
     assertEquals("elsewhere", job.response().body());
-    assertNull(firstWorker.nextConnection(NO_CONNECTION_WAIT_MILLIS), "nothing is sent there");
+    assertNull(
+        firstWorker.nextConnection(NO_CONNECTION_WAIT_MILLIS),
+        "the stalled worker must get no connection");
   }
 
   /**
-   * The grace period of a drain starts when the endpoint list is received, and the connection
-   * attempt may last longer than the grace period. The dispatcher does not wait for the connection.
+   * Jobs may still be sent to a draining worker for a grace period, which starts when the
+   * dispatcher receives the endpoint list. The connection to the worker may still not be
+   * established at the end of the grace period. The dispatcher therefore does not wait for the
+   * connection and sends the job to another worker.
    */
   @ParameterizedTest
   @EnumSource(Removal.class)
@@ -91,7 +98,9 @@
       removal.createList(server).respondTo(server.discovery().nextRequest());
 
       assertEquals(
-          "MOOT", server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(), "not sent");
+          "MOOT",
+          server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(),
+          "the attempt must end before the job is sent");
       assertServedBySecondWorker(server, job, stalledWorker);
     }
   }
@@ -113,9 +122,11 @@
   }
 
   /**
-   * Workers recognise a repeated job by its idempotency key for 0.8 s (the deduplication window). A
-   * retry is sent within this window or not at all. When the window has passed, the job fails at
-   * once, although the client would wait for 20 s.
+   * In this test, workers recognise a repeated job by its idempotency key for 0.8 s, the
+   * deduplication window. The dispatcher sends a retry within this window or not at all. The first
+   * worker closes its connection without a response. The retry then waits for a connection to the
+   * other worker, which is stalled, until the window has passed. The job fails at once, although
+   * the client would wait for 20 s.
    */
   @Test
   void aRetryThatCannotBeSentWithinTheDeduplicationWindowFails() throws Exception {
@@ -135,11 +146,12 @@
         assertEquals(
             "CONNECT_FAILED",
             server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(),
-            "not sent");
+            "the retry must end before the job is sent");
         server.awaitStep(Step.JOB_FAILED);
         assertEquals(500, job.response().status());
         assertNull(
-            stalledWorker.nextConnection(NO_CONNECTION_WAIT_MILLIS), "nothing is sent there");
+            stalledWorker.nextConnection(NO_CONNECTION_WAIT_MILLIS),
+            "the stalled worker must get no connection");
       }
     }
   }
--- a/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
+++ b/src/test/java/loomreel/program/DeployedProcessSocketsTest.java
@@ -23,16 +23,22 @@
 
 /**
  * Tests which sockets and child processes the program has when it runs with the JVM flags of {@code
- * run} in {@code deploy/balancer.toml}. The platform of the full fleet permits only TCP and UDP
- * sockets over IPv4, and it does not permit the start of other programs (page STANDING, "The
- * bench's clock"). The test reads the sockets from {@code /proc} while an old process and its
- * successor serve. The hot-restart link between them is the one feature of {@code serve} that opens
- * a socket of its own.
+ * run} in {@code deploy/balancer.toml}. The platform that runs the full fleet of dispatchers
+ * permits only TCP and UDP sockets over IPv4, and it does not permit the start of other programs.
+ * These rules are on the page STANDING, in the section "The bench's clock". The page is not in this
+ * repository. The platform also permits the unnamed Unix sockets that the JDK uses internally.
+ *
+ * <p>The test reads the sockets from {@code /proc} while an old process and its successor serve.
+ * Each process has a listener for clients and a listener for the management API. The hot-restart
+ * link connects the two processes.
  */
 @Timeout(120)
 @EnabledOnOs(OS.LINUX)
 class DeployedProcessSocketsTest {
-  /** The target of a symbolic link in {@code /proc/PID/fd} for a socket; group 1 is the inode. */
+  /**
+   * The target of a symbolic link in {@code /proc/PID/fd} if the descriptor is a socket. Group 1 is
+   * the inode of the socket.
+   */
   private static final Pattern SOCKET_LINK = Pattern.compile("socket:\\[(\\d+)]");
 
   @Test
@@ -48,22 +54,23 @@
             openSockets.size() >= 3,
             "expected at least two listeners and the hot-restart link: " + openSockets);
         Set<String> unlisted = unlisted(openSockets);
-        // A TCP socket is in no table if it is not connected yet, was reset, or was closed after
-        // the descriptors were read, so the loop reads the descriptors and tables again. A socket
-        // that never appears in a table is of a type that the tables do not contain.
+        // A TCP socket is in no table of /proc/net if it is not connected yet, was reset, or was
+        // closed after the descriptors were read. The loop therefore reads the descriptors and the
+        // tables again. If a socket never appears, the tables do not contain sockets of its type.
         while (!unlisted.isEmpty() && System.nanoTime() < deadlineNanos) {
           Thread.sleep(20);
           unlisted.retainAll(unlisted(openSocketInodes(process.pid())));
         }
-        assertEquals(Set.of(), unlisted, "sockets that are neither TCP nor UDP, by inode");
+        assertEquals(
+            Set.of(), unlisted, "inodes of sockets that are not TCP, UDP or unnamed Unix sockets");
       }
     }
   }
 
   /**
-   * Returns the inodes in {@code openSockets} that are in no IPv4 table of TCP or UDP and do not
-   * belong to an unnamed Unix socket. Fails if one belongs to an IPv6 socket or to a Unix socket
-   * with a path.
+   * Returns those inodes of {@code openSockets} that are neither in the IPv4 tables of TCP and UDP
+   * nor belong to an unnamed Unix socket. Fails if an inode of {@code openSockets} belongs to an
+   * IPv6 socket or to a Unix socket with a path.
    */
   private static Set<String> unlisted(Set<String> openSockets) throws IOException {
     Set<String> unlisted = new HashSet<>(openSockets);
@@ -73,9 +80,9 @@
         assertFalse(openSockets.contains(inode), "a socket over IPv6, inode " + inode);
       }
     }
-    // The JDK holds one end of an unnamed pair of Unix sockets for closing descriptors safely. No
-    // process can connect to this socket, and the platform permits it. The platform rejects a Unix
-    // socket with a path.
+    // The JDK holds one socket of an unnamed pair of Unix sockets, which it uses to close
+    // descriptors safely. The platform permits this socket, because no process can connect to it.
+    // The platform rejects a Unix socket with a path.
     unlisted.removeAll(unnamedUnixSocketInodes());
     for (String inode : inodes("/proc/net/unix", 6, fields -> fields.length > 7)) {
       assertFalse(openSockets.contains(inode), "a Unix socket with a path, inode " + inode);
@@ -84,24 +91,26 @@
   }
 
   /**
-   * Returns the inodes in a column of a table of {@code /proc/net}. Columns count from 0. The first
-   * line of the table, with the column names, is skipped, as are rows without this column.
+   * Returns the inodes in a column of a table. Rows that lack this column are skipped.
+   *
+   * @param table the path of a table in {@code /proc/net}
+   * @param column the column of the inodes, counted from 0
    */
   private static Set<String> inodes(String table, int column) throws IOException {
     return inodes(table, column, fields -> fields.length > column);
   }
 
   /**
-   * Returns the inodes of Unix sockets without a path. Their rows in {@code /proc/net/unix} lack
-   * column 7, the path.
+   * Returns the inodes of all Unix sockets without a path. In {@code /proc/net/unix}, the rows of
+   * these sockets lack column 7, the path.
    */
   private static Set<String> unnamedUnixSocketInodes() throws IOException {
     return inodes("/proc/net/unix", 6, fields -> fields.length == 7);
   }
 
   /**
-   * Returns the inodes in a column of those rows that match the filter; empty if the table does not
-   * exist.
+   * Returns the inodes in a column of a table, from the rows that match a filter. The first line of
+   * the table, with the column names, is skipped. Returns an empty set if the table does not exist.
    */
   private static Set<String> inodes(String table, int column, Predicate<String[]> rowFilter)
       throws IOException {
--- a/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -24,9 +24,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests the recovery of the endpoint watch after an outage of discovery, an unusable list, or a
- * move of discovery to another address. The dispatcher has to apply the new endpoint list before it
- * could send a job to a draining worker whose grace period is over.
+ * Tests how the endpoint watch recovers after an outage of discovery, after an unusable list, and
+ * after a move of discovery to another address.
+ *
+ * <p>A worker may start to drain before the watch has recovered. The dispatcher does not know this
+ * and still sends jobs to the worker. Jobs may be sent to a draining worker only for a limited
+ * time, the grace period of the drain. The dispatcher has to apply the new endpoint list before
+ * this time is over.
  */
 @Timeout(120)
 class DiscoveryRecoveryTest {
@@ -34,17 +38,18 @@
   private static final int DESCRIPTOR_LIMIT = 64;
 
   /**
-   * Client connections cannot use all descriptors, because the dispatcher reserves descriptors for
-   * the watch, for workers and for status updates.
+   * Idle clients open more connections than the dispatcher permits. The connections cannot use all
+   * descriptors, because the dispatcher reserves some for the watch, for workers and for status
+   * updates.
    */
   @Test
   void theWatchRecoversWhileIdleClientsReachTheConnectionLimit() throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTOR_LIMIT))) {
-      HttpMessage watch = server.discovery().nextRequest();
+      HttpMessage poll = server.discovery().nextRequest();
       int port = server.discovery().socketAddress().getPort();
       server.discovery().close();
-      watch.connection().close();
+      poll.connection().close();
       server.awaitStep(Step.WATCH_FAILED);
       List<Socket> idleClients = connectIdleClients(server);
       SubmittedJob job = server.submit("/copy", "");
@@ -65,8 +70,8 @@
   }
 
   /**
-   * Opens twice as many client connections as the dispatcher has descriptors. Every third client
-   * sends no request; the others send a readiness check.
+   * Opens twice as many client connections as the dispatcher has descriptors. No request is sent on
+   * every third connection. A readiness check is sent on each of the others.
    */
   private static List<Socket> connectIdleClients(StepControlledServer server) throws IOException {
     List<Socket> clients = new ArrayList<>();
@@ -79,7 +84,10 @@
 
   /**
    * An unusable list may contain the drain of a worker. The dispatcher therefore requests the list
-   * again without the backoff, which applies only while discovery is unavailable.
+   * again without a backoff. A backoff applies only while discovery is unavailable, as it is here
+   * for the first three polls, which fail with status 503.
+   *
+   * @param fault see {@link #respondWithUnusableList}
    */
   @ParameterizedTest
   @ValueSource(strings = {"cut", "nonsense", "older"})
@@ -90,14 +98,15 @@
       for (int i = 0; i < 3; i++) {
         server.discovery().nextRequest().respond(503, "");
       }
-      HttpMessage watch = server.discovery().nextRequest();
+      HttpMessage poll = server.discovery().nextRequest();
       server.drainSteps();
 
-      respondWithUnusableList(server, watch, fault);
+      respondWithUnusableList(server, poll, fault);
 
       HttpMessage retry = server.discovery().nextRequest();
       assertTrue(
-          server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)), "no backoff");
+          server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)),
+          "the list must be requested again without a backoff");
       assertEquals(fault.equals("older"), !retry.startLine().contains("?from="), retry.startLine());
       server.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(retry);
       server.discovery().nextRequest();
@@ -106,13 +115,16 @@
   }
 
   /**
-   * Responds to a poll with a list that cannot be used.
+   * Responds to a poll with a list that the dispatcher cannot use.
    *
-   * @param fault "cut" for a response that ends early, "nonsense" for a truncated JSON text, or
-   *     "older" for a sequence number (40) below that of the known list (41)
+   * @param poll the poll
+   * @param fault "cut" if the connection is closed before the end of the response, "nonsense" if
+   *     the response is complete and its body is truncated JSON, or "older" if the list has a lower
+   *     sequence number (40) than the known list (41); "cut" and "nonsense" denote other faults in
+   *     {@link EndpointWatchTest}
    */
   private static void respondWithUnusableList(
-      StepControlledServer server, HttpMessage watch, String fault) throws IOException {
+      StepControlledServer server, HttpMessage poll, String fault) throws IOException {
     int sequence = fault.equals("older") ? 40 : 43;
     EndpointList list =
         server.endpointList(sequence, Extent.CHANGES, Health.DRAINING, Health.SERVING);
@@ -121,17 +133,19 @@
       case "cut" -> {
         String response = HttpIo.withBody("HTTP/1.1 200 x\r\n", json);
         int missingBytes = json.length() - 50;
-        HttpIo.write(watch.connection(), response.substring(0, response.length() - missingBytes));
-        watch.connection().close();
+        HttpIo.write(poll.connection(), response.substring(0, response.length() - missingBytes));
+        poll.connection().close();
       }
-      case "nonsense" -> watch.respond(200, json.substring(0, 50));
-      default -> list.respondTo(watch);
+      case "nonsense" -> poll.respond(200, json.substring(0, 50));
+      default -> list.respondTo(poll);
     }
   }
 
   /**
-   * Discovery moves to another address. In the outage case nothing listens at the previous address;
-   * otherwise a poll is pending there.
+   * Discovery moves to another address.
+   *
+   * @param duringOutage whether nothing listens at the previous address; if false, a poll is
+   *     pending at the previous address
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -139,10 +153,10 @@
     try (StepControlledServer server =
             new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(60));
         StubHttpServer movedDiscovery = new StubHttpServer()) {
-      HttpMessage watch = server.discovery().nextRequest();
+      HttpMessage poll = server.discovery().nextRequest();
       if (duringOutage) {
         server.discovery().close();
-        watch.connection().close();
+        poll.connection().close();
         server.awaitStep(Step.WATCH_FAILED);
       }
 
