--- a/src/test/java/loomreel/program/EndpointWatchTest.java
+++ b/src/test/java/loomreel/program/EndpointWatchTest.java
@@ -18,29 +18,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests the watch of the endpoint list by polling: which lists the dispatcher applies, and how it
- * polls again after a failed poll.
+ * Tests the endpoint watch, by which the dispatcher polls discovery for the endpoint list. The
+ * tests check which lists the dispatcher applies, and how it polls again after a failed poll.
  */
 @Timeout(120)
 class EndpointWatchTest {
   @Test
   void theEndpointListIsPolledForChangesAndADrainingWorkerGetsNoJobs() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
       assertTrue(
-          watch.startLine().startsWith("GET /registry/instances?from=41&hold_ms="),
-          watch.startLine());
+          poll.startLine().startsWith("GET /registry/instances?from=41&hold_ms="),
+          poll.startLine());
 
-      program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(watch);
+      program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(poll);
 
       HttpMessage next = program.discovery().nextRequest();
       assertTrue(next.startLine().contains("from=43&"), next.startLine());
-      assertSame(watch.connection(), next.connection());
+      assertSame(poll.connection(), next.connection());
       program.assertAllServedBy(1, 8);
     }
   }
 
-  /** The list contains the first worker twice: first serving, then draining. */
+  /**
+   * The endpoint list contains each worker twice. The first worker is serving in its first entry
+   * and draining in its last one.
+   */
   @Test
   void theLastOfTwoEntriesOfAWorkerInAListApplies() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
@@ -57,8 +60,9 @@
   }
 
   /**
-   * A list with a lower sequence number could show a draining worker as serving, so it is ignored.
-   * The dispatcher then requests a complete list, which applies with any sequence number.
+   * A list that is older than the last applied list could contain a draining worker as serving. The
+   * dispatcher therefore ignores a list with a lower sequence number and requests a complete list.
+   * It applies this complete list whatever its sequence number is.
    */
   @Test
   void anOlderListIsIgnoredAndACompleteListIsRequested() throws Exception {
@@ -89,25 +93,28 @@
   }
 
   /**
-   * The dispatcher polls again, and uses the last list until then. The failure is a 503 response, a
-   * response with an invalid list ("nonsense") or with truncated JSON ("cut"), a closed connection,
-   * or no response ("silent").
+   * After a failed poll, the dispatcher polls again. Until a poll succeeds, it uses the last list.
+   *
+   * @param failure "503" for a response with status 503, "nonsense" for a complete JSON text with
+   *     an invalid list, "cut" for truncated JSON, "closed" for a connection that is closed without
+   *     a response, or "silent" for no response; "nonsense" and "cut" denote other faults in {@link
+   *     DiscoveryRecoveryTest}
    */
   @ParameterizedTest
   @ValueSource(strings = {"503", "nonsense", "cut", "closed", "silent"})
   void aFailedPollIsRepeatedAndTheLastListStaysInUse(String failure) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
 
       switch (failure) {
-        case "503" -> watch.respond(503, "");
+        case "503" -> poll.respond(503, "");
         case "silent" -> {}
-        case "nonsense" -> watch.respond(200, "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}");
+        case "nonsense" -> poll.respond(200, "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}");
         case "cut" -> {
           String list = program.endpointList(44, Extent.COMPLETE, Health.DRAINING).toJson();
-          watch.respond(200, list.substring(0, 40));
+          poll.respond(200, list.substring(0, 40));
         }
-        default -> watch.connection().close();
+        default -> poll.connection().close();
       }
 
       assertTrue(program.discovery().nextRequest().startLine().contains("from=41&"));
@@ -118,13 +125,13 @@
   }
 
   /**
-   * Discovery sends two responses to one poll. The dispatcher applies the first list, discards the
-   * second response, and makes the next poll on a new connection.
+   * Discovery sends two responses to one poll. The dispatcher applies the list in the first
+   * response, discards the second response, and sends the next poll on a new connection.
    */
   @Test
   void aSecondResponseToTheSamePollIsDiscarded() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
       String first =
           program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson();
       String second =
@@ -132,11 +139,11 @@
 
       String head = "HTTP/1.1 200 x\r\n";
       HttpIo.write(
-          watch.connection(), HttpIo.withBody(head, first) + HttpIo.withBody(head, second));
+          poll.connection(), HttpIo.withBody(head, first) + HttpIo.withBody(head, second));
 
       HttpMessage next = program.discovery().nextRequest();
       assertTrue(next.startLine().contains("?from=43&"), next.startLine());
-      assertNotSame(watch.connection(), next.connection());
+      assertNotSame(poll.connection(), next.connection());
       program.assertAllServedBy(1, 8);
     }
   }
--- a/src/test/java/loomreel/program/FaktoryTranscriptTest.java
+++ b/src/test/java/loomreel/program/FaktoryTranscriptTest.java
@@ -22,7 +22,10 @@
 @Timeout(120)
 class FaktoryTranscriptTest {
   private static final String PASSWORD = "secret";
-  /** The number of SHA-256 rounds of the password hash, {@code iterations} in the settings. */
+  /**
+   * The number of SHA-256 rounds of the password hash. It equals {@code iterations} in {@link
+   * #FAKTORY_SETTINGS}.
+   */
   private static final int HASH_ITERATIONS = 7;
 
   private static final String FAKTORY_SETTINGS =
@@ -40,7 +43,7 @@
 
   private final Transcript transcript = new Transcript();
 
-  /** Returns the command that pushes a job with the given id to a queue. */
+  /** Returns the Faktory command PUSH for a job with the given id and queue. */
   private static String pushCommand(String jid, String queue) {
     return "PUSH {\"jid\":\""
         + jid
@@ -50,8 +53,10 @@
   }
 
   /**
-   * Connects and sends HELLO. The password is hashed with the salt of the server's greeting.
+   * Connects to the program and sends HELLO with the hash of the password. The salt of the hash is
+   * taken from the greeting of the program.
    *
+   * @param name the name of the client or worker in the transcript
    * @param furtherFields further JSON members of HELLO, with a leading comma; may be empty
    */
   private RecordedFaktoryClient connectAndSendHello(
@@ -68,7 +73,7 @@
     return client;
   }
 
-  /** Fetches a job from a queue and returns the id that the worker received. */
+  /** Fetches a job from a queue and returns the id of the job, as the worker receives it. */
   private static String fetch(RecordedFaktoryClient worker, String queue) throws IOException {
     Matcher jid = Pattern.compile("\"jid\":\"([0-9a-f]+)\"").matcher(worker.call("FETCH " + queue));
     assertTrue(jid.find());
@@ -77,8 +82,8 @@
 
   /**
    * The exchange covers PUSH (also with a repeated id and with an unknown queue), an unknown
-   * command, FETCH, TRACK, BEAT, ACK, FAIL, INFO, FLUSH and END. The last client sends HELLO
-   * without a password hash.
+   * command, FETCH, TRACK, BEAT, ACK, FAIL, INFO, FLUSH and END. At the end another client, called
+   * "stranger" in the transcript, sends HELLO without a password hash.
    */
   @Test
   void faktoryExchangeMatchesTheTranscript() throws Exception {
--- a/src/test/java/loomreel/program/GracefulShutdownTest.java
+++ b/src/test/java/loomreel/program/GracefulShutdownTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Verifies that each accepted job gets a response before the process exits, if it receives SIGTERM
- * and has no successor.
+ * Verifies that each accepted job gets a response before the process exits, if the process receives
+ * SIGTERM and has no successor.
  */
 @Timeout(120)
 class GracefulShutdownTest {
   /**
-   * During the grace period after SIGTERM the dispatcher serves jobs on existing and new
-   * connections as before. A job that is not done at the shutdown deadline fails with status 500.
-   * Then the process exits.
+   * During a grace period after SIGTERM, the dispatcher serves jobs on existing and new connections
+   * as before. A job that is not done at the shutdown deadline fails with status 500. The process
+   * exits after this response.
    */
   @Test
   void acceptedJobsAreServedOrFailedBeforeTheProcessExits() throws Exception {
@@ -52,9 +52,9 @@
   }
 
   /**
-   * A pipelined request counts as accepted, because the dispatcher reads it together with the
-   * request before it. The dispatcher closes the connection after the response to the last
-   * pipelined request.
+   * The dispatcher reads a pipelined request together with the request before it. When the shutdown
+   * starts, a pipelined request that has been read counts as accepted. The dispatcher closes the
+   * connection after the response to the last pipelined request.
    */
   @Test
   void pipelinedRequestsAreAnsweredBeforeTheConnectionIsClosed() throws Exception {
--- a/src/test/java/loomreel/program/HotRestartTest.java
+++ b/src/test/java/loomreel/program/HotRestartTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Tests hot restarts: a successor replaces the running dispatcher process while a supervisor owns
- * the listening socket.
+ * Tests hot restarts, in which a successor process replaces the running dispatcher process. A
+ * supervisor process owns the listening socket and passes it to each dispatcher process.
  */
 @Timeout(120)
 class HotRestartTest {
@@ -32,8 +32,10 @@
   private static final String DISABLED_WORKERS = "hosts_down";
 
   /**
-   * The successor serves new client connections while the old process completes its jobs. A status
-   * update may reach either process. Operator overrides apply to both, and to the next successor.
+   * The successor serves new client connections while the old process completes its jobs. If a
+   * process receives a status update for a job of the other process, it forwards the update.
+   * Operator overrides (disabled workers and a client drain) apply to both processes, and to the
+   * next successor.
    */
   @Test
   void anUpgradeLosesNoJobAndNoOperatorOverride() throws Exception {
@@ -60,7 +62,10 @@
     }
   }
 
-  /** Submits a job that must not run twice. The second worker accepts the job with status 202. */
+  /**
+   * Submits a job that must not run twice, and has the second worker accept the job with status
+   * 202.
+   */
   private static SubmittedJob submitAccepted(DispatcherProcess program) throws Exception {
     SubmittedJob job = program.submit("/issue", "");
     program.worker(1).nextRequest().respond(202, "");
@@ -68,10 +73,10 @@
   }
 
   /**
-   * Changes overrides through the management API of the successor, and checks that each change
-   * reaches the old process. Only w0 is disabled before the first change and after the last one.
-   * The method waits after each change, because the API responds before the old process has the
-   * change.
+   * Disables and enables workers through the management API of the successor, and checks that each
+   * change reaches the old process. Only w0 is disabled before the first change and after the last
+   * one. After each change the method waits until the old process has received it, because the API
+   * may respond earlier.
    */
   private static void assertOverrideChangesReachOldProcess(DispatcherProcess program)
       throws Exception {
@@ -86,8 +91,8 @@
   }
 
   /**
-   * Checks that the old process serves a job on a connection that it accepted before, and that the
-   * response announces the close of the connection.
+   * Checks that the old process serves a job on a connection that it accepted before the shutdown
+   * started. The response has to announce that the old process closes the connection.
    */
   private static void assertOldProcessServesItsConnections(
       DispatcherProcess program, SubmittedJob completedJob) throws Exception {
@@ -98,6 +103,10 @@
     assertEquals("close", response.header("Connection"));
   }
 
+  /**
+   * Checks that the successor serves a job on a new connection. The response must not announce the
+   * close of the connection.
+   */
   private static void assertSuccessorServesNewConnections(DispatcherProcess program)
       throws Exception {
     SubmittedJob job = program.submit("/copy", "");
@@ -106,8 +115,9 @@
   }
 
   /**
-   * Checks that the old process completes its jobs. The test sends the status updates on new
-   * connections, which the successor accepts. The successor forwards them to the old process.
+   * Checks that the old process completes its jobs. The successor accepts the connections on which
+   * the test sends the status updates, and forwards the status updates to the old process. Between
+   * the two updates, the successor has to reject a new job with the id of a job of the old process.
    */
   private static void assertOldProcessCompletesItsJobs(
       DispatcherProcess program, SubmittedJob first, SubmittedJob second) throws Exception {
@@ -119,24 +129,32 @@
         HttpIo.lines(
             "POST /copy HTTP/1.1", "Host: x", "X-Budget-Ms: 900", "X-Call-Id: " + second.id());
     assertEquals(
-        400, program.request(head, "").status(), "the old process has a job with this id");
+        400,
+        program.request(head, "").status(),
+        "the id is in use by a job of the old process, so the new job must be rejected");
     assertEquals(200, program.reportDone(second.id(), "w1", ""));
     assertEquals(200, second.response().status());
   }
 
+  /**
+   * Checks that the second successor (instance 2) starts with the overrides of the first successor
+   * (instance 1), a disabled worker and a client drain. Then stops the client drain through the
+   * management API of instance 2, and waits until a readiness check succeeds.
+   */
   private static void assertSuccessorHasOverrides(DispatcherProcess program) throws Exception {
     assertEquals(1, program.statistic(2, DISABLED_WORKERS));
     assertEquals(503, program.readinessStatus());
     assertEquals(200, program.stopClientDrain(2));
-    // Either process may answer the readiness check. The old process gets the override later.
+    // Either process may answer the readiness check. Instance 1 learns later than instance 2 that
+    // the client drain has stopped, and fails readiness checks until then.
     while (program.readinessStatus() != 200) {
       Thread.sleep(1);
     }
   }
 
   /**
-   * While no process runs, the connections wait in the backlog of the listening socket, which the
-   * supervisor owns.
+   * While no dispatcher process runs, new connections wait in the backlog of the listening socket.
+   * The socket stays open, because the supervisor owns it.
    */
   @Test
   void jobsSubmittedWhileNoProcessRunsAreServedOnceByTheNextProcess() throws Exception {
