--- a/src/test/java/loomreel/program/ClientDisconnectTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -21,8 +21,8 @@
 
 /**
  * Verifies what the dispatcher does after a client has closed or reset its connection. The
- * dispatcher starts no further work for the client's request. If a worker has accepted the job, the
- * dispatcher cancels the job at this worker.
+ * dispatcher starts no further work for the client's request. If a worker has accepted the job and
+ * the configuration allows cancellation at workers, the dispatcher cancels the job at this worker.
  */
 @Timeout(120)
 class ClientDisconnectTest {
@@ -71,6 +71,8 @@
 
       ReachedStep end = server.awaitStep(Step.ATTEMPT_ENDED);
       assertEquals(job.id(), end.field("id"));
+      // In trace lines, MOOT stands for AttemptOutcome.NOT_ATTEMPTED: the attempt ended before the
+      // dispatcher sent any part of the job.
       assertEquals("MOOT", end.field("outcome").toString(), "the job must not run");
       // The worker receives the next job as its first request, so the first job was not sent.
       SubmittedJob next = server.submit("/copy", "");
--- a/src/test/java/loomreel/program/ConfigurationReloadTest.java
+++ b/src/test/java/loomreel/program/ConfigurationReloadTest.java
@@ -97,9 +97,9 @@
   }
 
   /**
-   * The new configuration contains a change that requires a restart and a new discovery address.
-   * Because of the change, the configuration may belong to another deployment. The dispatcher
-   * therefore does not apply the discovery address either.
+   * The new configuration contains a new discovery address and a change that requires a restart. A
+   * configuration with a change that requires a restart may belong to another deployment. The
+   * dispatcher therefore does not apply the discovery address either.
    */
   @ParameterizedTest
   @EnumSource(RestartOnlyChange.class)
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -180,7 +180,8 @@
   }
 
   /**
-   * During a shutdown the dispatcher closes idle connections. When it starts to close one of them,
+   * During a shutdown the dispatcher closes client connections that have no request. In this test,
+   * two connections have had no request so far. When the dispatcher starts to close one of them,
    * the first 30 bytes of a request arrive on this connection. The dispatcher has to wait for the
    * rest and serve the request.
    *
@@ -192,7 +193,7 @@
   void aPartialRequestAtAShutdownIsReadAndServed(boolean isStatusUpdate) throws Exception {
     try (StepControlledServer server = start();
         Socket partialConnection = server.connect();
-        Socket idleConnection = server.connect()) {
+        Socket unusedConnection = server.connect()) {
       SubmittedJob job = server.submit("/copy", "");
       server.worker(0).nextRequest().respond(202, "");
       String request =
@@ -201,13 +202,14 @@
               : DispatcherHarness.jobRequest("/copy/partial", "00000000000000dd", 9000, "", "");
       server.awaitPendingInputRead();
 
-      // The dispatcher closes idle connections in the order in which they were opened. So the first
-      // connection that it starts to close is partialConnection, and the action runs at this time.
+      // The dispatcher closes connections without a request in the order in which they were opened.
+      // The first connection that it starts to close is therefore partialConnection, and the action
+      // runs at this time.
       server.onStep(
           Step.IDLE_CONNECTION_CLOSING,
           () -> HttpIo.write(partialConnection, request.substring(0, 30)));
       server.requestShutdown();
-      assertNull(HttpIo.read(idleConnection));
+      assertNull(HttpIo.read(unusedConnection));
       HttpIo.write(partialConnection, request.substring(30));
 
       if (isStatusUpdate) {
--- a/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/DelayedWorkerConnectionTest.java
@@ -83,10 +83,14 @@
   }
 
   /**
-   * Jobs may still be sent to a draining worker for a grace period, which starts when the
-   * dispatcher receives the endpoint list. The connection to the worker may still not be
-   * established at the end of the grace period. The dispatcher therefore does not wait for the
-   * connection and sends the job to another worker.
+   * While a job waits for a connection to the first worker, the dispatcher receives an endpoint
+   * list that contains this worker as draining or deleted, or does not contain it. The dispatcher
+   * ends the attempt at once and sends the job to the second worker.
+   *
+   * <p>A worker that is deleted or missing must get no new jobs. A draining worker may get jobs
+   * only until the end of a grace period. This period starts when the change of the list counts as
+   * known to the dispatcher (see {@link loomreel.discovery.WatchTimeouts}). The connection might be
+   * established only after the end of the period, so the dispatcher does not wait for it.
    */
   @ParameterizedTest
   @EnumSource(Removal.class)
@@ -97,6 +101,8 @@
 
       removal.createList(server).respondTo(server.discovery().nextRequest());
 
+      // In trace lines, MOOT stands for AttemptOutcome.NOT_ATTEMPTED: the attempt ended before the
+      // dispatcher sent any part of the job.
       assertEquals(
           "MOOT",
           server.awaitStep(Step.ATTEMPT_ENDED).field("outcome").toString(),
--- a/src/test/java/loomreel/program/GracefulShutdownTest.java
+++ b/src/test/java/loomreel/program/GracefulShutdownTest.java
@@ -52,9 +52,10 @@
   }
 
   /**
-   * The dispatcher reads a pipelined request together with the request before it. When the shutdown
-   * starts, a pipelined request that has been read counts as accepted. The dispatcher closes the
-   * connection after the response to the last pipelined request.
+   * The dispatcher reads a pipelined request without waiting for the response to the request before
+   * it. If the dispatcher has read a pipelined request when the shutdown starts, this request
+   * counts as accepted. The dispatcher closes the connection after the response to the last
+   * pipelined request.
    */
   @Test
   void pipelinedRequestsAreAnsweredBeforeTheConnectionIsClosed() throws Exception {
