--- a/src/test/java/loomreel/program/ClientDisconnectTest.java
+++ b/src/test/java/loomreel/program/ClientDisconnectTest.java
@@ -19,9 +19,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** After a client has closed or reset its connection, nothing more is started for its request. */
+/**
+ * Verifies what the dispatcher does after a client has closed or reset its connection. The
+ * dispatcher starts no further work for the client's request. If a worker has accepted the job and
+ * the configuration allows cancellation at workers, the dispatcher cancels the job at this worker.
+ */
 @Timeout(120)
 class ClientDisconnectTest {
+  /** Closes a client connection: with a TCP reset if {@code reset}, else normally. */
   private static void disconnect(Socket client, boolean reset) throws IOException {
     if (reset) {
       client.setSoLinger(true, 0);
@@ -29,7 +34,10 @@
     client.close();
   }
 
-  /** Submits a job that its worker accepts, which the dispatcher has read. */
+  /**
+   * Submits a job and has the worker accept it with status 202. When this method returns, the
+   * dispatcher has read the 202, because it reads the 202 before it answers the status update.
+   */
   private static SubmittedJob submitRunning(StepControlledServer server) throws Exception {
     SubmittedJob job = server.submit("/copy", "");
     server.worker(0).nextRequest().respond(202, "");
@@ -37,20 +45,25 @@
     return job;
   }
 
+  /** Checks that the worker receives a request that cancels the job. */
   private static void assertCancelledAtWorker(StepControlledServer server, SubmittedJob job)
       throws InterruptedException {
     assertEquals(
         "DELETE /jobs/" + job.id() + " HTTP/1.1", server.worker(0).nextRequest().startLine());
   }
 
-  /** Whether or not the deployment allows cancellation: the job has not been sent. */
+  /**
+   * The client disconnects while the dispatcher connects to the worker. The dispatcher ends the
+   * attempt and does not send the job. The setting that allows cancellation at workers makes no
+   * difference, because a job that was not sent need not be cancelled at the worker.
+   */
   @ParameterizedTest
   @CsvSource({"false,false", "true,false", "false,true", "true,true"})
   void aJobIsNotSentOnAConnectionThatIsEstablishedAfterTheDisconnect(
       boolean reset, boolean cancellation) throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(1, new TestConfiguration().cancellation(cancellation));
-        StalledListener stalled = server.worker(0).stall()) {
+        StalledListener stalledWorker = server.worker(0).stall()) {
       SubmittedJob job = server.submit("/issue", "");
       assertEquals(job.id(), server.awaitStep(Step.ATTEMPT_STARTED).field("id"));
 
@@ -58,14 +71,20 @@
 
       ReachedStep end = server.awaitStep(Step.ATTEMPT_ENDED);
       assertEquals(job.id(), end.field("id"));
-      assertEquals("MOOT", end.field("outcome").toString(), "it never ran");
-      // The connection for the next job is established, and has that job.
+      // In trace lines, MOOT stands for AttemptOutcome.NOT_ATTEMPTED: the attempt ended before the
+      // dispatcher sent any part of the job.
+      assertEquals("MOOT", end.field("outcome").toString(), "the job must not run");
+      // The worker receives the next job as its first request, so the first job was not sent.
       SubmittedJob next = server.submit("/copy", "");
-      HttpMessage first = HttpIo.read(stalled.nextConnection(HttpIo.TIMEOUT_MILLIS));
+      HttpMessage first = HttpIo.read(stalledWorker.nextConnection(HttpIo.TIMEOUT_MILLIS));
       assertEquals(next.id(), first.header("X-Call-Id"));
     }
   }
 
+  /**
+   * The first worker closes the connection without a response, so the dispatcher retries the job at
+   * the other worker. The client disconnects while the dispatcher connects to the other worker.
+   */
   @Test
   void aRetryIsNotSentOnAConnectionThatIsEstablishedAfterTheDisconnect() throws Exception {
     try (StepControlledServer server =
@@ -73,7 +92,7 @@
       SubmittedJob job = server.submit("/copy", "");
       int worker = server.awaitAttemptWorker();
       HttpMessage post = server.worker(worker).nextRequest();
-      try (StalledListener stalled = server.worker(1 - worker).stall()) {
+      try (StalledListener stalledWorker = server.worker(1 - worker).stall()) {
         post.connection().close();
         assertEquals(1 - worker, server.awaitAttemptWorker());
 
@@ -81,20 +100,26 @@
 
         server.awaitStep(Step.JOB_CANCELLED);
         SubmittedJob next = server.submit("/copy", "");
-        Socket connection = stalled.nextConnection(HttpIo.TIMEOUT_MILLIS);
+        Socket connection = stalledWorker.nextConnection(HttpIo.TIMEOUT_MILLIS);
         assertEquals(next.id(), HttpIo.read(connection).header("X-Call-Id"));
       }
     }
   }
 
+  /**
+   * While a job runs, the dispatcher reads the input behind the job's request. It has to do so
+   * because it detects the disconnect only at the end of the input.
+   *
+   * @param minInputBytes the least size of the pipelined input, in bytes
+   */
   @ParameterizedTest
   @ValueSource(ints = {20_000, 100_000, 250_000})
-  void aDisconnectIsNoticedBehindPipelinedInput(int size) throws Exception {
+  void aDisconnectAfterPipelinedInputCancelsTheJob(int minInputBytes) throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = submitRunning(server);
       String request = HttpIo.lines("POST /copy HTTP/1.1", "X-Padding: " + "x".repeat(500), "");
 
-      HttpIo.write(job.connection(), request.repeat(size / 500));
+      HttpIo.write(job.connection(), request.repeat(minInputBytes / 500));
       disconnect(job.connection(), false);
 
       assertEquals(job.id(), server.awaitStep(Step.JOB_CANCELLED).field("id"));
@@ -102,18 +127,23 @@
     }
   }
 
+  /**
+   * The dispatcher buffers a limited amount of pipelined input. It reads and discards input beyond
+   * this buffer limit. If the discarded input of a connection exceeds the discard limit of 256 KiB,
+   * the dispatcher cancels the job and answers the job's request with status 413.
+   */
   @Test
-  void endlessPipelinedInputEndsTheConnection() throws Exception {
+  void pipelinedInputBeyondTheDiscardLimitIsRejectedAndCancelsTheJob() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = submitRunning(server);
-      Thread flood = new Thread(() -> writeUntilClosed(job.connection()));
+      Thread writer = new Thread(() -> writeUntilClosed(job.connection()));
 
-      flood.start();
+      writer.start();
 
       assertEquals(413, job.response().status());
       assertCancelledAtWorker(server, job);
-      flood.join(HttpIo.TIMEOUT_MILLIS);
-      assertFalse(flood.isAlive(), "its input is not read for ever");
+      writer.join(HttpIo.TIMEOUT_MILLIS);
+      assertFalse(writer.isAlive(), "the dispatcher must stop reading the input");
     }
   }
 
@@ -127,9 +157,13 @@
     }
   }
 
-  /** Input beyond the limit costs the connection, and not the request before it. */
+  /**
+   * The input of 100,000 bytes exceeds the buffer limit for pipelined input, but not the discard
+   * limit. The dispatcher discards the input and still answers the current request. The response
+   * announces that the dispatcher closes the connection.
+   */
   @Test
-  void aRequestIsAnsweredHoweverMuchInputFollowsIt() throws Exception {
+  void aRequestIsAnsweredIfPipelinedInputExceedsTheBuffer() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       server.worker(0).nextRequest().respond(202, "");
@@ -144,10 +178,14 @@
     }
   }
 
-  /** A process without CPU time finds the request and the disconnect at once. */
+  /**
+   * If the dispatcher gets no CPU time for a while, a request and the disconnect of its client may
+   * both have arrived when the dispatcher reads the connection. The test pauses the event loop to
+   * reproduce this case.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aRequestThatIsReadAfterTheDisconnectIsNotServed(boolean withPipelinedInput)
+  void aRequestThatIsReadTogetherWithTheDisconnectIsNotServed(boolean withPipelinedInput)
       throws Exception {
     try (StepControlledServer server = new StepControlledServer(1);
         Socket client = server.connect()) {
@@ -167,12 +205,16 @@
     }
   }
 
+  /**
+   * Four jobs wait for connections to a worker. The client of job 0 resets its connection, and the
+   * client of job 2 closes its connection. The dispatcher sends only jobs 1 and 3.
+   */
   @Test
-  void ofABurstOnlyTheJobsOfConnectedClientsAreSent() throws Exception {
+  void onlyWaitingJobsOfConnectedClientsAreSent() throws Exception {
     TestConfiguration configuration =
         new TestConfiguration().cancellation(false).connectTimeoutSeconds(20);
     try (StepControlledServer server = new StepControlledServer(1, configuration);
-        StalledListener stalled = server.worker(0).stall()) {
+        StalledListener stalledWorker = server.worker(0).stall()) {
       SubmittedJob[] jobs = new SubmittedJob[4];
       for (int i = 0; i < jobs.length; i++) {
         jobs[i] = server.submit("/copy/" + i, "");
@@ -187,7 +229,7 @@
       }
 
       for (int i = 1; i < jobs.length; i += 2) {
-        Socket connection = stalled.nextConnection(HttpIo.TIMEOUT_MILLIS);
+        Socket connection = stalledWorker.nextConnection(HttpIo.TIMEOUT_MILLIS);
         String target = HttpIo.read(connection).startLine();
         int number = Integer.parseInt(target.replaceAll("POST /copy/(\\d) .*", "$1"));
         assertEquals(1, number % 2, target);
--- a/src/test/java/loomreel/program/ConfigurationReloadTest.java
+++ b/src/test/java/loomreel/program/ConfigurationReloadTest.java
@@ -19,10 +19,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** SIGHUP: a new address of discovery is applied, and any other change is rejected. */
+/**
+ * Tests the configuration reload on SIGHUP. The dispatcher applies a new discovery address. It
+ * rejects a configuration that it cannot read, or that contains a change that requires a restart.
+ */
 @Timeout(120)
 class ConfigurationReloadTest {
-  /** A change that needs a restart, and the field that the log names. */
+  /**
+   * A configuration change that requires a restart. If a reload is rejected because of the change,
+   * the log line contains the name of the changed field.
+   */
   private enum RestartOnlyChange {
     CLASS_NAME("settings"),
     POLL_INTERVAL("settings"),
@@ -35,6 +41,7 @@
       this.field = field;
     }
 
+    /** Changes the configuration in place and returns it. */
     TestConfiguration applyTo(TestConfiguration configuration) {
       return switch (this) {
         case CLASS_NAME -> {
@@ -49,26 +56,31 @@
   }
 
   /**
-   * The list of the new discovery applies even with a lower sequence number. A JVM without a
-   * handler for SIGHUP would end at the signal, with another exit code.
+   * Discovery moves twice. Each time the dispatcher requests and applies the complete endpoint list
+   * of the new discovery service. It applies the second list although this list has a lower
+   * sequence number (3) than the first list (7).
+   *
+   * <p>At the end the test sends SIGHUP and SIGTERM. It expects exit code 143, which stands for
+   * SIGTERM. Without a handler for SIGHUP, the JVM would exit with another code as soon as it
+   * receives SIGHUP.
    */
   @Test
-  void aReloadMovesTheWatchAtOnce() throws Exception {
+  void aReloadWithANewDiscoveryAddressMovesTheWatchImmediately() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/copy", "");
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
 
       for (int sequence : new int[] {7, 3}) {
         try (StubHttpServer previous = program.moveDiscovery()) {
-          previous.awaitClosed(watch.connection());
-          HttpMessage complete = program.discovery().nextRequest();
-          assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
+          previous.awaitClosed(poll.connection());
+          HttpMessage completeListRequest = program.discovery().nextRequest();
+          assertEquals("GET /registry/instances HTTP/1.1", completeListRequest.startLine());
           Health first = sequence == 7 ? Health.SERVING : Health.DRAINING;
           program
               .endpointList(sequence, Extent.COMPLETE, first, Health.SERVING)
-              .respondTo(complete);
-          watch = program.discovery().nextRequest();
-          assertTrue(watch.startLine().contains("?from=" + sequence + "&"), watch.startLine());
+              .respondTo(completeListRequest);
+          poll = program.discovery().nextRequest();
+          assertTrue(poll.startLine().contains("?from=" + sequence + "&"), poll.startLine());
           assertFalse(previous.hasPendingRequest());
         }
       }
@@ -84,42 +96,55 @@
     }
   }
 
-  /** The file may be of another deployment: neither its settings nor its discovery apply. */
+  /**
+   * The new configuration contains a new discovery address and a change that requires a restart. A
+   * configuration with a change that requires a restart may belong to another deployment. The
+   * dispatcher therefore does not apply the discovery address either.
+   */
   @ParameterizedTest
   @EnumSource(RestartOnlyChange.class)
-  void aReloadThatNeedsARestartIsRejectedAsAWhole(RestartOnlyChange change) throws Exception {
+  void aReloadThatRequiresARestartIsRejectedCompletely(RestartOnlyChange change) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
-        StubHttpServer other = new StubHttpServer()) {
-      HttpMessage watch = program.discovery().nextRequest();
+        StubHttpServer otherDiscovery = new StubHttpServer()) {
+      HttpMessage poll = program.discovery().nextRequest();
 
-      TestConfiguration moved = program.configuration().discoveryAddress(other.address());
-      program.reload(change.applyTo(moved).toJson());
+      TestConfiguration movedConfiguration =
+          program.configuration().discoveryAddress(otherDiscovery.address());
+      program.reload(change.applyTo(movedConfiguration).toJson());
 
       String logged = program.awaitLog("configuration reload rejected");
       String reason =
           "the old configuration stays reason=restart required to change " + change.field;
       assertTrue(logged.endsWith(reason), logged);
-      assertServesAsBefore(program, watch, "/issue");
-      assertFalse(other.hasPendingRequest());
+      assertServesAsBefore(program, poll, "/issue");
+      assertFalse(otherDiscovery.hasPendingRequest());
     }
   }
 
   @Test
-  void anInvalidConfigurationChangesNothing() throws Exception {
+  void aReloadOfAnInvalidConfigurationIsRejectedAndChangesNothing() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
 
       program.reload("{\"name\":");
 
       String logged = program.awaitLog("configuration reload rejected");
       assertTrue(logged.contains("the old configuration stays"));
-      assertServesAsBefore(program, watch, "/copy");
+      assertServesAsBefore(program, poll, "/copy");
     }
   }
 
+  /**
+   * Checks that the previous configuration is still in use. The method answers the pending poll of
+   * the dispatcher with an endpoint list. The dispatcher has to apply the list, poll the same
+   * discovery service again from sequence number 42, and serve a job.
+   *
+   * @param poll the pending poll
+   * @param path the target of the job
+   */
   private static void assertServesAsBefore(
-      DispatcherProcess program, HttpMessage watch, String path) throws Exception {
-    program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(watch);
+      DispatcherProcess program, HttpMessage poll, String path) throws Exception {
+    program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(poll);
     assertTrue(program.discovery().nextRequest().startLine().contains("?from=42&"));
     SubmittedJob job = program.submit(path, "");
     program.serveNextJob(0, "as before");
--- a/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
+++ b/src/test/java/loomreel/program/ConnectionCloseRaceTest.java
@@ -22,41 +22,57 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Input that arrives at the very moment at which the dispatcher closes a client connection. */
+/** Tests input that arrives while the dispatcher closes a client connection. */
 @Timeout(120)
 class ConnectionCloseRaceTest {
-  /** With this limit clients may have 24 connections, 8 of them idle. */
-  private static final int DESCRIPTORS = 64;
+  /**
+   * The descriptor limit of the dispatcher under test. From this limit the dispatcher derives the
+   * limits {@link #MAX_CLIENT_CONNECTIONS} and {@link #MAX_IDLE_CONNECTIONS}.
+   */
+  private static final int DESCRIPTOR_LIMIT = 64;
 
-  private static final int CLIENT_CONNECTIONS = 24;
-  private static final int IDLE_CONNECTIONS = 8;
+  /** The maximum number of client connections, including those that are idle. */
+  private static final int MAX_CLIENT_CONNECTIONS = 24;
 
-  /** Why the dispatcher closes a connection between two requests. */
+  /** The maximum number of idle client connections. A connection is idle between two requests. */
+  private static final int MAX_IDLE_CONNECTIONS = 8;
+
+  /** The reason for which the dispatcher closes a client connection that has no request. */
   private enum CloseReason {
     SHUTDOWN,
-    /** More connections are idle than may be. */
+    /** The number of idle client connections exceeds its limit. */
     IDLE_LIMIT,
-    /** No request was received on it, and others connect. */
+    /**
+     * The number of client connections reaches its limit, and the client has not sent a request on
+     * this connection.
+     */
     CONNECTION_LIMIT
   }
 
   private static StepControlledServer start() throws Exception {
-    return new StepControlledServer(1, new TestConfiguration().descriptorLimit(DESCRIPTORS));
+    return new StepControlledServer(1, new TestConfiguration().descriptorLimit(DESCRIPTOR_LIMIT));
   }
 
-  /** A connection between two requests, and the further ones that have it closed. */
-  private static final class ClosedClient implements AutoCloseable {
+  /**
+   * A client connection that the dispatcher closes while the connection has no request. If a limit
+   * on connections is the reason for the close, this class also holds the further connections that
+   * make the dispatcher reach the limit.
+   */
+  private static final class CloseCandidate implements AutoCloseable {
     private final StepControlledServer server;
     private final List<Socket> others = new ArrayList<>();
     private final Socket connection;
 
-    ClosedClient(StepControlledServer server) throws IOException {
+    CloseCandidate(StepControlledServer server) throws IOException {
       this.server = server;
       connection = server.connect();
     }
 
-    /** Makes the connection ready to be closed, and has the server close it. */
-    void haveClosed(CloseReason reason) throws Exception {
+    /**
+     * Makes the dispatcher close the connection for a reason. A first job is served on the
+     * connection before, unless the reason is {@link CloseReason#CONNECTION_LIMIT}.
+     */
+    void triggerClose(CloseReason reason) throws Exception {
       if (reason != CloseReason.CONNECTION_LIMIT) {
         SubmittedJob job = server.submit(connection, "/copy", 20_000, "");
         server.serveNextJob(0, "first");
@@ -67,15 +83,16 @@
         case SHUTDOWN -> server.requestShutdown();
         case IDLE_LIMIT -> addIdleConnections();
         case CONNECTION_LIMIT -> {
-          for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
+          for (int i = 0; i < MAX_CLIENT_CONNECTIONS; i++) {
             others.add(server.connect());
           }
         }
       }
     }
 
+    /** Opens connections that become idle after a readiness check. */
     private void addIdleConnections() throws IOException {
-      for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+      for (int i = 0; i < MAX_IDLE_CONNECTIONS; i++) {
         Socket other = server.connect();
         others.add(other);
         HttpIo.write(other, DispatcherHarness.READINESS_HEAD + "\r\n");
@@ -91,48 +108,62 @@
     }
   }
 
-  /** The request arrived before the output is shut, and counts as accepted. */
+  /**
+   * The client sends a job when the dispatcher starts to close the connection. The dispatcher reads
+   * the input once more before it shuts down the output side of the connection. A request that it
+   * reads at this time is accepted and served.
+   */
   @ParameterizedTest
   @EnumSource(CloseReason.class)
   void aRequestThatArrivesJustBeforeTheCloseIsServed(CloseReason reason) throws Exception {
     try (StepControlledServer server = start();
-        ClosedClient client = new ClosedClient(server)) {
-      SubmittedJob[] racing = new SubmittedJob[1];
+        CloseCandidate client = new CloseCandidate(server)) {
+      SubmittedJob[] racingJob = new SubmittedJob[1];
       server.onStep(
           Step.IDLE_CONNECTION_CLOSING,
-          () -> racing[0] = server.submit(client.connection, "/copy", 20_000, ""));
+          () -> racingJob[0] = server.submit(client.connection, "/copy", 20_000, ""));
 
-      client.haveClosed(reason);
+      client.triggerClose(reason);
 
       server.awaitStep(Step.IDLE_CONNECTION_CLOSING);
       server.serveNextJob(0, "racing");
-      assertEquals("racing", racing[0].response().body());
+      assertEquals("racing", racingJob[0].response().body());
     }
   }
 
-  /** The client has to send the request again: it is read and discarded. */
+  /**
+   * The client sends a job when the dispatcher shuts down the output side of the connection. From
+   * this moment on, the dispatcher reads and discards the input. The client has to send the job
+   * again on another connection.
+   */
   @ParameterizedTest
   @EnumSource(CloseReason.class)
-  void aRequestThatArrivesAfterTheCloseIsNotForwarded(CloseReason reason) throws Exception {
+  void aRequestThatArrivesAfterTheOutputIsShutDownIsNotForwarded(CloseReason reason)
+      throws Exception {
     try (StepControlledServer server = start();
-        ClosedClient client = new ClosedClient(server)) {
+        CloseCandidate client = new CloseCandidate(server)) {
       server.onStep(
           Step.OUTPUT_SHUT, () -> server.submit(client.connection, "/copy/racing", 20_000, ""));
 
-      client.haveClosed(reason);
+      client.triggerClose(reason);
 
       server.awaitStep(Step.OUTPUT_SHUT);
-      assertNull(HttpIo.read(client.connection), "an end of input, and no reset");
-      // The client stays connected: the job of a disconnected one would not be forwarded either.
+      assertNull(HttpIo.read(client.connection), "expected an end of input without a reset");
+      // The client stays connected until the check is done. The job of a disconnected client is
+      // never forwarded, so the check would prove nothing after a disconnect.
       server.awaitPendingInputRead();
       assertFalse(server.worker(0).hasPendingRequest());
       client.connection.close();
     }
   }
 
-  /** A reset would discard the response that was just written. */
+  /**
+   * The client sends further input when the dispatcher shuts down the output side after the last
+   * response. This input must not make the dispatcher reset the connection, because a reset would
+   * discard a response that the client has not read yet.
+   */
   @Test
-  void theLastResponseIsReceivedWhateverArrivesBehindIt() throws Exception {
+  void theLastResponseIsReceivedIfFurtherInputArrivesAfterIt() throws Exception {
     try (StepControlledServer server = start()) {
       SubmittedJob job = server.submit("/copy", "");
       server.onStep(
@@ -148,12 +179,21 @@
     }
   }
 
+  /**
+   * During a shutdown the dispatcher closes client connections that have no request. In this test,
+   * two connections have had no request so far. When the dispatcher starts to close one of them,
+   * the first 30 bytes of a request arrive on this connection. The dispatcher has to wait for the
+   * rest and serve the request.
+   *
+   * @param isStatusUpdate whether the request is the status update that completes another job; if
+   *     false, it is a job
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aPartialRequestAtAShutdownIsCompleted(boolean isStatusUpdate) throws Exception {
+  void aPartialRequestAtAShutdownIsReadAndServed(boolean isStatusUpdate) throws Exception {
     try (StepControlledServer server = start();
-        Socket partial = server.connect();
-        Socket idle = server.connect()) {
+        Socket partialConnection = server.connect();
+        Socket unusedConnection = server.connect()) {
       SubmittedJob job = server.submit("/copy", "");
       server.worker(0).nextRequest().respond(202, "");
       String request =
@@ -162,40 +202,47 @@
               : DispatcherHarness.jobRequest("/copy/partial", "00000000000000dd", 9000, "", "");
       server.awaitPendingInputRead();
 
-      // The connection that was opened first is the first to be closed.
+      // The dispatcher closes connections without a request in the order in which they were opened.
+      // The first connection that it starts to close is therefore partialConnection, and the action
+      // runs at this time.
       server.onStep(
-          Step.IDLE_CONNECTION_CLOSING, () -> HttpIo.write(partial, request.substring(0, 30)));
+          Step.IDLE_CONNECTION_CLOSING,
+          () -> HttpIo.write(partialConnection, request.substring(0, 30)));
       server.requestShutdown();
-      assertNull(HttpIo.read(idle));
-      HttpIo.write(partial, request.substring(30));
+      assertNull(HttpIo.read(unusedConnection));
+      HttpIo.write(partialConnection, request.substring(30));
 
       if (isStatusUpdate) {
-        assertEquals(200, HttpIo.read(partial).status());
+        assertEquals(200, HttpIo.read(partialConnection).status());
       } else {
         assertEquals("POST /copy/partial HTTP/1.1", server.worker(0).nextRequest().startLine());
         server.reportDone("00000000000000dd", "w0", "partial");
-        assertEquals("partial", HttpIo.read(partial).body());
+        assertEquals("partial", HttpIo.read(partialConnection).body());
         server.reportDone(job.id(), "w0", "r");
       }
       assertEquals("r", job.response().body());
     }
   }
 
+  /** Returns a status update that completes a job with the result "r". */
   private static String doneUpdate(String id) {
     String body = DispatcherHarness.statusUpdate(id, "w0", "done", DispatcherHarness.result("r"));
     return HttpIo.withBody(DispatcherHarness.STATUS_UPDATE_HEAD, body);
   }
 
-  /** The end of the process resets connections that are not closed. */
+  /**
+   * The exit of a process resets the connections that are still open. The dispatcher therefore
+   * waits until its clients have disconnected, and then stops its event loop.
+   */
   @Test
-  void theProcessEndsAfterItsClientsHaveDisconnected() throws Exception {
+  void theLoopStopsAfterAllClientsHaveDisconnected() throws Exception {
     try (StepControlledServer server = start()) {
       SubmittedJob job = server.submit("/copy", "");
       server.serveNextJob(0, "r");
       assertEquals("r", job.response().body());
       AtomicBoolean disconnected = new AtomicBoolean();
-      AtomicBoolean endedBefore = new AtomicBoolean();
-      server.onStep(Step.LOOP_STOPPED, () -> endedBefore.set(!disconnected.get()));
+      AtomicBoolean stoppedBeforeDisconnect = new AtomicBoolean();
+      server.onStep(Step.LOOP_STOPPED, () -> stoppedBeforeDisconnect.set(!disconnected.get()));
 
       server.requestShutdown();
       server.requestShutdown();
@@ -204,12 +251,15 @@
       job.connection().close();
 
       server.awaitStep(Step.LOOP_STOPPED);
-      assertFalse(endedBefore.get(), "it ended while a client was connected");
+      assertFalse(stoppedBeforeDisconnect.get(), "the loop stopped while a client was connected");
       assertTrue(server.awaitLoopEnd());
     }
   }
 
-  /** The platform counts the time to the end from the first request. */
+  /**
+   * The platform measures the time until the exit of the process from the first shutdown request
+   * on, so a second request must not start the shutdown again.
+   */
   @Test
   void aSecondShutdownRequestChangesNothing() throws Exception {
     try (StepControlledServer server = start()) {
--- a/src/test/java/loomreel/program/ConnectionLimitTest.java
+++ b/src/test/java/loomreel/program/ConnectionLimitTest.java
@@ -17,25 +17,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients at the limit of descriptors, or beyond what is fair to the others. */
+/**
+ * Tests the limits on client connections: the descriptor limit, the limit on idle connections, and
+ * the pause after each rejected request.
+ */
 @Timeout(120)
 class ConnectionLimitTest {
-  private static DispatcherProcess withDescriptorLimit(int descriptors) throws IOException {
-    return new DispatcherProcess(1, new TestConfiguration().descriptorLimit(descriptors));
+  private static DispatcherProcess startWithDescriptorLimit(int maxDescriptors)
+      throws IOException {
+    return new DispatcherProcess(1, new TestConfiguration().descriptorLimit(maxDescriptors));
   }
 
-  /** Without status updates no job would end. */
+  /**
+   * A job that a worker has accepted can complete only with a status update. The dispatcher
+   * therefore keeps descriptors free for the connections on which workers send status updates. A
+   * descriptor limit of 52 permits 11 jobs at a time.
+   */
   @Test
-  void clientsAtTheLimitDoNotKeepStatusUpdatesOut() throws Exception {
-    try (DispatcherProcess program = withDescriptorLimit(52)) {
+  void statusUpdatesAreAcceptedWhenClientsHaveReachedTheJobLimit() throws Exception {
+    try (DispatcherProcess program = startWithDescriptorLimit(52)) {
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 11; i++) {
         jobs.add(program.submit("/copy", ""));
       }
-      // Once a later request is answered, all of these have been read, in whatever order.
+      // The dispatcher may read the jobs in any order. When it has answered this later request, it
+      // has read all of them.
       assertEquals(200, program.request("GET /health/ready HTTP/1.1\r\n", "").status());
 
-      assertEquals(503, program.submit("/copy", "").response().status(), "beyond the limit");
+      assertEquals(503, program.submit("/copy", "").response().status(), "job beyond the limit");
 
       for (int i = 0; i < jobs.size(); i++) {
         program.serveNextJob(0, "served");
@@ -49,28 +58,38 @@
     }
   }
 
+  /**
+   * A descriptor limit of 64 permits 24 client connections. The test opens 60 connections. On half
+   * of them it sends nothing, and on the others only the start of a job. The dispatcher closes
+   * these connections, but not the connection on which it has received a complete job before.
+   */
   @Test
-  void connectionsWithoutACompleteRequestDoNotEvictClientsWithJobs() throws Exception {
-    try (DispatcherProcess program = withDescriptorLimit(64)) {
+  void connectionsWithoutACompleteRequestDoNotEvictAClientThatSentAJob() throws Exception {
+    try (DispatcherProcess program = startWithDescriptorLimit(64)) {
       SubmittedJob first = program.submit("/copy", "");
       program.serveNextJob(0, "first");
       assertEquals("first", first.response().body());
 
-      List<Socket> silent = new ArrayList<>();
+      List<Socket> incompleteConnections = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
-        silent.add(program.connect());
-        HttpIo.write(silent.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
+        incompleteConnections.add(program.connect());
+        HttpIo.write(incompleteConnections.get(i), i % 2 == 0 ? "" : "POST /copy HTTP/1.1\r\nX-");
       }
 
       SubmittedJob second = program.submit(first.connection(), "/copy", 20_000, "");
       program.serveNextJob(0, "second");
       assertEquals("second", second.response().body());
-      for (Socket socket : silent) {
-        assertTrue(isClosedOrTimedOut(socket), "it is closed, with or without a 408");
+      for (Socket socket : incompleteConnections) {
+        assertTrue(isClosedOrTimedOut(socket), "must be closed, with or without a 408");
       }
     }
   }
 
+  /**
+   * Waits until the dispatcher closes the connection, resets it or sends a response. Returns true
+   * unless there is a response with another status than 408 (request timeout). Then closes the
+   * client's side of the connection.
+   */
   private static boolean isClosedOrTimedOut(Socket socket) throws IOException {
     try (socket) {
       HttpMessage response = HttpIo.read(socket);
@@ -80,9 +99,13 @@
     }
   }
 
+  /**
+   * A descriptor limit of 64 permits 8 idle connections. The test leaves 10 connections idle, so
+   * the dispatcher closes the two that have been idle longest.
+   */
   @Test
-  void theLongestIdleConnectionsAreClosed() throws Exception {
-    try (DispatcherProcess program = withDescriptorLimit(64)) {
+  void theLongestIdleConnectionsAreClosedBeyondTheIdleLimit() throws Exception {
+    try (DispatcherProcess program = startWithDescriptorLimit(64)) {
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         jobs.add(program.submit("/copy", ""));
@@ -98,18 +121,23 @@
     }
   }
 
+  /**
+   * After each response with a 4xx status, the dispatcher waits for 0.1 s before it processes the
+   * next request of the connection.
+   */
   @Test
-  void aClientThatRepeatsBadRequestsIsThrottled() throws Exception {
+  void aClientThatRepeatsRejectedRequestsIsThrottled() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect()) {
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
 
       HttpIo.write(client, "GET /nowhere HTTP/1.1\r\n\r\n".repeat(5));
       for (int i = 0; i < 5; i++) {
         assertEquals(404, HttpIo.read(client).status());
       }
 
-      assertTrue(System.nanoTime() - start >= 400_000_000, "four pauses of 0.1 s at least");
+      assertTrue(
+          System.nanoTime() - startNanos >= 400_000_000, "expected at least four pauses of 0.1 s");
     }
   }
 }
--- a/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
+++ b/src/test/java/loomreel/program/DiscoveryRecoveryTest.java
@@ -24,22 +24,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Discovery after an outage, a bad response or a move: its list is applied before a job could be
- * sent to a worker beyond the grace of its drain.
+ * Tests how the endpoint watch recovers after an outage of discovery, after an unusable list, and
+ * after a move of discovery to another address.
+ *
+ * <p>A worker may start to drain before the watch has recovered. The dispatcher does not know this
+ * and still sends jobs to the worker. Jobs may be sent to a draining worker only for a limited
+ * time, the grace period of the drain. The dispatcher has to apply the new endpoint list before
+ * this time is over.
  */
 @Timeout(120)
 class DiscoveryRecoveryTest {
-  private static final int DESCRIPTORS = 64;
+  /** The descriptor limit of the dispatcher under test. */
+  private static final int DESCRIPTOR_LIMIT = 64;
 
-  /** Descriptors are reserved for the watch, for workers and for status updates. */
+  /**
+   * Idle clients open more connections than the dispatcher permits. The connections cannot use all
+   * descriptors, because the dispatcher reserves some for the watch, for workers and for status
+   * updates.
+   */
   @Test
-  void idleClientsDoNotKeepTheWatchFromRecovering() throws Exception {
+  void theWatchRecoversWhileIdleClientsReachTheConnectionLimit() throws Exception {
     try (StepControlledServer server =
-        new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTORS))) {
-      HttpMessage watch = server.discovery().nextRequest();
+        new StepControlledServer(2, new TestConfiguration().descriptorLimit(DESCRIPTOR_LIMIT))) {
+      HttpMessage poll = server.discovery().nextRequest();
       int port = server.discovery().socketAddress().getPort();
       server.discovery().close();
-      watch.connection().close();
+      poll.connection().close();
       server.awaitStep(Step.WATCH_FAILED);
       List<Socket> idleClients = connectIdleClients(server);
       SubmittedJob job = server.submit("/copy", "");
@@ -59,33 +69,44 @@
     }
   }
 
-  /** More than the dispatcher has descriptors; every third one sends no request. */
+  /**
+   * Opens twice as many client connections as the dispatcher has descriptors. No request is sent on
+   * every third connection. A readiness check is sent on each of the others.
+   */
   private static List<Socket> connectIdleClients(StepControlledServer server) throws IOException {
     List<Socket> clients = new ArrayList<>();
-    for (int i = 0; i < 2 * DESCRIPTORS; i++) {
+    for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
       clients.add(server.connect());
       HttpIo.write(clients.get(i), i % 3 == 0 ? "" : DispatcherHarness.READINESS_HEAD + "\r\n");
     }
     return clients;
   }
 
-  /** A list that cannot be used may have a drain in it; the backoff is for outages. */
+  /**
+   * An unusable list may contain the drain of a worker. The dispatcher therefore requests the list
+   * again without a backoff. A backoff applies only while discovery is unavailable, as it is here
+   * for the first three polls, which fail with status 503.
+   *
+   * @param fault see {@link #respondWithUnusableList}
+   */
   @ParameterizedTest
   @ValueSource(strings = {"cut", "nonsense", "older"})
-  void anUnusableListIsRequestedAgainAtOnceDespiteEarlierFailures(String fault) throws Exception {
+  void anUnusableListIsRequestedAgainWithoutBackoffAfterEarlierFailures(String fault)
+      throws Exception {
     try (StepControlledServer server =
         new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(4))) {
       for (int i = 0; i < 3; i++) {
         server.discovery().nextRequest().respond(503, "");
       }
-      HttpMessage watch = server.discovery().nextRequest();
+      HttpMessage poll = server.discovery().nextRequest();
       server.drainSteps();
 
-      respondWithUnusableList(server, watch, fault);
+      respondWithUnusableList(server, poll, fault);
 
       HttpMessage retry = server.discovery().nextRequest();
       assertTrue(
-          server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)), "no backoff");
+          server.drainSteps().stream().noneMatch(step -> step.is(Step.WATCH_FAILED)),
+          "the list must be requested again without a backoff");
       assertEquals(fault.equals("older"), !retry.startLine().contains("?from="), retry.startLine());
       server.endpointList(43, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(retry);
       server.discovery().nextRequest();
@@ -93,8 +114,17 @@
     }
   }
 
+  /**
+   * Responds to a poll with a list that the dispatcher cannot use.
+   *
+   * @param poll the poll
+   * @param fault "cut" if the connection is closed before the end of the response, "nonsense" if
+   *     the response is complete and its body is truncated JSON, or "older" if the list has a lower
+   *     sequence number (40) than the known list (41); "cut" and "nonsense" denote other faults in
+   *     {@link EndpointWatchTest}
+   */
   private static void respondWithUnusableList(
-      StepControlledServer server, HttpMessage watch, String fault) throws IOException {
+      StepControlledServer server, HttpMessage poll, String fault) throws IOException {
     int sequence = fault.equals("older") ? 40 : 43;
     EndpointList list =
         server.endpointList(sequence, Extent.CHANGES, Health.DRAINING, Health.SERVING);
@@ -102,35 +132,42 @@
     switch (fault) {
       case "cut" -> {
         String response = HttpIo.withBody("HTTP/1.1 200 x\r\n", json);
-        int missing = json.length() - 50;
-        HttpIo.write(watch.connection(), response.substring(0, response.length() - missing));
-        watch.connection().close();
+        int missingBytes = json.length() - 50;
+        HttpIo.write(poll.connection(), response.substring(0, response.length() - missingBytes));
+        poll.connection().close();
       }
-      case "nonsense" -> watch.respond(200, json.substring(0, 50));
-      default -> list.respondTo(watch);
+      case "nonsense" -> poll.respond(200, json.substring(0, 50));
+      default -> list.respondTo(poll);
     }
   }
 
-  /** A move while a poll is pending, or while nothing listens at the old address. */
+  /**
+   * Discovery moves to another address.
+   *
+   * @param duringOutage whether nothing listens at the previous address; if false, a poll is
+   *     pending at the previous address
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aMoveOfDiscoveryAppliesAtOnceAlsoDuringAnOutage(boolean outage) throws Exception {
+  void aMoveOfDiscoveryAppliesImmediatelyEvenDuringAnOutage(boolean duringOutage) throws Exception {
     try (StepControlledServer server =
             new StepControlledServer(2, new TestConfiguration().discoveryPollIntervalSeconds(60));
-        StubHttpServer next = new StubHttpServer()) {
-      HttpMessage watch = server.discovery().nextRequest();
-      if (outage) {
+        StubHttpServer movedDiscovery = new StubHttpServer()) {
+      HttpMessage poll = server.discovery().nextRequest();
+      if (duringOutage) {
         server.discovery().close();
-        watch.connection().close();
+        poll.connection().close();
         server.awaitStep(Step.WATCH_FAILED);
       }
 
-      server.moveDiscovery(next.socketAddress());
+      server.moveDiscovery(movedDiscovery.socketAddress());
 
-      HttpMessage complete = next.nextRequest();
-      assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
-      server.endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING).respondTo(complete);
-      assertTrue(next.nextRequest().startLine().contains("?from=7&"));
+      HttpMessage completeListRequest = movedDiscovery.nextRequest();
+      assertEquals("GET /registry/instances HTTP/1.1", completeListRequest.startLine());
+      server
+          .endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING)
+          .respondTo(completeListRequest);
+      assertTrue(movedDiscovery.nextRequest().startLine().contains("?from=7&"));
       server.assertAllServedBy(1, 8);
     }
   }
--- a/src/test/java/loomreel/program/EndpointWatchTest.java
+++ b/src/test/java/loomreel/program/EndpointWatchTest.java
@@ -17,28 +17,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch of polled endpoint lists: which lists are applied, and how a failed watch restarts. */
+/**
+ * Tests the endpoint watch, by which the dispatcher polls discovery for the endpoint list. The
+ * tests check which lists the dispatcher applies, and how it polls again after a failed poll.
+ */
 @Timeout(120)
 class EndpointWatchTest {
   @Test
-  void theEndpointListIsWatchedAndADrainingWorkerGetsNoJobs() throws Exception {
+  void theEndpointListIsPolledForChangesAndADrainingWorkerGetsNoJobs() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
       assertTrue(
-          watch.startLine().startsWith("GET /registry/instances?from=41&hold_ms="),
-          watch.startLine());
+          poll.startLine().startsWith("GET /registry/instances?from=41&hold_ms="),
+          poll.startLine());
 
-      program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(watch);
+      program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).respondTo(poll);
 
       HttpMessage next = program.discovery().nextRequest();
       assertTrue(next.startLine().contains("from=43&"), next.startLine());
-      assertSame(watch.connection(), next.connection());
+      assertSame(poll.connection(), next.connection());
       program.assertAllServedBy(1, 8);
     }
   }
 
+  /**
+   * The endpoint list contains each worker twice. The first worker is serving in its first entry
+   * and draining in its last one.
+   */
   @Test
-  void theLastEntryOfAWorkerInAListApplies() throws Exception {
+  void theLastOfTwoEntriesOfAWorkerInAListApplies() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       EndpointList serving =
           program.endpointList(43, Extent.COMPLETE, Health.SERVING, Health.SERVING);
@@ -53,11 +60,12 @@
   }
 
   /**
-   * An older list might have a draining worker as serving. A complete list that the dispatcher has
-   * requested applies whatever its sequence number.
+   * A list that is older than the last applied list could contain a draining worker as serving. The
+   * dispatcher therefore ignores a list with a lower sequence number and requests a complete list.
+   * It applies this complete list whatever its sequence number is.
    */
   @Test
-  void anOlderListIsIgnoredAndACompleteListRequested() throws Exception {
+  void anOlderListIsIgnoredAndACompleteListIsRequested() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       program
           .endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING)
@@ -67,36 +75,46 @@
           .endpointList(42, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
           .respondTo(program.discovery().nextRequest());
 
-      HttpMessage complete = program.discovery().nextRequest();
+      HttpMessage completeListRequest = program.discovery().nextRequest();
       assertTrue(
-          complete.startLine().startsWith("GET /registry/instances HTTP"), complete.startLine());
+          completeListRequest.startLine().startsWith("GET /registry/instances HTTP"),
+          completeListRequest.startLine());
       program.assertAllServedBy(1, 8);
-      program.endpointList(7, Extent.COMPLETE, Health.SERVING, Health.DRAINING).respondTo(complete);
+      program
+          .endpointList(7, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
+          .respondTo(completeListRequest);
       assertTrue(
           program.discovery().nextRequest().startLine().contains("from=7&"),
-          "its sequence number applies from now on");
+          "the next poll must use the sequence number of the complete list");
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "back");
       assertEquals("back", job.response().body());
     }
   }
 
-  /** The last list stays in use meanwhile. */
+  /**
+   * After a failed poll, the dispatcher polls again. Until a poll succeeds, it uses the last list.
+   *
+   * @param failure "503" for a response with status 503, "nonsense" for a complete JSON text with
+   *     an invalid list, "cut" for truncated JSON, "closed" for a connection that is closed without
+   *     a response, or "silent" for no response; "nonsense" and "cut" denote other faults in {@link
+   *     DiscoveryRecoveryTest}
+   */
   @ParameterizedTest
   @ValueSource(strings = {"503", "nonsense", "cut", "closed", "silent"})
-  void aFailedWatchIsRestarted(String failure) throws Exception {
+  void aFailedPollIsRepeatedAndTheLastListStaysInUse(String failure) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
 
       switch (failure) {
-        case "503" -> watch.respond(503, "");
+        case "503" -> poll.respond(503, "");
         case "silent" -> {}
-        case "nonsense" -> watch.respond(200, "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}");
+        case "nonsense" -> poll.respond(200, "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}");
         case "cut" -> {
           String list = program.endpointList(44, Extent.COMPLETE, Health.DRAINING).toJson();
-          watch.respond(200, list.substring(0, 40));
+          poll.respond(200, list.substring(0, 40));
         }
-        default -> watch.connection().close();
+        default -> poll.connection().close();
       }
 
       assertTrue(program.discovery().nextRequest().startLine().contains("from=41&"));
@@ -106,11 +124,14 @@
     }
   }
 
-  /** The second response is discarded, and its connection is not used for the next poll. */
+  /**
+   * Discovery sends two responses to one poll. The dispatcher applies the list in the first
+   * response, discards the second response, and sends the next poll on a new connection.
+   */
   @Test
-  void aListThatIsSentTwiceAppliesOnce() throws Exception {
+  void aSecondResponseToTheSamePollIsDiscarded() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
-      HttpMessage watch = program.discovery().nextRequest();
+      HttpMessage poll = program.discovery().nextRequest();
       String first =
           program.endpointList(43, Extent.CHANGES, Health.DRAINING, Health.SERVING).toJson();
       String second =
@@ -118,11 +139,11 @@
 
       String head = "HTTP/1.1 200 x\r\n";
       HttpIo.write(
-          watch.connection(), HttpIo.withBody(head, first) + HttpIo.withBody(head, second));
+          poll.connection(), HttpIo.withBody(head, first) + HttpIo.withBody(head, second));
 
       HttpMessage next = program.discovery().nextRequest();
       assertTrue(next.startLine().contains("?from=43&"), next.startLine());
-      assertNotSame(watch.connection(), next.connection());
+      assertNotSame(poll.connection(), next.connection());
       program.assertAllServedBy(1, 8);
     }
   }
