--- a/src/test/java/loomreel/program/IdempotencyKeyTest.java
+++ b/src/test/java/loomreel/program/IdempotencyKeyTest.java
@@ -15,11 +15,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Jobs of a keyed class: workers recognise a repetition by its idempotency key. */
+/**
+ * Verifies when the dispatcher retries a job of a keyed class. Workers recognize a repeated job of
+ * a keyed class by its idempotency key, so that a retry does not run the job twice.
+ */
 @Timeout(120)
 class IdempotencyKeyTest {
   private static final String JOB_ID = "00000000000000cc";
-  private static final String KEY = "5c0f6e1a-2b3d, \"x\"; ~";
+  /** An idempotency key with punctuation, which must reach the worker unchanged. */
+  private static final String IDEMPOTENCY_KEY = "5c0f6e1a-2b3d, \"x\"; ~";
 
   private static DispatcherProcess start() throws IOException {
     TestConfiguration configuration =
@@ -28,41 +32,42 @@
     return new DispatcherProcess(2, configuration);
   }
 
+  /** Sends a job of class hold with a deadline of 20 s; {@code headers} are complete lines. */
   private static void submit(Socket client, String headers) throws IOException {
     HttpIo.write(client, DispatcherHarness.jobRequest("/hold/1", JOB_ID, 20_000, headers, "body"));
   }
 
   @Test
-  void aJobIsRetriedUnderItsKey() throws Exception {
+  void aJobWithAKeyIsRetriedWithTheSameKey() throws Exception {
     try (DispatcherProcess program = start();
         Socket client = program.connect()) {
-      submit(client, "idempotency-KEY: " + KEY + "\r\n");
+      submit(client, "idempotency-KEY: " + IDEMPOTENCY_KEY + "\r\n");
       int worker = program.awaitWorkerWithRequest();
-      HttpMessage first = program.worker(worker).nextRequest();
-      assertEquals(KEY, first.header("Idempotency-Key"));
+      HttpMessage firstRequest = program.worker(worker).nextRequest();
+      assertEquals(IDEMPOTENCY_KEY, firstRequest.header("Idempotency-Key"));
 
-      first.connection().close();
+      firstRequest.connection().close();
 
-      HttpMessage second = program.worker(1 - worker).nextRequest();
-      assertEquals(KEY, second.header("Idempotency-Key"));
-      assertEquals("body", second.body());
-      second.respond(202, "");
+      HttpMessage secondRequest = program.worker(1 - worker).nextRequest();
+      assertEquals(IDEMPOTENCY_KEY, secondRequest.header("Idempotency-Key"));
+      assertEquals("body", secondRequest.body());
+      secondRequest.respond(202, "");
       program.reportDone(JOB_ID, "w" + (1 - worker), "held");
       assertEquals("held", HttpIo.read(client).body());
     }
   }
 
-  /** Without a key the job could run twice. */
+  /** Without a key the worker could not recognize the retry, and the job could run twice. */
   @Test
   void aJobWithoutAKeyIsNotRetried() throws Exception {
     try (DispatcherProcess program = start();
         Socket client = program.connect()) {
       submit(client, "");
       int worker = program.awaitWorkerWithRequest();
-      HttpMessage first = program.worker(worker).nextRequest();
-      assertNull(first.header("Idempotency-Key"));
+      HttpMessage firstRequest = program.worker(worker).nextRequest();
+      assertNull(firstRequest.header("Idempotency-Key"));
 
-      first.connection().close();
+      firstRequest.connection().close();
 
       assertEquals(500, HttpIo.read(client).status());
       assertFalse(program.worker(1 - worker).hasPendingRequest());
--- a/src/test/java/loomreel/program/JobForwardingTest.java
+++ b/src/test/java/loomreel/program/JobForwardingTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs on their way to a worker, retries at another one, and results on their way back. */
+/**
+ * Verifies that the dispatcher forwards jobs to workers, retries failed jobs at another worker if
+ * that is allowed, and returns the results to the clients.
+ */
 @Timeout(120)
 class JobForwardingTest {
   @Test
@@ -36,8 +39,8 @@
       assertEquals("POST /copy/page?n=1 HTTP/1.1", post.startLine());
       assertEquals("the body", post.body());
       assertEquals(job.id(), post.header("X-Call-Id"));
-      int budget = Integer.parseInt(post.header("X-Budget-Ms"));
-      assertTrue(budget > 0 && budget <= 20_000, "budget " + budget);
+      int budgetMillis = Integer.parseInt(post.header("X-Budget-Ms"));
+      assertTrue(budgetMillis > 0 && budgetMillis <= 20_000, "budget " + budgetMillis);
       assertEquals(200, program.reportStatus(job.id(), "w0", "running", ",\"share\":0.4"));
       assertEquals(200, program.reportDone(job.id(), "w0", "r\\u00e9sultat"));
       HttpMessage response = job.response();
@@ -47,10 +50,12 @@
   }
 
   /**
-   * A job that may have run does not run again where its class forbids that; a job that a worker
-   * has rejected or returned goes to another one.
+   * Jobs of the class copy are idempotent and are retried after each of these outcomes. Jobs of the
+   * class issue must not run twice. They are retried only if the worker has rejected or returned
+   * them, which proves that they have not run.
    */
   @ParameterizedTest
+  // Columns: request class, outcome of the first attempt, status of the response to the client.
   @CsvSource({
     "issue,reset,500",
     "issue,500,500",
@@ -62,7 +67,7 @@
     "copy,lost,200",
     "copy,garbage,200"
   })
-  void anotherAttemptIsMadeAsClassAndOutcomeAllow(String requestClass, String outcome, int status)
+  void aJobIsRetriedIfItIsIdempotentOrHasNotRun(String requestClass, String outcome, int status)
       throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/" + requestClass, "b");
@@ -102,30 +107,33 @@
     }
   }
 
-  /** The client gets a Retry-After at its deadline. */
+  /**
+   * The client gets a 503 with a Retry-After header at its deadline, whether the worker has not
+   * responded at all or has accepted the job and reported no result.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aSilentWorkerCostsNoMoreThanTheDeadline(boolean accepts) throws Exception {
+  void aJobWithoutAResultIsAnsweredWith503AtItsDeadline(boolean workerAccepts) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit(program.connect(), "/copy", 2000, "");
       HttpMessage post = program.worker(0).nextRequest();
-      if (accepts) {
+      if (workerAccepts) {
         post.respond(202, "");
       }
 
       HttpMessage response = job.response();
-      SubmittedJob late = program.submit(job.connection(), "/copy", 1, "");
+      SubmittedJob expiringJob = program.submit(job.connection(), "/copy", 1, "");
 
       assertEquals(503, response.status(), "an idempotent job may be submitted again");
       assertEquals("1.500", response.header("Retry-After"));
-      assertNotEquals(200, late.response().status());
+      assertNotEquals(200, expiringJob.response().status());
     }
   }
 
   @Test
-  void aWorkerWithANewAddressGetsItsJobsThere() throws Exception {
+  void jobsAreSentToTheNewAddressOfAWorker() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      StubHttpServer previous = program.replaceWorker(0);
+      StubHttpServer previousWorker = program.replaceWorker(0);
       program
           .endpointList(42, Extent.COMPLETE, Health.SERVING)
           .respondTo(program.discovery().nextRequest());
@@ -135,8 +143,8 @@
       program.serveNextJob(0, "moved");
 
       assertEquals("moved", job.response().body());
-      assertFalse(previous.hasPendingRequest());
-      previous.close();
+      assertFalse(previousWorker.hasPendingRequest());
+      previousWorker.close();
     }
   }
 
@@ -164,15 +172,16 @@
   }
 
   @Test
-  void aBodyOfTheLargestSizeIsForwardedAndALargeResultReturned() throws Exception {
+  void aBodyOfTheMaximumSizeIsForwardedAndALargeResultReturned() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      String large = "x".repeat(64 * 1024);
+      String largestBody = "x".repeat(64 * 1024);
 
-      SubmittedJob job = program.submit("/copy", large);
-      assertEquals(large, program.worker(0).nextRequest().body());
-      program.reportDone(job.id(), "w0", large.substring(100));
+      SubmittedJob job = program.submit("/copy", largestBody);
+      assertEquals(largestBody, program.worker(0).nextRequest().body());
+      // The result is 100 bytes shorter so that the status update does not exceed the maximum.
+      program.reportDone(job.id(), "w0", largestBody.substring(100));
 
-      assertEquals(large.substring(100), job.response().body());
+      assertEquals(largestBody.substring(100), job.response().body());
     }
   }
 
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -13,31 +13,38 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Responses of workers that are truncated, malformed, repeated or endless, and what they prove. */
+/**
+ * Verifies how the dispatcher handles worker messages that are truncated, malformed, repeated or
+ * endless, and whether it concludes from them that the job was accepted or may have run.
+ */
 @Timeout(120)
 class MalformedWorkerResponseTest {
-  /** What follows the status line of a 202; in each case the job was accepted. */
+  /** The bytes after the status line of a 202 response; in each case the job counts as accepted. */
   private enum Remainder {
     CUT("Content-Length: 10\r\n\r\nabc", true),
     MISSING("Content-Length: 10\r\n\r\n", true),
     TOO_LONG("Content-Length: 1000000\r\n\r\n", false),
     GARBAGE("Transfer-Encoding: chunked\r\n\r\nzz\r\n", false),
     TWO_LENGTHS("Content-Length: 1\r\nContent-Length: 2\r\n\r\n", false),
+    /** A body of 17 chunks of 4,096 bytes, which exceeds the maximum size of 65,536 bytes. */
     ENDLESS(
         "Transfer-Encoding: chunked\r\n\r\n" + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(17),
         false);
 
     private final String bytes;
-    private final boolean endsConnection;
 
-    Remainder(String bytes, boolean endsConnection) {
+    /** Whether the worker shuts down its side of the connection after the bytes. */
+    private final boolean shutsDownOutput;
+
+    Remainder(String bytes, boolean shutsDownOutput) {
       this.bytes = bytes;
-      this.endsConnection = endsConnection;
+      this.shutsDownOutput = shutsDownOutput;
     }
   }
 
-  /** A job that a worker has received and not answered. */
+  /** A job whose request a worker has received but not answered. */
   private record ReceivedJob(SubmittedJob job, int worker, HttpMessage post) {
+    /** Submits a job and waits until a worker has received the request. */
     static ReceivedJob submit(StepControlledServer server, String path) throws Exception {
       SubmittedJob job = server.submit(path, "");
       int worker = server.awaitAttemptWorker();
@@ -47,12 +54,12 @@
 
   @ParameterizedTest
   @EnumSource(Remainder.class)
-  void aJobIsAcceptedOnceTheStatusLineSaysSo(Remainder remainder) throws Exception {
+  void aResponseWithStatus202AcceptsTheJobWhateverFollows(Remainder remainder) throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/issue");
 
       HttpIo.write(received.post.connection(), "HTTP/1.1 202 x\r\n" + remainder.bytes);
-      if (remainder.endsConnection) {
+      if (remainder.shutsDownOutput) {
         received.post.connection().shutdownOutput();
       }
 
@@ -64,9 +71,9 @@
     }
   }
 
-  /** Every other worker would find the job invalid as well. */
+  /** A retry would be useless, because every other worker would find the job invalid as well. */
   @Test
-  void aJobThatAWorkerFindsInvalidFailsWithoutAnotherAttempt() throws Exception {
+  void aJobThatIsAnsweredWith400IsNotRetried() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/copy");
 
@@ -93,9 +100,9 @@
     }
   }
 
-  /** The job may have run. */
+  /** A truncated rejection does not prove that the job has not run. */
   @Test
-  void aTruncatedRejectionIsNoProofThatTheJobHasNotRun() throws Exception {
+  void aNonIdempotentJobIsNotRetriedAfterATruncatedRejection() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/issue");
 
@@ -109,9 +116,9 @@
     }
   }
 
-  /** The client disconnects while the 202 is unread. */
+  /** The client disconnects before the dispatcher has read the 202 response of the worker. */
   @Test
-  void aCancellationThatCrossesA202IsSentToTheWorker() throws Exception {
+  void aJobCancelledBeforeThe202IsReadIsCancelledAtTheWorker() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       HttpMessage post = server.worker(0).nextRequest();
@@ -125,7 +132,7 @@
   }
 
   @Test
-  void aResultThatCrossesTheLossOfItsAttemptIsActedOnOnce() throws Exception {
+  void onlyTheResultOfTheRetryIsUsedAfterAnAttemptIsLost() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/copy");
       String id = received.job.id();
@@ -133,11 +140,11 @@
       String secondWorker = "w" + (1 - received.worker);
       received.post.respond(202, "");
       server.reportStatus(id, firstWorker, "lost", "");
-      HttpMessage second = server.worker(1 - received.worker).nextRequest();
+      HttpMessage retry = server.worker(1 - received.worker).nextRequest();
 
       assertEquals(200, server.reportDone(id, firstWorker, "of the lost one"));
       assertEquals(200, server.reportStatus(id, firstWorker, "returned", ""));
-      second.respond(202, "");
+      retry.respond(202, "");
       assertEquals(200, server.reportDone(id, secondWorker, "of the second"));
       assertEquals(200, server.reportDone(id, secondWorker, "once more"));
 
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -18,21 +18,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The management API: statistics, client drains, and workers that operators disable. */
+/**
+ * Verifies the management API: statistics, client drains, and workers that operators disable. A
+ * client drain rejects new jobs and closes client connections until it is stopped.
+ */
 @Timeout(120)
 class ManagementApiTest {
   @Test
-  void eachResponseIsCountedOnceUnderItsClass() throws Exception {
+  void eachResponseIsCountedOnceForItsRequestClass() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.managed(2)) {
       assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
       assertEquals(0, program.statistic(0, "failure.issue"), "a count of 0 is there as well");
 
-      succeedAtSecondAttempt(program);
+      serveJobAtSecondAttempt(program);
       SubmittedJob failing = program.submit("/issue", "");
-      nextJob(program).respond(500, "");
+      awaitJobRequest(program).respond(500, "");
       assertEquals(500, failing.response().status());
-      SubmittedJob late = program.submit(program.connect(), "/copy", 1, "");
-      assertEquals(503, late.response().status());
+      SubmittedJob expiringJob = program.submit(program.connect(), "/copy", 1, "");
+      assertEquals(503, expiringJob.response().status());
       program.reload("{");
       program.awaitLog("configuration reload rejected");
 
@@ -50,19 +53,22 @@
     }
   }
 
-  private static void succeedAtSecondAttempt(DispatcherProcess program) throws Exception {
+  /** Submits a job, resets its first attempt, and serves it at the second attempt. */
+  private static void serveJobAtSecondAttempt(DispatcherProcess program) throws Exception {
     SubmittedJob job = program.submit("/copy", "");
-    HttpMessage post = nextJob(program);
+    HttpMessage post = awaitJobRequest(program);
     assertEquals(1, program.statistic(0, "inflight"));
     assertEquals(1, program.statistic(0, "backend_calls"));
     post.connection().close();
-    nextJob(program).respond(202, "");
+    awaitJobRequest(program).respond(202, "");
+    // The update of the worker with the second attempt completes the job; the other has no effect.
     program.reportDone(job.id(), "w0", "r");
     program.reportDone(job.id(), "w1", "r");
     assertEquals(200, job.response().status());
   }
 
-  private static HttpMessage nextJob(DispatcherProcess program) throws Exception {
+  /** Waits until a worker has a request, and takes the request. */
+  private static HttpMessage awaitJobRequest(DispatcherProcess program) throws Exception {
     return program.worker(program.awaitWorkerWithRequest()).nextRequest();
   }
 
@@ -76,39 +82,39 @@
   }
 
   @Test
-  void operatorsAreServedBesideSilentConnections() throws Exception {
+  void operatorsAreServedWhileOtherConnectionsAreSilent() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.managed(1)) {
-      List<Socket> silent = new ArrayList<>();
+      List<Socket> silentConnections = new ArrayList<>();
 
       for (int i = 0; i < 40; i++) {
-        silent.add(HttpIo.connect(program.managementPort(0)));
-        HttpIo.write(silent.get(i), i % 2 == 0 ? "" : "GET /ops/sta");
+        silentConnections.add(HttpIo.connect(program.managementPort(0)));
+        HttpIo.write(silentConnections.get(i), i % 2 == 0 ? "" : "GET /ops/sta");
         assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
       }
 
-      assertTrue(silent.get(0).getInputStream().read() < 0, "the oldest one is closed");
+      assertTrue(silentConnections.get(0).getInputStream().read() < 0, "the oldest one is closed");
     }
   }
 
-  /** Workers are served throughout a drain. */
+  /** The dispatcher answers status updates of workers throughout a client drain. */
   @Test
   void aClientDrainClosesClientConnectionsUntilItIsStopped() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.managed(1);
         Socket workerConnection = program.connect()) {
-      SubmittedJob idle = program.submit("/copy", "");
+      SubmittedJob completedJob = program.submit("/copy", "");
       program.serveNextJob(0, "before");
-      assertEquals("before", idle.response().body());
-      SubmittedJob inFlight = program.submit("/copy", "");
+      assertEquals("before", completedJob.response().body());
+      SubmittedJob inFlightJob = program.submit("/copy", "");
       program.worker(0).nextRequest().respond(202, "");
-      reportOn(workerConnection, inFlight.id(), "running");
+      sendUpdate(workerConnection, inFlightJob.id(), "running");
 
       assertEquals(200, program.startClientDrain(0));
 
       assertEquals(503, program.readinessStatus());
-      assertNull(HttpIo.read(idle.connection()), "idle connections are closed");
+      assertNull(HttpIo.read(completedJob.connection()), "idle connections are closed");
       assertEquals(503, program.submit("/copy", "").response().status(), "new jobs are rejected");
-      reportOn(workerConnection, inFlight.id(), "done");
-      HttpMessage response = inFlight.response();
+      sendUpdate(workerConnection, inFlightJob.id(), "done");
+      HttpMessage response = inFlightJob.response();
       assertEquals("r", response.body());
       assertEquals("close", response.header("Connection"));
       assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
@@ -116,14 +122,14 @@
       assertEquals(200, program.stopClientDrain(0));
 
       assertEquals(200, program.readinessStatus());
-      SubmittedJob after = program.submit("/copy", "");
+      SubmittedJob jobAfterDrain = program.submit("/copy", "");
       program.serveNextJob(0, "after");
-      assertNull(after.response().header("Connection"));
+      assertNull(jobAfterDrain.response().header("Connection"));
     }
   }
 
-  /** Sends a status update on a connection that stays open. */
-  private static void reportOn(Socket connection, String id, String state) throws IOException {
+  /** Sends a status update, and checks that the dispatcher keeps the connection open. */
+  private static void sendUpdate(Socket connection, String id, String state) throws IOException {
     String update = DispatcherHarness.statusUpdate(id, "w0", state, DispatcherHarness.result("r"));
     HttpIo.write(connection, HttpIo.withBody(DispatcherHarness.STATUS_UPDATE_HEAD, update));
     HttpMessage response = HttpIo.read(connection);
@@ -131,9 +137,12 @@
     assertNull(response.header("Connection"), "connections of workers stay open");
   }
 
-  /** It may be removed from the endpoint list, return, and be enabled again. */
+  /**
+   * The disabled worker gets no jobs after the endpoint list has removed it and added it again. It
+   * gets jobs once it is enabled.
+   */
   @Test
-  void aDisabledWorkerGetsNoJobsWhateverTheEndpointListSays() throws Exception {
+  void aDisabledWorkerGetsNoJobsUntilItIsEnabled() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.managed(2)) {
       assertEquals(404, program.disableWorker(0, "w2"));
       assertEquals(404, program.enableWorker(0, ""));
@@ -153,7 +162,7 @@
       assertEquals(200, program.enableWorker(0, "w0"));
       assertEquals(0, program.statistic(0, "hosts_down"));
       assertEquals(200, program.disableWorker(0, "w1"));
-      // It warms up, but may have one job at once.
+      // Worker w0 is in slow start, which allows the single job that is submitted here.
       program.assertAllServedBy(0, 1);
     }
   }
