--- a/src/test/java/loomreel/program/OperatorOverrideRaceTest.java
+++ b/src/test/java/loomreel/program/OperatorOverrideRaceTest.java
@@ -11,36 +11,44 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Overrides that operators set while their messages are under way between the processes of a hot
- * restart: no change is lost, and in the end the processes and the file agree.
+ * Verifies operator overrides that change while messages about other changes are in transit between
+ * the processes of a hot restart. No change is lost, and in the end the overrides of all processes
+ * and of the stored file are equal.
+ *
+ * <p>The override that the tests change is the set of workers that operators have disabled. In the
+ * tests with two processes, a relay between the processes holds their messages.
  */
 @Timeout(120)
 class OperatorOverrideRaceTest {
   /** The name of the statistic that counts the disabled workers. */
   private static final String DISABLED_WORKERS = "hosts_down";
 
+  // The indexes of the processes, in the order in which they are started.
   private static final int OLD = 0;
   private static final int NEW = 1;
   private static final int NEWEST = 2;
 
+  /** Returns the file with the port on which a process accepts its successor. */
   private static Path portFile(DispatcherProcess program) {
     return program.temporaryDirectory().resolve("n0.tie");
   }
 
-  private static String stored(DispatcherProcess program) throws Exception {
+  /** Returns the text of the file in which the processes store the overrides. */
+  private static String storedOverrides(DispatcherProcess program) throws Exception {
     return Files.readString(program.temporaryDirectory().resolve("n0.state"));
   }
 
-  /** Waits until a process has acted on the messages that were passed on to it before. */
-  private static void awaitMessagesRead(DispatcherProcess program, int process) throws Exception {
-    // Of two requests that follow each other, the second is served in a later loop iteration.
+  /** Waits until a process has handled all messages that the relay has already passed on to it. */
+  private static void awaitMessagesHandled(DispatcherProcess program, int process)
+      throws Exception {
+    // The second of two consecutive requests is served in a later iteration of the event loop.
     program.callManagement(process, "GET", "readiness", "");
     program.callManagement(process, "GET", "readiness", "");
   }
 
-  /** An override set at the successor before those of the old process have arrived there. */
+  /** Operators change overrides at the successor before those of the old process arrive there. */
   @Test
-  void anOverrideSetAtTheSuccessorOutlastsThoseOfTheOldProcess() throws Exception {
+  void aChangeAtTheSuccessorIsKeptWhenTheOldProcessSendsItsOverrides() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(3);
         HotRestartRelay relay = new HotRestartRelay(portFile(program))) {
       program.disableWorker(OLD, "w0");
@@ -54,16 +62,16 @@
       relay.release(Sender.OLD);
 
       assertEquals("down w0\ndown w1\n", relay.receive(Sender.OLD).body());
-      awaitMessagesRead(program, NEW);
+      awaitMessagesHandled(program, NEW);
       assertEquals(2, program.statistic(NEW, DISABLED_WORKERS));
       assertEquals(2, program.statistic(OLD, DISABLED_WORKERS));
-      assertEquals("down w0\ndown w2\n", stored(program));
+      assertEquals("down w0\ndown w2\n", storedOverrides(program));
     }
   }
 
-  /** Both processes change the same override before the message of the other arrives. */
+  /** Operators change one override at both processes before either receives a message about it. */
   @Test
-  void changesOfOneOverrideThatCrossEndAlikeInBothProcesses() throws Exception {
+  void crossingChangesOfOneOverrideHaveTheSameResultInBothProcesses() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2);
         HotRestartRelay relay = new HotRestartRelay(portFile(program))) {
       program.startSuccessor();
@@ -80,14 +88,18 @@
 
       program.awaitStatistic(OLD, DISABLED_WORKERS, 0);
       program.awaitStatistic(NEW, DISABLED_WORKERS, 0);
-      awaitMessagesRead(program, OLD);
-      assertEquals("", stored(program));
+      awaitMessagesHandled(program, OLD);
+      assertEquals("", storedOverrides(program));
     }
   }
 
-  /** At the successor nothing has to be changed, but a change of the old process is under way. */
+  /**
+   * Operators disable a worker at the old process and enable it at the successor. The successor has
+   * not received the message about the disabled worker, so the request to enable the worker changes
+   * nothing there.
+   */
   @Test
-  void aRequestWithoutEffectAtTheSuccessorRevokesTheChangeThatIsUnderWay() throws Exception {
+  void enablingAWorkerAtTheSuccessorRevokesItsDisablingInTransit() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2);
         HotRestartRelay relay = new HotRestartRelay(portFile(program))) {
       program.startSuccessor();
@@ -101,13 +113,13 @@
 
       relay.receive(Sender.OLD);
       relay.receive(Sender.OLD);
-      awaitMessagesRead(program, NEW);
+      awaitMessagesHandled(program, NEW);
       assertEquals(0, program.statistic(NEW, DISABLED_WORKERS));
-      assertEquals("", stored(program));
+      assertEquals("", storedOverrides(program));
     }
   }
 
-  /** A third process starts while the first still ends its jobs. */
+  /** The third process starts while the first one is still running. */
   @Test
   void anOverrideReachesEachOfThreeProcesses() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2)) {
@@ -120,7 +132,7 @@
       program.awaitStatistic(OLD, DISABLED_WORKERS, 2);
 
       assertEquals(2, program.statistic(NEW, DISABLED_WORKERS));
-      assertEquals("down w0\ndown w1\n", stored(program));
+      assertEquals("down w0\ndown w1\n", storedOverrides(program));
     }
   }
 }
--- a/src/test/java/loomreel/program/OutdatedEndpointListTest.java
+++ b/src/test/java/loomreel/program/OutdatedEndpointListTest.java
@@ -21,24 +21,37 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A process whose configuration lists a worker that was drained or removed long ago: it must send
- * that worker nothing, however discovery responds to its first calls.
+ * Verifies the start of a process whose configuration contains an outdated endpoint list, with a
+ * worker that was drained or removed long ago. If discovery returns the current list, the process
+ * must send no job to that worker, even if the first call to discovery fails or is answered late. If
+ * discovery stays unavailable, the process uses the outdated list.
  */
 @Timeout(120)
 class OutdatedEndpointListTest {
-  private static final int JOBS = 8;
+  private static final int JOB_COUNT = 8;
+
+  /** The delay of the first response of discovery in the case LATE. */
   private static final int LATE_RESPONSE_MILLIS = 1000;
+
+  /** A deadline that is over before the process stops waiting for an endpoint list. */
   private static final int SHORT_DEADLINE_MILLIS = 300;
+
+  /** The size of the parts in which discovery sends its response in the case IN_PIECES. */
   private static final int PIECE_BYTES = 40;
 
-  /** How discovery treats the first calls of a process that starts. */
+  /** How discovery responds to the first calls of a process that starts. */
   private enum FirstResponse {
+    /** A list in which the worker is draining. */
     DRAINING,
+    /** A list that removes the worker. */
     REMOVED,
     LATE,
     IN_PIECES,
+    /** A 503; the second call gets the list. */
     UNAVAILABLE_FIRST,
+    /** A reset of the connection; the second call gets the list. */
     RESET_FIRST,
+    /** No response; the second call gets the list. */
     SILENT_FIRST
   }
 
@@ -48,7 +61,7 @@
 
   private static List<SubmittedJob> submitJobs(DispatcherProcess program) throws IOException {
     List<SubmittedJob> jobs = new ArrayList<>();
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
       jobs.add(program.submit("/copy/" + i, ""));
     }
     return jobs;
@@ -56,7 +69,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void noJobIsSentByAListOfUnknownAge(FirstResponse response) throws Exception {
+  void jobsWaitForTheCurrentListAndFollowIt(FirstResponse response) throws Exception {
     try (DispatcherProcess program = start()) {
       HttpMessage call = program.discovery().nextRequest();
       assertTrue(call.startLine().contains("?from=41&"), call.startLine());
@@ -68,7 +81,7 @@
 
       respond(program, call, current, response);
 
-      for (int i = 0; i < JOBS; i++) {
+      for (int i = 0; i < JOB_COUNT; i++) {
         program.serveNextJob(1, "served");
       }
       for (SubmittedJob job : jobs) {
@@ -78,6 +91,7 @@
     }
   }
 
+  /** Sends the list to the dispatcher, as the response to the first or the second call. */
   private static void respond(
       DispatcherProcess program, HttpMessage call, EndpointList list, FirstResponse response)
       throws Exception {
@@ -103,33 +117,33 @@
 
   private static void respondInPieces(HttpMessage call, EndpointList list) throws Exception {
     String response = HttpIo.withBody("HTTP/1.1 200 x\r\n", list.toJson());
-    for (int from = 0; from < response.length(); from += PIECE_BYTES) {
+    for (int offset = 0; offset < response.length(); offset += PIECE_BYTES) {
       HttpIo.write(
           call.connection(),
-          response.substring(from, Math.min(response.length(), from + PIECE_BYTES)));
+          response.substring(offset, Math.min(response.length(), offset + PIECE_BYTES)));
       Thread.sleep(10);
     }
   }
 
-  /** Discovery that is down for long must not keep the process from serving. */
+  /** A long outage of discovery must not prevent the process from serving jobs. */
   @Test
-  void silentDiscoveryDelaysTheStartForALimitedTime() throws Exception {
+  void theOutdatedListIsUsedAfterATimeoutOfSilentDiscovery() throws Exception {
     try (DispatcherProcess program = start()) {
       program.discovery().nextRequest();
       SubmittedJob job = program.submit("/copy", "");
 
-      String logged = program.awaitLog("discovery silent");
+      String logLine = program.awaitLog("discovery silent");
 
-      assertTrue(logged.contains("last known endpoint list"));
+      assertTrue(logLine.contains("last known endpoint list"));
       int worker = program.awaitWorkerWithRequest();
       program.serveNextJob(worker, "held");
       assertEquals("held", job.response().body());
     }
   }
 
-  /** Two failed calls: discovery is down, not only overloaded. */
+  /** After two failed calls discovery counts as down, rather than only overloaded. */
   @Test
-  void unavailableDiscoveryDelaysTheStartForTwoCalls() throws Exception {
+  void theOutdatedListIsUsedAfterTwoFailedCalls() throws Exception {
     try (DispatcherProcess program = start()) {
       program.discovery().nextRequest().respond(503, "");
       SubmittedJob job = program.submit("/copy", "");
@@ -142,7 +156,7 @@
     }
   }
 
-  /** Clients that do not wait for the process to be ready get their answer in time. */
+  /** A client that submits a job before the process is ready gets a response in time. */
   @Test
   void aJobThatCannotWaitForTheListIsRejected() throws Exception {
     try (DispatcherProcess program = start()) {
--- a/src/test/java/loomreel/program/PushedEndpointListTest.java
+++ b/src/test/java/loomreel/program/PushedEndpointListTest.java
@@ -21,18 +21,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Pushed endpoint lists: what a local agent has counts as known to the dispatcher from the first
- * moment on, so that no list may be missed for as long as the drain grace.
+ * Verifies endpoint lists that are pushed to a local agent, from which the dispatcher gets them.
+ *
+ * <p>A list counts as known to the dispatcher as soon as the agent has it. From then on, jobs may
+ * be sent to a draining worker only for the drain grace, so the dispatcher must get each list
+ * within that time.
  */
 @Timeout(120)
 class PushedEndpointListTest {
-  private static TestConfiguration pushed() {
+  /** Returns a configuration with pushed endpoint lists and a drain grace of 5 s. */
+  private static TestConfiguration pushConfiguration() {
     return new TestConfiguration().discoveryMode(DiscoveryMode.PUSH).drainGraceSeconds(5);
   }
 
   /**
-   * Responds to each request with a list until the dispatcher watches from it on: a slow dispatcher
-   * may repeat a request first. The watch from the list on.
+   * Responds to each request with a list until the dispatcher requests the changes after that list.
+   * A slow dispatcher may repeat an earlier request first.
+   *
+   * @param sequence the sequence number of the list
+   * @return the request for the changes after the list, to which no response has been sent
    */
   private static HttpMessage respondUntilWatchedFrom(
       DispatcherProcess program, int sequence, String list) throws Exception {
@@ -46,9 +53,9 @@
 
   @Test
   void aPushedListAppliesBeforeTheFirstJobIsSent() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
-      HttpMessage complete = program.discovery().nextRequest();
-      assertEquals("GET /registry/instances HTTP/1.1", complete.startLine());
+    try (DispatcherProcess program = new DispatcherProcess(2, pushConfiguration())) {
+      HttpMessage completeListRequest = program.discovery().nextRequest();
+      assertEquals("GET /registry/instances HTTP/1.1", completeListRequest.startLine());
       List<SubmittedJob> jobs = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         jobs.add(program.submit("/copy/" + i, ""));
@@ -56,9 +63,9 @@
 
       String list =
           program.endpointList(7, Extent.COMPLETE, Health.DRAINING, Health.SERVING).toJson();
-      String indented = list.replace(",", ",\n  ");
-      complete.respond(200, indented);
-      respondUntilWatchedFrom(program, 7, indented);
+      String indentedList = list.replace(",", ",\n  ");
+      completeListRequest.respond(200, indentedList);
+      respondUntilWatchedFrom(program, 7, indentedList);
 
       for (int i = 0; i < jobs.size(); i++) {
         program.serveNextJob(1, "served");
@@ -73,17 +80,19 @@
   @ParameterizedTest
   @ValueSource(strings = {"silent", "503", "closed", "cut"})
   void aFailedWatchIsRestartedOnANewConnectionWithinTheGrace(String failure) throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
-      String known = program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson();
-      String cut = program.endpointList(44, Extent.COMPLETE, Health.DRAINING).toJson();
-      HttpMessage watch = respondUntilWatchedFrom(program, 41, known);
+    try (DispatcherProcess program = new DispatcherProcess(2, pushConfiguration())) {
+      String knownList = program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson();
+      String truncatedList = program.endpointList(44, Extent.COMPLETE, Health.DRAINING).toJson();
+      HttpMessage watch = respondUntilWatchedFrom(program, 41, knownList);
 
       for (int i = 0; i < 3; i++) {
-        int hold = Integer.parseInt(watch.startLine().replaceAll(".*hold_ms=(\\d+).*", "$1"));
-        assertTrue(watch.startLine().contains("?from=41&") && hold <= 2500, watch.startLine());
+        // A watch may be held for at most half of the drain grace.
+        int holdMillis = Integer.parseInt(watch.startLine().replaceAll(".*hold_ms=(\\d+).*", "$1"));
+        assertTrue(
+            watch.startLine().contains("?from=41&") && holdMillis <= 2500, watch.startLine());
         switch (failure) {
           case "503" -> watch.respond(503, "");
-          case "cut" -> watch.respond(200, cut.substring(0, 40));
+          case "cut" -> watch.respond(200, truncatedList.substring(0, 40));
           case "closed" -> watch.connection().close();
           default -> program.discovery().awaitClosed(watch.connection());
         }
@@ -98,16 +107,16 @@
     }
   }
 
-  /** The platform expects a dispatcher to be ready within 30 s. */
+  /** The platform expects a dispatcher to be ready within 30 s, also if its agent is silent. */
   @Test
-  void aSilentAgentDelaysTheStartForALimitedTime() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(1, pushed())) {
+  void theLastKnownListIsUsedAfterATimeoutOfASilentAgent() throws Exception {
+    try (DispatcherProcess program = new DispatcherProcess(1, pushConfiguration())) {
       program.discovery().nextRequest();
       SubmittedJob job = program.submit("/copy", "");
 
-      String logged = program.awaitLog("discovery agent silent");
+      String logLine = program.awaitLog("discovery agent silent");
 
-      assertTrue(logged.contains("last known endpoint list"));
+      assertTrue(logLine.contains("last known endpoint list"));
       program.serveNextJob(0, "held");
       assertEquals("held", job.response().body());
     }
@@ -115,17 +124,17 @@
 
   @Test
   void aListThatArrivesLateOnASilentWatchIsIgnored() throws Exception {
-    try (DispatcherProcess program = new DispatcherProcess(2, pushed())) {
-      String known = program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson();
-      HttpMessage silent = respondUntilWatchedFrom(program, 41, known);
-      program.discovery().awaitClosed(silent.connection());
+    try (DispatcherProcess program = new DispatcherProcess(2, pushConfiguration())) {
+      String knownList = program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson();
+      HttpMessage silentWatch = respondUntilWatchedFrom(program, 41, knownList);
+      program.discovery().awaitClosed(silentWatch.connection());
 
       try {
         program
             .endpointList(50, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
-            .respondTo(silent);
+            .respondTo(silentWatch);
       } catch (SocketException reset) {
-        // The dispatcher does not read it either way.
+        // The dispatcher has closed the connection and ignores the list even if the write succeeds.
       }
 
       EndpointList drained =
--- a/src/test/java/loomreel/program/SampleDeployment.java
+++ b/src/test/java/loomreel/program/SampleDeployment.java
@@ -7,39 +7,43 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A deployment described in {@code deploy/sites}, and the settings that its dispatchers get. */
+/**
+ * A sample deployment, which is described in a file of {@code deploy/sites}, and the conversion of
+ * that description to the settings of the deployment's dispatchers.
+ */
 final class SampleDeployment {
   private static final TomlMapper TOML = new TomlMapper();
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** Jobs may take this many times their own work beyond the latency objective. */
-  private static final int STRETCH = 1000;
+  /** How much the latency objective of a job grows per unit of the job's expected work. */
+  private static final int LATENCY_OBJECTIVE_PER_WORK = 1000;
 
-  /** The jobs per second of all tenants together. */
+  /** The sum of the quotas of all tenants, in jobs per second. */
   private static final int TOTAL_QUOTA_PER_SECOND = 200;
 
-  private final JsonNode site;
+  /** The content of the file. */
+  private final JsonNode description;
 
   /** Reads {@code deploy/sites/NAME.toml}. */
   SampleDeployment(String name) throws IOException {
-    site = TOML.readTree(Path.of("deploy", "sites", name + ".toml").toFile());
+    description = TOML.readTree(Path.of("deploy", "sites", name + ".toml").toFile());
   }
 
-  /** The request classes in the terms of the file. */
+  /** Returns the request classes, with the keys and values of the file. */
   JsonNode classes() {
-    return site.get("class");
+    return description.get("class");
   }
 
-  /** The settings in the terms of the platform's configuration. */
+  /** Returns the settings, with the keys and values of the platform's configuration. */
   ObjectNode settings() {
     ObjectNode settings = TOML.createObjectNode();
     settings
         .put("Balancers", 3)
-        .put("Discovery", site.at("/discovery/mode").asText())
-        .put("TickS", seconds(site.at("/day/tick_ms")))
-        .put("Locality", site.at("/net/zones/0").asText())
-        .put("Weights", site.at("/tier/0/weights").asText());
-    settings.putObject("Telemetry").put("How", site.at("/tier/0/report/how").asText());
+        .put("Discovery", description.at("/discovery/mode").asText())
+        .put("TickS", seconds(description.at("/day/tick_ms")))
+        .put("Locality", description.at("/net/zones/0").asText())
+        .put("Weights", description.at("/tier/0/weights").asText());
+    settings.putObject("Telemetry").put("How", description.at("/tier/0/report/how").asText());
     putClasses(settings);
     putTenants(settings);
     putPolicyLimits(settings.putObject("PolicyLimits"));
@@ -47,6 +51,7 @@
     return settings;
   }
 
+  /** Converts a duration in milliseconds to seconds. */
   private static double seconds(JsonNode millis) {
     return millis.asDouble() / MILLIS_PER_SECOND;
   }
@@ -54,8 +59,8 @@
   private void putClasses(ObjectNode settings) {
     ArrayNode classes = settings.putArray("RequestClasses");
     ObjectNode specifics = settings.putObject("Specifics");
-    specifics.put("TellsStart", site.at("/fam/tells_start").asBoolean());
-    ArrayNode stretches = specifics.putArray("ClassStretch");
+    specifics.put("TellsStart", description.at("/fam/tells_start").asBoolean());
+    ArrayNode latencyObjectivesPerWork = specifics.putArray("ClassStretch");
     for (JsonNode requestClass : classes()) {
       classes
           .addObject()
@@ -63,14 +68,18 @@
           .put("TargetS", seconds(requestClass.get("aim_ms")))
           .put("DeadlineS", seconds(requestClass.get("deadline_ms")))
           .put("Value", requestClass.get("worth").asDouble())
-          .put("Repeat", repeatSetting(requestClass.get("effect").asText()))
+          .put("Repeat", idempotencySetting(requestClass.get("effect").asText()))
           .put("Group", requestClass.path("group").asText("all"))
           .put("WindowS", requestClass.path("window_ms").asDouble(0) / MILLIS_PER_SECOND);
-      stretches.add(STRETCH);
+      latencyObjectivesPerWork.add(LATENCY_OBJECTIVE_PER_WORK);
     }
   }
 
-  private static String repeatSetting(String effect) {
+  /**
+   * Returns the value of the setting {@code Repeat} for the effect of a request class in the file.
+   * The setting says whether a job may run twice.
+   */
+  private static String idempotencySetting(String effect) {
     return switch (effect) {
       case "safe" -> "free";
       case "keyed" -> "guarded";
@@ -79,7 +88,7 @@
   }
 
   private void putTenants(ObjectNode settings) {
-    for (JsonNode tenant : site.get("tenant")) {
+    for (JsonNode tenant : description.get("tenant")) {
       settings
           .withArray("Tenants")
           .addObject()
@@ -89,26 +98,26 @@
   }
 
   private void putPolicyLimits(ObjectNode limits) {
-    JsonNode allow = site.get("allow");
-    JsonNode connections = site.at("/tier/0/conn");
+    JsonNode allowed = description.get("allow");
+    JsonNode connections = description.at("/tier/0/conn");
     limits
-        .put("MaxAttempts", allow.get("max_attempts").asInt())
-        .put("Cancelling", allow.get("cancel").asBoolean())
-        .put("SecondCopies", allow.get("second_copies").asBoolean())
-        .put("Probing", allow.get("probes").asBoolean())
-        .put("RetryAfter", allow.get("retry_after").asBoolean())
+        .put("MaxAttempts", allowed.get("max_attempts").asInt())
+        .put("Cancelling", allowed.get("cancel").asBoolean())
+        .put("SecondCopies", allowed.get("second_copies").asBoolean())
+        .put("Probing", allowed.get("probes").asBoolean())
+        .put("RetryAfter", allowed.get("retry_after").asBoolean())
         .put("MaxRetryAfterS", 2)
         .put("ConnectTimeoutS", seconds(connections.path("connect_timeout_ms")))
         .put("ConnIdleS", connections.path("idle_s").asDouble());
   }
 
   private void putInvariants(ObjectNode invariants) {
-    JsonNode rules = site.get("rules");
+    JsonNode rules = description.get("rules");
     invariants
         .put("StopSendingWithinS", seconds(rules.get("drain_grace_ms")))
         .put("AskWithinS", 10)
-        .put("ColdFrom", site.at("/tier/0/kind/0/cold_from/0").asDouble())
-        .put("ColdS", site.at("/tier/0/kind/0/cold_s/1").asDouble())
+        .put("ColdFrom", description.at("/tier/0/kind/0/cold_from/0").asDouble())
+        .put("ColdS", description.at("/tier/0/kind/0/cold_s/1").asDouble())
         .put("TipMultiple", rules.get("fall_multiple").asDouble())
         .put("FallS", seconds(rules.get("fall_ms")))
         .put("AnswerSlackS", 0.016);
