--- a/src/test/java/loomreel/program/OutdatedEndpointListTest.java
+++ b/src/test/java/loomreel/program/OutdatedEndpointListTest.java
@@ -23,8 +23,8 @@
 /**
  * Verifies the start of a process whose configuration contains an outdated endpoint list, with a
  * worker that was drained or removed long ago. If discovery returns the current list, the process
- * must send no job to that worker, even if the first call to discovery fails or is answered late. If
- * discovery stays unavailable, the process uses the outdated list.
+ * must send no job to that worker, even if the first call to discovery fails or is answered late.
+ * If discovery stays unavailable, the process uses the outdated list.
  */
 @Timeout(120)
 class OutdatedEndpointListTest {
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Sends the list to the dispatcher, as the response to the first or the second call. */
+  /** Sends the list to the dispatcher, in response to the first or the second call. */
   private static void respond(
       DispatcherProcess program, HttpMessage call, EndpointList list, FirstResponse response)
       throws Exception {
--- a/src/test/java/loomreel/program/SampleDeploymentsTest.java
+++ b/src/test/java/loomreel/program/SampleDeploymentsTest.java
@@ -21,26 +21,30 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Deployments of the project's own, whose classes, names and limits differ from those of the
- * operators: the dispatcher goes by their settings alone.
+ * Verifies that the dispatcher takes request classes, names and limits from the settings alone. The
+ * tests use the project's own sample deployments, whose classes, names and limits differ from those
+ * of the operators' deployments.
  */
 @Timeout(120)
 class SampleDeploymentsTest {
-  /** Each deployment with the index of each of its classes. */
+  /**
+   * Returns the arguments of the tests: for each request class of each deployment, the name of the
+   * deployment and the index of the class.
+   */
   static Stream<Arguments> classes() throws IOException {
-    List<Arguments> all = new ArrayList<>();
+    List<Arguments> argumentsOfClasses = new ArrayList<>();
     for (String name : new String[] {"gentle", "tight"}) {
       for (int i = 0; i < new SampleDeployment(name).classes().size(); i++) {
-        all.add(Arguments.of(name, i));
+        argumentsOfClasses.add(Arguments.of(name, i));
       }
     }
-    return all.stream();
+    return argumentsOfClasses.stream();
   }
 
   /** A job that a worker has received. */
   private record ReceivedJob(int worker, HttpMessage post) {
-    /** Waits for the next job at any worker, and answers health checks meanwhile. */
-    static ReceivedJob next(DispatcherHarness harness) throws Exception {
+    /** Waits until any worker receives a job, and responds to health checks until then. */
+    static ReceivedJob awaitNext(DispatcherHarness harness) throws Exception {
       while (true) {
         int worker = harness.awaitWorkerWithRequest();
         HttpMessage request = harness.worker(worker).nextRequest();
@@ -59,7 +63,7 @@
     JsonNode requestClass = deployment.classes().get(index);
     try (StepControlledServer server = start(deployment)) {
       SubmittedJob job = submit(server, requestClass, "key");
-      ReceivedJob received = ReceivedJob.next(server);
+      ReceivedJob received = ReceivedJob.awaitNext(server);
 
       assertEquals("key", received.post.header("Idempotency-Key"));
       assertServed(server, job, received, name);
@@ -67,16 +71,16 @@
     }
   }
 
-  /** The effect of a class determines whether its jobs may run twice. */
+  /** The {@code effect} of a class in the deployment's file says whether its jobs may run twice. */
   @ParameterizedTest
   @MethodSource("classes")
-  void aJobIsRetriedAfterAResetIfItsClassAllowsThat(String name, int index) throws Exception {
+  void aJobIsRetriedAfterAResetIfItsClassAllowsIt(String name, int index) throws Exception {
     SampleDeployment deployment = new SampleDeployment(name);
     JsonNode requestClass = deployment.classes().get(index);
     try (StepControlledServer server = start(deployment)) {
       serveOneJob(server, requestClass, name);
       SubmittedJob job = submit(server, requestClass, "key");
-      ReceivedJob first = ReceivedJob.next(server);
+      ReceivedJob first = ReceivedJob.awaitNext(server);
       assertEquals("key", first.post.header("Idempotency-Key"));
 
       first.post.connection().close();
@@ -84,7 +88,7 @@
       if (requestClass.get("effect").asText().equals("unsafe")) {
         assertEquals(500, job.response().status());
       } else {
-        ReceivedJob second = ReceivedJob.next(server);
+        ReceivedJob second = ReceivedJob.awaitNext(server);
         assertTrue(second.worker != first.worker, "not to the same worker");
         assertServed(server, job, second, name);
       }
@@ -94,15 +98,15 @@
 
   @ParameterizedTest
   @MethodSource("classes")
-  void aClassOfAnotherDeploymentIsUnknown(String name, int index) throws Exception {
+  void aJobOfAnUnknownClassIsAnsweredWith404(String name, int index) throws Exception {
     SampleDeployment deployment = new SampleDeployment(name);
     JsonNode requestClass = deployment.classes().get(index);
     try (StepControlledServer server = start(deployment)) {
       serveOneJob(server, requestClass, name);
 
-      SubmittedJob unknown = server.submit("/copy", "");
+      SubmittedJob jobOfUnknownClass = server.submit("/copy", "");
 
-      assertEquals(404, unknown.response().status());
+      assertEquals(404, jobOfUnknownClass.response().status());
       assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
   }
@@ -112,6 +116,7 @@
         3, new TestConfiguration().deploymentSettings(deployment.settings()));
   }
 
+  /** Submits a job that has this request class and this idempotency key. */
   private static SubmittedJob submit(DispatcherHarness harness, JsonNode requestClass, String key)
       throws IOException {
     return harness.submitWithKey("/" + requestClass.get("name").asText() + "/1", key);
@@ -120,9 +125,10 @@
   private static void serveOneJob(DispatcherHarness harness, JsonNode requestClass, String result)
       throws Exception {
     SubmittedJob job = submit(harness, requestClass, "first-key");
-    assertServed(harness, job, ReceivedJob.next(harness), result);
+    assertServed(harness, job, ReceivedJob.awaitNext(harness), result);
   }
 
+  /** Accepts and completes a job as its worker, and checks that the client gets the result. */
   private static void assertServed(
       DispatcherHarness harness, SubmittedJob job, ReceivedJob received, String result)
       throws IOException {
--- a/src/test/java/loomreel/program/StatusUpdateTest.java
+++ b/src/test/java/loomreel/program/StatusUpdateTest.java
@@ -13,36 +13,43 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Status updates of workers: early, repeated, from another worker, or of an unknown job. */
+/**
+ * Verifies how the dispatcher handles status updates that are sent early, repeatedly, by the wrong
+ * worker, or about an unknown job.
+ */
 @Timeout(120)
 class StatusUpdateTest {
   @Test
-  void aStatusUpdateIsActedOnOnceAndAlwaysAnswered() throws Exception {
+  void aStatusUpdateIsAppliedOnceAndAlwaysAnswered() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      SubmittedJob first = program.submit("/copy", "");
-      HttpMessage post = program.worker(0).nextRequest();
-
-      assertEquals(200, program.reportDone(first.id(), "w7", "not from there"));
-      assertEquals(200, program.reportDone(first.id(), "w0", "early"));
-      assertEquals("early", first.response().body());
-      post.respond(202, "");
-      assertEquals(200, program.reportDone(first.id(), "w0", "again"));
+      SubmittedJob firstJob = program.submit("/copy", "");
+      HttpMessage firstPost = program.worker(0).nextRequest();
+
+      assertEquals(200, program.reportDone(firstJob.id(), "w7", "not from there"));
+      assertEquals(200, program.reportDone(firstJob.id(), "w0", "early"));
+      assertEquals("early", firstJob.response().body());
+      firstPost.respond(202, "");
+      assertEquals(200, program.reportDone(firstJob.id(), "w0", "again"));
       assertEquals(200, program.reportStatus("00000000000000ff", "w0", "failed", ""));
       assertEquals(400, program.request(DispatcherHarness.STATUS_UPDATE_HEAD, "[1").status());
 
-      SubmittedJob second = program.submit(first.connection(), "/copy", 20_000, "");
-      HttpMessage next = program.worker(0).nextRequest();
-      assertSame(post.connection(), next.connection(), "the connection is used again");
-      next.respond(202, "");
-      program.reportDone(second.id(), "w0", "second");
-      assertEquals("second", second.response().body());
+      SubmittedJob secondJob = program.submit(firstJob.connection(), "/copy", 20_000, "");
+      HttpMessage secondPost = program.worker(0).nextRequest();
+      assertSame(firstPost.connection(), secondPost.connection(), "the connection is used again");
+      secondPost.respond(202, "");
+      program.reportDone(secondJob.id(), "w0", "second");
+      assertEquals("second", secondJob.response().body());
     }
   }
 
-  /** Workers may repeat a status update: the second one may be of the first attempt. */
+  /**
+   * A worker may repeat a status update. If a job is retried at the worker that returned it, a
+   * second update with the state {@code returned} may belong to the first attempt. It does not prove
+   * that the second attempt has not run.
+   */
   @Test
-  void aSecondReturnByOneWorkerIsNoProofThatTheJobHasNotRun() throws Exception {
-    // A short latency objective: the worker that returned the job gets another attempt soon.
+  void aJobThatOneWorkerReturnsTwiceIsNotRetriedAgain() throws Exception {
+    // With a short latency objective, the worker that returned the job soon gets another attempt.
     TestConfiguration configuration =
         new TestConfiguration()
             .requestClasses(
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -25,16 +25,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Files that an earlier build has stored are read: copies of those under {@code
- * src/test/resources/stored}, which its README describes and which are never recorded again.
+ * Verifies that this build reads files that an earlier build has stored.
+ *
+ * <p>The tests read copies of the files under {@code src/test/resources/stored}. The README there
+ * describes the files, which are never recorded again.
  */
 @Timeout(120)
 class StoredDataTest {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final Path STORED = Path.of("src", "test", "resources", "stored");
-  private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
+  private static final Path STORED_DIRECTORY = Path.of("src", "test", "resources", "stored");
+  private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-  /** Replaces the boot id of the machine that wrote the stored segments. */
+  /** The placeholder in the stored segments for the boot id of the machine that wrote them. */
   private static final String STORED_BOOT_ID = "00000000-0000-0000-0000-000000000000";
 
   private static final String SETTINGS =
@@ -50,8 +52,8 @@
           spool: "%s"
           """);
 
-  /** The tracked states of the jobs that no worker gets: those that have ended or are not due. */
-  private static final List<String> SETTLED =
+  /** The states that TRACK reports for jobs that are not queued: they have ended or are not due. */
+  private static final List<String> STATES_OF_JOBS_NOT_QUEUED =
       List.of(
           "{\"jid\":\"copy-done\",\"state\":\"success\",\"failures\":0}",
           "{\"jid\":\"copy-dropped\",\"state\":\"cancelled\",\"failures\":0}",
@@ -67,18 +69,22 @@
               + "\"reason\":\"failed before it ran\"}",
           "{\"jid\":\"issue-scheduled\",\"state\":\"scheduled\",\"failures\":0}");
 
-  /** A job of class issue with an attempt that had not reached a worker. */
-  private static final String ATTEMPTED = "issue-tried";
+  /**
+   * The id of a job of class issue with an attempt that had not reached a worker when the daemon
+   * was killed. Jobs of class issue must not run twice.
+   */
+  private static final String ATTEMPTED_JOB_ID = "issue-tried";
 
-  private static final String ATTEMPTED_MAY_HAVE_RUN =
+  /** The state that TRACK reports for the attempted job after a restart of the machine. */
+  private static final String ATTEMPTED_JOB_AFTER_RESTART =
       "{\"jid\":\"issue-tried\",\"state\":\"dead\",\"failures\":0,"
           + "\"reason\":\"may have run: the process ended while it was tried\","
           + "\"may_have_run\":true}";
 
-  /** The payloads of the queued jobs as their clients pushed them, by jid. */
-  private static Map<String, JsonNode> waiting() throws IOException {
+  /** Returns the payloads of the queued jobs as their clients pushed them, by job id (jid). */
+  private static Map<String, JsonNode> queuedJobs() throws IOException {
     Map<String, JsonNode> jobs = new TreeMap<>();
-    for (String line : Files.readAllLines(STORED.resolve("waiting.jsonl"))) {
+    for (String line : Files.readAllLines(STORED_DIRECTORY.resolve("waiting.jsonl"))) {
       JsonNode job = JSON.readTree(line);
       jobs.put(job.path("jid").asText(), job);
     }
@@ -94,24 +100,28 @@
     }
   }
 
-  /** Replaces the boot id in stored segments by that of this machine. */
+  /** Replaces the placeholder in stored segments by the boot id of this machine. */
   private static void setCurrentBootId(Path spool) throws IOException {
-    String boot = Files.readString(BOOT_ID).strip();
+    String bootId = Files.readString(BOOT_ID_FILE).strip();
     try (Stream<Path> files = Files.list(spool)) {
       for (Path file : files.toList()) {
-        String bytes = Files.readString(file, StandardCharsets.ISO_8859_1);
-        Files.writeString(file, bytes.replace(STORED_BOOT_ID, boot), StandardCharsets.ISO_8859_1);
+        String content = Files.readString(file, StandardCharsets.ISO_8859_1);
+        Files.writeString(
+            file, content.replace(STORED_BOOT_ID, bootId), StandardCharsets.ISO_8859_1);
       }
     }
   }
 
-  /** The state of a job by TRACK, without the members that do not depend on the stored files. */
+  /**
+   * Returns the state of a job that TRACK GET reports, without the members whose values the stored
+   * files do not determine.
+   */
   private static JsonNode track(FaktoryClient client, String jid) throws IOException {
     ObjectNode answer = (ObjectNode) client.callForJson("TRACK GET " + jid);
     return answer.without(List.of("percent", "desc", "updated_at"));
   }
 
-  /** Fetches until one of these queues has a job. */
+  /** Fetches from these queues until one of them has a job, and returns the job. */
   private static ObjectNode fetch(FaktoryClient worker, String queues) throws IOException {
     Object job = null;
     while (job == null) {
@@ -120,7 +130,10 @@
     return (ObjectNode) JSON.readTree((String) job);
   }
 
-  /** A fetched job as its client pushed it, without the members that an attempt adds. */
+  /**
+   * Restores the payload of a fetched job as its client pushed it, without the members that an
+   * attempt adds. Changes the argument in place and returns it.
+   */
   private static JsonNode asPushed(ObjectNode fetched) {
     ObjectNode custom = (ObjectNode) fetched.path("custom");
     fetched.put("jid", custom.path("client_jid").asText());
@@ -132,8 +145,13 @@
     return fetched;
   }
 
-  /** Has a worker run this many jobs; the jobs as pushed, by jid. */
-  private static Map<String, JsonNode> run(DaemonProcess daemon, int jobs) throws IOException {
+  /**
+   * Runs this many jobs as a worker, and checks that no other job is queued.
+   *
+   * @return the jobs as their clients pushed them, by job id (jid)
+   */
+  private static Map<String, JsonNode> runQueuedJobs(DaemonProcess daemon, int jobs)
+      throws IOException {
     Map<String, JsonNode> fetched = new TreeMap<>();
     try (FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w0")) {
       while (fetched.size() < jobs) {
@@ -147,58 +165,61 @@
     return fetched;
   }
 
-  /** A job that must not run twice runs again only if it cannot have run. */
+  /**
+   * A job that must not run twice is run only if it cannot have run before. After a restart of the
+   * machine, this is not certain for the attempted job.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aSpoolIsReadWhetherOrNotTheMachineHasRestarted(boolean restarted, @TempDir Path directory)
-      throws Exception {
+  void aStoredSpoolIsReadWithAndWithoutAMachineRestart(
+      boolean machineRestarted, @TempDir Path directory) throws Exception {
     Path spool = directory.resolve("spool");
-    copyFiles(STORED.resolve("spool"), spool);
-    Map<String, JsonNode> expected = waiting();
-    if (restarted) {
-      expected.remove(ATTEMPTED);
+    copyFiles(STORED_DIRECTORY.resolve("spool"), spool);
+    Map<String, JsonNode> expectedJobs = queuedJobs();
+    if (machineRestarted) {
+      expectedJobs.remove(ATTEMPTED_JOB_ID);
     } else {
       setCurrentBootId(spool);
     }
     Path settings = DaemonProcess.writeSettings(SETTINGS.formatted(spool));
     try (DaemonProcess daemon = new DaemonProcess(settings);
         FaktoryClient client = new FaktoryClient(daemon.faktory(), null, null)) {
-      for (String job : SETTLED) {
+      for (String job : STATES_OF_JOBS_NOT_QUEUED) {
         JsonNode expectedState = JSON.readTree(job);
         assertEquals(expectedState, track(client, expectedState.path("jid").asText()));
       }
-      if (restarted) {
-        assertEquals(JSON.readTree(ATTEMPTED_MAY_HAVE_RUN), track(client, ATTEMPTED));
+      if (machineRestarted) {
+        assertEquals(JSON.readTree(ATTEMPTED_JOB_AFTER_RESTART), track(client, ATTEMPTED_JOB_ID));
       }
-      assertEquals(expected, run(daemon, expected.size()));
+      assertEquals(expectedJobs, runQueuedJobs(daemon, expectedJobs.size()));
       client.callExpectingOk("MUTATE {\"cmd\":\"requeue\",\"target\":\"scheduled\"}");
       client.callExpectingOk("MUTATE {\"cmd\":\"requeue\",\"target\":\"retries\"}");
       List<String> requeued =
           List.of("copy-retrying", "copy-scheduled", "issue-retrying", "issue-scheduled");
-      assertEquals(requeued, List.copyOf(run(daemon, requeued.size()).keySet()));
+      assertEquals(requeued, List.copyOf(runQueuedJobs(daemon, requeued.size()).keySet()));
       assertEquals(143, daemon.shutDown());
     }
   }
 
-  /** They apply to a process that starts later, and are stored in the same form. */
+  /** A process that starts later applies the stored overrides and keeps the format of the file. */
   @Test
   void operatorOverridesAreReadAndStored() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(3)) {
       program.killInstance(0);
-      copyFiles(STORED.resolve("operators"), program.temporaryDirectory());
-      Path stored = program.temporaryDirectory().resolve("n0.state");
+      copyFiles(STORED_DIRECTORY.resolve("operators"), program.temporaryDirectory());
+      Path overridesFile = program.temporaryDirectory().resolve("n0.state");
       program.startSuccessor();
       assertEquals(2, program.statistic(1, "hosts_down"));
       assertEquals(503, program.readinessStatus());
       for (String worker : List.of("w0", "w2")) {
-        String before = Files.readString(stored);
+        String before = Files.readString(overridesFile);
         assertEquals(200, program.enableWorker(1, worker));
-        assertEquals(before.replace("down " + worker + "\n", ""), Files.readString(stored));
+        assertEquals(before.replace("down " + worker + "\n", ""), Files.readString(overridesFile));
       }
       assertEquals(0, program.statistic(1, "hosts_down"));
-      assertEquals("drained\n", Files.readString(stored));
+      assertEquals("drained\n", Files.readString(overridesFile));
       assertEquals(200, program.stopClientDrain(1));
-      assertEquals("", Files.readString(stored));
+      assertEquals("", Files.readString(overridesFile));
       assertEquals(200, program.readinessStatus());
     }
   }
--- a/src/test/java/loomreel/program/WorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/WorkerConnectionTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to workers: how long they are idle, and when they may be used again. */
+/** Verifies how long connections to workers may be idle, and when the dispatcher reuses them. */
 @Timeout(120)
 class WorkerConnectionTest {
-  /** A worker would reset a job on a connection that it has closed. */
+  /** A job that is sent on a connection that the worker has already closed would be reset. */
   @Test
   void idleConnectionsAreClosedBeforeTheWorkerClosesThem() throws Exception {
     try (DispatcherProcess program =
@@ -30,11 +30,11 @@
   }
 
   /**
-   * A middlebox may drop idle connections sooner than they are configured to live, and reset the
-   * next job.
+   * A middlebox may drop an idle connection before the configured idle timeout is over, and reset
+   * the next job that is sent on the connection.
    */
   @Test
-  void theIdleTimeIsReducedAfterResetsOfReusedConnections() throws Exception {
+  void theIdleTimeoutIsShortenedAfterResetsOfReusedConnections() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "first");
@@ -59,9 +59,12 @@
     }
   }
 
-  /** The bytes would be taken for the rejection of the next job. */
+  /**
+   * If the connection were reused, the dispatcher would take the second response for the rejection
+   * of the next job.
+   */
   @Test
-  void aConnectionWithBytesBehindAResponseIsNotReused() throws Exception {
+  void aConnectionWithBytesAfterAResponseIsNotReused() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       for (int i = 0; i < 4; i++) {
         SubmittedJob job = program.submit("/issue", "");
