--- a/src/test/java/loomreel/program/StatusUpdateTest.java
+++ b/src/test/java/loomreel/program/StatusUpdateTest.java
@@ -44,8 +44,8 @@
 
   /**
    * A worker may repeat a status update. If a job is retried at the worker that returned it, a
-   * second update with the state {@code returned} may belong to the first attempt. It does not prove
-   * that the second attempt has not run.
+   * second update with the state {@code returned} may belong to the first attempt. That update does
+   * not prove that the second attempt has not run.
    */
   @Test
   void aJobThatOneWorkerReturnsTwiceIsNotRetriedAgain() throws Exception {
--- a/src/test/java/loomreel/program/TranscriptTest.java
+++ b/src/test/java/loomreel/program/TranscriptTest.java
@@ -19,42 +19,52 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Complete exchanges with the program, compared byte for byte with transcripts. {@link Transcript}
- * documents how the transcripts are recorded.
+ * Verifies complete exchanges with the program byte for byte against recorded transcripts. {@link
+ * Transcript} documents how the transcripts are recorded.
  */
 @Timeout(120)
 class TranscriptTest {
+  // The names of the program's peers in the transcripts.
   private static final String CLIENT = "client";
   private static final String OPERATOR = "operator";
   private static final String DISCOVERY = "discovery";
+
+  // Methods and targets of requests.
   private static final String STATUS_UPDATE = "POST /_jobs/news";
   private static final String DISABLE_WORKER = "POST /ops/copy-workers/down";
   private static final String ENABLE_WORKER = "POST /ops/copy-workers/up";
+
+  // The ids of the submitted jobs.
   private static final String FIRST_ID = "00000000000000a1";
   private static final String SECOND_ID = "00000000000000a2";
 
   private final Transcript transcript = new Transcript();
 
+  /** Returns the bytes of a job with the default deadline, without further headers. */
   private static String job(String path, String id) {
     return DispatcherHarness.jobRequest(path, id, DispatcherHarness.DEADLINE_MILLIS, "", "body");
   }
 
-  /** Has a client submit a job, and the only worker accept it. */
-  private void submitAccepted(DispatcherProcess program, Socket client, String job)
+  /** Submits a job as the client, and accepts it as the only worker. */
+  private void submitAndAccept(DispatcherProcess program, Socket client, String job)
       throws Exception {
     transcript.send(CLIENT, client, job);
     HttpMessage post = transcript.receive("w0", program.worker(0).nextRequest());
     transcript.respond("w0", post, 202, "");
   }
 
-  /** Sends a status update of the only worker and reads the response. */
-  private void reportStatus(DispatcherProcess program, String id, String state, String more)
+  /**
+   * Sends a status update as the only worker, and reads the response.
+   *
+   * @param members further JSON members of the update, each after a comma
+   */
+  private void reportStatus(DispatcherProcess program, String id, String state, String members)
       throws IOException {
-    String body = DispatcherHarness.statusUpdate(id, "w0", state, more);
+    String body = DispatcherHarness.statusUpdate(id, "w0", state, members);
     call(program.port(), "w0", STATUS_UPDATE, body);
   }
 
-  /** Sends a request on a connection of its own and reads the response. */
+  /** Sends a request on a new connection, and returns the response. */
   private HttpMessage call(int port, String sender, String request, String body)
       throws IOException {
     try (Socket socket = HttpIo.connect(port)) {
@@ -64,12 +74,13 @@
     }
   }
 
+  /** Sends a request to the management API of a process, and reads the response. */
   private void callManagement(DispatcherProcess program, int process, String request, String body)
       throws IOException {
     call(program.managementPort(process), OPERATOR, request, body);
   }
 
-  /** Responds with an endpoint list, whose bytes are not recorded: they contain ports. */
+  /** Responds with an endpoint list. Its bytes are not recorded, because they contain ports. */
   private void respondWithList(HttpMessage request, EndpointList list) throws IOException {
     transcript.event("discovery answers with a list");
     list.respondTo(request);
@@ -81,11 +92,11 @@
         Socket client = program.connect()) {
       transcript.receive(DISCOVERY, program.discovery().nextRequest());
       call(program.port(), CLIENT, "GET /health/ready", "");
-      submitAccepted(program, client, job("/copy/path?q=1", FIRST_ID));
+      submitAndAccept(program, client, job("/copy/path?q=1", FIRST_ID));
       reportStatus(program, FIRST_ID, "running", ",\"share\":0.5");
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"served\"");
       transcript.receive(CLIENT, client);
-      submitAccepted(
+      submitAndAccept(
           program,
           client,
           DispatcherHarness.jobRequest("/issue", SECOND_ID, 9000, "Idempotency-Key: k\r\n", ""));
@@ -145,8 +156,8 @@
   void aJobIsCancelledByItsClient() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       try (Socket client = program.connect()) {
-        submitAccepted(program, client, job("/copy", FIRST_ID));
-        // The response to a status update shows that the worker's 202 has been read.
+        submitAndAccept(program, client, job("/copy", FIRST_ID));
+        // The response to this update shows that the program has read the 202 of the worker.
         reportStatus(program, FIRST_ID, "running", ",\"share\":0.1");
       }
       transcript.event("client closes its connection");
@@ -168,7 +179,7 @@
       HttpMessage complete = transcript.receive("new discovery", program.discovery().nextRequest());
       respondWithList(complete, program.endpointList(7, Extent.COMPLETE, Health.SERVING));
       transcript.receive("new discovery", program.discovery().nextRequest());
-      submitAccepted(program, client, job("/copy", FIRST_ID));
+      submitAndAccept(program, client, job("/copy", FIRST_ID));
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"after\"");
       transcript.receive(CLIENT, client);
     }
@@ -176,18 +187,19 @@
   }
 
   @Test
-  void aShutdownAnswersJobsInFlight() throws Exception {
+  void jobsInFlightAreAnsweredDuringAShutdown() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         Socket idle = program.connect();
         Socket client = program.connect()) {
-      submitAccepted(program, idle, job("/copy", FIRST_ID));
+      submitAndAccept(program, idle, job("/copy", FIRST_ID));
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"before\"");
       transcript.receive(CLIENT, idle);
-      submitAccepted(program, client, job("/copy", SECOND_ID));
+      submitAndAccept(program, client, job("/copy", SECOND_ID));
       reportStatus(program, SECOND_ID, "running", ",\"share\":0.1");
       transcript.event("SIGTERM");
       program.signal("TERM");
-      // The end of the idle connection shows that client connections are closed from now on.
+      // The end of the idle connection shows that the shutdown has begun. From now on, the program
+      // closes each client connection after the response.
       transcript.receive("idle client", idle);
       reportStatus(program, SECOND_ID, "done", ",\"result\":\"drained\"");
       transcript.receive(CLIENT, client);
@@ -199,10 +211,11 @@
   }
 
   /**
-   * Records the next message on the hot-restart link, and waits until its receiver has acted on it:
-   * of two requests that follow each other, the second is served in a later iteration of its loop.
+   * Records the next message of a process on the hot-restart link, and waits until the other
+   * process, the receiver, has handled the message. To wait, this method sends two consecutive
+   * requests to the receiver. The second one is served in a later iteration of its event loop.
    */
-  private void receiveOverLink(DispatcherProcess program, HotRestartRelay relay, Sender sender)
+  private void recordLinkMessage(DispatcherProcess program, HotRestartRelay relay, Sender sender)
       throws Exception {
     relay.receive(transcript, sender);
     for (int i = 0; i < 2; i++) {
@@ -210,7 +223,7 @@
     }
   }
 
-  /** The messages on the hot-restart link are recorded by a relay. */
+  /** A relay between the two processes records the messages on the hot-restart link. */
   @Test
   void anOldProcessHandsOverToItsSuccessor() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2);
@@ -218,30 +231,30 @@
             new HotRestartRelay(program.temporaryDirectory().resolve("n0.tie"));
         Socket client = program.connect()) {
       callManagement(program, 0, DISABLE_WORKER, "w1");
-      submitAccepted(program, client, job("/issue", FIRST_ID));
+      submitAndAccept(program, client, job("/issue", FIRST_ID));
       reportStatus(program, FIRST_ID, "running", ",\"share\":0.1");
       transcript.event("the new process starts");
       program.startSuccessor();
-      receiveOverLink(program, relay, Sender.OLD);
-      receiveOverLink(program, relay, Sender.OLD);
+      recordLinkMessage(program, relay, Sender.OLD);
+      recordLinkMessage(program, relay, Sender.OLD);
       callManagement(program, 1, DISABLE_WORKER, "w0");
-      receiveOverLink(program, relay, Sender.NEW);
+      recordLinkMessage(program, relay, Sender.NEW);
       callManagement(program, 1, ENABLE_WORKER, "w0");
-      receiveOverLink(program, relay, Sender.NEW);
+      recordLinkMessage(program, relay, Sender.NEW);
       callManagement(program, 0, "POST /ops/drain/start", "");
-      receiveOverLink(program, relay, Sender.OLD);
+      recordLinkMessage(program, relay, Sender.OLD);
       callManagement(program, 0, "POST /ops/drain/stop", "");
-      receiveOverLink(program, relay, Sender.OLD);
+      recordLinkMessage(program, relay, Sender.OLD);
       transcript.event("SIGTERM to the old process");
       program.instance(0).destroy();
-      receiveOverLink(program, relay, Sender.OLD);
-      try (Socket late = program.connect()) {
-        transcript.send(CLIENT, late, job("/copy", FIRST_ID));
-        transcript.receive(CLIENT, late);
-        submitAccepted(program, late, job("/copy", SECOND_ID));
+      recordLinkMessage(program, relay, Sender.OLD);
+      try (Socket newClient = program.connect()) {
+        transcript.send(CLIENT, newClient, job("/copy", FIRST_ID));
+        transcript.receive(CLIENT, newClient);
+        submitAndAccept(program, newClient, job("/copy", SECOND_ID));
         relay.receive(transcript, Sender.NEW);
         reportStatus(program, SECOND_ID, "done", ",\"result\":\"by the new process\"");
-        transcript.receive(CLIENT, late);
+        transcript.receive(CLIENT, newClient);
         relay.receive(transcript, Sender.NEW);
       }
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"by the old process\"");
@@ -267,7 +280,7 @@
       callManagement(program, 0, "GET /ops/drain/start", "");
       callManagement(program, 0, DISABLE_WORKER, "w7");
       callManagement(program, 0, DISABLE_WORKER, "w1");
-      submitAccepted(program, client, job("/copy", FIRST_ID));
+      submitAndAccept(program, client, job("/copy", FIRST_ID));
       callManagement(program, 0, "GET /ops/stats", "");
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"counted\"");
       transcript.receive(CLIENT, client);
--- a/src/test/java/loomreel/program/UpgradeSoakTest.java
+++ b/src/test/java/loomreel/program/UpgradeSoakTest.java
@@ -28,26 +28,52 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Upgrades in series under load, with drained workers and operators' requests at either process.
- * The schedule follows from a seed; {@code -Dsoak.seeds=N -Dsoak.from=K} runs the N seeds from K
- * on.
+ * Verifies a series of upgrades, in which a new process replaces the old one under load. Meanwhile
+ * workers are drained, and operators send requests to the old and to the new process.
+ *
+ * <p>A seed determines the schedule. {@code -Dsoak.seeds=N -Dsoak.from=K} runs N consecutive seeds,
+ * of which the first one is K.
  */
 @Timeout(300)
 class UpgradeSoakTest {
-  private static final int WORKERS = 4;
-  private static final int CLIENTS = 4;
-  private static final int ROUNDS = 2;
+  /** The number of workers. */
+  private static final int WORKER_COUNT = 4;
+
+  /** The number of clients, half of which use a new connection for each job. */
+  private static final int CLIENT_COUNT = 4;
+
+  /** The number of upgrades for each seed. */
+  private static final int UPGRADE_COUNT = 2;
+
+  /** The version of the endpoint list that is known at the start. */
   private static final int KNOWN_VERSION = 41;
-  private static final int SHOWN_VIOLATIONS = 5;
+
+  /** The maximum number of violations that the failure message lists. */
+  private static final int MAX_LISTED_VIOLATIONS = 5;
+
+  /** The deadline of each job, in milliseconds. */
   private static final int DEADLINE_MILLIS = 5000;
 
-  /** The pages: a change is known 6 s after discovery had it; the grace is 3 s; 50 ms of slack. */
-  private static final long LAST_SEND_MILLIS = 9050;
+  /**
+   * The maximum time, in milliseconds, from the start of a drain to the last job that the drained
+   * worker gets. By the pages of the platform, a change counts as known 6 s after discovery had it.
+   * The drain grace of 3 s and a slack of 50 ms are added.
+   */
+  private static final long MAX_SEND_AFTER_DRAIN_MILLIS = 9050;
+
+  /** The time of {@link #nowMillis} at which each drained worker was drained, by worker index. */
+  private final Map<Integer, Long> drainedAtMillis = new ConcurrentHashMap<>();
 
-  private final Map<Integer, Long> drainedAt = new ConcurrentHashMap<>();
-  private final Map<String, AtomicInteger> runsOfUnsafeJobs = new ConcurrentHashMap<>();
+  /** How often workers have received each job, by job id. */
+  private final Map<String, AtomicInteger> runsByJobId = new ConcurrentHashMap<>();
+
+  /** Descriptions of the rules that the program has violated. */
   private final Queue<String> violations = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger served = new AtomicInteger();
+
+  /** The number of jobs whose client got the result. */
+  private final AtomicInteger servedJobs = new AtomicInteger();
+
+  /** Whether clients and workers continue. */
   private volatile boolean running = true;
 
   static LongStream seeds() {
@@ -55,6 +81,7 @@
     return LongStream.range(from, from + Long.getLong("soak.seeds", 3));
   }
 
+  /** Returns a monotonic time in milliseconds, with an arbitrary origin. */
   private static long nowMillis() {
     return System.nanoTime() / 1_000_000;
   }
@@ -65,60 +92,65 @@
     Random random = new Random(seed);
     TestConfiguration configuration =
         new TestConfiguration().knownListUnconfirmed().discoveryPollIntervalSeconds(10);
-    try (DispatcherProcess program = DispatcherProcess.supervised(WORKERS, configuration)) {
+    try (DispatcherProcess program = DispatcherProcess.supervised(WORKER_COUNT, configuration)) {
       ListService lists =
           new ListService(program.discovery(), KNOWN_VERSION, v -> list(program, v));
-      for (int i = 0; i < WORKERS; i++) {
+      for (int i = 0; i < WORKER_COUNT; i++) {
         startWorker(program, i);
       }
       program.awaitReadiness(0);
-      for (int i = 0; i < CLIENTS; i++) {
+      for (int i = 0; i < CLIENT_COUNT; i++) {
         startClient(program, i % 2 == 0);
       }
-      for (int round = 0; round < ROUNDS; round++) {
+      for (int round = 0; round < UPGRADE_COUNT; round++) {
         upgrade(program, lists, round, random);
       }
       running = false;
       assertEquals(
           List.of(),
-          violations.stream().limit(SHOWN_VIOLATIONS).toList(),
+          violations.stream().limit(MAX_LISTED_VIOLATIONS).toList(),
           violations.size() + " violations, seed " + seed);
-      assertTrue(served.get() > 0, "jobs were served");
+      assertTrue(servedJobs.get() > 0, "jobs were served");
     }
   }
 
+  /** Returns the complete list of endpoints with this version, including those that drain. */
   private EndpointList list(DispatcherProcess program, int version) {
-    Health[] health = new Health[WORKERS];
-    for (int i = 0; i < WORKERS; i++) {
-      health[i] = drainedAt.containsKey(i) ? Health.DRAINING : Health.SERVING;
+    Health[] health = new Health[WORKER_COUNT];
+    for (int i = 0; i < WORKER_COUNT; i++) {
+      health[i] = drainedAtMillis.containsKey(i) ? Health.DRAINING : Health.SERVING;
     }
     return program.endpointList(version, Extent.COMPLETE, health);
   }
 
-  /** Drains a worker, and upgrades when a process that starts has to know of that. */
-  private void upgrade(DispatcherProcess program, ListService lists, int old, Random random)
+  /**
+   * Drains a worker, waits until no process may send jobs to the worker, not even a process that
+   * starts, and then upgrades. Operators change overrides before, during and after the upgrade. At
+   * the end the worker is no longer drained.
+   */
+  private void upgrade(DispatcherProcess program, ListService lists, int oldInstance, Random random)
       throws Exception {
-    int drained = random.nextInt(WORKERS);
-    drainedAt.put(drained, nowMillis());
+    int drained = random.nextInt(WORKER_COUNT);
+    drainedAtMillis.put(drained, nowMillis());
     lists.changed();
-    while (nowMillis() < drainedAt.get(drained) + LAST_SEND_MILLIS) {
-      override(program, old, random);
+    while (nowMillis() < drainedAtMillis.get(drained) + MAX_SEND_AFTER_DRAIN_MILLIS) {
+      changeRandomOverride(program, oldInstance, random);
       Thread.sleep(random.nextInt(1000));
     }
     program.startSuccessor();
     for (int i = random.nextInt(6); i >= 0; i--) {
-      override(program, old + random.nextInt(2), random);
+      changeRandomOverride(program, oldInstance + random.nextInt(2), random);
     }
-    assertOverridesAgree(program, old, old + 1);
-    program.instance(old).destroy();
-    override(program, old + 1, random);
-    program.awaitExit(old);
-    drainedAt.remove(drained);
+    assertOverridesAgree(program, oldInstance, oldInstance + 1);
+    program.instance(oldInstance).destroy();
+    changeRandomOverride(program, oldInstance + 1, random);
+    program.awaitExit(oldInstance);
+    drainedAtMillis.remove(drained);
     lists.changed();
   }
 
-  /** Disables or enables one of the first two workers, so that the others can serve. */
-  private static void override(DispatcherProcess program, int instance, Random random)
+  /** Disables or enables one of the first two workers. The others stay enabled and can serve. */
+  private static void changeRandomOverride(DispatcherProcess program, int instance, Random random)
       throws IOException {
     String worker = "w" + random.nextInt(2);
     int status =
@@ -128,18 +160,21 @@
     assertEquals(200, status);
   }
 
-  private void assertOverridesAgree(DispatcherProcess program, int old, int successor)
+  /** Checks that both processes come to have as many disabled workers as the stored file. */
+  private void assertOverridesAgree(DispatcherProcess program, int oldInstance, int newInstance)
       throws Exception {
-    for (int instance : new int[] {old, successor}) {
-      program.awaitStatistic(instance, "hosts_down", storedOverrides(program));
+    for (int instance : new int[] {oldInstance, newInstance}) {
+      program.awaitStatistic(instance, "hosts_down", storedOverrideCount(program));
     }
-    assertEquals(storedOverrides(program), program.statistic(old, "hosts_down"));
+    assertEquals(storedOverrideCount(program), program.statistic(oldInstance, "hosts_down"));
   }
 
-  private static int storedOverrides(DispatcherProcess program) throws IOException {
+  /** Returns the number of stored overrides, each of which is a line of the file. */
+  private static int storedOverrideCount(DispatcherProcess program) throws IOException {
     return (int) Files.readString(program.temporaryDirectory().resolve("n0.state")).lines().count();
   }
 
+  /** Starts a thread that serves the requests of a worker until the test ends. */
   private void startWorker(DispatcherProcess program, int index) {
     BackgroundThreads.start(
         () -> {
@@ -153,20 +188,21 @@
         });
   }
 
+  /** Serves a request as a worker, and records a violation if the worker must not get the job. */
   private void serve(DispatcherProcess program, int index, HttpMessage request) throws IOException {
     if (!request.startLine().startsWith("POST")) {
       request.respond(200, "");
       return;
     }
     String id = request.header("X-Call-Id");
-    Long drained = drainedAt.get(index);
-    if (drained != null && nowMillis() > drained + LAST_SEND_MILLIS) {
+    Long drained = drainedAtMillis.get(index);
+    if (drained != null && nowMillis() > drained + MAX_SEND_AFTER_DRAIN_MILLIS) {
       violations.add(
           "drain: " + id + " to w" + index + " after " + (nowMillis() - drained) + " ms");
     }
-    boolean isUnsafe = request.startLine().startsWith("POST /issue");
-    int runs = runsOfUnsafeJobs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
-    if (isUnsafe && runs > 1) {
+    boolean isNonIdempotent = request.startLine().startsWith("POST /issue");
+    int runs = runsByJobId.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
+    if (isNonIdempotent && runs > 1) {
       violations.add("duplicate: " + id);
     }
     request.respond(202, "");
@@ -174,9 +210,10 @@
   }
 
   /**
-   * Submits job after job.
+   * Starts a client that submits one job after the other until the test ends.
    *
-   * @param keepsConnection whether a connection is used until the dispatcher closes it
+   * @param keepsConnection whether the client uses a connection until the dispatcher closes it,
+   *     rather than for one job
    */
   private void startClient(DispatcherProcess program, boolean keepsConnection) {
     BackgroundThreads.start(
@@ -194,7 +231,12 @@
         });
   }
 
-  /** Submits one job, again on a new connection where a close crosses it; the connection to use. */
+  /**
+   * Submits a job and checks the response. If the connection is closed before the response arrives,
+   * submits another job on a new connection, and records a violation if that fails too.
+   *
+   * @return the connection for the next job
+   */
   private Socket submit(DispatcherProcess program, Socket connection, String path)
       throws IOException {
     Socket current = connection;
@@ -203,12 +245,12 @@
         SubmittedJob job = program.submit(current, path, DEADLINE_MILLIS, "");
         HttpMessage response = job.response();
         if (response != null) {
-          check(job, response);
+          checkResponse(job, response);
           boolean closes = "close".equals(response.header("Connection"));
           return closes ? program.connect() : current;
         }
       } catch (IOException e) {
-        // The close has crossed the request.
+        // The dispatcher closed the connection while the request was sent.
       }
       current.close();
       current = program.connect();
@@ -219,9 +261,10 @@
     return current;
   }
 
-  private void check(SubmittedJob job, HttpMessage response) {
+  /** Counts a job that was served, and records a violation for an unexpected response. */
+  private void checkResponse(SubmittedJob job, HttpMessage response) {
     if (response.status() == 200 && response.body().equals(job.id())) {
-      served.incrementAndGet();
+      servedJobs.incrementAndGet();
     } else if (response.status() != 503 && response.status() != 429) {
       violations.add("answer " + response.status() + " " + response.body() + " to " + job.id());
     }
