--- a/src/test/java/loomreel/program/JobForwardingTest.java
+++ b/src/test/java/loomreel/program/JobForwardingTest.java
@@ -108,12 +108,14 @@
   }
 
   /**
-   * The client gets a 503 with a Retry-After header at its deadline, whether the worker has not
-   * responded at all or has accepted the job and reported no result.
+   * The client of an idempotent job gets a 503 with a Retry-After header at the job's deadline. The
+   * worker has either not responded at all, or has accepted the job and not reported a result. A
+   * further job on the same connection, with a deadline of 1 ms, is not served either.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aJobWithoutAResultIsAnsweredWith503AtItsDeadline(boolean workerAccepts) throws Exception {
+  void anIdempotentJobWithoutAResultIsAnsweredWith503AtItsDeadline(boolean workerAccepts)
+      throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit(program.connect(), "/copy", 2000, "");
       HttpMessage post = program.worker(0).nextRequest();
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -73,7 +73,7 @@
 
   /** A retry would be useless, because every other worker would find the job invalid as well. */
   @Test
-  void aJobThatIsAnsweredWith400IsNotRetried() throws Exception {
+  void aJobThatAWorkerAnswersWith400IsNotRetried() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/copy");
 
@@ -131,6 +131,10 @@
     }
   }
 
+  /**
+   * The first worker sends further status updates after it has reported its attempt as lost. The
+   * second worker reports its result twice.
+   */
   @Test
   void onlyTheResultOfTheRetryIsUsedAfterAnAttemptIsLost() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -61,13 +61,13 @@
     assertEquals(1, program.statistic(0, "backend_calls"));
     post.connection().close();
     awaitJobRequest(program).respond(202, "");
-    // The update of the worker with the second attempt completes the job; the other has no effect.
+    // Either worker may have the second attempt. The update of the other worker has no effect.
     program.reportDone(job.id(), "w0", "r");
     program.reportDone(job.id(), "w1", "r");
     assertEquals(200, job.response().status());
   }
 
-  /** Waits until a worker has a request, and takes the request. */
+  /** Waits until a worker has a request, and takes the request from the worker's queue. */
   private static HttpMessage awaitJobRequest(DispatcherProcess program) throws Exception {
     return program.worker(program.awaitWorkerWithRequest()).nextRequest();
   }
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Sends a status update, and checks that the dispatcher keeps the connection open. */
+  /** Sends a status update, and checks that the response does not close the connection. */
   private static void sendUpdate(Socket connection, String id, String state) throws IOException {
     String update = DispatcherHarness.statusUpdate(id, "w0", state, DispatcherHarness.result("r"));
     HttpIo.write(connection, HttpIo.withBody(DispatcherHarness.STATUS_UPDATE_HEAD, update));
--- a/src/test/java/loomreel/program/OutdatedEndpointListTest.java
+++ b/src/test/java/loomreel/program/OutdatedEndpointListTest.java
@@ -24,19 +24,20 @@
  * Verifies the start of a process whose configuration contains an outdated endpoint list, with a
  * worker that was drained or removed long ago. If discovery returns the current list, the process
  * must send no job to that worker, even if the first call to discovery fails or is answered late.
- * If discovery stays unavailable, the process uses the outdated list.
+ * If discovery stays unavailable, the process uses the outdated list, which is its last known one.
  */
 @Timeout(120)
 class OutdatedEndpointListTest {
+  /** The number of jobs that are submitted before discovery responds. */
   private static final int JOB_COUNT = 8;
 
-  /** The delay of the first response of discovery in the case LATE. */
+  /** The delay of the response in the case {@link FirstResponse#LATE}, in milliseconds. */
   private static final int LATE_RESPONSE_MILLIS = 1000;
 
-  /** A deadline that is over before the process stops waiting for an endpoint list. */
+  /** A deadline, in milliseconds, that ends while the process waits for an endpoint list. */
   private static final int SHORT_DEADLINE_MILLIS = 300;
 
-  /** The size of the parts in which discovery sends its response in the case IN_PIECES. */
+  /** The size of the pieces in the case {@link FirstResponse#IN_PIECES}, in bytes. */
   private static final int PIECE_BYTES = 40;
 
   /** How discovery responds to the first calls of a process that starts. */
@@ -45,7 +46,9 @@
     DRAINING,
     /** A list that removes the worker. */
     REMOVED,
+    /** A list after a delay. */
     LATE,
+    /** A list in small pieces, with a pause of 10 ms after each. */
     IN_PIECES,
     /** A 503; the second call gets the list. */
     UNAVAILABLE_FIRST,
@@ -69,7 +72,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void jobsWaitForTheCurrentListAndFollowIt(FirstResponse response) throws Exception {
+  void jobsAreSentOnlyToWorkersThatServeInTheCurrentList(FirstResponse response) throws Exception {
     try (DispatcherProcess program = start()) {
       HttpMessage call = program.discovery().nextRequest();
       assertTrue(call.startLine().contains("?from=41&"), call.startLine());
@@ -127,7 +130,7 @@
 
   /** A long outage of discovery must not prevent the process from serving jobs. */
   @Test
-  void theOutdatedListIsUsedAfterATimeoutOfSilentDiscovery() throws Exception {
+  void theLastKnownListIsUsedIfDiscoveryIsSilentForTooLong() throws Exception {
     try (DispatcherProcess program = start()) {
       program.discovery().nextRequest();
       SubmittedJob job = program.submit("/copy", "");
@@ -143,7 +146,7 @@
 
   /** After two failed calls discovery counts as down, rather than only overloaded. */
   @Test
-  void theOutdatedListIsUsedAfterTwoFailedCalls() throws Exception {
+  void theLastKnownListIsUsedAfterTwoFailedCalls() throws Exception {
     try (DispatcherProcess program = start()) {
       program.discovery().nextRequest().respond(503, "");
       SubmittedJob job = program.submit("/copy", "");
--- a/src/test/java/loomreel/program/PushedEndpointListTest.java
+++ b/src/test/java/loomreel/program/PushedEndpointListTest.java
@@ -24,8 +24,9 @@
  * Verifies endpoint lists that are pushed to a local agent, from which the dispatcher gets them.
  *
  * <p>A list counts as known to the dispatcher as soon as the agent has it. From then on, jobs may
- * be sent to a draining worker only for the drain grace, so the dispatcher must get each list
- * within that time.
+ * be sent to a draining worker only for the duration of the drain grace, so the dispatcher must get
+ * each list within that time. To get the lists, the dispatcher keeps a watch open: a request that
+ * the agent holds until the list changes, or until the time that the request names is over.
  */
 @Timeout(120)
 class PushedEndpointListTest {
@@ -109,7 +110,7 @@
 
   /** The platform expects a dispatcher to be ready within 30 s, also if its agent is silent. */
   @Test
-  void theLastKnownListIsUsedAfterATimeoutOfASilentAgent() throws Exception {
+  void theLastKnownListIsUsedIfTheAgentIsSilentForTooLong() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, pushConfiguration())) {
       program.discovery().nextRequest();
       SubmittedJob job = program.submit("/copy", "");
--- a/src/test/java/loomreel/program/StatusUpdateTest.java
+++ b/src/test/java/loomreel/program/StatusUpdateTest.java
@@ -48,7 +48,7 @@
    * not prove that the second attempt has not run.
    */
   @Test
-  void aJobThatOneWorkerReturnsTwiceIsNotRetriedAgain() throws Exception {
+  void aNonIdempotentJobThatOneWorkerReturnsTwiceFails() throws Exception {
     // With a short latency objective, the worker that returned the job soon gets another attempt.
     TestConfiguration configuration =
         new TestConfiguration()
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -28,12 +28,15 @@
  * Verifies that this build reads files that an earlier build has stored.
  *
  * <p>The tests read copies of the files under {@code src/test/resources/stored}. The README there
- * describes the files, which are never recorded again.
+ * describes the files, which are never recorded again. A spool is the directory in which a daemon
+ * stores the jobs of Faktory clients.
  */
 @Timeout(120)
 class StoredDataTest {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Path STORED_DIRECTORY = Path.of("src", "test", "resources", "stored");
+
+  /** The file from which Linux reports the boot id, which is different after each boot. */
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
   /** The placeholder in the stored segments for the boot id of the machine that wrote them. */
@@ -52,7 +55,10 @@
           spool: "%s"
           """);
 
-  /** The states that TRACK reports for jobs that are not queued: they have ended or are not due. */
+  /**
+   * The states that the Faktory command TRACK reports for jobs that are not queued. The jobs have
+   * ended or are not due.
+   */
   private static final List<String> STATES_OF_JOBS_NOT_QUEUED =
       List.of(
           "{\"jid\":\"copy-done\",\"state\":\"success\",\"failures\":0}",
--- a/src/test/java/loomreel/program/UpgradeSoakTest.java
+++ b/src/test/java/loomreel/program/UpgradeSoakTest.java
@@ -56,12 +56,12 @@
 
   /**
    * The maximum time, in milliseconds, from the start of a drain to the last job that the drained
-   * worker gets. By the pages of the platform, a change counts as known 6 s after discovery had it.
-   * The drain grace of 3 s and a slack of 50 ms are added.
+   * worker gets. The pages with the rules of the platform say that a change counts as known 6 s
+   * after discovery had it. The drain grace of 3 s and a slack of 50 ms are added.
    */
   private static final long MAX_SEND_AFTER_DRAIN_MILLIS = 9050;
 
-  /** The time of {@link #nowMillis} at which each drained worker was drained, by worker index. */
+  /** The {@link #nowMillis} at which the drain of each drained worker began, by worker index. */
   private final Map<Integer, Long> drainedAtMillis = new ConcurrentHashMap<>();
 
   /** How often workers have received each job, by job id. */
@@ -76,6 +76,7 @@
   /** Whether clients and workers continue. */
   private volatile boolean running = true;
 
+  /** Returns the seeds to run: 1 to 3 unless the system properties say otherwise. */
   static LongStream seeds() {
     long from = Long.getLong("soak.from", 1);
     return LongStream.range(from, from + Long.getLong("soak.seeds", 3));
@@ -160,7 +161,10 @@
     assertEquals(200, status);
   }
 
-  /** Checks that both processes come to have as many disabled workers as the stored file. */
+  /**
+   * Waits until both processes count as many disabled workers as the stored file lists, and then
+   * checks the old process once more.
+   */
   private void assertOverridesAgree(DispatcherProcess program, int oldInstance, int newInstance)
       throws Exception {
     for (int instance : new int[] {oldInstance, newInstance}) {
@@ -261,7 +265,10 @@
     return current;
   }
 
-  /** Counts a job that was served, and records a violation for an unexpected response. */
+  /**
+   * Counts a job that was served with its own id as the result. Records a violation for any other
+   * response, except for status 503 and 429.
+   */
   private void checkResponse(SubmittedJob job, HttpMessage response) {
     if (response.status() == 200 && response.body().equals(job.id())) {
       servedJobs.incrementAndGet();
--- a/src/test/java/loomreel/program/WorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/WorkerConnectionTest.java
@@ -14,7 +14,7 @@
 /** Verifies how long connections to workers may be idle, and when the dispatcher reuses them. */
 @Timeout(120)
 class WorkerConnectionTest {
-  /** A job that is sent on a connection that the worker has already closed would be reset. */
+  /** If a job arrives on a connection that the worker has closed, the connection is reset. */
   @Test
   void idleConnectionsAreClosedBeforeTheWorkerClosesThem() throws Exception {
     try (DispatcherProcess program =
