--- a/src/test/java/loomreel/program/IdempotencyKeyTest.java
+++ b/src/test/java/loomreel/program/IdempotencyKeyTest.java
@@ -16,13 +16,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Verifies when the dispatcher retries a job of a keyed class. Workers recognize a repeated job of
- * a keyed class by its idempotency key, so that a retry does not run the job twice.
+ * Verifies that the dispatcher retries a job of a keyed request class only if the client has sent
+ * an idempotency key with the job. Workers recognize a repeated job by the key, so that a retry
+ * does not run the job twice.
  */
 @Timeout(120)
 class IdempotencyKeyTest {
   private static final String JOB_ID = "00000000000000cc";
-  /** An idempotency key with punctuation, which must reach the worker unchanged. */
+  /** An idempotency key that contains punctuation. The key must reach the worker unchanged. */
   private static final String IDEMPOTENCY_KEY = "5c0f6e1a-2b3d, \"x\"; ~";
 
   private static DispatcherProcess start() throws IOException {
@@ -32,7 +33,11 @@
     return new DispatcherProcess(2, configuration);
   }
 
-  /** Sends a job of class hold with a deadline of 20 s; {@code headers} are complete lines. */
+  /**
+   * Sends a job of the keyed class {@code hold} with a deadline of 20 s.
+   *
+   * @param headers additional header lines, each with its line end; empty for none
+   */
   private static void submit(Socket client, String headers) throws IOException {
     HttpIo.write(client, DispatcherHarness.jobRequest("/hold/1", JOB_ID, 20_000, headers, "body"));
   }
@@ -57,7 +62,7 @@
     }
   }
 
-  /** Without a key the worker could not recognize the retry, and the job could run twice. */
+  /** Without a key, a worker could not recognize a retry, and the job could run twice. */
   @Test
   void aJobWithoutAKeyIsNotRetried() throws Exception {
     try (DispatcherProcess program = start();
--- a/src/test/java/loomreel/program/JobForwardingTest.java
+++ b/src/test/java/loomreel/program/JobForwardingTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Verifies that the dispatcher forwards jobs to workers, retries failed jobs at another worker if
- * that is allowed, and returns the results to the clients.
+ * Verifies that the dispatcher forwards jobs to workers and returns the results to the clients. If
+ * an attempt fails and a retry is allowed, the dispatcher sends the job to another worker.
  */
 @Timeout(120)
 class JobForwardingTest {
   @Test
-  void aJobIsForwardedUnchangedAndItsResultReturned() throws Exception {
+  void aJobIsForwardedUnchangedAndItsResultIsReturned() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       assertEquals(200, program.readinessStatus());
 
@@ -50,9 +50,13 @@
   }
 
   /**
-   * Jobs of the class copy are idempotent and are retried after each of these outcomes. Jobs of the
-   * class issue must not run twice. They are retried only if the worker has rejected or returned
-   * them, which proves that they have not run.
+   * A job of class {@code copy} is idempotent and is retried after each outcome that the test
+   * checks for this class. A job of class {@code issue} must not run twice. It is retried only if
+   * the worker has rejected it or has returned it unstarted, because this proves that the job has
+   * not run.
+   *
+   * <p>The outcomes {@code lost} and {@code returned} are states that the worker reports in a
+   * status update after it has accepted the job.
    */
   @ParameterizedTest
   // Columns: request class, outcome of the first attempt, status of the response to the client.
@@ -108,9 +112,12 @@
   }
 
   /**
-   * The client of an idempotent job gets a 503 with a Retry-After header at the job's deadline. The
-   * worker has either not responded at all, or has accepted the job and not reported a result. A
-   * further job on the same connection, with a deadline of 1 ms, is not served either.
+   * If an idempotent job has no result at its deadline, the client gets a 503 with a Retry-After
+   * header. In the first case, the worker does not respond to the job at all. In the second case,
+   * the worker accepts the job, but reports no result.
+   *
+   * <p>Then the test submits another job on the same connection, with a deadline of 1 ms. That job
+   * is not served either.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -126,7 +133,7 @@
       HttpMessage response = job.response();
       SubmittedJob expiringJob = program.submit(job.connection(), "/copy", 1, "");
 
-      assertEquals(503, response.status(), "an idempotent job may be submitted again");
+      assertEquals(503, response.status(), "a 503 allows the client to submit the job again");
       assertEquals("1.500", response.header("Retry-After"));
       assertNotEquals(200, expiringJob.response().status());
     }
@@ -174,21 +181,23 @@
   }
 
   @Test
-  void aBodyOfTheMaximumSizeIsForwardedAndALargeResultReturned() throws Exception {
+  void aBodyOfTheMaximumSizeIsForwardedAndALargeResultIsReturned() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       String largestBody = "x".repeat(64 * 1024);
 
       SubmittedJob job = program.submit("/copy", largestBody);
       assertEquals(largestBody, program.worker(0).nextRequest().body());
-      // The result is 100 bytes shorter so that the status update does not exceed the maximum.
+      // A status update contains the result and other JSON members. The result is 100 bytes
+      // shorter than the largest body, so that the status update does not exceed the maximum size.
       program.reportDone(job.id(), "w0", largestBody.substring(100));
 
       assertEquals(largestBody.substring(100), job.response().body());
     }
   }
 
+  /** A health check is a {@code GET /stats}. The worker's response to it is a load report. */
   @Test
-  void loadReportsArePolledWhereHealthChecksAreAllowed() throws Exception {
+  void loadReportsAreRequestedByHealthChecksIfTheyAreConfiguredAsPolled() throws Exception {
     try (DispatcherProcess program =
         new DispatcherProcess(1, new TestConfiguration().loadReports(LoadReports.POLLED))) {
       SubmittedJob job = program.submit("/copy", "");
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -15,16 +15,25 @@
 
 /**
  * Verifies how the dispatcher handles worker messages that are truncated, malformed, repeated or
- * endless, and whether it concludes from them that the job was accepted or may have run.
+ * endless. The tests also verify whether the dispatcher concludes from a message that the worker
+ * has accepted the job, or that the job may have run.
  */
 @Timeout(120)
 class MalformedWorkerResponseTest {
-  /** The bytes after the status line of a 202 response; in each case the job counts as accepted. */
+  /**
+   * The remainder of a response with the status 202, after the status line. Whatever the remainder
+   * is, the dispatcher regards the job as accepted.
+   */
   private enum Remainder {
+    /** A body of which 3 of 10 bytes arrive. */
     CUT("Content-Length: 10\r\n\r\nabc", true),
+    /** A body of 10 bytes, of which none arrives. */
     MISSING("Content-Length: 10\r\n\r\n", true),
+    /** A body of 1,000,000 bytes, which exceeds the maximum size of 65,536 bytes. */
     TOO_LONG("Content-Length: 1000000\r\n\r\n", false),
+    /** A chunk whose size is not a number. */
     GARBAGE("Transfer-Encoding: chunked\r\n\r\nzz\r\n", false),
+    /** Two Content-Length headers with different values. */
     TWO_LENGTHS("Content-Length: 1\r\nContent-Length: 2\r\n\r\n", false),
     /** A body of 17 chunks of 4,096 bytes, which exceeds the maximum size of 65,536 bytes. */
     ENDLESS(
@@ -33,7 +42,7 @@
 
     private final String bytes;
 
-    /** Whether the worker shuts down its side of the connection after the bytes. */
+    /** Whether the worker shuts down its output after it has sent the bytes. */
     private final boolean shutsDownOutput;
 
     Remainder(String bytes, boolean shutsDownOutput) {
@@ -42,9 +51,14 @@
     }
   }
 
-  /** A job whose request a worker has received but not answered. */
+  /**
+   * A job to which the worker has not responded yet.
+   *
+   * @param worker the index of the worker that has received the job
+   * @param post the request with the job
+   */
   private record ReceivedJob(SubmittedJob job, int worker, HttpMessage post) {
-    /** Submits a job and waits until a worker has received the request. */
+    /** Submits a job and waits until a worker has received it. */
     static ReceivedJob submit(StepControlledServer server, String path) throws Exception {
       SubmittedJob job = server.submit(path, "");
       int worker = server.awaitAttemptWorker();
@@ -67,11 +81,14 @@
       server.reportDone(received.job.id(), "w" + received.worker, "once");
       assertEquals("once", received.job.response().body());
       assertFalse(
-          server.worker(1 - received.worker).hasPendingRequest(), "no other worker gets it");
+          server.worker(1 - received.worker).hasPendingRequest(), "no other worker gets the job");
     }
   }
 
-  /** A retry would be useless, because every other worker would find the job invalid as well. */
+  /**
+   * A worker answers an invalid job with 400. A retry would be useless, because every other worker
+   * would find the job invalid as well.
+   */
   @Test
   void aJobThatAWorkerAnswersWith400IsNotRetried() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
@@ -85,6 +102,10 @@
     }
   }
 
+  /**
+   * The dispatcher waits for the body of a response for a multiple of the connect timeout. The test
+   * therefore configures a short connect timeout.
+   */
   @Test
   void aConnectionWhoseResponseBodyNeverArrivesIsClosed() throws Exception {
     try (StepControlledServer server =
@@ -116,7 +137,10 @@
     }
   }
 
-  /** The client disconnects before the dispatcher has read the 202 response of the worker. */
+  /**
+   * The client disconnects, which cancels the job, before the dispatcher has read the worker's 202
+   * response. The worker still gets a DELETE request for the job.
+   */
   @Test
   void aJobCancelledBeforeThe202IsReadIsCancelledAtTheWorker() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
@@ -132,8 +156,8 @@
   }
 
   /**
-   * The first worker sends further status updates after it has reported its attempt as lost. The
-   * second worker reports its result twice.
+   * The first worker reports its attempt as lost and sends further status updates afterwards. The
+   * second worker, which gets the retry, reports its result twice.
    */
   @Test
   void onlyTheResultOfTheRetryIsUsedAfterAnAttemptIsLost() throws Exception {
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Verifies the management API: statistics, client drains, and workers that operators disable. A
- * client drain rejects new jobs and closes client connections until it is stopped.
+ * Verifies the management API, with which operators read statistics, drain clients and disable
+ * workers. A client drain begins with a notice period. After this period, the dispatcher rejects new
+ * jobs and closes client connections until an operator stops the drain.
  */
 @Timeout(120)
 class ManagementApiTest {
@@ -28,7 +29,10 @@
   void eachResponseIsCountedOnceForItsRequestClass() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.managed(2)) {
       assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
-      assertEquals(0, program.statistic(0, "failure.issue"), "a count of 0 is there as well");
+      assertEquals(
+          0,
+          program.statistic(0, "failure.issue"),
+          "the statistics also list counters that are 0");
 
       serveJobAtSecondAttempt(program);
       SubmittedJob failing = program.submit("/issue", "");
@@ -53,7 +57,10 @@
     }
   }
 
-  /** Submits a job, resets its first attempt, and serves it at the second attempt. */
+  /**
+   * Submits a job, closes the connection of the first attempt, and completes the job in the second
+   * attempt.
+   */
   private static void serveJobAtSecondAttempt(DispatcherProcess program) throws Exception {
     SubmittedJob job = program.submit("/copy", "");
     HttpMessage post = awaitJobRequest(program);
@@ -61,13 +68,14 @@
     assertEquals(1, program.statistic(0, "backend_calls"));
     post.connection().close();
     awaitJobRequest(program).respond(202, "");
-    // Either worker may have the second attempt. The update of the other worker has no effect.
+    // Either worker may have received the second attempt, so both report the result. The status
+    // update of the worker without this attempt has no effect.
     program.reportDone(job.id(), "w0", "r");
     program.reportDone(job.id(), "w1", "r");
     assertEquals(200, job.response().status());
   }
 
-  /** Waits until a worker has a request, and takes the request from the worker's queue. */
+  /** Waits until a worker has received a request, and takes the request out of its queue. */
   private static HttpMessage awaitJobRequest(DispatcherProcess program) throws Exception {
     return program.worker(program.awaitWorkerWithRequest()).nextRequest();
   }
@@ -81,6 +89,10 @@
     }
   }
 
+  /**
+   * Each silent connection has sent either nothing or only the beginning of a request. If too many
+   * connections are open, the dispatcher closes the oldest one.
+   */
   @Test
   void operatorsAreServedWhileOtherConnectionsAreSilent() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.managed(1)) {
@@ -92,7 +104,9 @@
         assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
       }
 
-      assertTrue(silentConnections.get(0).getInputStream().read() < 0, "the oldest one is closed");
+      assertTrue(
+          silentConnections.get(0).getInputStream().read() < 0,
+          "the oldest silent connection is closed");
     }
   }
 
@@ -138,8 +152,8 @@
   }
 
   /**
-   * The disabled worker gets no jobs after the endpoint list has removed it and added it again. It
-   * gets jobs once it is enabled.
+   * The endpoint list removes the disabled worker and later adds the worker again. The worker stays
+   * disabled and gets no jobs until an operator enables it.
    */
   @Test
   void aDisabledWorkerGetsNoJobsUntilItIsEnabled() throws Exception {
@@ -162,7 +176,7 @@
       assertEquals(200, program.enableWorker(0, "w0"));
       assertEquals(0, program.statistic(0, "hosts_down"));
       assertEquals(200, program.disableWorker(0, "w1"));
-      // Worker w0 is in slow start, which allows the single job that is submitted here.
+      // Worker w0 is in slow start, which limits its jobs. The single job of this test is allowed.
       program.assertAllServedBy(0, 1);
     }
   }
