--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -20,8 +20,8 @@
 
 /**
  * Verifies the management API, with which operators read statistics, drain clients and disable
- * workers. A client drain begins with a notice period. After this period, the dispatcher rejects new
- * jobs and closes client connections until an operator stops the drain.
+ * workers. A client drain begins with a notice period. After this period, the dispatcher rejects
+ * new jobs and closes client connections until an operator stops the drain.
  */
 @Timeout(120)
 class ManagementApiTest {
--- a/src/test/java/loomreel/program/OperatorOverrideRaceTest.java
+++ b/src/test/java/loomreel/program/OperatorOverrideRaceTest.java
@@ -11,12 +11,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Verifies operator overrides that change while messages about other changes are in transit between
- * the processes of a hot restart. No change is lost, and in the end the overrides of all processes
- * and of the stored file are equal.
+ * Verifies operator overrides during a hot restart, in which an old process and its successor run
+ * at the same time. Operators change overrides at one process while messages about other changes
+ * are in transit between the processes. No change is lost. In the end, all processes and the stored
+ * file have the same overrides.
  *
- * <p>The override that the tests change is the set of workers that operators have disabled. In the
- * tests with two processes, a relay between the processes holds their messages.
+ * <p>The only overrides that the tests change are those that disable a worker. In the tests with
+ * two processes, a relay between the processes can hold their messages.
  */
 @Timeout(120)
 class OperatorOverrideRaceTest {
@@ -28,7 +29,7 @@
   private static final int NEW = 1;
   private static final int NEWEST = 2;
 
-  /** Returns the file with the port on which a process accepts its successor. */
+  /** Returns the file with the port on which a process accepts the connection of its successor. */
   private static Path portFile(DispatcherProcess program) {
     return program.temporaryDirectory().resolve("n0.tie");
   }
@@ -38,15 +39,18 @@
     return Files.readString(program.temporaryDirectory().resolve("n0.state"));
   }
 
-  /** Waits until a process has handled all messages that the relay has already passed on to it. */
+  /** Waits until a process has handled all messages that the relay has passed on to the process. */
   private static void awaitMessagesHandled(DispatcherProcess program, int process)
       throws Exception {
-    // The second of two consecutive requests is served in a later iteration of the event loop.
+    // The process serves the second request in a later iteration of the event loop than the first.
     program.callManagement(process, "GET", "readiness", "");
     program.callManagement(process, "GET", "readiness", "");
   }
 
-  /** Operators change overrides at the successor before those of the old process arrive there. */
+  /**
+   * When the successor connects, the old process sends all its overrides. The relay holds this
+   * message. Meanwhile operators disable a worker at the successor and enable another one there.
+   */
   @Test
   void aChangeAtTheSuccessorIsKeptWhenTheOldProcessSendsItsOverrides() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(3);
@@ -69,7 +73,10 @@
     }
   }
 
-  /** Operators change one override at both processes before either receives a message about it. */
+  /**
+   * Operators disable w0 at the old process. At the successor, they disable and enable the same
+   * worker. At that time, neither process has received a message about a change at the other.
+   */
   @Test
   void crossingChangesOfOneOverrideHaveTheSameResultInBothProcesses() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2);
@@ -94,12 +101,14 @@
   }
 
   /**
-   * Operators disable a worker at the old process and enable it at the successor. The successor has
-   * not received the message about the disabled worker, so the request to enable the worker changes
-   * nothing there.
+   * Operators disable a worker at the old process. The relay holds the message about this change,
+   * so the worker is still enabled at the successor. Then operators enable the worker at the
+   * successor. Although this request changes nothing at the successor, the old process enables the
+   * worker. In the end, the held message has been delivered, and both processes have the worker
+   * enabled.
    */
   @Test
-  void enablingAWorkerAtTheSuccessorRevokesItsDisablingInTransit() throws Exception {
+  void enablingAWorkerAtTheSuccessorPrevailsOverAnEarlierDisablingInTransit() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2);
         HotRestartRelay relay = new HotRestartRelay(portFile(program))) {
       program.startSuccessor();
--- a/src/test/java/loomreel/program/OutdatedEndpointListTest.java
+++ b/src/test/java/loomreel/program/OutdatedEndpointListTest.java
@@ -21,40 +21,44 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Verifies the start of a process whose configuration contains an outdated endpoint list, with a
- * worker that was drained or removed long ago. If discovery returns the current list, the process
- * must send no job to that worker, even if the first call to discovery fails or is answered late.
- * If discovery stays unavailable, the process uses the outdated list, which is its last known one.
+ * Verifies the start of a process whose configuration contains an outdated endpoint list. The list
+ * still contains worker w0 as serving, although w0 was drained or removed long ago. If discovery
+ * returns the current list, the process must send no job to w0, even if the first call to discovery
+ * fails or is answered late. If discovery stays unavailable, the process uses the outdated list,
+ * because it is the last list that the process knows.
  */
 @Timeout(120)
 class OutdatedEndpointListTest {
   /** The number of jobs that are submitted before discovery responds. */
   private static final int JOB_COUNT = 8;
 
-  /** The delay of the response in the case {@link FirstResponse#LATE}, in milliseconds. */
+  /** The delay of the response for {@link FirstResponse#LATE}, in milliseconds. */
   private static final int LATE_RESPONSE_MILLIS = 1000;
 
-  /** A deadline, in milliseconds, that ends while the process waits for an endpoint list. */
+  /** A deadline, in milliseconds, that passes while the process waits for an endpoint list. */
   private static final int SHORT_DEADLINE_MILLIS = 300;
 
-  /** The size of the pieces in the case {@link FirstResponse#IN_PIECES}, in bytes. */
+  /** The size of the pieces of the response for {@link FirstResponse#IN_PIECES}, in bytes. */
   private static final int PIECE_BYTES = 40;
 
-  /** How discovery responds to the first calls of a process that starts. */
+  /**
+   * How discovery responds to the first calls of a process that starts. Worker w0 is removed in the
+   * list for {@link #REMOVED} and draining in the list for all other constants.
+   */
   private enum FirstResponse {
-    /** A list in which the worker is draining. */
+    /** A list in which w0 is draining. */
     DRAINING,
-    /** A list that removes the worker. */
+    /** A list that removes w0. */
     REMOVED,
     /** A list after a delay. */
     LATE,
-    /** A list in small pieces, with a pause of 10 ms after each. */
+    /** A list in small pieces, with a pause of 10 ms after each piece. */
     IN_PIECES,
-    /** A 503; the second call gets the list. */
+    /** A response with status 503. The second call gets the list. */
     UNAVAILABLE_FIRST,
-    /** A reset of the connection; the second call gets the list. */
+    /** A reset of the connection. The second call gets the list. */
     RESET_FIRST,
-    /** No response; the second call gets the list. */
+    /** No response. The second call gets the list. */
     SILENT_FIRST
   }
 
@@ -94,7 +98,13 @@
     }
   }
 
-  /** Sends the list to the dispatcher, in response to the first or the second call. */
+  /**
+   * Responds to the first calls of the dispatcher.
+   *
+   * @param call the first call
+   * @param list the list that is sent in response to the first or to the second call
+   * @param response how discovery responds
+   */
   private static void respond(
       DispatcherProcess program, HttpMessage call, EndpointList list, FirstResponse response)
       throws Exception {
@@ -128,7 +138,11 @@
     }
   }
 
-  /** A long outage of discovery must not prevent the process from serving jobs. */
+  /**
+   * The process waits for its first list at most for {@link
+   * loomreel.discovery.WatchTimeouts#FIRST_LIST_TIMEOUT}. A longer outage of discovery must not
+   * prevent the process from serving jobs.
+   */
   @Test
   void theLastKnownListIsUsedIfDiscoveryIsSilentForTooLong() throws Exception {
     try (DispatcherProcess program = start()) {
@@ -144,7 +158,10 @@
     }
   }
 
-  /** After two failed calls discovery counts as down, rather than only overloaded. */
+  /**
+   * After one failed call, discovery may only be overloaded. After two failed calls, discovery
+   * counts as down.
+   */
   @Test
   void theLastKnownListIsUsedAfterTwoFailedCalls() throws Exception {
     try (DispatcherProcess program = start()) {
@@ -159,7 +176,10 @@
     }
   }
 
-  /** A client that submits a job before the process is ready gets a response in time. */
+  /**
+   * While the process waits for its first list, it is not ready, and jobs wait as well. A client
+   * whose job has a short deadline gets a response in time.
+   */
   @Test
   void aJobThatCannotWaitForTheListIsRejected() throws Exception {
     try (DispatcherProcess program = start()) {
--- a/src/test/java/loomreel/program/PushedEndpointListTest.java
+++ b/src/test/java/loomreel/program/PushedEndpointListTest.java
@@ -36,11 +36,12 @@
   }
 
   /**
-   * Responds to each request with a list until the dispatcher requests the changes after that list.
-   * A slow dispatcher may repeat an earlier request first.
+   * Responds to each request with the same list until the dispatcher requests the changes after
+   * that list. A slow dispatcher may repeat an earlier request before it sends that one.
    *
    * @param sequence the sequence number of the list
-   * @return the request for the changes after the list, to which no response has been sent
+   * @param list the JSON text of the list
+   * @return the request for the changes after the list; the caller has to respond to this request
    */
   private static HttpMessage respondUntilWatchedFrom(
       DispatcherProcess program, int sequence, String list) throws Exception {
@@ -78,12 +79,16 @@
     }
   }
 
+  /**
+   * A watch fails if the agent does not respond in time, responds with a 503, closes the connection
+   * or sends an incomplete list. In the case {@code cut}, the list ends after 40 characters.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"silent", "503", "closed", "cut"})
   void aFailedWatchIsRestartedOnANewConnectionWithinTheGrace(String failure) throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2, pushConfiguration())) {
       String knownList = program.endpointList(41, Extent.COMPLETE, Health.SERVING).toJson();
-      String truncatedList = program.endpointList(44, Extent.COMPLETE, Health.DRAINING).toJson();
+      String drainingList = program.endpointList(44, Extent.COMPLETE, Health.DRAINING).toJson();
       HttpMessage watch = respondUntilWatchedFrom(program, 41, knownList);
 
       for (int i = 0; i < 3; i++) {
@@ -93,7 +98,7 @@
             watch.startLine().contains("?from=41&") && holdMillis <= 2500, watch.startLine());
         switch (failure) {
           case "503" -> watch.respond(503, "");
-          case "cut" -> watch.respond(200, truncatedList.substring(0, 40));
+          case "cut" -> watch.respond(200, drainingList.substring(0, 40));
           case "closed" -> watch.connection().close();
           default -> program.discovery().awaitClosed(watch.connection());
         }
@@ -108,7 +113,7 @@
     }
   }
 
-  /** The platform expects a dispatcher to be ready within 30 s, also if its agent is silent. */
+  /** The platform expects a dispatcher to be ready within 30 s, even if the agent is silent. */
   @Test
   void theLastKnownListIsUsedIfTheAgentIsSilentForTooLong() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1, pushConfiguration())) {
@@ -135,7 +140,8 @@
             .endpointList(50, Extent.COMPLETE, Health.SERVING, Health.DRAINING)
             .respondTo(silentWatch);
       } catch (SocketException reset) {
-        // The dispatcher has closed the connection and ignores the list even if the write succeeds.
+        // The dispatcher has closed the connection, so the write may fail. If the write succeeds,
+        // the dispatcher ignores the list.
       }
 
       EndpointList drained =
