--- a/src/test/java/loomreel/program/SampleDeployment.java
+++ b/src/test/java/loomreel/program/SampleDeployment.java
@@ -8,20 +8,23 @@
 import java.nio.file.Path;
 
 /**
- * A sample deployment, which is described in a file of {@code deploy/sites}, and the conversion of
- * that description to the settings of the deployment's dispatchers.
+ * A sample deployment, which is described in a file of {@code deploy/sites}. This class reads the
+ * file and converts its content to the settings of the deployment's dispatchers.
  */
 final class SampleDeployment {
   private static final TomlMapper TOML = new TomlMapper();
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** How much the latency objective of a job grows per unit of the job's expected work. */
+  /**
+   * How much the latency objective of a job grows for each microsecond of the job's own work, in
+   * microseconds.
+   */
   private static final int LATENCY_OBJECTIVE_PER_WORK = 1000;
 
   /** The sum of the quotas of all tenants, in jobs per second. */
   private static final int TOTAL_QUOTA_PER_SECOND = 200;
 
-  /** The content of the file. */
+  /** The content of the deployment's file. */
   private final JsonNode description;
 
   /** Reads {@code deploy/sites/NAME.toml}. */
@@ -29,12 +32,16 @@
     description = TOML.readTree(Path.of("deploy", "sites", name + ".toml").toFile());
   }
 
-  /** Returns the request classes, with the keys and values of the file. */
+  /** Returns the request classes as they are in the file, with unconverted keys and values. */
   JsonNode classes() {
     return description.get("class");
   }
 
-  /** Returns the settings, with the keys and values of the platform's configuration. */
+  /**
+   * Returns the settings in the format of a dispatcher's configuration. The keys, the units and the
+   * names of choices in this format differ from those of the file, so the content of the file is
+   * converted. Some values are constants and are not read from the file.
+   */
   ObjectNode settings() {
     ObjectNode settings = TOML.createObjectNode();
     settings
@@ -76,8 +83,9 @@
   }
 
   /**
-   * Returns the value of the setting {@code Repeat} for the effect of a request class in the file.
-   * The setting says whether a job may run twice.
+   * Converts the effect of a request class to the value of the setting {@code Repeat}. In the file,
+   * the key {@code effect} says whether a job of the class may run twice. The setting
+   * {@code Repeat} has the same meaning, but other values.
    */
   private static String idempotencySetting(String effect) {
     return switch (effect) {
--- a/src/test/java/loomreel/program/SampleDeploymentsTest.java
+++ b/src/test/java/loomreel/program/SampleDeploymentsTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Verifies that the dispatcher takes request classes, names and limits from the settings alone. The
- * tests use the project's own sample deployments, whose classes, names and limits differ from those
- * of the operators' deployments.
+ * Verifies that the dispatcher takes the request classes, their names and the limits from the
+ * settings alone. The tests use the project's own sample deployments. Their request classes, class
+ * names and limits differ from those of the operators' deployments.
  */
 @Timeout(120)
 class SampleDeploymentsTest {
@@ -33,17 +33,22 @@
    */
   static Stream<Arguments> classes() throws IOException {
     List<Arguments> argumentsOfClasses = new ArrayList<>();
-    for (String name : new String[] {"gentle", "tight"}) {
-      for (int i = 0; i < new SampleDeployment(name).classes().size(); i++) {
-        argumentsOfClasses.add(Arguments.of(name, i));
+    for (String deploymentName : new String[] {"gentle", "tight"}) {
+      for (int i = 0; i < new SampleDeployment(deploymentName).classes().size(); i++) {
+        argumentsOfClasses.add(Arguments.of(deploymentName, i));
       }
     }
     return argumentsOfClasses.stream();
   }
 
-  /** A job that a worker has received. */
+  /**
+   * A job that a worker has received.
+   *
+   * @param worker the index of the worker
+   * @param post the request with the job
+   */
   private record ReceivedJob(int worker, HttpMessage post) {
-    /** Waits until any worker receives a job, and responds to health checks until then. */
+    /** Waits until any worker receives a job. Responds to the health checks that arrive before. */
     static ReceivedJob awaitNext(DispatcherHarness harness) throws Exception {
       while (true) {
         int worker = harness.awaitWorkerWithRequest();
@@ -58,27 +63,31 @@
 
   @ParameterizedTest
   @MethodSource("classes")
-  void aJobOfEachClassIsServed(String name, int index) throws Exception {
-    SampleDeployment deployment = new SampleDeployment(name);
-    JsonNode requestClass = deployment.classes().get(index);
+  void aJobOfEachClassIsServed(String deploymentName, int classIndex) throws Exception {
+    SampleDeployment deployment = new SampleDeployment(deploymentName);
+    JsonNode requestClass = deployment.classes().get(classIndex);
     try (StepControlledServer server = start(deployment)) {
       SubmittedJob job = submit(server, requestClass, "key");
       ReceivedJob received = ReceivedJob.awaitNext(server);
 
       assertEquals("key", received.post.header("Idempotency-Key"));
-      assertServed(server, job, received, name);
+      assertServed(server, job, received, deploymentName);
       assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
   }
 
-  /** The {@code effect} of a class in the deployment's file says whether its jobs may run twice. */
+  /**
+   * The {@code effect} of a request class in the deployment's file says whether a job of the class
+   * may run twice. A job of a class with the effect {@code unsafe} is not retried after a reset.
+   */
   @ParameterizedTest
   @MethodSource("classes")
-  void aJobIsRetriedAfterAResetIfItsClassAllowsIt(String name, int index) throws Exception {
-    SampleDeployment deployment = new SampleDeployment(name);
-    JsonNode requestClass = deployment.classes().get(index);
+  void aJobIsRetriedAfterAResetIfItsClassAllowsIt(String deploymentName, int classIndex)
+      throws Exception {
+    SampleDeployment deployment = new SampleDeployment(deploymentName);
+    JsonNode requestClass = deployment.classes().get(classIndex);
     try (StepControlledServer server = start(deployment)) {
-      serveOneJob(server, requestClass, name);
+      serveOneJob(server, requestClass, deploymentName);
       SubmittedJob job = submit(server, requestClass, "key");
       ReceivedJob first = ReceivedJob.awaitNext(server);
       assertEquals("key", first.post.header("Idempotency-Key"));
@@ -89,8 +98,8 @@
         assertEquals(500, job.response().status());
       } else {
         ReceivedJob second = ReceivedJob.awaitNext(server);
-        assertTrue(second.worker != first.worker, "not to the same worker");
-        assertServed(server, job, second, name);
+        assertTrue(second.worker != first.worker, "the retry is sent to another worker");
+        assertServed(server, job, second, deploymentName);
       }
       assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
@@ -98,11 +107,12 @@
 
   @ParameterizedTest
   @MethodSource("classes")
-  void aJobOfAnUnknownClassIsAnsweredWith404(String name, int index) throws Exception {
-    SampleDeployment deployment = new SampleDeployment(name);
-    JsonNode requestClass = deployment.classes().get(index);
+  void aJobOfAnUnknownClassIsAnsweredWith404(String deploymentName, int classIndex)
+      throws Exception {
+    SampleDeployment deployment = new SampleDeployment(deploymentName);
+    JsonNode requestClass = deployment.classes().get(classIndex);
     try (StepControlledServer server = start(deployment)) {
-      serveOneJob(server, requestClass, name);
+      serveOneJob(server, requestClass, deploymentName);
 
       SubmittedJob jobOfUnknownClass = server.submit("/copy", "");
 
@@ -116,19 +126,23 @@
         3, new TestConfiguration().deploymentSettings(deployment.settings()));
   }
 
-  /** Submits a job that has this request class and this idempotency key. */
+  /** Submits a job of a request class with an idempotency key. */
   private static SubmittedJob submit(DispatcherHarness harness, JsonNode requestClass, String key)
       throws IOException {
     return harness.submitWithKey("/" + requestClass.get("name").asText() + "/1", key);
   }
 
+  /** Submits a job of a request class and has a worker complete the job. */
   private static void serveOneJob(DispatcherHarness harness, JsonNode requestClass, String result)
       throws Exception {
     SubmittedJob job = submit(harness, requestClass, "first-key");
     assertServed(harness, job, ReceivedJob.awaitNext(harness), result);
   }
 
-  /** Accepts and completes a job as its worker, and checks that the client gets the result. */
+  /**
+   * Accepts and completes a job as the worker that has received the job, and checks that the client
+   * gets the result.
+   */
   private static void assertServed(
       DispatcherHarness harness, SubmittedJob job, ReceivedJob received, String result)
       throws IOException {
--- a/src/test/java/loomreel/program/StatusUpdateTest.java
+++ b/src/test/java/loomreel/program/StatusUpdateTest.java
@@ -35,7 +35,10 @@
 
       SubmittedJob secondJob = program.submit(firstJob.connection(), "/copy", 20_000, "");
       HttpMessage secondPost = program.worker(0).nextRequest();
-      assertSame(firstPost.connection(), secondPost.connection(), "the connection is used again");
+      assertSame(
+          firstPost.connection(),
+          secondPost.connection(),
+          "the dispatcher reuses the connection to the worker");
       secondPost.respond(202, "");
       program.reportDone(secondJob.id(), "w0", "second");
       assertEquals("second", secondJob.response().body());
@@ -43,13 +46,15 @@
   }
 
   /**
-   * A worker may repeat a status update. If a job is retried at the worker that returned it, a
-   * second update with the state {@code returned} may belong to the first attempt. That update does
-   * not prove that the second attempt has not run.
+   * The state {@code returned} says that the worker has not started the job. A worker may repeat a
+   * status update. If a job is retried at the worker that returned it, a second update with this
+   * state may be a repetition for the first attempt. So the second update does not prove that the
+   * second attempt has not run.
    */
   @Test
   void aNonIdempotentJobThatOneWorkerReturnsTwiceFails() throws Exception {
-    // With a short latency objective, the worker that returned the job soon gets another attempt.
+    // The latency objective is short, so that the only worker soon gets a second attempt after it
+    // has returned the first one.
     TestConfiguration configuration =
         new TestConfiguration()
             .requestClasses(
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -27,9 +27,13 @@
 /**
  * Verifies that this build reads files that an earlier build has stored.
  *
- * <p>The tests read copies of the files under {@code src/test/resources/stored}. The README there
- * describes the files, which are never recorded again. A spool is the directory in which a daemon
- * stores the jobs of Faktory clients.
+ * <p>The files are under {@code src/test/resources/stored}. They are never recorded again. A README
+ * in this directory describes them. The programs under test read copies of the stored files. The
+ * file {@code waiting.jsonl} was not stored by a program. It lists the jobs that the tests expect
+ * in the queues, and the tests read the file in place.
+ *
+ * <p>A spool is the directory in which a daemon stores the jobs of Faktory clients. Its files are
+ * segments of a log.
  */
 @Timeout(120)
 class StoredDataTest {
@@ -39,7 +43,10 @@
   /** The file from which Linux reports the boot id, which is different after each boot. */
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-  /** The placeholder in the stored segments for the boot id of the machine that wrote them. */
+  /**
+   * The placeholder for the boot id in the stored segments. The first line of a segment contains
+   * the boot id that the machine had when the segment was written.
+   */
   private static final String STORED_BOOT_ID = "00000000-0000-0000-0000-000000000000";
 
   private static final String SETTINGS =
@@ -56,8 +63,8 @@
           """);
 
   /**
-   * The states that the Faktory command TRACK reports for jobs that are not queued. The jobs have
-   * ended or are not due.
+   * The expected replies to the Faktory command {@code TRACK GET} for the jobs that are not queued.
+   * These jobs have ended or are not due. The replies lack the members that {@link #track} removes.
    */
   private static final List<String> STATES_OF_JOBS_NOT_QUEUED =
       List.of(
@@ -76,18 +83,24 @@
           "{\"jid\":\"issue-scheduled\",\"state\":\"scheduled\",\"failures\":0}");
 
   /**
-   * The id of a job of class issue with an attempt that had not reached a worker when the daemon
-   * was killed. Jobs of class issue must not run twice.
+   * The id of a job of class {@code issue}, whose jobs must not run twice. When the daemon was
+   * killed, an attempt of this job had started, but no worker had received the job.
    */
   private static final String ATTEMPTED_JOB_ID = "issue-tried";
 
-  /** The state that TRACK reports for the attempted job after a restart of the machine. */
-  private static final String ATTEMPTED_JOB_AFTER_RESTART =
+  /**
+   * The expected reply to {@code TRACK GET} for the job {@link #ATTEMPTED_JOB_ID} if the machine
+   * has restarted since the spool was written.
+   */
+  private static final String ATTEMPTED_JOB_AFTER_MACHINE_RESTART =
       "{\"jid\":\"issue-tried\",\"state\":\"dead\",\"failures\":0,"
           + "\"reason\":\"may have run: the process ended while it was tried\","
           + "\"may_have_run\":true}";
 
-  /** Returns the payloads of the queued jobs as their clients pushed them, by job id (jid). */
+  /**
+   * Returns the payloads of the jobs that are queued if the machine has not restarted, by job id
+   * (jid). Each payload is as the client pushed it.
+   */
   private static Map<String, JsonNode> queuedJobs() throws IOException {
     Map<String, JsonNode> jobs = new TreeMap<>();
     for (String line : Files.readAllLines(STORED_DIRECTORY.resolve("waiting.jsonl"))) {
@@ -106,7 +119,7 @@
     }
   }
 
-  /** Replaces the placeholder in stored segments by the boot id of this machine. */
+  /** Replaces the placeholder in the segments of a spool with this machine's current boot id. */
   private static void setCurrentBootId(Path spool) throws IOException {
     String bootId = Files.readString(BOOT_ID_FILE).strip();
     try (Stream<Path> files = Files.list(spool)) {
@@ -119,15 +132,20 @@
   }
 
   /**
-   * Returns the state of a job that TRACK GET reports, without the members whose values the stored
-   * files do not determine.
+   * Returns the JSON reply to {@code TRACK GET} for a job, without the members {@code percent},
+   * {@code desc} and {@code updated_at}. The stored files do not determine the values of these
+   * members.
    */
   private static JsonNode track(FaktoryClient client, String jid) throws IOException {
     ObjectNode answer = (ObjectNode) client.callForJson("TRACK GET " + jid);
     return answer.without(List.of("percent", "desc", "updated_at"));
   }
 
-  /** Fetches from these queues until one of them has a job, and returns the job. */
+  /**
+   * Sends the command {@code FETCH} until one of the queues has a job, and returns the job.
+   *
+   * @param queues the names of the queues, separated by spaces
+   */
   private static ObjectNode fetch(FaktoryClient worker, String queues) throws IOException {
     Object job = null;
     while (job == null) {
@@ -137,8 +155,8 @@
   }
 
   /**
-   * Restores the payload of a fetched job as its client pushed it, without the members that an
-   * attempt adds. Changes the argument in place and returns it.
+   * Changes a fetched job back to the payload that the client pushed: restores the client's job id
+   * and removes the members that an attempt adds. Changes the argument in place and returns it.
    */
   private static JsonNode asPushed(ObjectNode fetched) {
     ObjectNode custom = (ObjectNode) fetched.path("custom");
@@ -152,15 +170,16 @@
   }
 
   /**
-   * Runs this many jobs as a worker, and checks that no other job is queued.
+   * Fetches and acknowledges jobs as a worker, and checks that no other job is queued.
    *
+   * @param jobCount the number of jobs to fetch
    * @return the jobs as their clients pushed them, by job id (jid)
    */
-  private static Map<String, JsonNode> runQueuedJobs(DaemonProcess daemon, int jobs)
+  private static Map<String, JsonNode> runQueuedJobs(DaemonProcess daemon, int jobCount)
       throws IOException {
     Map<String, JsonNode> fetched = new TreeMap<>();
     try (FaktoryClient worker = new FaktoryClient(daemon.faktory(), null, "w0")) {
-      while (fetched.size() < jobs) {
+      while (fetched.size() < jobCount) {
         ObjectNode job = fetch(worker, "copies renewals drafts");
         worker.callExpectingOk("ACK {\"jid\":\"" + job.path("jid").asText() + "\"}");
         JsonNode pushed = asPushed(job);
@@ -172,8 +191,10 @@
   }
 
   /**
-   * A job that must not run twice is run only if it cannot have run before. After a restart of the
-   * machine, this is not certain for the attempted job.
+   * After the daemon has started again, a job that must not run twice is run only if it cannot have
+   * run before. If the machine has restarted as well, the last records of the spool may be missing.
+   * For the job {@link #ATTEMPTED_JOB_ID}, the record that a worker has received the job could be
+   * missing. This job may therefore have run, so the daemon does not run it again.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -195,7 +216,8 @@
         assertEquals(expectedState, track(client, expectedState.path("jid").asText()));
       }
       if (machineRestarted) {
-        assertEquals(JSON.readTree(ATTEMPTED_JOB_AFTER_RESTART), track(client, ATTEMPTED_JOB_ID));
+        assertEquals(
+            JSON.readTree(ATTEMPTED_JOB_AFTER_MACHINE_RESTART), track(client, ATTEMPTED_JOB_ID));
       }
       assertEquals(expectedJobs, runQueuedJobs(daemon, expectedJobs.size()));
       client.callExpectingOk("MUTATE {\"cmd\":\"requeue\",\"target\":\"scheduled\"}");
@@ -207,7 +229,10 @@
     }
   }
 
-  /** A process that starts later applies the stored overrides and keeps the format of the file. */
+  /**
+   * A process that starts later applies the stored overrides. When operators change an override,
+   * the process stores the rest of the file unchanged.
+   */
   @Test
   void operatorOverridesAreReadAndStored() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(3)) {
