--- a/src/test/java/loomreel/program/TranscriptTest.java
+++ b/src/test/java/loomreel/program/TranscriptTest.java
@@ -19,8 +19,11 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Verifies complete exchanges with the program byte for byte against recorded transcripts. {@link
- * Transcript} documents how the transcripts are recorded.
+ * Verifies that complete exchanges with the program are equal, byte for byte, to recorded
+ * transcripts. {@link Transcript} documents how the transcripts are recorded.
+ *
+ * <p>If a test receives twice in a row on a client connection, the first call records a response,
+ * and the second call records that the program closes the connection.
  */
 @Timeout(120)
 class TranscriptTest {
@@ -40,12 +43,16 @@
 
   private final Transcript transcript = new Transcript();
 
-  /** Returns the bytes of a job with the default deadline, without further headers. */
+  /** Returns the request for a job with the default deadline and without additional headers. */
   private static String job(String path, String id) {
     return DispatcherHarness.jobRequest(path, id, DispatcherHarness.DEADLINE_MILLIS, "", "body");
   }
 
-  /** Submits a job as the client, and accepts it as the only worker. */
+  /**
+   * Submits a job as the client, and accepts the job as the only worker.
+   *
+   * @param job the complete request for the job
+   */
   private void submitAndAccept(DispatcherProcess program, Socket client, String job)
       throws Exception {
     transcript.send(CLIENT, client, job);
@@ -54,9 +61,9 @@
   }
 
   /**
-   * Sends a status update as the only worker, and reads the response.
+   * Sends a status update as the only worker, and reads and records the response.
    *
-   * @param members further JSON members of the update, each after a comma
+   * @param members further JSON members of the update, each with a comma before it
    */
   private void reportStatus(DispatcherProcess program, String id, String state, String members)
       throws IOException {
@@ -64,7 +71,11 @@
     call(program.port(), "w0", STATUS_UPDATE, body);
   }
 
-  /** Sends a request on a new connection, and returns the response. */
+  /**
+   * Sends a request on a new connection, and returns the response. Records both.
+   *
+   * @param request the method and the target of the request
+   */
   private HttpMessage call(int port, String sender, String request, String body)
       throws IOException {
     try (Socket socket = HttpIo.connect(port)) {
@@ -74,13 +85,20 @@
     }
   }
 
-  /** Sends a request to the management API of a process, and reads the response. */
+  /**
+   * Sends a request to the management API of a process, and reads and records the response.
+   *
+   * @param request the method and the target of the request
+   */
   private void callManagement(DispatcherProcess program, int process, String request, String body)
       throws IOException {
     call(program.managementPort(process), OPERATOR, request, body);
   }
 
-  /** Responds with an endpoint list. Its bytes are not recorded, because they contain ports. */
+  /**
+   * Responds to a request with an endpoint list, and records only that discovery has responded. The
+   * bytes of the list are not recorded, because they contain ports.
+   */
   private void respondWithList(HttpMessage request, EndpointList list) throws IOException {
     transcript.event("discovery answers with a list");
     list.respondTo(request);
@@ -113,7 +131,7 @@
   void jobsAreRejected() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1);
         Socket client = program.connect();
-        Socket other = program.connect()) {
+        Socket otherClient = program.connect()) {
       transcript.send(CLIENT, client, DispatcherHarness.jobRequest("/copy", FIRST_ID, 1, "", ""));
       transcript.receive(CLIENT, client);
       transcript.send(CLIENT, client, job("/nothing", FIRST_ID));
@@ -122,8 +140,8 @@
       call(program.port(), CLIENT, "DELETE /copy", "");
       transcript.send(CLIENT, client, job("/issue", FIRST_ID));
       HttpMessage post = transcript.receive("w0", program.worker(0).nextRequest());
-      transcript.send("another client", other, job("/issue", FIRST_ID));
-      transcript.receive("another client", other);
+      transcript.send("another client", otherClient, job("/issue", FIRST_ID));
+      transcript.receive("another client", otherClient);
       transcript.respond("w0", post, 500, "");
       transcript.receive(CLIENT, client);
       call(program.port(), "w0", STATUS_UPDATE, "[1");
@@ -176,8 +194,10 @@
       transcript.event("SIGHUP");
       program.moveDiscovery().awaitClosed(watch.connection());
       transcript.event(Transcript.PROGRAM + " closes the connection of discovery");
-      HttpMessage complete = transcript.receive("new discovery", program.discovery().nextRequest());
-      respondWithList(complete, program.endpointList(7, Extent.COMPLETE, Health.SERVING));
+      HttpMessage completeListRequest =
+          transcript.receive("new discovery", program.discovery().nextRequest());
+      respondWithList(
+          completeListRequest, program.endpointList(7, Extent.COMPLETE, Health.SERVING));
       transcript.receive("new discovery", program.discovery().nextRequest());
       submitAndAccept(program, client, job("/copy", FIRST_ID));
       reportStatus(program, FIRST_ID, "done", ",\"result\":\"after\"");
@@ -198,8 +218,8 @@
       reportStatus(program, SECOND_ID, "running", ",\"share\":0.1");
       transcript.event("SIGTERM");
       program.signal("TERM");
-      // The end of the idle connection shows that the shutdown has begun. From now on, the program
-      // closes each client connection after the response.
+      // The program closes the idle connection, which shows that the shutdown has begun. From now
+      // on, the program closes each client connection after the response.
       transcript.receive("idle client", idle);
       reportStatus(program, SECOND_ID, "done", ",\"result\":\"drained\"");
       transcript.receive(CLIENT, client);
@@ -211,9 +231,12 @@
   }
 
   /**
-   * Records the next message of a process on the hot-restart link, and waits until the other
-   * process, the receiver, has handled the message. To wait, this method sends two consecutive
-   * requests to the receiver. The second one is served in a later iteration of its event loop.
+   * Records the next message on the hot-restart link, which connects the old and the new process.
+   * Then waits until the receiver of the message has handled the message. To wait, this method
+   * sends two consecutive requests to the receiver. The receiver serves the second request in a
+   * later iteration of its event loop than the first one.
+   *
+   * @param sender the process that sends the message
    */
   private void recordLinkMessage(DispatcherProcess program, HotRestartRelay relay, Sender sender)
       throws Exception {
@@ -223,7 +246,10 @@
     }
   }
 
-  /** A relay between the two processes records the messages on the hot-restart link. */
+  /**
+   * The program is upgraded while the old process has a job in flight. A relay on the hot-restart
+   * link, which connects the two processes, records their messages.
+   */
   @Test
   void anOldProcessHandsOverToItsSuccessor() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.supervised(2);
@@ -249,6 +275,8 @@
       program.instance(0).destroy();
       recordLinkMessage(program, relay, Sender.OLD);
       try (Socket newClient = program.connect()) {
+        // A job with this id is still in flight in the old process, so the new process rejects
+        // the second job with the same id.
         transcript.send(CLIENT, newClient, job("/copy", FIRST_ID));
         transcript.receive(CLIENT, newClient);
         submitAndAccept(program, newClient, job("/copy", SECOND_ID));
--- a/src/test/java/loomreel/program/UpgradeSoakTest.java
+++ b/src/test/java/loomreel/program/UpgradeSoakTest.java
@@ -31,8 +31,8 @@
  * Verifies a series of upgrades, in which a new process replaces the old one under load. Meanwhile
  * workers are drained, and operators send requests to the old and to the new process.
  *
- * <p>A seed determines the schedule. {@code -Dsoak.seeds=N -Dsoak.from=K} runs N consecutive seeds,
- * of which the first one is K.
+ * <p>A seed determines the random choices of a run. {@code -Dsoak.seeds=N -Dsoak.from=K} runs N
+ * consecutive seeds, of which the first one is K.
  */
 @Timeout(300)
 class UpgradeSoakTest {
@@ -45,7 +45,7 @@
   /** The number of upgrades for each seed. */
   private static final int UPGRADE_COUNT = 2;
 
-  /** The version of the endpoint list that is known at the start. */
+  /** The version of the endpoint list in the configuration, which a process knows at its start. */
   private static final int KNOWN_VERSION = 41;
 
   /** The maximum number of violations that the failure message lists. */
@@ -56,15 +56,16 @@
 
   /**
    * The maximum time, in milliseconds, from the start of a drain to the last job that the drained
-   * worker gets. The pages with the rules of the platform say that a change counts as known 6 s
-   * after discovery had it. The drain grace of 3 s and a slack of 50 ms are added.
+   * worker may get. It is the sum of 6 s, the drain grace of 3 s and a slack of 50 ms. The 6 s come
+   * from the pages with the rules of the platform, which {@link loomreel.discovery.WatchTimeouts}
+   * summarizes: a change of the endpoint list counts as known 6 s after discovery has received it.
    */
   private static final long MAX_SEND_AFTER_DRAIN_MILLIS = 9050;
 
   /** The {@link #nowMillis} at which the drain of each drained worker began, by worker index. */
   private final Map<Integer, Long> drainedAtMillis = new ConcurrentHashMap<>();
 
-  /** How often workers have received each job, by job id. */
+  /** The number of times that workers have received a job, by job id. */
   private final Map<String, AtomicInteger> runsByJobId = new ConcurrentHashMap<>();
 
   /** Descriptions of the rules that the program has violated. */
@@ -73,7 +74,7 @@
   /** The number of jobs whose client got the result. */
   private final AtomicInteger servedJobs = new AtomicInteger();
 
-  /** Whether clients and workers continue. */
+  /** Whether the threads of clients and workers continue. Becomes false when the test ends. */
   private volatile boolean running = true;
 
   /** Returns the seeds to run: 1 to 3 unless the system properties say otherwise. */
@@ -111,11 +112,11 @@
           List.of(),
           violations.stream().limit(MAX_LISTED_VIOLATIONS).toList(),
           violations.size() + " violations, seed " + seed);
-      assertTrue(servedJobs.get() > 0, "jobs were served");
+      assertTrue(servedJobs.get() > 0, "at least one job was served");
     }
   }
 
-  /** Returns the complete list of endpoints with this version, including those that drain. */
+  /** Returns the complete endpoint list with this version, which includes the draining workers. */
   private EndpointList list(DispatcherProcess program, int version) {
     Health[] health = new Health[WORKER_COUNT];
     for (int i = 0; i < WORKER_COUNT; i++) {
@@ -125,9 +126,10 @@
   }
 
   /**
-   * Drains a worker, waits until no process may send jobs to the worker, not even a process that
-   * starts, and then upgrades. Operators change overrides before, during and after the upgrade. At
-   * the end the worker is no longer drained.
+   * Drains a worker and waits for {@link #MAX_SEND_AFTER_DRAIN_MILLIS}. From then on, no process
+   * may send jobs to the worker. This also holds for the new process, which starts after the wait.
+   * Then the new process replaces the old one. Operators change overrides before, during and after
+   * the upgrade. At the end, the drain of the worker is stopped.
    */
   private void upgrade(DispatcherProcess program, ListService lists, int oldInstance, Random random)
       throws Exception {
@@ -150,7 +152,7 @@
     lists.changed();
   }
 
-  /** Disables or enables one of the first two workers. The others stay enabled and can serve. */
+  /** Disables or enables one of the first two workers. The others stay enabled to serve jobs. */
   private static void changeRandomOverride(DispatcherProcess program, int instance, Random random)
       throws IOException {
     String worker = "w" + random.nextInt(2);
@@ -162,8 +164,8 @@
   }
 
   /**
-   * Waits until both processes count as many disabled workers as the stored file lists, and then
-   * checks the old process once more.
+   * Waits until the old process counts as many disabled workers as the stored file lists. Then
+   * waits for the same in the new process, and checks the old process once more.
    */
   private void assertOverridesAgree(DispatcherProcess program, int oldInstance, int newInstance)
       throws Exception {
@@ -173,7 +175,7 @@
     assertEquals(storedOverrideCount(program), program.statistic(oldInstance, "hosts_down"));
   }
 
-  /** Returns the number of stored overrides, each of which is a line of the file. */
+  /** Returns the number of stored overrides. The file has one line for each override. */
   private static int storedOverrideCount(DispatcherProcess program) throws IOException {
     return (int) Files.readString(program.temporaryDirectory().resolve("n0.state")).lines().count();
   }
@@ -192,7 +194,10 @@
         });
   }
 
-  /** Serves a request as a worker, and records a violation if the worker must not get the job. */
+  /**
+   * Serves a request as a worker. Records a violation if the worker has been draining for too long
+   * to get a job, or if a job that must not run twice arrives for the second time.
+   */
   private void serve(DispatcherProcess program, int index, HttpMessage request) throws IOException {
     if (!request.startLine().startsWith("POST")) {
       request.respond(200, "");
@@ -216,8 +221,8 @@
   /**
    * Starts a client that submits one job after the other until the test ends.
    *
-   * @param keepsConnection whether the client uses a connection until the dispatcher closes it,
-   *     rather than for one job
+   * @param keepsConnection whether the client reuses a connection until the dispatcher closes it;
+   *     if false, the client uses a new connection for each job
    */
   private void startClient(DispatcherProcess program, boolean keepsConnection) {
     BackgroundThreads.start(
@@ -237,7 +242,8 @@
 
   /**
    * Submits a job and checks the response. If the connection is closed before the response arrives,
-   * submits another job on a new connection, and records a violation if that fails too.
+   * submits another job on a new connection. If the second connection is closed too, records a
+   * violation, unless the test has ended.
    *
    * @return the connection for the next job
    */
@@ -254,7 +260,8 @@
           return closes ? program.connect() : current;
         }
       } catch (IOException e) {
-        // The dispatcher closed the connection while the request was sent.
+        // The dispatcher closed the connection while the request was sent. Another job is
+        // submitted on a new connection.
       }
       current.close();
       current = program.connect();
@@ -266,8 +273,8 @@
   }
 
   /**
-   * Counts a job that was served with its own id as the result. Records a violation for any other
-   * response, except for status 503 and 429.
+   * Counts a job as served if the response has status 200 and the job's own id as the result.
+   * Records a violation for any other response, unless the status is 503 or 429.
    */
   private void checkResponse(SubmittedJob job, HttpMessage response) {
     if (response.status() == 200 && response.body().equals(job.id())) {
--- a/src/test/java/loomreel/program/WorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/WorkerConnectionTest.java
@@ -14,7 +14,11 @@
 /** Verifies how long connections to workers may be idle, and when the dispatcher reuses them. */
 @Timeout(120)
 class WorkerConnectionTest {
-  /** If a job arrives on a connection that the worker has closed, the connection is reset. */
+  /**
+   * If a job arrived on a connection that the worker has already closed, the connection would be
+   * reset. Therefore the dispatcher closes an idle connection before the worker does so. The
+   * configured time is the time after which a worker closes an idle connection.
+   */
   @Test
   void idleConnectionsAreClosedBeforeTheWorkerClosesThem() throws Exception {
     try (DispatcherProcess program =
@@ -30,8 +34,9 @@
   }
 
   /**
-   * A middlebox may drop an idle connection before the configured idle timeout is over, and reset
-   * the next job that is sent on the connection.
+   * A middlebox, a network device between the dispatcher and a worker, may drop an idle connection
+   * before the configured idle timeout is over. The device then resets the connection when the
+   * next job is sent on it. After three resets, the dispatcher shortens the idle timeout.
    */
   @Test
   void theIdleTimeoutIsShortenedAfterResetsOfReusedConnections() throws Exception {
@@ -60,8 +65,8 @@
   }
 
   /**
-   * If the connection were reused, the dispatcher would take the second response for the rejection
-   * of the next job.
+   * The worker sends two responses to one request. If the dispatcher reused the connection, it
+   * would take the second response for the rejection of the next job.
    */
   @Test
   void aConnectionWithBytesAfterAResponseIsNotReused() throws Exception {
