--- a/src/test/java/loomreel/program/JobForwardingTest.java
+++ b/src/test/java/loomreel/program/JobForwardingTest.java
@@ -52,8 +52,7 @@
   /**
    * A job of class {@code copy} is idempotent and is retried after each outcome that the test
    * checks for this class. A job of class {@code issue} must not run twice. It is retried only if
-   * the worker has rejected it or has returned it unstarted, because this proves that the job has
-   * not run.
+   * the worker has rejected it or has returned it unstarted. Both prove that the job has not run.
    *
    * <p>The outcomes {@code lost} and {@code returned} are states that the worker reports in a
    * status update after it has accepted the job.
@@ -113,8 +112,8 @@
 
   /**
    * If an idempotent job has no result at its deadline, the client gets a 503 with a Retry-After
-   * header. In the first case, the worker does not respond to the job at all. In the second case,
-   * the worker accepts the job, but reports no result.
+   * header. If {@code workerAccepts} is true, the worker accepts the job, but reports no result. If
+   * it is false, the worker does not respond to the job at all.
    *
    * <p>Then the test submits another job on the same connection, with a deadline of 1 ms. That job
    * is not served either.
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -25,7 +25,7 @@
    * is, the dispatcher regards the job as accepted.
    */
   private enum Remainder {
-    /** A body of which 3 of 10 bytes arrive. */
+    /** A body of 10 bytes, of which only 3 arrive. */
     CUT("Content-Length: 10\r\n\r\nabc", true),
     /** A body of 10 bytes, of which none arrives. */
     MISSING("Content-Length: 10\r\n\r\n", true),
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -25,6 +25,7 @@
  */
 @Timeout(120)
 class ManagementApiTest {
+  /** In this test, a 200 response counts as success, a 503 as busy, and a 500 as failure. */
   @Test
   void eachResponseIsCountedOnceForItsRequestClass() throws Exception {
     try (DispatcherProcess program = DispatcherProcess.managed(2)) {
@@ -176,7 +177,7 @@
       assertEquals(200, program.enableWorker(0, "w0"));
       assertEquals(0, program.statistic(0, "hosts_down"));
       assertEquals(200, program.disableWorker(0, "w1"));
-      // Worker w0 is in slow start, which limits its jobs. The single job of this test is allowed.
+      // Worker w0 is in slow start. This limits how many jobs w0 gets, but allows a single job.
       program.assertAllServedBy(0, 1);
     }
   }
--- a/src/test/java/loomreel/program/OperatorOverrideRaceTest.java
+++ b/src/test/java/loomreel/program/OperatorOverrideRaceTest.java
@@ -49,7 +49,7 @@
 
   /**
    * When the successor connects, the old process sends all its overrides. The relay holds this
-   * message. Meanwhile operators disable a worker at the successor and enable another one there.
+   * message. Meanwhile operators disable a worker at the successor and enable another worker.
    */
   @Test
   void aChangeAtTheSuccessorIsKeptWhenTheOldProcessSendsItsOverrides() throws Exception {
--- a/src/test/java/loomreel/program/SampleDeployment.java
+++ b/src/test/java/loomreel/program/SampleDeployment.java
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Returns the settings in the format of a dispatcher's configuration. The keys, the units and the
-   * names of choices in this format differ from those of the file, so the content of the file is
-   * converted. Some values are constants and are not read from the file.
+   * Returns the settings in the format of a dispatcher's configuration. This format differs from
+   * the file in its keys, in its units and in the words for some values. The content of the file is
+   * converted accordingly. Some values are constants and are not read from the file.
    */
   ObjectNode settings() {
     ObjectNode settings = TOML.createObjectNode();
--- a/src/test/java/loomreel/program/StatusUpdateTest.java
+++ b/src/test/java/loomreel/program/StatusUpdateTest.java
@@ -19,6 +19,10 @@
  */
 @Timeout(120)
 class StatusUpdateTest {
+  /**
+   * An update from a worker that has not received the job has no effect. An early update, which
+   * arrives before the worker's response to the job, is applied. A malformed update gets a 400.
+   */
   @Test
   void aStatusUpdateIsAppliedOnceAndAlwaysAnswered() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
--- a/src/test/java/loomreel/program/StoredDataTest.java
+++ b/src/test/java/loomreel/program/StoredDataTest.java
@@ -230,8 +230,8 @@
   }
 
   /**
-   * A process that starts later applies the stored overrides. When operators change an override,
-   * the process stores the rest of the file unchanged.
+   * When a process starts, it applies the stored overrides. When operators change an override, the
+   * process keeps the format and the other lines of the file.
    */
   @Test
   void operatorOverridesAreReadAndStored() throws Exception {
--- a/src/test/java/loomreel/program/UpgradeSoakTest.java
+++ b/src/test/java/loomreel/program/UpgradeSoakTest.java
@@ -39,7 +39,7 @@
   /** The number of workers. */
   private static final int WORKER_COUNT = 4;
 
-  /** The number of clients, half of which use a new connection for each job. */
+  /** The number of clients. Half of the clients use a new connection for each job. */
   private static final int CLIENT_COUNT = 4;
 
   /** The number of upgrades for each seed. */
@@ -62,7 +62,7 @@
    */
   private static final long MAX_SEND_AFTER_DRAIN_MILLIS = 9050;
 
-  /** The {@link #nowMillis} at which the drain of each drained worker began, by worker index. */
+  /** The {@link #nowMillis} at which the drain of a worker began, by index of the drained worker. */
   private final Map<Integer, Long> drainedAtMillis = new ConcurrentHashMap<>();
 
   /** The number of times that workers have received a job, by job id. */
@@ -77,7 +77,7 @@
   /** Whether the threads of clients and workers continue. Becomes false when the test ends. */
   private volatile boolean running = true;
 
-  /** Returns the seeds to run: 1 to 3 unless the system properties say otherwise. */
+  /** Returns the seeds to run: 1 to 3, unless soak.from or soak.seeds is set. */
   static LongStream seeds() {
     long from = Long.getLong("soak.from", 1);
     return LongStream.range(from, from + Long.getLong("soak.seeds", 3));
