--- a/src/test/java/loomreel/program/UpgradeSoakTest.java
+++ b/src/test/java/loomreel/program/UpgradeSoakTest.java
@@ -62,7 +62,7 @@
    */
   private static final long MAX_SEND_AFTER_DRAIN_MILLIS = 9050;
 
-  /** The {@link #nowMillis} at which the drain of a worker began, by index of the drained worker. */
+  /** The {@link #nowMillis} at which the drain of a worker began, by the worker's index. */
   private final Map<Integer, Long> drainedAtMillis = new ConcurrentHashMap<>();
 
   /** The number of times that workers have received a job, by job id. */
