--- a/src/test/java/loomreel/program/JobForwardingTest.java
+++ b/src/test/java/loomreel/program/JobForwardingTest.java
@@ -21,11 +21,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs on their way to a worker, retries at another one, and results on their way back. */
+/**
+ * Verifies that the dispatcher forwards jobs to workers and returns the results to the clients. If
+ * an attempt fails and a retry is allowed, the dispatcher sends the job to another worker.
+ */
 @Timeout(120)
 class JobForwardingTest {
   @Test
-  void aJobIsForwardedUnchangedAndItsResultReturned() throws Exception {
+  void aJobIsForwardedUnchangedAndItsResultIsReturned() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       assertEquals(200, program.readinessStatus());
 
@@ -36,8 +39,8 @@
       assertEquals("POST /copy/page?n=1 HTTP/1.1", post.startLine());
       assertEquals("the body", post.body());
       assertEquals(job.id(), post.header("X-Call-Id"));
-      int budget = Integer.parseInt(post.header("X-Budget-Ms"));
-      assertTrue(budget > 0 && budget <= 20_000, "budget " + budget);
+      int budgetMillis = Integer.parseInt(post.header("X-Budget-Ms"));
+      assertTrue(budgetMillis > 0 && budgetMillis <= 20_000, "budget " + budgetMillis);
       assertEquals(200, program.reportStatus(job.id(), "w0", "running", ",\"share\":0.4"));
       assertEquals(200, program.reportDone(job.id(), "w0", "r\\u00e9sultat"));
       HttpMessage response = job.response();
@@ -47,10 +50,15 @@
   }
 
   /**
-   * A job that may have run does not run again where its class forbids that; a job that a worker
-   * has rejected or returned goes to another one.
+   * A job of class {@code copy} is idempotent and is retried after each outcome that the test
+   * checks for this class. A job of class {@code issue} must not run twice. It is retried only if
+   * the worker has rejected it or has returned it unstarted. Both prove that the job has not run.
+   *
+   * <p>The outcomes {@code lost} and {@code returned} are states that the worker reports in a
+   * status update after it has accepted the job.
    */
   @ParameterizedTest
+  // Columns: request class, outcome of the first attempt, status of the response to the client.
   @CsvSource({
     "issue,reset,500",
     "issue,500,500",
@@ -62,7 +70,7 @@
     "copy,lost,200",
     "copy,garbage,200"
   })
-  void anotherAttemptIsMadeAsClassAndOutcomeAllow(String requestClass, String outcome, int status)
+  void aJobIsRetriedIfItIsIdempotentOrHasNotRun(String requestClass, String outcome, int status)
       throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(2)) {
       SubmittedJob job = program.submit("/" + requestClass, "b");
@@ -102,30 +110,38 @@
     }
   }
 
-  /** The client gets a Retry-After at its deadline. */
+  /**
+   * If an idempotent job has no result at its deadline, the client gets a 503 with a Retry-After
+   * header. If {@code workerAccepts} is true, the worker accepts the job, but reports no result. If
+   * it is false, the worker does not respond to the job at all.
+   *
+   * <p>Then the test submits another job on the same connection, with a deadline of 1 ms. That job
+   * is not served either.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aSilentWorkerCostsNoMoreThanTheDeadline(boolean accepts) throws Exception {
+  void anIdempotentJobWithoutAResultIsAnsweredWith503AtItsDeadline(boolean workerAccepts)
+      throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit(program.connect(), "/copy", 2000, "");
       HttpMessage post = program.worker(0).nextRequest();
-      if (accepts) {
+      if (workerAccepts) {
         post.respond(202, "");
       }
 
       HttpMessage response = job.response();
-      SubmittedJob late = program.submit(job.connection(), "/copy", 1, "");
+      SubmittedJob expiringJob = program.submit(job.connection(), "/copy", 1, "");
 
-      assertEquals(503, response.status(), "an idempotent job may be submitted again");
+      assertEquals(503, response.status(), "a 503 allows the client to submit the job again");
       assertEquals("1.500", response.header("Retry-After"));
-      assertNotEquals(200, late.response().status());
+      assertNotEquals(200, expiringJob.response().status());
     }
   }
 
   @Test
-  void aWorkerWithANewAddressGetsItsJobsThere() throws Exception {
+  void jobsAreSentToTheNewAddressOfAWorker() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      StubHttpServer previous = program.replaceWorker(0);
+      StubHttpServer previousWorker = program.replaceWorker(0);
       program
           .endpointList(42, Extent.COMPLETE, Health.SERVING)
           .respondTo(program.discovery().nextRequest());
@@ -135,8 +151,8 @@
       program.serveNextJob(0, "moved");
 
       assertEquals("moved", job.response().body());
-      assertFalse(previous.hasPendingRequest());
-      previous.close();
+      assertFalse(previousWorker.hasPendingRequest());
+      previousWorker.close();
     }
   }
 
@@ -164,20 +180,23 @@
   }
 
   @Test
-  void aBodyOfTheLargestSizeIsForwardedAndALargeResultReturned() throws Exception {
+  void aBodyOfTheMaximumSizeIsForwardedAndALargeResultIsReturned() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
-      String large = "x".repeat(64 * 1024);
+      String largestBody = "x".repeat(64 * 1024);
 
-      SubmittedJob job = program.submit("/copy", large);
-      assertEquals(large, program.worker(0).nextRequest().body());
-      program.reportDone(job.id(), "w0", large.substring(100));
+      SubmittedJob job = program.submit("/copy", largestBody);
+      assertEquals(largestBody, program.worker(0).nextRequest().body());
+      // A status update contains the result and other JSON members. The result is 100 bytes
+      // shorter than the largest body, so that the status update does not exceed the maximum size.
+      program.reportDone(job.id(), "w0", largestBody.substring(100));
 
-      assertEquals(large.substring(100), job.response().body());
+      assertEquals(largestBody.substring(100), job.response().body());
     }
   }
 
+  /** A health check is a {@code GET /stats}. The worker's response to it is a load report. */
   @Test
-  void loadReportsArePolledWhereHealthChecksAreAllowed() throws Exception {
+  void loadReportsAreRequestedByHealthChecksIfTheyAreConfiguredAsPolled() throws Exception {
     try (DispatcherProcess program =
         new DispatcherProcess(1, new TestConfiguration().loadReports(LoadReports.POLLED))) {
       SubmittedJob job = program.submit("/copy", "");
--- a/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
+++ b/src/test/java/loomreel/program/MalformedWorkerResponseTest.java
@@ -13,31 +13,52 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Responses of workers that are truncated, malformed, repeated or endless, and what they prove. */
+/**
+ * Verifies how the dispatcher handles worker messages that are truncated, malformed, repeated or
+ * endless. The tests also verify whether the dispatcher concludes from a message that the worker
+ * has accepted the job, or that the job may have run.
+ */
 @Timeout(120)
 class MalformedWorkerResponseTest {
-  /** What follows the status line of a 202; in each case the job was accepted. */
+  /**
+   * The remainder of a response with the status 202, after the status line. Whatever the remainder
+   * is, the dispatcher regards the job as accepted.
+   */
   private enum Remainder {
+    /** A body of 10 bytes, of which only 3 arrive. */
     CUT("Content-Length: 10\r\n\r\nabc", true),
+    /** A body of 10 bytes, of which none arrives. */
     MISSING("Content-Length: 10\r\n\r\n", true),
+    /** A body of 1,000,000 bytes, which exceeds the maximum size of 65,536 bytes. */
     TOO_LONG("Content-Length: 1000000\r\n\r\n", false),
+    /** A chunk whose size is not a number. */
     GARBAGE("Transfer-Encoding: chunked\r\n\r\nzz\r\n", false),
+    /** Two Content-Length headers with different values. */
     TWO_LENGTHS("Content-Length: 1\r\nContent-Length: 2\r\n\r\n", false),
+    /** A body of 17 chunks of 4,096 bytes, which exceeds the maximum size of 65,536 bytes. */
     ENDLESS(
         "Transfer-Encoding: chunked\r\n\r\n" + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(17),
         false);
 
     private final String bytes;
-    private final boolean endsConnection;
 
-    Remainder(String bytes, boolean endsConnection) {
+    /** Whether the worker shuts down its output after it has sent the bytes. */
+    private final boolean shutsDownOutput;
+
+    Remainder(String bytes, boolean shutsDownOutput) {
       this.bytes = bytes;
-      this.endsConnection = endsConnection;
+      this.shutsDownOutput = shutsDownOutput;
     }
   }
 
-  /** A job that a worker has received and not answered. */
+  /**
+   * A job to which the worker has not responded yet.
+   *
+   * @param worker the index of the worker that has received the job
+   * @param post the request with the job
+   */
   private record ReceivedJob(SubmittedJob job, int worker, HttpMessage post) {
+    /** Submits a job and waits until a worker has received it. */
     static ReceivedJob submit(StepControlledServer server, String path) throws Exception {
       SubmittedJob job = server.submit(path, "");
       int worker = server.awaitAttemptWorker();
@@ -47,12 +68,12 @@
 
   @ParameterizedTest
   @EnumSource(Remainder.class)
-  void aJobIsAcceptedOnceTheStatusLineSaysSo(Remainder remainder) throws Exception {
+  void aResponseWithStatus202AcceptsTheJobWhateverFollows(Remainder remainder) throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/issue");
 
       HttpIo.write(received.post.connection(), "HTTP/1.1 202 x\r\n" + remainder.bytes);
-      if (remainder.endsConnection) {
+      if (remainder.shutsDownOutput) {
         received.post.connection().shutdownOutput();
       }
 
@@ -60,13 +81,16 @@
       server.reportDone(received.job.id(), "w" + received.worker, "once");
       assertEquals("once", received.job.response().body());
       assertFalse(
-          server.worker(1 - received.worker).hasPendingRequest(), "no other worker gets it");
+          server.worker(1 - received.worker).hasPendingRequest(), "no other worker gets the job");
     }
   }
 
-  /** Every other worker would find the job invalid as well. */
+  /**
+   * A worker answers an invalid job with 400. A retry would be useless, because every other worker
+   * would find the job invalid as well.
+   */
   @Test
-  void aJobThatAWorkerFindsInvalidFailsWithoutAnotherAttempt() throws Exception {
+  void aJobThatAWorkerAnswersWith400IsNotRetried() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/copy");
 
@@ -78,6 +102,10 @@
     }
   }
 
+  /**
+   * The dispatcher waits for the body of a response for a multiple of the connect timeout. The test
+   * therefore configures a short connect timeout.
+   */
   @Test
   void aConnectionWhoseResponseBodyNeverArrivesIsClosed() throws Exception {
     try (StepControlledServer server =
@@ -93,9 +121,9 @@
     }
   }
 
-  /** The job may have run. */
+  /** A truncated rejection does not prove that the job has not run. */
   @Test
-  void aTruncatedRejectionIsNoProofThatTheJobHasNotRun() throws Exception {
+  void aNonIdempotentJobIsNotRetriedAfterATruncatedRejection() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/issue");
 
@@ -109,9 +137,12 @@
     }
   }
 
-  /** The client disconnects while the 202 is unread. */
+  /**
+   * The client disconnects, which cancels the job, before the dispatcher has read the worker's 202
+   * response. The worker still gets a DELETE request for the job.
+   */
   @Test
-  void aCancellationThatCrossesA202IsSentToTheWorker() throws Exception {
+  void aJobCancelledBeforeThe202IsReadIsCancelledAtTheWorker() throws Exception {
     try (StepControlledServer server = new StepControlledServer(1)) {
       SubmittedJob job = server.submit("/copy", "");
       HttpMessage post = server.worker(0).nextRequest();
@@ -124,8 +155,12 @@
     }
   }
 
+  /**
+   * The first worker reports its attempt as lost and sends further status updates afterwards. The
+   * second worker, which gets the retry, reports its result twice.
+   */
   @Test
-  void aResultThatCrossesTheLossOfItsAttemptIsActedOnOnce() throws Exception {
+  void onlyTheResultOfTheRetryIsUsedAfterAnAttemptIsLost() throws Exception {
     try (StepControlledServer server = new StepControlledServer(2)) {
       ReceivedJob received = ReceivedJob.submit(server, "/copy");
       String id = received.job.id();
@@ -133,11 +168,11 @@
       String secondWorker = "w" + (1 - received.worker);
       received.post.respond(202, "");
       server.reportStatus(id, firstWorker, "lost", "");
-      HttpMessage second = server.worker(1 - received.worker).nextRequest();
+      HttpMessage retry = server.worker(1 - received.worker).nextRequest();
 
       assertEquals(200, server.reportDone(id, firstWorker, "of the lost one"));
       assertEquals(200, server.reportStatus(id, firstWorker, "returned", ""));
-      second.respond(202, "");
+      retry.respond(202, "");
       assertEquals(200, server.reportDone(id, secondWorker, "of the second"));
       assertEquals(200, server.reportDone(id, secondWorker, "once more"));
 
--- a/src/test/java/loomreel/program/OutdatedEndpointListTest.java
+++ b/src/test/java/loomreel/program/OutdatedEndpointListTest.java
@@ -21,24 +21,44 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A process whose configuration lists a worker that was drained or removed long ago: it must send
- * that worker nothing, however discovery responds to its first calls.
+ * Verifies the start of a process whose configuration contains an outdated endpoint list. The list
+ * still contains worker w0 as serving, although w0 was drained or removed long ago. If discovery
+ * returns the current list, the process must send no job to w0, even if the first call to discovery
+ * fails or is answered late. If discovery stays unavailable, the process uses the outdated list,
+ * because it is the last list that the process knows.
  */
 @Timeout(120)
 class OutdatedEndpointListTest {
-  private static final int JOBS = 8;
+  /** The number of jobs that are submitted before discovery responds. */
+  private static final int JOB_COUNT = 8;
+
+  /** The delay of the response for {@link FirstResponse#LATE}, in milliseconds. */
   private static final int LATE_RESPONSE_MILLIS = 1000;
+
+  /** A deadline, in milliseconds, that passes while the process waits for an endpoint list. */
   private static final int SHORT_DEADLINE_MILLIS = 300;
+
+  /** The size of the pieces of the response for {@link FirstResponse#IN_PIECES}, in bytes. */
   private static final int PIECE_BYTES = 40;
 
-  /** How discovery treats the first calls of a process that starts. */
+  /**
+   * How discovery responds to the first calls of a process that starts. Worker w0 is removed in the
+   * list for {@link #REMOVED} and draining in the list for all other constants.
+   */
   private enum FirstResponse {
+    /** A list in which w0 is draining. */
     DRAINING,
+    /** A list that removes w0. */
     REMOVED,
+    /** A list after a delay. */
     LATE,
+    /** A list in small pieces, with a pause of 10 ms after each piece. */
     IN_PIECES,
+    /** A response with status 503. The second call gets the list. */
     UNAVAILABLE_FIRST,
+    /** A reset of the connection. The second call gets the list. */
     RESET_FIRST,
+    /** No response. The second call gets the list. */
     SILENT_FIRST
   }
 
@@ -48,7 +68,7 @@
 
   private static List<SubmittedJob> submitJobs(DispatcherProcess program) throws IOException {
     List<SubmittedJob> jobs = new ArrayList<>();
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
       jobs.add(program.submit("/copy/" + i, ""));
     }
     return jobs;
@@ -56,7 +76,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void noJobIsSentByAListOfUnknownAge(FirstResponse response) throws Exception {
+  void jobsAreSentOnlyToWorkersThatServeInTheCurrentList(FirstResponse response) throws Exception {
     try (DispatcherProcess program = start()) {
       HttpMessage call = program.discovery().nextRequest();
       assertTrue(call.startLine().contains("?from=41&"), call.startLine());
@@ -68,7 +88,7 @@
 
       respond(program, call, current, response);
 
-      for (int i = 0; i < JOBS; i++) {
+      for (int i = 0; i < JOB_COUNT; i++) {
         program.serveNextJob(1, "served");
       }
       for (SubmittedJob job : jobs) {
@@ -78,6 +98,13 @@
     }
   }
 
+  /**
+   * Responds to the first calls of the dispatcher.
+   *
+   * @param call the first call
+   * @param list the list that is sent in response to the first or to the second call
+   * @param response how discovery responds
+   */
   private static void respond(
       DispatcherProcess program, HttpMessage call, EndpointList list, FirstResponse response)
       throws Exception {
@@ -103,33 +130,40 @@
 
   private static void respondInPieces(HttpMessage call, EndpointList list) throws Exception {
     String response = HttpIo.withBody("HTTP/1.1 200 x\r\n", list.toJson());
-    for (int from = 0; from < response.length(); from += PIECE_BYTES) {
+    for (int offset = 0; offset < response.length(); offset += PIECE_BYTES) {
       HttpIo.write(
           call.connection(),
-          response.substring(from, Math.min(response.length(), from + PIECE_BYTES)));
+          response.substring(offset, Math.min(response.length(), offset + PIECE_BYTES)));
       Thread.sleep(10);
     }
   }
 
-  /** Discovery that is down for long must not keep the process from serving. */
+  /**
+   * The process waits for its first list at most for {@link
+   * loomreel.discovery.WatchTimeouts#FIRST_LIST_TIMEOUT}. A longer outage of discovery must not
+   * prevent the process from serving jobs.
+   */
   @Test
-  void silentDiscoveryDelaysTheStartForALimitedTime() throws Exception {
+  void theLastKnownListIsUsedIfDiscoveryIsSilentForTooLong() throws Exception {
     try (DispatcherProcess program = start()) {
       program.discovery().nextRequest();
       SubmittedJob job = program.submit("/copy", "");
 
-      String logged = program.awaitLog("discovery silent");
+      String logLine = program.awaitLog("discovery silent");
 
-      assertTrue(logged.contains("last known endpoint list"));
+      assertTrue(logLine.contains("last known endpoint list"));
       int worker = program.awaitWorkerWithRequest();
       program.serveNextJob(worker, "held");
       assertEquals("held", job.response().body());
     }
   }
 
-  /** Two failed calls: discovery is down, not only overloaded. */
+  /**
+   * After one failed call, discovery may only be overloaded. After two failed calls, discovery
+   * counts as down.
+   */
   @Test
-  void unavailableDiscoveryDelaysTheStartForTwoCalls() throws Exception {
+  void theLastKnownListIsUsedAfterTwoFailedCalls() throws Exception {
     try (DispatcherProcess program = start()) {
       program.discovery().nextRequest().respond(503, "");
       SubmittedJob job = program.submit("/copy", "");
@@ -142,7 +176,10 @@
     }
   }
 
-  /** Clients that do not wait for the process to be ready get their answer in time. */
+  /**
+   * While the process waits for its first list, it is not ready, and jobs wait as well. A client
+   * whose job has a short deadline gets a response in time.
+   */
   @Test
   void aJobThatCannotWaitForTheListIsRejected() throws Exception {
     try (DispatcherProcess program = start()) {
--- a/src/test/java/loomreel/program/SampleDeploymentsTest.java
+++ b/src/test/java/loomreel/program/SampleDeploymentsTest.java
@@ -21,26 +21,35 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Deployments of the project's own, whose classes, names and limits differ from those of the
- * operators: the dispatcher goes by their settings alone.
+ * Verifies that the dispatcher takes the request classes, their names and the limits from the
+ * settings alone. The tests use the project's own sample deployments. Their request classes, class
+ * names and limits differ from those of the operators' deployments.
  */
 @Timeout(120)
 class SampleDeploymentsTest {
-  /** Each deployment with the index of each of its classes. */
+  /**
+   * Returns the arguments of the tests: for each request class of each deployment, the name of the
+   * deployment and the index of the class.
+   */
   static Stream<Arguments> classes() throws IOException {
-    List<Arguments> all = new ArrayList<>();
-    for (String name : new String[] {"gentle", "tight"}) {
-      for (int i = 0; i < new SampleDeployment(name).classes().size(); i++) {
-        all.add(Arguments.of(name, i));
+    List<Arguments> argumentsOfClasses = new ArrayList<>();
+    for (String deploymentName : new String[] {"gentle", "tight"}) {
+      for (int i = 0; i < new SampleDeployment(deploymentName).classes().size(); i++) {
+        argumentsOfClasses.add(Arguments.of(deploymentName, i));
       }
     }
-    return all.stream();
+    return argumentsOfClasses.stream();
   }
 
-  /** A job that a worker has received. */
+  /**
+   * A job that a worker has received.
+   *
+   * @param worker the index of the worker
+   * @param post the request with the job
+   */
   private record ReceivedJob(int worker, HttpMessage post) {
-    /** Waits for the next job at any worker, and answers health checks meanwhile. */
-    static ReceivedJob next(DispatcherHarness harness) throws Exception {
+    /** Waits until any worker receives a job. Responds to the health checks that arrive before. */
+    static ReceivedJob awaitNext(DispatcherHarness harness) throws Exception {
       while (true) {
         int worker = harness.awaitWorkerWithRequest();
         HttpMessage request = harness.worker(worker).nextRequest();
@@ -54,29 +63,33 @@
 
   @ParameterizedTest
   @MethodSource("classes")
-  void aJobOfEachClassIsServed(String name, int index) throws Exception {
-    SampleDeployment deployment = new SampleDeployment(name);
-    JsonNode requestClass = deployment.classes().get(index);
+  void aJobOfEachClassIsServed(String deploymentName, int classIndex) throws Exception {
+    SampleDeployment deployment = new SampleDeployment(deploymentName);
+    JsonNode requestClass = deployment.classes().get(classIndex);
     try (StepControlledServer server = start(deployment)) {
       SubmittedJob job = submit(server, requestClass, "key");
-      ReceivedJob received = ReceivedJob.next(server);
+      ReceivedJob received = ReceivedJob.awaitNext(server);
 
       assertEquals("key", received.post.header("Idempotency-Key"));
-      assertServed(server, job, received, name);
+      assertServed(server, job, received, deploymentName);
       assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
   }
 
-  /** The effect of a class determines whether its jobs may run twice. */
+  /**
+   * The {@code effect} of a request class in the deployment's file says whether a job of the class
+   * may run twice. A job of a class with the effect {@code unsafe} is not retried after a reset.
+   */
   @ParameterizedTest
   @MethodSource("classes")
-  void aJobIsRetriedAfterAResetIfItsClassAllowsThat(String name, int index) throws Exception {
-    SampleDeployment deployment = new SampleDeployment(name);
-    JsonNode requestClass = deployment.classes().get(index);
+  void aJobIsRetriedAfterAResetIfItsClassAllowsIt(String deploymentName, int classIndex)
+      throws Exception {
+    SampleDeployment deployment = new SampleDeployment(deploymentName);
+    JsonNode requestClass = deployment.classes().get(classIndex);
     try (StepControlledServer server = start(deployment)) {
-      serveOneJob(server, requestClass, name);
+      serveOneJob(server, requestClass, deploymentName);
       SubmittedJob job = submit(server, requestClass, "key");
-      ReceivedJob first = ReceivedJob.next(server);
+      ReceivedJob first = ReceivedJob.awaitNext(server);
       assertEquals("key", first.post.header("Idempotency-Key"));
 
       first.post.connection().close();
@@ -84,9 +97,9 @@
       if (requestClass.get("effect").asText().equals("unsafe")) {
         assertEquals(500, job.response().status());
       } else {
-        ReceivedJob second = ReceivedJob.next(server);
-        assertTrue(second.worker != first.worker, "not to the same worker");
-        assertServed(server, job, second, name);
+        ReceivedJob second = ReceivedJob.awaitNext(server);
+        assertTrue(second.worker != first.worker, "the retry is sent to another worker");
+        assertServed(server, job, second, deploymentName);
       }
       assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
@@ -94,15 +107,16 @@
 
   @ParameterizedTest
   @MethodSource("classes")
-  void aClassOfAnotherDeploymentIsUnknown(String name, int index) throws Exception {
-    SampleDeployment deployment = new SampleDeployment(name);
-    JsonNode requestClass = deployment.classes().get(index);
+  void aJobOfAnUnknownClassIsAnsweredWith404(String deploymentName, int classIndex)
+      throws Exception {
+    SampleDeployment deployment = new SampleDeployment(deploymentName);
+    JsonNode requestClass = deployment.classes().get(classIndex);
     try (StepControlledServer server = start(deployment)) {
-      serveOneJob(server, requestClass, name);
+      serveOneJob(server, requestClass, deploymentName);
 
-      SubmittedJob unknown = server.submit("/copy", "");
+      SubmittedJob jobOfUnknownClass = server.submit("/copy", "");
 
-      assertEquals(404, unknown.response().status());
+      assertEquals(404, jobOfUnknownClass.response().status());
       assertFalse(server.workers().stream().anyMatch(StubHttpServer::hasPendingJob));
     }
   }
@@ -112,17 +126,23 @@
         3, new TestConfiguration().deploymentSettings(deployment.settings()));
   }
 
+  /** Submits a job of a request class with an idempotency key. */
   private static SubmittedJob submit(DispatcherHarness harness, JsonNode requestClass, String key)
       throws IOException {
     return harness.submitWithKey("/" + requestClass.get("name").asText() + "/1", key);
   }
 
+  /** Submits a job of a request class and has a worker complete the job. */
   private static void serveOneJob(DispatcherHarness harness, JsonNode requestClass, String result)
       throws Exception {
     SubmittedJob job = submit(harness, requestClass, "first-key");
-    assertServed(harness, job, ReceivedJob.next(harness), result);
+    assertServed(harness, job, ReceivedJob.awaitNext(harness), result);
   }
 
+  /**
+   * Accepts and completes a job as the worker that has received the job, and checks that the client
+   * gets the result.
+   */
   private static void assertServed(
       DispatcherHarness harness, SubmittedJob job, ReceivedJob received, String result)
       throws IOException {
--- a/src/test/java/loomreel/program/WorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/WorkerConnectionTest.java
@@ -11,10 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to workers: how long they are idle, and when they may be used again. */
+/** Verifies how long connections to workers may be idle, and when the dispatcher reuses them. */
 @Timeout(120)
 class WorkerConnectionTest {
-  /** A worker would reset a job on a connection that it has closed. */
+  /**
+   * If a job arrived on a connection that the worker has already closed, the connection would be
+   * reset. Therefore the dispatcher closes an idle connection before the worker does so. The
+   * configured time is the time after which a worker closes an idle connection.
+   */
   @Test
   void idleConnectionsAreClosedBeforeTheWorkerClosesThem() throws Exception {
     try (DispatcherProcess program =
@@ -30,11 +34,12 @@
   }
 
   /**
-   * A middlebox may drop idle connections sooner than they are configured to live, and reset the
-   * next job.
+   * A middlebox, a network device between the dispatcher and a worker, may drop an idle connection
+   * before the configured idle timeout is over. The device then resets the connection when the
+   * next job is sent on it. After three resets, the dispatcher shortens the idle timeout.
    */
   @Test
-  void theIdleTimeIsReducedAfterResetsOfReusedConnections() throws Exception {
+  void theIdleTimeoutIsShortenedAfterResetsOfReusedConnections() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       SubmittedJob job = program.submit("/copy", "");
       program.serveNextJob(0, "first");
@@ -59,9 +64,12 @@
     }
   }
 
-  /** The bytes would be taken for the rejection of the next job. */
+  /**
+   * The worker sends two responses to one request. If the dispatcher reused the connection, it
+   * would take the second response for the rejection of the next job.
+   */
   @Test
-  void aConnectionWithBytesBehindAResponseIsNotReused() throws Exception {
+  void aConnectionWithBytesAfterAResponseIsNotReused() throws Exception {
     try (DispatcherProcess program = new DispatcherProcess(1)) {
       for (int i = 0; i < 4; i++) {
         SubmittedJob job = program.submit("/issue", "");
