--- a/src/test/java/loomreel/program/harness/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -17,13 +17,15 @@
 import java.util.stream.Stream;
 
 /**
- * The program as a process of its own, with {@code serve}.
+ * A dispatcher that runs as a separate process, started with the command {@code serve}.
  *
- * <p>Under a supervisor the dispatcher can be replaced: {@link #instances} are the dispatchers that
- * were started one after the other, and {@link #process} is the supervisor.
+ * <p>With a supervisor, several dispatcher processes can be started one after the other: {@link
+ * #instances} returns them in this order, and {@link #process} returns the supervisor. An instance
+ * is identified by its index in this list. Without a supervisor the list is empty, and the only
+ * dispatcher has index 0 in the methods that call a management API.
  */
 public final class DispatcherProcess extends DispatcherHarness {
-  private static final String FIRST_LIST_LOGGED = "first endpoint list received";
+  private static final String FIRST_LIST_MESSAGE = "first endpoint list received";
 
   private final Process process;
   private final Path temporaryDirectory = Files.createTempDirectory("loomreel");
@@ -34,18 +36,24 @@
   private final BufferedReader log;
   private final int port;
 
-  /** Whether a supervisor owns the listening socket. */
+  /** The process that owns the listening socket for clients. */
   private enum Listener {
+    /** The dispatcher itself. */
     OWNED,
+    /** A supervisor, from which each dispatcher inherits the socket. */
     SUPERVISED
   }
 
-  /** A dispatcher with the standard configuration. */
+  /** Starts a dispatcher with the standard configuration and without a supervisor. */
   public DispatcherProcess(int workerCount) throws IOException {
     this(workerCount, new TestConfiguration());
   }
 
-  /** A dispatcher with a configuration of the test. */
+  /**
+   * Starts a dispatcher without a supervisor and waits until it listens for clients. If stub
+   * discovery confirms the initial endpoint list, also waits until the dispatcher has logged the
+   * receipt of its first list from discovery.
+   */
   public DispatcherProcess(int workerCount, TestConfiguration configuration) throws IOException {
     this(workerCount, configuration, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
   }
@@ -54,7 +62,7 @@
       int workerCount, TestConfiguration requested, Listener listener, List<String> flags)
       throws IOException {
     super(workerCount);
-    configuration = complete(requested);
+    configuration = prepareConfiguration(requested);
     writeConfiguration(configuration.toJson());
     ProcessBuilder builder =
         listener == Listener.SUPERVISED
@@ -71,21 +79,24 @@
       managementPorts.add(awaitLoggedPort("admin server listening address"));
     }
     if (configuration.isKnownListConfirmed()) {
-      awaitLog(FIRST_LIST_LOGGED);
+      awaitLog(FIRST_LIST_MESSAGE);
     }
   }
 
-  /** A dispatcher with a management API. */
+  /** Starts a dispatcher that serves the management API, without a supervisor. */
   public static DispatcherProcess managed(int workerCount) throws IOException {
     return new DispatcherProcess(workerCount, new TestConfiguration().managementApi());
   }
 
-  /** A dispatcher with a management API under a supervisor. */
+  /** Starts a supervisor and a dispatcher that serves the management API. */
   public static DispatcherProcess supervised(int workerCount) throws IOException {
     return supervised(workerCount, ProgramCommand.FAST_START_FLAGS);
   }
 
-  /** The same with a configuration of the test. */
+  /**
+   * Starts a supervisor and a dispatcher with a copy of this configuration to which the management
+   * API is added.
+   */
   public static DispatcherProcess supervised(int workerCount, TestConfiguration configuration)
       throws IOException {
     return new DispatcherProcess(
@@ -95,7 +106,10 @@
         ProgramCommand.FAST_START_FLAGS);
   }
 
-  /** The same with the JVM flags of {@code deploy/balancer.toml}. */
+  /**
+   * Starts a supervisor and a dispatcher that serves the management API. Both JVMs get the flags
+   * that {@code deploy/balancer.toml} specifies.
+   */
   public static DispatcherProcess deployed(int workerCount) throws IOException {
     return supervised(workerCount, ProgramCommand.deployedFlags());
   }
@@ -106,27 +120,36 @@
     return new DispatcherProcess(workerCount, configuration, Listener.SUPERVISED, flags);
   }
 
-  /** The process that the test has started: the dispatcher, or its supervisor. */
+  /**
+   * Returns the process that the test started. It is the supervisor, or the dispatcher if there is
+   * no supervisor.
+   */
   public Process process() {
     return process;
   }
 
-  /** Where the dispatcher stores its files; it is deleted with them. */
+  /**
+   * Returns the directory in which the dispatcher stores its files. {@link #close} deletes it with
+   * these files.
+   */
   public Path temporaryDirectory() {
     return temporaryDirectory;
   }
 
-  /** A dispatcher that the supervisor has started. */
+  /** Returns the dispatcher with this index among those that the supervisor started. */
   public ProcessHandle instance(int index) {
     return instances.get(index);
   }
 
-  /** The dispatchers that the supervisor has started; empty without a supervisor. */
+  /**
+   * Returns an unmodifiable view of the dispatchers that the supervisor started, ordered by start;
+   * empty without a supervisor.
+   */
   public List<ProcessHandle> instances() {
     return Collections.unmodifiableList(instances);
   }
 
-  /** The port of the management API of a dispatcher. */
+  /** Returns the port on which an instance serves the management API. */
   public int managementPort(int instance) {
     return managementPorts.get(instance);
   }
@@ -137,34 +160,45 @@
     instances.add(ProcessHandle.of(pid).orElseThrow());
   }
 
-  /** Has the supervisor start one more dispatcher, and waits until it is ready. */
+  /**
+   * Makes the supervisor start a further dispatcher, waits until this instance has logged its first
+   * endpoint list, and asserts that its readiness check succeeds.
+   */
   public void startSuccessor() throws IOException {
     startInstance();
     managementPorts.add(awaitLoggedPort("admin server listening address"));
-    awaitLog(FIRST_LIST_LOGGED);
+    awaitLog(FIRST_LIST_MESSAGE);
     assertEquals(200, callManagement(instances.size() - 1, "GET", "readiness", "").status());
   }
 
-  /** Waits until a dispatcher reports itself as ready to operators. */
+  /** Waits until the readiness check of an instance's management API returns status 200. */
   public void awaitReadiness(int instance) throws IOException {
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
     while (callManagement(instance, "GET", "readiness", "").status() != 200) {
-      assertTrue(System.nanoTime() < deadline, "dispatcher " + instance + " is not ready");
+      assertTrue(System.nanoTime() < deadlineNanos, "dispatcher " + instance + " is not ready");
     }
   }
 
-  /** Kills a dispatcher under the supervisor, and waits for its end. */
+  /** Kills an instance that the supervisor started, and waits until it has exited. */
   public void killInstance(int instance) throws Exception {
     instances.get(instance).destroyForcibly();
     awaitExit(instance);
   }
 
-  /** Waits for the end of a dispatcher under the supervisor. */
+  /**
+   * Waits until an instance that the supervisor started has exited.
+   *
+   * @throws java.util.concurrent.TimeoutException after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public void awaitExit(int instance) throws Exception {
     instances.get(instance).onExit().get(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Sends a request to the management API of a dispatcher; {@code path} follows {@code /ops/}. */
+  /**
+   * Sends a request to the management API of an instance and reads the response.
+   *
+   * @param path the path after {@code /ops/}
+   */
   public HttpMessage callManagement(int instance, String method, String path, String body)
       throws IOException {
     try (Socket connection = HttpIo.connect(managementPorts.get(instance))) {
@@ -174,50 +208,57 @@
     }
   }
 
-  /** Disables a worker through the management API of a dispatcher; the status of the response. */
+  /** Disables a worker through an instance's management API, and returns the status code. */
   public int disableWorker(int instance, String worker) throws IOException {
     return callManagement(instance, "POST", "copy-workers/down", worker).status();
   }
 
-  /** Enables a worker through the management API of a dispatcher; the status of the response. */
+  /** Enables a worker through an instance's management API, and returns the status code. */
   public int enableWorker(int instance, String worker) throws IOException {
     return callManagement(instance, "POST", "copy-workers/up", worker).status();
   }
 
-  /** Starts a client drain through the management API; the status of the response. */
+  /** Starts a client drain through an instance's management API, and returns the status code. */
   public int startClientDrain(int instance) throws IOException {
     return callManagement(instance, "POST", "drain/start", "").status();
   }
 
-  /** Stops a client drain through the management API; the status of the response. */
+  /** Stops a client drain through an instance's management API, and returns the status code. */
   public int stopClientDrain(int instance) throws IOException {
     return callManagement(instance, "POST", "drain/stop", "").status();
   }
 
   /**
-   * A number in the statistics of a dispatcher: {@code name}, or {@code name.class} for one of a
-   * request class.
+   * Returns a number from the statistics of an instance's management API.
+   *
+   * @param name the name of the number, or {@code name.class} for the number of a request class
    */
   public int statistic(int instance, String name) throws IOException {
     String statistics = callManagement(instance, "GET", "stats", "").body();
     String pattern = "\"" + name.replace(".", "\":\\{[^}]*\"") + "\":(\\d+)";
-    Matcher number = Pattern.compile(pattern).matcher(statistics);
-    assertTrue(number.find(), name + " in " + statistics);
-    return Integer.parseInt(number.group(1));
+    Matcher matcher = Pattern.compile(pattern).matcher(statistics);
+    assertTrue(matcher.find(), name + " in " + statistics);
+    return Integer.parseInt(matcher.group(1));
   }
 
-  /** Waits until a number in the statistics of a dispatcher has this value. */
+  /** Waits until a number in the statistics of an instance is equal to {@code value}. */
   public void awaitStatistic(int instance, String name, int value) throws Exception {
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
     int current = statistic(instance, name);
     while (current != value) {
-      assertTrue(System.nanoTime() < deadline, name + " is " + current + ", expected " + value);
+      assertTrue(
+          System.nanoTime() < deadlineNanos, name + " is " + current + ", expected " + value);
       Thread.sleep(1);
       current = statistic(instance, name);
     }
   }
 
-  /** Replaces discovery, and has the dispatcher reload; the previous discovery. */
+  /**
+   * Replaces stub discovery by a new stub, and makes the dispatcher reload a configuration with the
+   * new address.
+   *
+   * @return the previous stub, which stays open
+   */
   public StubHttpServer moveDiscovery() throws Exception {
     StubHttpServer previous = discovery();
     restartDiscovery(0);
@@ -225,12 +266,18 @@
     return previous;
   }
 
-  /** A copy of the configuration with which the dispatcher was started. */
+  /**
+   * Returns a copy of the configuration with which the dispatcher was started. It has the address
+   * of discovery that the last {@link #moveDiscovery} set. {@link #reload} has no effect on it.
+   */
   public TestConfiguration configuration() {
     return configuration.copy();
   }
 
-  /** Replaces the text of the configuration file, and has the dispatcher read it. */
+  /**
+   * Replaces the text of the configuration file and sends SIGHUP, on which a dispatcher reloads the
+   * file. With a supervisor, the supervisor receives the signal instead.
+   */
   public void reload(String text) throws Exception {
     writeConfiguration(text);
     signal("HUP");
@@ -240,13 +287,23 @@
     Files.writeString(configurationFile, text);
   }
 
-  /** Sends a signal, by its name without SIG, to the process that the test has started. */
+  /**
+   * Sends a signal to {@link #process}.
+   *
+   * @param name the name of the signal without the prefix SIG
+   */
   public void signal(String name) throws Exception {
     String command = "kill -" + name + " " + process.pid();
     assertEquals(0, new ProcessBuilder("sh", "-c", command).start().waitFor());
   }
 
-  /** Reads the log until a line contains this text; that line. */
+  /**
+   * Reads the log, from where the previous call stopped, up to the first line that contains this
+   * text. There is no timeout.
+   *
+   * @return the line that contains the text
+   * @throws AssertionError if the log ends before
+   */
   public String awaitLog(String text) throws IOException {
     StringBuilder skipped = new StringBuilder();
     for (String line = log.readLine(); line != null; line = log.readLine()) {
@@ -255,13 +312,13 @@
       }
       skipped.append(line).append('\n');
     }
-    throw new AssertionError("never logged: " + text + "\n" + skipped);
+    throw new AssertionError("not logged: " + text + "\n" + skipped);
   }
 
   private int awaitLoggedPort(String text) throws IOException {
-    Matcher logged = Pattern.compile(text + "[ =]/127.0.0.1:(\\d+)").matcher(awaitLog(text));
-    assertTrue(logged.find());
-    return Integer.parseInt(logged.group(1));
+    Matcher matcher = Pattern.compile(text + "[ =]/127.0.0.1:(\\d+)").matcher(awaitLog(text));
+    assertTrue(matcher.find());
+    return Integer.parseInt(matcher.group(1));
   }
 
   @Override
--- a/src/test/java/loomreel/program/harness/EndpointList.java
+++ b/src/test/java/loomreel/program/harness/EndpointList.java
@@ -5,33 +5,41 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** An endpoint list in the JSON of discovery. Methods change it in place and return it. */
+/**
+ * An endpoint list in the JSON format of discovery. The methods that add workers change the list in
+ * place and return it.
+ */
 public final class EndpointList {
-  /** The health of a worker, with its name in the list. */
+  /** The health of a worker. The name of the constant is the value in the JSON. */
   public enum Health {
     SERVING,
     DRAINING,
     DELETED
   }
 
-  /** Whether workers that are not in a list stay as they were. */
+  /** Whether the dispatcher removes or keeps the workers that are not in a list. */
   public enum Extent {
-    /** The list has all workers; others are removed. */
+    /** The list has all workers. Workers that are not in the list are removed. */
     COMPLETE,
-    /** The list has the workers that have changed. */
+    /** The list has the workers that changed. Workers that are not in the list are kept. */
     CHANGES
   }
 
   private final ObjectNode json = new ObjectMapper().createObjectNode();
   private final ArrayNode workers;
 
-  /** An empty list. */
-  public EndpointList(int sequence, Extent extent) {
-    json.put("seq", sequence).put("whole", extent == Extent.COMPLETE);
+  /** Creates an empty list with this version. */
+  public EndpointList(int version, Extent extent) {
+    json.put("seq", version).put("whole", extent == Extent.COMPLETE);
     workers = json.putArray("hosts");
   }
 
-  /** Adds a worker, after those that are in the list. */
+  /**
+   * Appends a worker to this list.
+   *
+   * @param worker the name of the worker
+   * @param address the address, as host:port
+   */
   public EndpointList with(String worker, String address, Health health) {
     workers
         .addObject()
@@ -46,23 +54,23 @@
     return this;
   }
 
-  /** Adds the workers of another list, after those that are in this one. */
+  /** Appends the workers of another list to this list. */
   public EndpointList withAllOf(EndpointList other) {
     workers.addAll(other.workers);
     return this;
   }
 
-  /** Sends the list as the response of discovery. */
+  /** Sends this list as a response, with status 200, to a request for the endpoint list. */
   public void respondTo(HttpMessage request) throws IOException {
     request.respond(200, toJson());
   }
 
-  /** The JSON as a tree. */
+  /** Returns the JSON of this list as a tree, which is not a copy. */
   ObjectNode toTree() {
     return json;
   }
 
-  /** The JSON as compact text. */
+  /** Returns the JSON of this list as text without whitespace. */
   public String toJson() {
     return json.toString();
   }
--- a/src/test/java/loomreel/program/harness/RequestClass.java
+++ b/src/test/java/loomreel/program/harness/RequestClass.java
@@ -3,11 +3,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A request class of a configuration.
+ * A request class in the configuration of a dispatcher.
  *
- * @param latencyObjectiveSeconds also the deadline, unless that is given
- * @param stretch how many times its own work a job may take beyond the objective; 0 for the default
- * @param deduplicationWindowSeconds how long workers recognise keyed work; 0 for other work
+ * @param latencyObjectiveSeconds the time in seconds within which a job should be answered
+ * @param deadlineSeconds the time in seconds for which a client waits, over all attempts
+ * @param stretch how much the latency objective grows relative to the job's own work; 0 for the
+ *     default
+ * @param priorityWeight the weight of an answer within the latency objective
+ * @param deduplicationWindowSeconds the time in seconds for which workers deduplicate jobs with an
+ *     idempotency key; 0 for classes without idempotency keys
  */
 public record RequestClass(
     String name,
@@ -17,32 +21,37 @@
     double stretch,
     int priorityWeight,
     double deduplicationWindowSeconds) {
+  /** The latency objective and the deadline of the standard classes, in seconds. */
   private static final double DEADLINE_SECONDS = 20;
 
-  /** Whether a job may run twice, with its name in a configuration. */
+  /** Whether a job may run more than once. */
   public enum Idempotency {
+    /** A job may run more than once. */
     IDEMPOTENT("free"),
+    /** A job has an idempotency key, by which workers deduplicate it. */
     KEYED("guarded"),
+    /** A job must not run more than once. */
     NON_IDEMPOTENT("single_shot");
 
-    private final String settingName;
+    /** The value of the setting in a configuration. */
+    private final String settingValue;
 
-    Idempotency(String settingName) {
-      this.settingName = settingName;
+    Idempotency(String settingValue) {
+      this.settingValue = settingValue;
     }
   }
 
-  /** The class of idempotent jobs that most tests submit. */
+  /** Returns the class of idempotent jobs, which most tests submit. */
   public static RequestClass copy() {
     return of("copy", Idempotency.IDEMPOTENT, 5, 0);
   }
 
-  /** The class of jobs that must not run twice. */
+  /** Returns the class of jobs that must not run more than once. */
   public static RequestClass issue() {
     return of("issue", Idempotency.NON_IDEMPOTENT, 2, 0);
   }
 
-  /** The class of jobs with an idempotency key. */
+  /** Returns the class of jobs with an idempotency key. */
   public static RequestClass hold(double deduplicationWindowSeconds) {
     return of("hold", Idempotency.KEYED, 3, deduplicationWindowSeconds);
   }
@@ -59,7 +68,7 @@
         deduplicationWindowSeconds);
   }
 
-  /** The same class under another name. */
+  /** Returns a copy of this class with another name. */
   public RequestClass withName(String newName) {
     return new RequestClass(
         newName,
@@ -71,7 +80,7 @@
         deduplicationWindowSeconds);
   }
 
-  /** The same class with another latency objective. */
+  /** Returns a copy of this class with another latency objective and another stretch. */
   public RequestClass withLatencyObjective(double seconds, double newStretch) {
     return new RequestClass(
         name,
@@ -83,12 +92,12 @@
         deduplicationWindowSeconds);
   }
 
-  /** Writes the members of the class in a configuration. */
+  /** Adds the settings of this class to a JSON object in a configuration. */
   void writeTo(ObjectNode json) {
     json.put("Name", name)
         .put("TargetS", latencyObjectiveSeconds)
         .put("DeadlineS", deadlineSeconds)
-        .put("Repeat", idempotency.settingName)
+        .put("Repeat", idempotency.settingValue)
         .put("Value", priorityWeight);
     if (stretch > 0) {
       json.put("AimStretch", stretch);
--- a/src/test/java/loomreel/program/harness/TestConfiguration.java
+++ b/src/test/java/loomreel/program/harness/TestConfiguration.java
@@ -7,27 +7,30 @@
 import loomreel.program.harness.EndpointList.Health;
 
 /**
- * The configuration file of a dispatcher under test. A new one is the standard configuration;
- * setters change it in place and return it. The addresses of stubs are set by {@link
- * DispatcherHarness}.
+ * The configuration file of a dispatcher under test. A new instance has the standard configuration.
+ * The setters change the instance in place and return it. {@link DispatcherHarness} sets the
+ * addresses of stub discovery and of the stub workers.
  */
 public final class TestConfiguration {
-  /** How the dispatcher gets endpoint lists, with its name in a configuration. */
+  /** How the dispatcher receives endpoint lists. */
   public enum DiscoveryMode {
+    /** The dispatcher calls the discovery service itself. */
     POLL("ask"),
+    /** Discovery pushes lists to an agent on the same machine. The dispatcher calls this agent. */
     PUSH("push");
 
-    private final String settingName;
+    /** The value of the setting in a configuration. */
+    private final String settingValue;
 
-    DiscoveryMode(String settingName) {
-      this.settingName = settingName;
+    DiscoveryMode(String settingValue) {
+      this.settingValue = settingValue;
     }
   }
 
-  /** How the dispatcher gets load reports. */
+  /** How the dispatcher receives load reports. */
   public enum LoadReports {
     NONE,
-    /** By health checks. */
+    /** The dispatcher polls workers with health checks, whose responses are load reports. */
     POLLED
   }
 
@@ -35,7 +38,10 @@
   private List<Health> knownHealth = List.of(Health.SERVING);
   private boolean isKnownListConfirmed = true;
 
-  /** The standard configuration: the request classes copy and issue, polled discovery. */
+  /**
+   * Creates the standard configuration: the request classes copy and issue, discovery that is
+   * polled, and no load reports.
+   */
   public TestConfiguration() {
     root = new ObjectMapper().createObjectNode();
     root.put("name", "n0").put("listen", "127.0.0.1:0").put("seed", "8c1f30d27a5be964");
@@ -78,70 +84,77 @@
         .put("AnswerSlackS", 0.016);
   }
 
-  /** A copy to be changed without this one. */
+  /** Returns an independent copy. */
   public TestConfiguration copy() {
     return new TestConfiguration(this);
   }
 
-  /** The name of the dispatcher. */
+  /** Sets the name of the dispatcher. */
   public TestConfiguration name(String name) {
     root.put("name", name);
     return this;
   }
 
-  /** The descriptors that the dispatcher may use. */
+  /** Sets how many file descriptors the dispatcher may use. */
   public TestConfiguration descriptorLimit(int descriptors) {
     ((ObjectNode) root.get("limits")).put("sockets", descriptors);
     return this;
   }
 
-  /** Has the dispatcher serve the management API, at a free port. */
+  /** Makes the dispatcher serve the management API on a free port. */
   public TestConfiguration managementApi() {
     root.put("mgmt", "127.0.0.1:0");
     return this;
   }
 
-  /** Whether the dispatcher serves the management API. */
+  /** Returns whether the dispatcher serves the management API. */
   boolean hasManagementApi() {
     return root.has("mgmt");
   }
 
-  /** The address of discovery. */
+  /** Sets the address of discovery, as host:port. */
   public TestConfiguration discoveryAddress(String address) {
     root.put("discovery", address);
     return this;
   }
 
-  /** The endpoint list that is known at the start. */
-  TestConfiguration knownEndpoints(EndpointList endpoints) {
+  /** Sets the initial endpoint list, which is the last list that is known at the start. */
+  TestConfiguration initialEndpoints(EndpointList endpoints) {
     root.set("known", endpoints.toTree());
     return this;
   }
 
-  /** The health of w0, w1 and so on in the list that is known at the start; the last repeats. */
+  /**
+   * Sets the health of w0, w1 and so on in the initial endpoint list. The last value also applies
+   * to the remaining workers.
+   */
   public TestConfiguration knownHealth(Health... health) {
     knownHealth = List.of(health);
     return this;
   }
 
-  /** The health of workers in the list that is known at the start. */
+  /** Returns a copy of the values that were set with {@link #knownHealth(Health...)}. */
   Health[] knownHealth() {
     return knownHealth.toArray(Health[]::new);
   }
 
-  /** Has the test answer the first call to polled discovery, which is confirmed otherwise. */
+  /**
+   * Lets the test respond to the first call of the dispatcher to polled discovery. By default, stub
+   * discovery responds to this call and confirms the initial endpoint list.
+   */
   public TestConfiguration knownListUnconfirmed() {
     isKnownListConfirmed = false;
     return this;
   }
 
-  /** Whether discovery is polled and confirms the list that is known at the start. */
+  /** Returns whether discovery is polled and stub discovery confirms the initial endpoint list. */
   boolean isKnownListConfirmed() {
-    boolean isPolled = settings().path("Discovery").asText().equals(DiscoveryMode.POLL.settingName);
+    boolean isPolled =
+        settings().path("Discovery").asText().equals(DiscoveryMode.POLL.settingValue);
     return isPolled && isKnownListConfirmed;
   }
 
-  /** Replaces all settings of the deployment. */
+  /** Replaces the whole {@code settings} object, which has the settings of a deployment. */
   public TestConfiguration deploymentSettings(ObjectNode settings) {
     root.set("settings", settings);
     return this;
@@ -156,13 +169,13 @@
     return this;
   }
 
-  /** How the dispatcher gets endpoint lists. */
+  /** Sets how the dispatcher receives endpoint lists. */
   public TestConfiguration discoveryMode(DiscoveryMode mode) {
-    settings().put("Discovery", mode.settingName);
+    settings().put("Discovery", mode.settingValue);
     return this;
   }
 
-  /** How the dispatcher gets load reports. */
+  /** Sets how the dispatcher receives load reports. */
   public TestConfiguration loadReports(LoadReports reports) {
     boolean polled = reports == LoadReports.POLLED;
     policyLimits().put("Probing", polled);
@@ -170,31 +183,31 @@
     return this;
   }
 
-  /** Whether attempts may be cancelled at their workers. */
+  /** Sets whether the dispatcher may cancel attempts at their workers. */
   public TestConfiguration cancellation(boolean allowed) {
     policyLimits().put("Cancelling", allowed);
     return this;
   }
 
-  /** How long a connection to a worker may take to be established. */
+  /** Sets the maximum time, in seconds, to establish a connection to a worker. */
   public TestConfiguration connectTimeoutSeconds(double seconds) {
     policyLimits().put("ConnectTimeoutS", seconds);
     return this;
   }
 
-  /** The time after which workers close idle connections. */
+  /** Sets the time, in seconds, after which workers close idle connections. */
   public TestConfiguration idleConnectionSeconds(double seconds) {
     policyLimits().put("ConnIdleS", seconds);
     return this;
   }
 
-  /** How long jobs may still be sent to a worker that drains. */
+  /** Sets for how long, in seconds, jobs may still be sent to a draining worker. */
   public TestConfiguration drainGraceSeconds(double seconds) {
     invariants().put("StopSendingWithinS", seconds);
     return this;
   }
 
-  /** How often discovery is polled at the least. */
+  /** Sets the maximum time, in seconds, between two polls of discovery. */
   public TestConfiguration discoveryPollIntervalSeconds(double seconds) {
     invariants().put("AskWithinS", seconds);
     return this;
@@ -212,7 +225,7 @@
     return (ObjectNode) settings().get("Invariants");
   }
 
-  /** The text of the configuration file. */
+  /** Returns the text of the configuration file. */
   public String toJson() {
     return root.toString();
   }
--- a/src/test/java/loomreel/program/harness/package-info.java
+++ b/src/test/java/loomreel/program/harness/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The harness of the whole-program tests: the program as a process or in the test's process, stubs
- * of discovery and workers, clients, configurations and transcripts.
+ * The harness of the whole-program tests. It starts the dispatcher as a separate process or in the
+ * process of the test, and provides stub discovery, stub workers, clients, configurations and
+ * transcripts.
  */
 package loomreel.program.harness;
