--- a/src/test/java/loomreel/program/harness/ListService.java
+++ b/src/test/java/loomreel/program/harness/ListService.java
@@ -7,17 +7,28 @@
 import java.util.regex.Pattern;
 import loomreel.standin.BackgroundThreads;
 
-/** Serves the endpoint list of a test from its stub discovery, and tells changes at once. */
+/**
+ * A discovery service on top of a stub that only queues calls. It responds to each call with the
+ * complete endpoint list of the test. If the call names the current version of the list, the
+ * response is delayed until the list changes or the waiting time of the call ({@code hold_ms}) has
+ * passed.
+ */
 public final class ListService {
-  private static final Pattern QUERY = Pattern.compile("[?]from=(\\d+)&hold_ms=(\\d+) ");
+  private static final Pattern WATCH_QUERY = Pattern.compile("[?]from=(\\d+)&hold_ms=(\\d+) ");
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private record Watch(HttpMessage call, long endNanos) {}
+  /**
+   * A call without a response yet.
+   *
+   * @param responseNanos the {@link System#nanoTime} at which the response is due if the list does
+   *     not change before
+   */
+  private record Watch(HttpMessage call, long responseNanos) {}
 
-  /** The list of a version. */
+  /** Provides the endpoint list of the test. */
   public interface Lists {
-    /** The complete list, with that version. */
-    EndpointList complete(int version);
+    /** Returns the complete current list, labelled with this version. */
+    EndpointList completeList(int version);
   }
 
   private final StubHttpServer discovery;
@@ -26,9 +37,11 @@
   private int version;
 
   /**
-   * Starts the service.
+   * Starts a daemon thread that responds to calls.
    *
-   * @param version of the list that is known at the start
+   * @param discovery the stub that receives the calls
+   * @param version the version of the initial endpoint list
+   * @param lists provides the endpoint list for each response
    */
   public ListService(StubHttpServer discovery, int version, Lists lists) {
     this.discovery = discovery;
@@ -40,41 +53,41 @@
   private void serve() throws InterruptedException {
     while (true) {
       if (discovery.hasPendingRequest()) {
-        accept(discovery.nextRequest());
+        addWatch(discovery.nextRequest());
       } else {
         Thread.sleep(1);
       }
-      endWatches();
+      respondToDueWatches();
     }
   }
 
-  private synchronized void accept(HttpMessage call) {
-    Matcher query = QUERY.matcher(call.startLine());
-    boolean isKnown = query.find() && Integer.parseInt(query.group(1)) == version;
-    long waitMillis = isKnown ? Long.parseLong(query.group(2)) : 0;
+  private synchronized void addWatch(HttpMessage call) {
+    Matcher query = WATCH_QUERY.matcher(call.startLine());
+    boolean isCurrent = query.find() && Integer.parseInt(query.group(1)) == version;
+    long waitMillis = isCurrent ? Long.parseLong(query.group(2)) : 0;
     watches.add(new Watch(call, System.nanoTime() + waitMillis * NANOS_PER_MILLI));
   }
 
-  private synchronized void endWatches() {
+  private synchronized void respondToDueWatches() {
     watches.removeIf(
         watch -> {
-          boolean ended = watch.endNanos <= System.nanoTime();
-          if (ended) {
+          boolean isDue = watch.responseNanos <= System.nanoTime();
+          if (isDue) {
             respond(watch);
           }
-          return ended;
+          return isDue;
         });
   }
 
   private void respond(Watch watch) {
     try {
-      lists.complete(version).respondTo(watch.call);
+      lists.completeList(version).respondTo(watch.call);
     } catch (IOException e) {
-      // The dispatcher has ended.
+      // The dispatcher has exited.
     }
   }
 
-  /** The list has changed: all watches are told. */
+  /** Increments the version, and responds to all waiting calls with the changed list. */
   public synchronized void changed() {
     version++;
     watches.forEach(this::respond);
--- a/src/test/java/loomreel/program/harness/StalledListener.java
+++ b/src/test/java/loomreel/program/harness/StalledListener.java
@@ -10,17 +10,20 @@
 import java.util.List;
 
 /**
- * A listener whose backlog is full, so that no connection to it completes until the test accepts
- * one.
+ * A listener whose backlog is full. No further connection to it is established until the test calls
+ * {@link #nextConnection}.
  */
 public final class StalledListener implements AutoCloseable {
-  /** A connection that has not completed after this time waits for a place in the backlog. */
+  /**
+   * The connect timeout, in milliseconds, after which the backlog is considered full. A connection
+   * that is not established by then waits for a place in the backlog.
+   */
   private static final int BACKLOG_FULL_AFTER_MILLIS = 500;
 
   private final ServerSocket listener;
   private final List<Socket> fillers = new ArrayList<>();
 
-  /** Listens at an address whose listener was closed before, and fills the backlog. */
+  /** Listens on an address whose previous listener was closed, and fills the backlog. */
   StalledListener(InetSocketAddress address) throws IOException {
     listener = bind(address, 1);
     while (true) {
@@ -29,26 +32,31 @@
         filler.connect(
             new InetSocketAddress(HttpIo.loopback(), address.getPort()), BACKLOG_FULL_AFTER_MILLIS);
         fillers.add(filler);
-      } catch (SocketTimeoutException full) {
+      } catch (SocketTimeoutException backlogFull) {
         filler.close();
         return;
       }
     }
   }
 
-  /** Binds a listener; waits while the previous one at the address is still being closed. */
+  /**
+   * Returns a listener that is bound to an address. Retries while the address is in use, because
+   * the previous listener may not be fully closed yet.
+   *
+   * @throws BindException if the address is still in use after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   static ServerSocket bind(InetSocketAddress address, int backlog) throws IOException {
-    long deadline = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
+    long deadlineNanos = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
       ServerSocket listener = new ServerSocket();
       try {
         listener.setReuseAddress(true);
         listener.bind(address, backlog);
         return listener;
-      } catch (BindException inUse) {
+      } catch (BindException addressInUse) {
         listener.close();
-        if (System.nanoTime() > deadline) {
-          throw inUse;
+        if (System.nanoTime() > deadlineNanos) {
+          throw addressInUse;
         }
         Thread.onSpinWait();
       }
@@ -56,8 +64,11 @@
   }
 
   /**
-   * Lets connections complete from now on; the next one that does not fill the backlog, or null
-   * after a timeout without one.
+   * Accepts connections, so that waiting connections can be established. Skips the connections that
+   * were opened to fill the backlog.
+   *
+   * @param timeoutMillis the maximum time, in milliseconds, to wait for each connection
+   * @return the next other connection, or null after a timeout
    */
   public Socket nextConnection(int timeoutMillis) throws IOException {
     listener.setSoTimeout(timeoutMillis);
@@ -69,7 +80,7 @@
           return connection;
         }
       }
-    } catch (SocketTimeoutException none) {
+    } catch (SocketTimeoutException noConnection) {
       return null;
     }
   }
--- a/src/test/java/loomreel/program/harness/StubHttpServer.java
+++ b/src/test/java/loomreel/program/harness/StubHttpServer.java
@@ -14,14 +14,17 @@
 import loomreel.standin.BackgroundThreads;
 
 /**
- * A stub worker or discovery service: it queues the requests that it receives, and the test
- * responds to them. Connections stay open when it is closed.
+ * A stub worker or stub discovery service. It queues the requests that it receives, and the test
+ * responds to them. {@link #close} closes the listener, but the connections stay open.
  */
 public final class StubHttpServer implements AutoCloseable {
   private static final int BACKLOG = 50;
 
-  /** A dispatcher that starts asks whether the list that it knows has changed. */
-  private static final Pattern CALL_FOR_CONFIRMATION = Pattern.compile("[?]from=(\\d+)&hold_ms=0 ");
+  /**
+   * Matches the call with which a dispatcher, after its start, asks discovery whether the endpoint
+   * list that it has is still current. The group is the version of this list.
+   */
+  private static final Pattern CONFIRMATION_CALL = Pattern.compile("[?]from=(\\d+)&hold_ms=0 ");
 
   private final ServerSocket listener;
   private final BlockingQueue<HttpMessage> requests = new LinkedBlockingQueue<>();
@@ -29,12 +32,16 @@
   private final AtomicInteger connectionCount = new AtomicInteger();
   private volatile boolean confirmsKnownLists;
 
-  /** Listens on a free port. */
+  /** Starts a server on a free port. */
   public StubHttpServer() throws IOException {
     this(0);
   }
 
-  /** Listens on this port, which a closed server may have used before; 0 for a free one. */
+  /**
+   * Starts a server on the loopback address.
+   *
+   * @param port the port, which a closed server may have used before; 0 for a free port
+   */
   public StubHttpServer(int port) throws IOException {
     listener = StalledListener.bind(new InetSocketAddress(HttpIo.loopback(), port), BACKLOG);
     BackgroundThreads.start(this::acceptConnections);
@@ -51,9 +58,10 @@
   private void readRequests(Socket connection) throws IOException {
     HttpMessage request = HttpIo.read(connection);
     while (request != null) {
-      Matcher listCall = CALL_FOR_CONFIRMATION.matcher(request.startLine());
-      if (confirmsKnownLists && listCall.find()) {
-        new EndpointList(Integer.parseInt(listCall.group(1)), Extent.CHANGES).respondTo(request);
+      Matcher confirmationCall = CONFIRMATION_CALL.matcher(request.startLine());
+      if (confirmsKnownLists && confirmationCall.find()) {
+        new EndpointList(Integer.parseInt(confirmationCall.group(1)), Extent.CHANGES)
+            .respondTo(request);
       } else {
         requests.add(request);
       }
@@ -63,24 +71,30 @@
   }
 
   /**
-   * Sets whether a call of a dispatcher that starts is answered, as by discovery whose list has not
-   * changed, rather than queued. Other calls are always queued.
+   * Sets whether this server, as stub discovery, confirms the endpoint list of a dispatcher that
+   * has just started. If enabled, the server itself responds to the call that asks whether the list
+   * is still current: it sends a list without changes. Otherwise this call is queued. All other
+   * requests are always queued.
    */
-  public void confirmKnownLists(boolean newValue) {
-    confirmsKnownLists = newValue;
+  public void confirmKnownLists(boolean enabled) {
+    confirmsKnownLists = enabled;
   }
 
-  /** The address of the listener. */
+  /** Returns the address on which this server listens. */
   public InetSocketAddress socketAddress() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
-  /** The address as a configuration or an endpoint list names it. */
+  /** Returns the address in the form of a configuration or an endpoint list: host:port. */
   public String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Waits for the next request and takes it from the queue. */
+  /**
+   * Waits for the next request and removes it from the queue.
+   *
+   * @throws AssertionError after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public HttpMessage nextRequest() throws InterruptedException {
     HttpMessage request = requests.poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (request == null) {
@@ -89,40 +103,48 @@
     return request;
   }
 
-  /** Whether a request is queued. */
+  /** Returns whether a request is queued. */
   public boolean hasPendingRequest() {
     return !requests.isEmpty();
   }
 
-  /** Whether a POST is queued. */
+  /** Returns whether a POST request, which is how a worker receives a job, is queued. */
   public boolean hasPendingJob() {
     return requests.stream().anyMatch(request -> request.startLine().startsWith("POST"));
   }
 
-  /** Waits until the dispatcher has closed this connection. */
+  /**
+   * Waits until the dispatcher has closed a connection to this server. Each closed connection can
+   * be awaited only once, and not after a connection that was closed later.
+   *
+   * @throws AssertionError if no connection is closed for {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public void awaitClosed(Socket connection) throws InterruptedException {
     Socket closed = null;
     while (closed != connection) {
       closed = closedConnections.poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       if (closed == null) {
-        throw new AssertionError("the connection stays open");
+        throw new AssertionError("the connection was not closed");
       }
     }
   }
 
-  /** Closes the listener and has no connection to its address complete until the test allows it. */
+  /**
+   * Closes the listener of this server and replaces it by one at the same address that establishes
+   * no connection until the test allows it.
+   */
   public StalledListener stall() throws IOException {
     InetSocketAddress address = socketAddress();
     listener.close();
     return new StalledListener(address);
   }
 
-  /** The number of connections accepted since the last reset. */
+  /** Returns the number of connections accepted since the start or the last reset. */
   public int connectionCount() {
     return connectionCount.get();
   }
 
-  /** Counts connections from 0 again. */
+  /** Sets the number of accepted connections to 0. */
   public void resetConnectionCount() {
     connectionCount.set(0);
   }
