--- a/src/test/java/loomreel/program/harness/StepControlledServer.java
+++ b/src/test/java/loomreel/program/harness/StepControlledServer.java
@@ -22,36 +22,39 @@
 import loomreel.server.Server;
 
 /**
- * A dispatcher in the test's process, on real sockets, that the test controls at its steps. A step
- * is an event that the dispatcher traces. An action of the test at a step runs on the thread of the
- * event loop, which does nothing else meanwhile.
+ * A dispatcher that runs in the process of the test, with real sockets. A step is an event that the
+ * dispatcher writes to its trace. The test can wait for a step, or plan an action for it. The
+ * action runs on the event loop thread, which does nothing else until the action returns.
  */
 public final class StepControlledServer extends DispatcherHarness {
-  /** More requests than the loop can have iterations left for reading what was sent before. */
+  /**
+   * The number of requests that {@link #awaitPendingInputRead} makes. It is larger than the number
+   * of event loop iterations that can be needed to read all input that was sent before.
+   */
   private static final int REQUESTS_AFTER_PENDING_INPUT = 20;
 
-  /** What a test does at a step. */
+  /** An action that a test runs at a step, or while the event loop is paused. */
   public interface StepAction {
     /** Runs the action once. */
     void run() throws Exception;
   }
 
-  /** The steps that tests wait for, with the names that they have in the trace. */
+  /** The steps that tests wait for, each with its event name in the trace. */
   public enum Step {
     JOB_ARRIVED("arrival"),
     JOB_CANCELLED("withdrawn"),
     JOB_FAILED("fail"),
     ATTEMPT_STARTED("send"),
     ATTEMPT_ENDED("end"),
-    /** A cancellation goes out to the worker of an attempt. */
+    /** The dispatcher sends a cancellation to the worker of an attempt. */
     CANCELLATION_SENT("cancel"),
     LIST_APPLIED("list"),
     WATCH_FAILED("listlost"),
     SHUTDOWN_REQUESTED("drain"),
     LOOP_STOPPED("stop"),
-    /** An idle client connection is about to be closed; input is still read and served. */
+    /** An idle client connection is about to be closed. Its input is still read and processed. */
     IDLE_CONNECTION_CLOSING("letgo"),
-    /** The output side of a client connection is shut; input is discarded from now on. */
+    /** The output of a client connection is shut down. Its input is discarded from now on. */
     OUTPUT_SHUT("shut");
 
     private final String traceName;
@@ -61,14 +64,19 @@
     }
   }
 
-  /** A step that was reached, with its traced fields: alternating names and values. */
+  /**
+   * A step that the dispatcher reached.
+   *
+   * @param traceName the event name in the trace
+   * @param fields the traced fields, as alternating names and values
+   */
   public record ReachedStep(String traceName, List<Object> fields) {
-    /** Whether this is the step. */
+    /** Returns whether this is an occurrence of {@code step}. */
     public boolean is(Step step) {
       return traceName.equals(step.traceName);
     }
 
-    /** The value of a field; null without it. */
+    /** Returns the value of a field, or null if there is no field with this name. */
     public Object field(String name) {
       int index = fields.indexOf(name);
       return index < 0 ? null : fields.get(index + 1);
@@ -79,18 +87,23 @@
 
   private final Server server;
   private final Thread loopThread;
+  /** The steps that {@link #awaitStep} and {@link #drainSteps} have not returned or skipped yet. */
   private final BlockingQueue<ReachedStep> unreadSteps = new LinkedBlockingQueue<>();
   private final List<ReachedStep> allSteps = Collections.synchronizedList(new ArrayList<>());
   private final BlockingQueue<PlannedAction> plannedActions = new LinkedBlockingQueue<>();
+  /** Errors of the event loop thread and of planned actions, which {@link #awaitStep} reports. */
   private final BlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
   private final int port;
 
-  /** A dispatcher with the standard configuration. */
+  /** Starts a dispatcher with the standard configuration. */
   public StepControlledServer(int workerCount) throws Exception {
     this(workerCount, new TestConfiguration());
   }
 
-  /** A dispatcher with a configuration of the test. */
+  /**
+   * Starts a dispatcher. If stub discovery confirms the initial endpoint list, also waits until the
+   * dispatcher has applied its first list.
+   */
   public StepControlledServer(int workerCount, TestConfiguration configuration) throws Exception {
     super(workerCount);
     Path file = Files.createTempFile("loomreel", ".json");
@@ -108,10 +121,10 @@
   }
 
   private void awaitFirstList() throws InterruptedException {
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
     while (stepCount(Step.LIST_APPLIED) == 0) {
-      if (System.nanoTime() > deadline) {
-        throw new AssertionError("no endpoint list");
+      if (System.nanoTime() > deadlineNanos) {
+        throw new AssertionError("no endpoint list was applied");
       }
       Thread.sleep(1);
     }
@@ -152,24 +165,30 @@
   }
 
   /**
-   * Plans an action for the next time that a step is reached, before the step takes effect. Planned
-   * actions run in their order.
+   * Plans an action that runs at the next occurrence of a step, before the step takes effect.
+   * Planned actions run in the order in which they were planned. A step triggers only the first
+   * planned action that has not run yet.
    */
   public void onStep(Step step, StepAction action) {
     plannedActions.add(new PlannedAction(step, action));
   }
 
-  /** Waits until a step is reached, and skips the unread ones before it. */
+  /**
+   * Waits for the next unread occurrence of a step, and skips the unread steps before it.
+   *
+   * @throws AssertionError if the event loop or a planned action has failed, or after {@link
+   *     HttpIo#TIMEOUT_MILLIS}
+   */
   public ReachedStep awaitStep(Step step) throws Exception {
-    long deadline = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
+    long deadlineNanos = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
-      long remaining = Math.max(0, deadline - System.nanoTime());
-      ReachedStep reached = unreadSteps.poll(remaining, TimeUnit.NANOSECONDS);
+      long remainingNanos = Math.max(0, deadlineNanos - System.nanoTime());
+      ReachedStep reached = unreadSteps.poll(remainingNanos, TimeUnit.NANOSECONDS);
       if (!failures.isEmpty()) {
         throw new AssertionError(failures.peek());
       }
       if (reached == null) {
-        throw new AssertionError("never reached: " + step);
+        throw new AssertionError("step not reached: " + step);
       }
       if (reached.is(step)) {
         return reached;
@@ -177,26 +196,27 @@
     }
   }
 
-  /** Waits until an attempt is started; the index of its worker. */
+  /** Waits until an attempt is started, and returns the index of its worker. */
   public int awaitAttemptWorker() throws Exception {
     String worker = (String) awaitStep(Step.ATTEMPT_STARTED).field("worker");
     return Integer.parseInt(worker.substring(1));
   }
 
-  /** Takes the unread steps. */
+  /** Removes all unread steps and returns them, ordered by time. */
   public List<ReachedStep> drainSteps() {
     List<ReachedStep> steps = new ArrayList<>();
     unreadSteps.drainTo(steps);
     return steps;
   }
 
-  /** How often a step was reached since the start. */
+  /** Returns how many times a step was reached since the start, whether read or not. */
   public long stepCount(Step step) {
     return List.copyOf(allSteps).stream().filter(reached -> reached.is(step)).count();
   }
 
   /**
-   * Pauses the event loop between two iterations for an action, like a process without CPU time.
+   * Pauses the event loop between two iterations, runs an action on the calling thread, and resumes
+   * the event loop. This simulates a process that gets no CPU time.
    */
   public void whileLoopIsPaused(StepAction action) throws Exception {
     CountDownLatch paused = new CountDownLatch(1);
@@ -217,8 +237,9 @@
   }
 
   /**
-   * Waits until all bytes that were sent before have been read. The loop reads one buffer of each
-   * connection in an iteration, and later requests are answered in later iterations.
+   * Waits until the event loop has read all bytes that were sent before. It makes readiness checks
+   * one after the other: in each iteration the loop reads one buffer of each connection, and each
+   * check is answered in a later iteration than the check before it.
    */
   public void awaitPendingInputRead() throws Exception {
     for (int i = 0; i < REQUESTS_AFTER_PENDING_INPUT; i++) {
@@ -231,18 +252,22 @@
     server.shutDown();
   }
 
-  /** Waits for the end of the event loop; whether it has ended. */
+  /**
+   * Waits until the event loop has ended.
+   *
+   * @return false if it still runs after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public boolean awaitLoopEnd() throws InterruptedException {
     loopThread.join(HttpIo.TIMEOUT_MILLIS);
     return !loopThread.isAlive();
   }
 
-  /** Has the dispatcher watch the discovery at another address, as a configuration reload does. */
+  /** Makes the dispatcher use discovery at another address, as a configuration reload does. */
   public void moveDiscovery(InetSocketAddress address) {
     server.loop().execute(() -> server.configReloader().moveDiscovery(address));
   }
 
-  /** Takes a worker out of use, as an operator does. */
+  /** Disables a worker, as an operator does through the management API. */
   public void disableWorker(String worker) {
     server.loop().execute(() -> setDisabled(worker));
   }
