--- a/src/test/java/loomreel/program/harness/FaktoryDaemonSettings.java
+++ b/src/test/java/loomreel/program/harness/FaktoryDaemonSettings.java
@@ -1,8 +1,11 @@
 package loomreel.program.harness;
 
-/** Settings files of daemons that accept Faktory clients, at free ports. */
+/** Creates settings files, in CUE, of daemons that accept Faktory clients on free ports. */
 public final class FaktoryDaemonSettings {
-  /** The classes copy and issue; further classes and settings of Faktory, one a line. */
+  /**
+   * A settings file with the request classes copy and issue. The two placeholders stand for further
+   * request classes and for further settings of the Faktory server, one on each line.
+   */
   private static final String TEMPLATE =
       """
       name: "t"
@@ -18,8 +21,14 @@
 
   private FaktoryDaemonSettings() {}
 
-  /** Settings with these further classes and settings of Faktory, each a line of CUE. */
-  public static String of(String classes, String faktory) {
-    return TEMPLATE.formatted(classes.indent(1), faktory.indent(1));
+  /**
+   * Returns the text of a settings file.
+   *
+   * @param requestClasses further request classes, one CUE field on each line; may be empty
+   * @param faktorySettings further settings of the Faktory server, one CUE field on each line; may
+   *     be empty
+   */
+  public static String of(String requestClasses, String faktorySettings) {
+    return TEMPLATE.formatted(requestClasses.indent(1), faktorySettings.indent(1));
   }
 }
--- a/src/test/java/loomreel/program/harness/HotRestartRelay.java
+++ b/src/test/java/loomreel/program/harness/HotRestartRelay.java
@@ -15,35 +15,41 @@
 import loomreel.standin.BackgroundThreads;
 
 /**
- * A relay on the hot-restart link between an old process and its successor; it records messages.
+ * A relay between an old dispatcher process and its successor. It forwards the messages of a hot
+ * restart in both directions, can hold them back, and queues the forwarded messages for the test.
  */
 public final class HotRestartRelay implements AutoCloseable {
-  /** The end of the link that a message comes from. */
+  /** The process that sends a message. */
   public enum Sender {
     OLD("old "),
     NEW("new ");
 
-    private final String nameInTranscript;
+    private final String transcriptName;
 
-    Sender(String prefix) {
-      nameInTranscript = prefix + Transcript.PROGRAM;
+    Sender(String transcriptPrefix) {
+      transcriptName = transcriptPrefix + Transcript.PROGRAM;
     }
 
-    private Sender other() {
+    private Sender receiver() {
       return this == OLD ? NEW : OLD;
     }
   }
 
-  private static final CountDownLatch OPEN = new CountDownLatch(0);
+  private static final CountDownLatch OPEN_GATE = new CountDownLatch(0);
 
   private final ServerSocket listener;
   private final BlockingQueue<HttpMessage> fromOld = new LinkedBlockingQueue<>();
   private final BlockingQueue<HttpMessage> fromNew = new LinkedBlockingQueue<>();
 
-  /** Messages of a sender pass while its gate is open, that is at zero. */
+  /** The gates by sender. A sender's messages are forwarded while its gate is open (count 0). */
   private final Map<Sender, CountDownLatch> gates = new ConcurrentHashMap<>();
 
-  /** Takes the place of the old process, whose port this file holds. */
+  /**
+   * Starts a relay in front of the old process. Overwrites the port in the file with the port of
+   * the relay, so that a successor that starts later connects to the relay.
+   *
+   * @param portFile the file in which the old process has stored its hot-restart port
+   */
   public HotRestartRelay(Path portFile) throws IOException {
     release(Sender.OLD);
     release(Sender.NEW);
@@ -53,10 +59,10 @@
     Files.writeString(portFile, Integer.toString(listener.getLocalPort()));
     BackgroundThreads.start(
         () -> {
-          Socket toNew = listener.accept();
-          Socket toOld = new Socket(loopback, oldPort);
-          BackgroundThreads.start(() -> forward(toOld, toNew, Sender.OLD));
-          BackgroundThreads.start(() -> forward(toNew, toOld, Sender.NEW));
+          Socket newConnection = listener.accept();
+          Socket oldConnection = new Socket(loopback, oldPort);
+          BackgroundThreads.start(() -> forward(oldConnection, newConnection, Sender.OLD));
+          BackgroundThreads.start(() -> forward(newConnection, oldConnection, Sender.NEW));
         });
   }
 
@@ -66,41 +72,49 @@
     while (message != null) {
       gates.get(sender).await();
       HttpIo.write(to, message.head() + message.body());
-      forwarded(sender).add(message);
+      forwardedMessages(sender).add(message);
       message = HttpIo.read(from);
     }
     to.shutdownOutput();
   }
 
-  private BlockingQueue<HttpMessage> forwarded(Sender sender) {
+  private BlockingQueue<HttpMessage> forwardedMessages(Sender sender) {
     return sender == Sender.OLD ? fromOld : fromNew;
   }
 
-  /** Holds the messages that a process sends from now on, until {@link #release}. */
+  /**
+   * Holds back the messages that a process sends from now on, until {@link #release} is called for
+   * this process.
+   */
   public void hold(Sender sender) {
     gates.put(sender, new CountDownLatch(1));
   }
 
-  /** Passes on what is held, and what follows. */
+  /** Forwards the messages of a process that are held back, and all of its later messages. */
   public void release(Sender sender) {
-    gates.getOrDefault(sender, OPEN).countDown();
-    gates.put(sender, OPEN);
+    gates.getOrDefault(sender, OPEN_GATE).countDown();
+    gates.put(sender, OPEN_GATE);
   }
 
-  /** Waits for the next message of a process to be passed on. */
+  /**
+   * Waits for the next forwarded message of a process and removes it from the queue.
+   *
+   * @throws AssertionError after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public HttpMessage receive(Sender sender) throws InterruptedException {
-    HttpMessage message = forwarded(sender).poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    HttpMessage message =
+        forwardedMessages(sender).poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (message == null) {
-      throw new AssertionError("no message from the process " + sender);
+      throw new AssertionError("no message was forwarded from the process " + sender);
     }
     return message;
   }
 
-  /** Waits for the next message of a process and records it. */
+  /** Waits for the next forwarded message of a process and adds it to a transcript. */
   public void receive(Transcript transcript, Sender sender) throws InterruptedException {
     HttpMessage message = receive(sender);
     transcript.add(
-        sender.nameInTranscript, sender.other().nameInTranscript, message.head() + message.body());
+        sender.transcriptName, sender.receiver().transcriptName, message.head() + message.body());
   }
 
   @Override
--- a/src/test/java/loomreel/program/harness/HttpIo.java
+++ b/src/test/java/loomreel/program/harness/HttpIo.java
@@ -7,21 +7,24 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Plain blocking HTTP/1.1 over sockets, for stub servers and test clients. */
+/** Reads and writes HTTP/1.1 messages on blocking sockets, for stub servers and test clients. */
 public final class HttpIo {
-  /** The longest wait for anything; a test that waits this long has failed. */
+  /**
+   * The maximum time, in milliseconds, that most methods of this package wait for an event. A test
+   * in which a wait reaches this limit has failed.
+   */
   public static final int TIMEOUT_MILLIS = 30_000;
 
   private static final String END_OF_HEAD = "\r\n\r\n";
 
   private HttpIo() {}
 
-  /** The IPv4 loopback address. */
+  /** Returns the IPv4 loopback address. */
   static InetAddress loopback() throws IOException {
     return InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
   }
 
-  /** Lines of a message, each with its line break. */
+  /** Returns the concatenation of these lines, each with a line break (CR LF). */
   public static String lines(String... lines) {
     StringBuilder text = new StringBuilder();
     for (String line : lines) {
@@ -30,35 +33,48 @@
     return text.toString();
   }
 
-  /** Connects to a port of this machine; reads time out after {@link #TIMEOUT_MILLIS}. */
+  /**
+   * Opens a connection to a port on the loopback address. Reads from it time out after {@link
+   * #TIMEOUT_MILLIS}.
+   */
   public static Socket connect(int port) throws IOException {
     Socket socket = new Socket(loopback(), port);
     socket.setSoTimeout(TIMEOUT_MILLIS);
     return socket;
   }
 
-  /** Writes text to a connection, one byte a character. */
+  /** Writes text to a connection in ISO 8859-1, that is, one byte for each character. */
   public static void write(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** A request head and body; the head lacks its Content-Length and ends with a line break. */
+  /**
+   * Returns a complete request.
+   *
+   * @param head the request line and headers, which end with a line break, without Content-Length
+   *     and the empty line
+   * @param body the body, with one byte for each character
+   */
   public static String withBody(String head, String body) {
     return head + "Content-Length: " + body.length() + END_OF_HEAD + body;
   }
 
-  /** Reads the next message; null at the end of the connection. */
+  /**
+   * Reads the next message from a connection. A message without Content-Length has an empty body.
+   *
+   * @return the message, or null if the connection ends before a complete head was read
+   */
   public static HttpMessage read(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith(END_OF_HEAD)) {
-      int next = in.read();
-      if (next < 0) {
+    ByteArrayOutputStream headBytes = new ByteArrayOutputStream();
+    while (!headBytes.toString(StandardCharsets.ISO_8859_1).endsWith(END_OF_HEAD)) {
+      int nextByte = in.read();
+      if (nextByte < 0) {
         return null;
       }
-      bytes.write(next);
+      headBytes.write(nextByte);
     }
-    String head = bytes.toString(StandardCharsets.ISO_8859_1);
+    String head = headBytes.toString(StandardCharsets.ISO_8859_1);
     String startLine = head.substring(0, head.indexOf("\r\n"));
     String length = new HttpMessage(startLine, head, "", socket).header("Content-Length");
     byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
--- a/src/test/java/loomreel/program/harness/HttpMessage.java
+++ b/src/test/java/loomreel/program/harness/HttpMessage.java
@@ -5,14 +5,19 @@
 import java.util.Locale;
 
 /**
- * An HTTP request or response as it was received.
+ * An HTTP request or response that was received.
  *
  * @param startLine the request line or status line
- * @param head the bytes up to and including the empty line, the start line among them
- * @param connection where it was received, and where a request is answered
+ * @param head the start line, the headers and the empty line, as received
+ * @param body the body; empty if there was no Content-Length header
+ * @param connection the connection on which the message was received, and to which {@link #respond}
+ *     writes
  */
 public record HttpMessage(String startLine, String head, String body, Socket connection) {
-  /** The value of the first header of this name in any case, or null without one. */
+  /**
+   * Returns the value of the first header with this name, or null if there is none. Upper and lower
+   * case are not distinguished in the name.
+   */
   public String header(String name) {
     String prefix = name.toLowerCase(Locale.ROOT) + ":";
     return head.lines()
@@ -22,12 +27,16 @@
         .orElse(null);
   }
 
-  /** The status code of a response. */
+  /** Returns the status code of this response. */
   public int status() {
     return Integer.parseInt(startLine.split(" ", -1)[1]);
   }
 
-  /** Writes a response to this request; each of {@code headers} is a complete line. */
+  /**
+   * Writes a response to this request.
+   *
+   * @param headers further headers, each a line without its line break
+   */
   public void respond(int status, String body, String... headers) throws IOException {
     StringBuilder text =
         new StringBuilder("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length());
--- a/src/test/java/loomreel/program/harness/RecordedFaktoryClient.java
+++ b/src/test/java/loomreel/program/harness/RecordedFaktoryClient.java
@@ -7,13 +7,17 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A Faktory client or worker whose connection is recorded in a transcript byte for byte. */
+/** A Faktory client or worker that records all bytes of its connection in a transcript. */
 public final class RecordedFaktoryClient implements AutoCloseable {
   private final Transcript transcript;
   private final String name;
   private final Socket socket = new Socket();
 
-  /** Connects; {@code name} is the client's in the transcript. */
+  /**
+   * Connects to the server.
+   *
+   * @param name the name of this client in the transcript
+   */
   public RecordedFaktoryClient(Transcript transcript, String name, InetSocketAddress server)
       throws IOException {
     this.transcript = transcript;
@@ -22,13 +26,23 @@
     socket.setSoTimeout(HttpIo.TIMEOUT_MILLIS);
   }
 
-  /** Sends a command; the bytes of the reply. */
+  /**
+   * Sends a command and waits for the reply.
+   *
+   * @param command the command without its last line break
+   * @return the reply as {@link #receive} returns it
+   */
   public String call(String command) throws IOException {
     transcript.send(name, socket, command + "\r\n");
     return receive();
   }
 
-  /** The bytes of the next reply; empty at the end of the connection. */
+  /**
+   * Waits for the next reply and records it, or records that the connection ended.
+   *
+   * @return the bytes of the reply as ISO 8859-1, with the line breaks; empty at the end of the
+   *     connection
+   */
   public String receive() throws IOException {
     String reply = readReply();
     if (reply.isEmpty()) {
@@ -41,19 +55,19 @@
 
   private String readReply() throws IOException {
     InputStream in = socket.getInputStream();
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    for (int next = in.read(); next >= 0; next = in.read()) {
-      bytes.write(next);
-      if (next == '\n') {
+    ByteArrayOutputStream replyBytes = new ByteArrayOutputStream();
+    for (int nextByte = in.read(); nextByte >= 0; nextByte = in.read()) {
+      replyBytes.write(nextByte);
+      if (nextByte == '\n') {
         break;
       }
     }
-    String line = bytes.toString(StandardCharsets.ISO_8859_1);
+    String line = replyBytes.toString(StandardCharsets.ISO_8859_1);
     if (line.startsWith("$") && !line.startsWith("$-")) {
       int length = Integer.parseInt(line.substring(1).strip());
-      bytes.write(in.readNBytes(length + "\r\n".length()));
+      replyBytes.write(in.readNBytes(length + "\r\n".length()));
     }
-    return bytes.toString(StandardCharsets.ISO_8859_1);
+    return replyBytes.toString(StandardCharsets.ISO_8859_1);
   }
 
   @Override
--- a/src/test/java/loomreel/program/harness/Transcript.java
+++ b/src/test/java/loomreel/program/harness/Transcript.java
@@ -14,79 +14,88 @@
 import java.util.regex.Pattern;
 
 /**
- * The bytes of a complete exchange with the program, in the order in which the test sends and reads
- * them, compared with a file of {@code src/test/resources/transcripts}.
+ * The messages of an exchange with the program, byte for byte, in the order in which the test sends
+ * and reads them. {@link #check} compares them with a file in {@code
+ * src/test/resources/transcripts}.
  *
- * <p>Each message stands under a line with its sender and its receiver. A carriage return is
- * written as {@code \r} and a line feed as {@code \n} followed by a line break, so that every byte
- * shows. {@link #normalized} replaces what differs from run to run by placeholders.
+ * <p>Each message follows a line with its sender and its receiver. A carriage return is written as
+ * {@code \r} and a line feed as {@code \n} followed by a line break, so that every byte is visible.
+ * {@link #normalized} replaces values that differ from run to run by placeholders.
  *
  * <p>With {@code -Dtranscripts.record=true} the files are written instead of compared:
  *
  * <pre>mvn -q -B -o test -Dtest=*TranscriptTest -Dtranscripts.record=true</pre>
  *
- * <p>They record the program's behaviour on the wire: record them again only where it is meant to
- * change, and read the difference.
+ * <p>The files specify the behaviour of the program on the wire. Record them again only if this
+ * behaviour is meant to change, and review the difference.
  */
 public final class Transcript {
-  /** The name of the program in the transcripts. */
+  /** The name of the program as sender and receiver in a transcript. */
   public static final String PROGRAM = "loomreel";
 
   private static final Path DIRECTORY = Path.of("src", "test", "resources", "transcripts");
   private static final boolean RECORDING = Boolean.getBoolean("transcripts.record");
 
-  /** A value that differs from run to run: the pattern's second group, replaced by the name. */
-  private record Varying(Pattern pattern, String name) {
-    Varying(String pattern, String name) {
+  /**
+   * A kind of value that differs from run to run.
+   *
+   * @param pattern a pattern with three groups, of which the second matches the value
+   * @param name the name of the placeholder that replaces the value
+   */
+  private record VaryingValue(Pattern pattern, String name) {
+    VaryingValue(String pattern, String name) {
       this(Pattern.compile(pattern), name);
     }
   }
 
-  /** Values of which each gets one numbered placeholder, so that equal values stay recognizable. */
-  private static final List<Varying> NUMBERED =
+  /**
+   * Values that are replaced in all messages. Equal values get the same placeholder, which has a
+   * number, so that a reader can recognize equal values.
+   */
+  private static final List<VaryingValue> NUMBERED =
       List.of(
-          new Varying("()(127\\.0\\.0\\.1:\\d+)()", "address"),
-          new Varying("(\"jid\":\"| try )([0-9a-f]{16})()", "attempt"),
-          new Varying("(\"s\":\")([^\"]+)()", "salt"),
-          new Varying("(\"pwdhash\":\")([^\"]+)()", "hash"));
+          new VaryingValue("()(127\\.0\\.0\\.1:\\d+)()", "address"),
+          new VaryingValue("(\"jid\":\"| try )([0-9a-f]{16})()", "attempt"),
+          new VaryingValue("(\"s\":\")([^\"]+)()", "salt"),
+          new VaryingValue("(\"pwdhash\":\")([^\"]+)()", "hash"));
 
-  /** Measured values in what the program sends. */
-  private static final List<Varying> MEASURED =
+  /** Measured values, which are replaced without a number, only in messages of the program. */
+  private static final List<VaryingValue> MEASURED =
       List.of(
-          new Varying("(X-Budget-Ms: )(\\d+)()", "milliseconds"),
-          new Varying("(\"budget_ms\":)(\\d+)()", "milliseconds"),
-          new Varying("(\"reserve_for\":)(\\d+)()", "seconds"),
-          new Varying("(\"updated_at\":\")([^\"]+)()", "time"),
-          new Varying("(\"evidence\":\")([^ ]+)()", "time"),
-          new Varying("(\"server_utc_time\":\")([^\"]+)()", "time"),
-          new Varying("(\"now\":\")([^\"]+)()", "time"),
-          new Varying("(\"uptime\":)(\\d+)()", "seconds"),
-          new Varying("(\"used_memory_mb\":)(\\d+)()", "megabytes"),
-          // The length of a bulk string of JSON that has values in it whose own lengths vary.
-          new Varying("(^\\$)(\\d+)(\\r\\n\\{)", "length"));
+          new VaryingValue("(X-Budget-Ms: )(\\d+)()", "milliseconds"),
+          new VaryingValue("(\"budget_ms\":)(\\d+)()", "milliseconds"),
+          new VaryingValue("(\"reserve_for\":)(\\d+)()", "seconds"),
+          new VaryingValue("(\"updated_at\":\")([^\"]+)()", "time"),
+          new VaryingValue("(\"evidence\":\")([^ ]+)()", "time"),
+          new VaryingValue("(\"server_utc_time\":\")([^\"]+)()", "time"),
+          new VaryingValue("(\"now\":\")([^\"]+)()", "time"),
+          new VaryingValue("(\"uptime\":)(\\d+)()", "seconds"),
+          new VaryingValue("(\"used_memory_mb\":)(\\d+)()", "megabytes"),
+          // The length of a bulk string of JSON, which varies with the lengths of the values in it.
+          new VaryingValue("(^\\$)(\\d+)(\\r\\n\\{)", "length"));
 
   private final StringBuilder text = new StringBuilder();
-  private final Map<String, String> placeholders = new HashMap<>();
-  private final Map<String, Integer> counts = new HashMap<>();
+  private final Map<String, String> placeholdersByValue = new HashMap<>();
+  private final Map<String, Integer> placeholderCounts = new HashMap<>();
 
-  /** Records the bytes of a message. */
+  /** Records a message. */
   public void add(String sender, String receiver, String message) {
-    StringBuilder shown = new StringBuilder();
+    StringBuilder escaped = new StringBuilder();
     for (char c : normalized(sender, message).toCharArray()) {
       switch (c) {
-        case '\r' -> shown.append("\\r");
-        case '\n' -> shown.append("\\n\n");
-        case '\\' -> shown.append("\\\\");
-        default -> shown.append(c < ' ' || c > '~' ? String.format("\\u%04x", (int) c) : c);
+        case '\r' -> escaped.append("\\r");
+        case '\n' -> escaped.append("\\n\n");
+        case '\\' -> escaped.append("\\\\");
+        default -> escaped.append(c < ' ' || c > '~' ? String.format("\\u%04x", (int) c) : c);
       }
     }
-    text.append("--- ").append(sender).append(" -> ").append(receiver).append('\n').append(shown);
-    text.append(shown.length() == 0 || shown.charAt(shown.length() - 1) == '\n' ? "" : "\n");
+    text.append("--- ").append(sender).append(" -> ").append(receiver).append('\n').append(escaped);
+    text.append(escaped.length() == 0 || escaped.charAt(escaped.length() - 1) == '\n' ? "" : "\n");
   }
 
-  /** Records an event that is no message of the program. */
-  public void event(String what) {
-    text.append("=== ").append(what.strip()).append('\n');
+  /** Records an event that is not a message to or from the program. */
+  public void event(String description) {
+    text.append("=== ").append(description.strip()).append('\n');
   }
 
   /** Sends bytes to the program and records them as a message. */
@@ -95,7 +104,12 @@
     HttpIo.write(socket, message);
   }
 
-  /** Records a message of the program; null records the end of the connection. */
+  /**
+   * Records a message that the program sent.
+   *
+   * @param message the message, or null to record that the program closed the connection
+   * @return {@code message}
+   */
   public HttpMessage receive(String receiver, HttpMessage message) {
     if (message == null) {
       event(PROGRAM + " closes the connection of " + receiver);
@@ -105,7 +119,12 @@
     return message;
   }
 
-  /** Reads and records the next message of the program on this connection. */
+  /**
+   * Reads the next message of the program from a connection and records it, or records that the
+   * program closed the connection.
+   *
+   * @return the message, or null if the program closed the connection
+   */
   public HttpMessage receive(String receiver, Socket socket) throws IOException {
     return receive(receiver, HttpIo.read(socket));
   }
@@ -118,7 +137,12 @@
     request.respond(status, body, headers);
   }
 
-  /** Compares the transcript with the file of this name, or writes the file. */
+  /**
+   * Asserts that this transcript is equal to a file, or writes the file if {@code
+   * transcripts.record} is true.
+   *
+   * @param name the name of the file without its extension
+   */
   public void check(String name) throws IOException {
     Path file = DIRECTORY.resolve(name + ".txt");
     if (RECORDING) {
@@ -130,22 +154,22 @@
 
   private String normalized(String sender, String message) {
     String result = message;
-    for (Varying varying : NUMBERED) {
-      result = replaced(result, varying, value -> numbered(varying.name(), value));
+    for (VaryingValue varying : NUMBERED) {
+      result = replaced(result, varying, value -> numberedPlaceholder(varying.name(), value));
     }
-    for (Varying varying : sender.endsWith(PROGRAM) ? MEASURED : List.<Varying>of()) {
+    for (VaryingValue varying : sender.endsWith(PROGRAM) ? MEASURED : List.<VaryingValue>of()) {
       result = replaced(result, varying, value -> varying.name());
     }
     return result;
   }
 
-  private String numbered(String name, String value) {
-    return placeholders.computeIfAbsent(
-        value, v -> name + "-" + counts.merge(name, 1, Integer::sum));
+  private String numberedPlaceholder(String name, String value) {
+    return placeholdersByValue.computeIfAbsent(
+        value, ignored -> name + "-" + placeholderCounts.merge(name, 1, Integer::sum));
   }
 
   private static String replaced(
-      String message, Varying varying, UnaryOperator<String> placeholder) {
+      String message, VaryingValue varying, UnaryOperator<String> placeholder) {
     Matcher matcher = varying.pattern().matcher(message);
     return matcher.replaceAll(
         found ->
