--- a/src/test/java/loomreel/program/harness/ListenerSupervisor.java
+++ b/src/test/java/loomreel/program/harness/ListenerSupervisor.java
@@ -9,28 +9,33 @@
 import java.util.List;
 
 /**
- * A supervisor process that owns the clients' listening socket, as the platform does: every process
- * that it starts inherits the socket as descriptor 0, so that it outlives each of them.
+ * A supervisor process that owns the listening socket for clients, as the platform does. Each child
+ * process inherits the socket as file descriptor 0. The socket therefore stays open when a child
+ * process exits.
  *
- * <p>Each line on its standard input starts its arguments as a command and prints the pid. At the
- * end of the input it kills what it has started, and exits. Java cannot pass on a socket, hence the
- * calls of the C library.
+ * <p>The arguments of the supervisor are the command of its child children. For each line on its
+ * standard input, the supervisor starts a child process and prints the pid. At the end of the input
+ * the supervisor kills all child processes and exits. Java cannot pass a socket to a child process,
+ * so the supervisor calls functions of the C library.
  */
 final class ListenerSupervisor {
   private static final int AF_INET = 2;
   private static final int SOCK_STREAM = 1;
   private static final int BACKLOG = 64;
 
-  /** A {@code sockaddr_in}: IPv4, any port, 127.0.0.1. */
+  /**
+   * The bytes of a {@code sockaddr_in}: the IPv4 address family, port 0 (any free port), the
+   * address 127.0.0.1 and padding.
+   */
   private static final byte[] ANY_LOOPBACK_PORT = {
     AF_INET, 0, 0, 0, 127, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0
   };
 
-  /** The functions of the C library that are called. */
+  /** The functions of the C library that the supervisor calls. */
   public interface CLibrary extends Library {
     int dup(int descriptor);
 
-    int dup2(int descriptor, int as);
+    int dup2(int descriptor, int newDescriptor);
 
     int socket(int domain, int type, int protocol);
 
@@ -41,26 +46,30 @@
 
   private ListenerSupervisor() {}
 
-  /** Runs the supervisor for a command. */
+  /**
+   * Runs the supervisor.
+   *
+   * @param command the command of the child processes: the program and its arguments
+   */
   public static void main(String[] command) throws Exception {
-    CLibrary c = Native.load("c", CLibrary.class);
-    int input = c.dup(0);
-    int socket = c.socket(AF_INET, SOCK_STREAM, 0);
-    if (c.bind(socket, ANY_LOOPBACK_PORT, ANY_LOOPBACK_PORT.length) != 0
-        || c.listen(socket, BACKLOG) != 0
-        || c.dup2(socket, 0) != 0) {
+    CLibrary libc = Native.load("c", CLibrary.class);
+    int inputDescriptor = libc.dup(0);
+    int socket = libc.socket(AF_INET, SOCK_STREAM, 0);
+    if (libc.bind(socket, ANY_LOOPBACK_PORT, ANY_LOOPBACK_PORT.length) != 0
+        || libc.listen(socket, BACKLOG) != 0
+        || libc.dup2(socket, 0) != 0) {
       throw new IllegalStateException("cannot listen on descriptor 0");
     }
-    List<Process> started = new ArrayList<>();
-    try (BufferedReader lines =
-        new BufferedReader(new FileReader("/dev/fd/" + input, StandardCharsets.UTF_8))) {
-      while (lines.readLine() != null) {
+    List<Process> children = new ArrayList<>();
+    try (BufferedReader inputReader =
+        new BufferedReader(new FileReader("/dev/fd/" + inputDescriptor, StandardCharsets.UTF_8))) {
+      while (inputReader.readLine() != null) {
         Process process = new ProcessBuilder(command).inheritIO().start();
-        started.add(process);
+        children.add(process);
         System.out.println(process.pid());
       }
     }
-    for (Process process : started) {
+    for (Process process : children) {
       process.destroyForcibly().waitFor();
     }
   }
--- a/src/test/java/loomreel/program/harness/ProgramCommand.java
+++ b/src/test/java/loomreel/program/harness/ProgramCommand.java
@@ -10,9 +10,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The command lines that start the program, or a class of the tests, in a JVM of its own. */
+/**
+ * Creates the command lines, and the environment, with which tests start the program in a separate
+ * JVM, directly or with a supervisor.
+ */
 public final class ProgramCommand {
-  /** JVM flags of processes in tests, for a shorter start. */
+  /** The JVM flags that shorten the start of processes in tests. */
   static final List<String> FAST_START_FLAGS = List.of("-XX:TieredStopAtLevel=1");
 
   private static final String MAIN_CLASS = "loomreel.cli.Main";
@@ -20,46 +23,61 @@
   private ProgramCommand() {}
 
   /**
-   * The JVM flags between {@code java} and {@code -jar} in {@code run} of {@code
-   * deploy/balancer.toml}.
+   * Returns the JVM flags of the deployment. They are the words between {@code java} and {@code
+   * -jar} in the value of {@code run} in {@code deploy/balancer.toml}.
    */
   static List<String> deployedFlags() throws IOException {
-    Matcher run =
+    Matcher runLine =
         Pattern.compile("(?m)^run = \"exec java (.*?) -jar ")
             .matcher(Files.readString(Path.of("deploy", "balancer.toml")));
-    assertTrue(run.find(), "run starts java by exec");
-    return List.of(run.group(1).split(" +"));
+    assertTrue(runLine.find(), "run starts java with exec");
+    return List.of(runLine.group(1).split(" +"));
   }
 
-  /** A command of the program, with a configuration file and the address of discovery. */
-  public static ProcessBuilder of(Path configuration, String command, String discovery) {
-    return inEnvironment(configuration, discovery, program(FAST_START_FLAGS, command));
+  /**
+   * Returns a process builder for a command of the program.
+   *
+   * @param command the name of the command
+   * @param discoveryAddress the address of discovery, as host:port
+   */
+  public static ProcessBuilder of(Path configurationFile, String command, String discoveryAddress) {
+    return builderWithEnvironment(
+        configurationFile, discoveryAddress, program(FAST_START_FLAGS, command));
   }
 
-  /** {@code serve} with these JVM flags. */
-  static ProcessBuilder serve(Path configuration, String discovery, List<String> flags) {
-    return inEnvironment(configuration, discovery, program(flags, "serve"));
+  /** Returns a process builder for the command {@code serve}, with these JVM flags. */
+  static ProcessBuilder serve(Path configurationFile, String discoveryAddress, List<String> flags) {
+    return builderWithEnvironment(configurationFile, discoveryAddress, program(flags, "serve"));
   }
 
-  /** The same under a supervisor that owns the listening socket. */
-  static ProcessBuilder superviseServe(Path configuration, String discovery, List<String> flags) {
-    List<String> command = java(flags);
+  /**
+   * Returns a process builder for a {@link ListenerSupervisor}, which starts processes with the
+   * command {@code serve}. The supervisor and these processes have the same JVM flags.
+   */
+  static ProcessBuilder superviseServe(
+      Path configurationFile, String discoveryAddress, List<String> flags) {
+    List<String> command = jvmCommand(flags);
     command.add(ListenerSupervisor.class.getName());
     command.addAll(program(flags, "serve"));
-    ProcessBuilder builder = inEnvironment(configuration, discovery, command);
+    ProcessBuilder builder = builderWithEnvironment(configurationFile, discoveryAddress, command);
     builder.environment().put("BALANCER_LISTEN_FD", "0");
     return builder;
   }
 
-  /** A command of the program with these JVM flags. */
+  /**
+   * Returns the command line of the program.
+   *
+   * @param flags the JVM flags
+   * @param arguments the arguments of the program, of which the first is the name of the command
+   */
   public static List<String> program(List<String> flags, String... arguments) {
-    List<String> command = java(flags);
+    List<String> command = jvmCommand(flags);
     command.add(MAIN_CLASS);
     command.addAll(List.of(arguments));
     return command;
   }
 
-  private static List<String> java(List<String> flags) {
+  private static List<String> jvmCommand(List<String> flags) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(flags);
@@ -67,12 +85,12 @@
     return command;
   }
 
-  private static ProcessBuilder inEnvironment(
-      Path configuration, String discovery, List<String> command) {
+  private static ProcessBuilder builderWithEnvironment(
+      Path configurationFile, String discoveryAddress, List<String> command) {
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().keySet().removeIf(name -> name.startsWith("BALANCER_"));
-    builder.environment().put("BALANCER_CONFIG", configuration.toString());
-    builder.environment().put("BALANCER_DISCOVERY", discovery);
+    builder.environment().put("BALANCER_CONFIG", configurationFile.toString());
+    builder.environment().put("BALANCER_DISCOVERY", discoveryAddress);
     return builder;
   }
 }
