--- a/src/test/java/loomreel/program/harness/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -302,7 +302,7 @@
    * text. There is no timeout.
    *
    * @return the line that contains the text
-   * @throws AssertionError if the log ends before
+   * @throws AssertionError if the log ends without such a line
    */
   public String awaitLog(String text) throws IOException {
     StringBuilder skipped = new StringBuilder();
--- a/src/test/java/loomreel/program/harness/RequestClass.java
+++ b/src/test/java/loomreel/program/harness/RequestClass.java
@@ -7,8 +7,8 @@
  *
  * @param latencyObjectiveSeconds the time in seconds within which a job should be answered
  * @param deadlineSeconds the time in seconds for which a client waits, over all attempts
- * @param stretch how much the latency objective grows relative to the job's own work; 0 for the
- *     default
+ * @param stretch how much the latency objective grows for each microsecond of the job's own work; 0
+ *     to omit this setting, so that the dispatcher uses its default
  * @param priorityWeight the weight of an answer within the latency objective
  * @param deduplicationWindowSeconds the time in seconds for which workers deduplicate jobs with an
  *     idempotency key; 0 for classes without idempotency keys
--- a/src/test/java/loomreel/program/harness/TestConfiguration.java
+++ b/src/test/java/loomreel/program/harness/TestConfiguration.java
@@ -118,7 +118,7 @@
     return this;
   }
 
-  /** Sets the initial endpoint list, which is the last list that is known at the start. */
+  /** Sets the initial endpoint list, which the dispatcher has before it calls discovery. */
   TestConfiguration initialEndpoints(EndpointList endpoints) {
     root.set("known", endpoints.toTree());
     return this;
