--- a/src/test/java/loomreel/program/harness/HotRestartRelay.java
+++ b/src/test/java/loomreel/program/harness/HotRestartRelay.java
@@ -105,7 +105,7 @@
     HttpMessage message =
         forwardedMessages(sender).poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (message == null) {
-      throw new AssertionError("no message was forwarded from the process " + sender);
+      throw new AssertionError("no message from the process " + sender);
     }
     return message;
   }
--- a/src/test/java/loomreel/program/harness/StepControlledServer.java
+++ b/src/test/java/loomreel/program/harness/StepControlledServer.java
@@ -107,7 +107,7 @@
   public StepControlledServer(int workerCount, TestConfiguration configuration) throws Exception {
     super(workerCount);
     Path file = Files.createTempFile("loomreel", ".json");
-    Files.writeString(file, complete(configuration).toJson());
+    Files.writeString(file, prepareConfiguration(configuration).toJson());
     ServeConfig config = ServeConfigReader.read(Map.of("BALANCER_CONFIG", file.toString()));
     Files.delete(file);
     server = new Server(config, Optional.empty(), Optional.of(new StepRecorder()));
