--- a/src/test/java/loomreel/program/harness/DispatcherHarness.java
+++ b/src/test/java/loomreel/program/harness/DispatcherHarness.java
@@ -14,21 +14,25 @@
 
 /**
  * The environment of a dispatcher under test: a stub discovery service, stub workers with the names
- * w0, w1 and so on, and client connections. A subclass starts the dispatcher itself.
+ * w0, w1 and so on, and client connections. Each subclass starts the dispatcher in its own way.
  */
 public abstract class DispatcherHarness implements AutoCloseable {
-  /** The head of a readiness check, without the Content-Length header and the empty line. */
+  /**
+   * The request line and the Host header of a readiness check. {@link HttpIo#withBody} adds the
+   * Content-Length header and the empty line.
+   */
   public static final String READINESS_HEAD = "GET /health/ready HTTP/1.1\r\nHost: x\r\n";
 
   /**
-   * The head of a worker's status update, without the Content-Length header and the empty line.
+   * The request line and the Host header of a status update, with which a worker reports the state
+   * of a job. {@link HttpIo#withBody} adds the Content-Length header and the empty line.
    */
   public static final String STATUS_UPDATE_HEAD = "POST /_jobs/news HTTP/1.1\r\nHost: x\r\n";
 
-  /** The deadline, in milliseconds, of jobs that are submitted without an explicit deadline. */
+  /** The deadline, in milliseconds, of jobs for which a test specifies no deadline. */
   public static final int DEADLINE_MILLIS = 20_000;
 
-  /** The version of the initial endpoint list, which is part of the configuration. */
+  /** The version of the initial endpoint list, which is part of the dispatcher's configuration. */
   private static final int INITIAL_VERSION = 41;
 
   private static final AtomicInteger LAST_JOB_ID = new AtomicInteger();
@@ -53,9 +57,10 @@
   }
 
   /**
-   * Replaces the stub discovery service by a new one. The previous stub is not closed.
+   * Replaces the stub discovery service by a new stub. The previous stub is not closed.
    *
-   * @param port the port of the new stub, which a closed stub may have used; 0 for a free port
+   * @param port the port of the new stub; 0 for a free port. The port of a closed stub can be used
+   *     again.
    */
   public final void restartDiscovery(int port) throws IOException {
     discovery = new StubHttpServer(port);
@@ -82,8 +87,11 @@
   }
 
   /**
-   * Returns a copy of a configuration, completed with the address of stub discovery and the initial
-   * endpoint list. Also sets whether stub discovery confirms the dispatcher's endpoint list.
+   * Prepares the start of a dispatcher. The configuration specifies whether stub discovery confirms
+   * the initial endpoint list, and this method sets stub discovery accordingly.
+   *
+   * @return a copy of the configuration, to which the address of stub discovery and the initial
+   *     endpoint list are added
    */
   TestConfiguration prepareConfiguration(TestConfiguration configuration) {
     confirmsKnownLists = configuration.isKnownListConfirmed();
@@ -94,10 +102,10 @@
   }
 
   /**
-   * Returns an endpoint list with all stub workers.
+   * Returns an endpoint list that contains all stub workers.
    *
-   * @param health the health of w0, w1 and so on; the last value also applies to the remaining
-   *     workers
+   * @param health the health of w0, w1 and so on. If there are more workers than values, the last
+   *     value applies to the remaining workers.
    */
   public EndpointList endpointList(int version, Extent extent, Health... health) {
     EndpointList list = new EndpointList(version, extent);
@@ -145,6 +153,8 @@
    *
    * @param path the path, whose first segment is the request class
    * @param id the value of the X-Call-Id header
+   * @param deadlineMillis the deadline of the job in milliseconds, which is sent in the X-Budget-Ms
+   *     header
    * @param headers further headers, each a line with its line break; may be empty
    */
   public static String jobRequest(
@@ -163,7 +173,10 @@
         .formatted(jobId, worker, state, members);
   }
 
-  /** Returns the JSON member with the result of a completed job, with a leading comma. */
+  /**
+   * Returns the JSON member {@code result}, with a leading comma. A worker adds this member to the
+   * status update of a completed job.
+   */
   public static String result(String result) {
     return ",\"result\":\"" + result + "\"";
   }
@@ -180,7 +193,7 @@
   }
 
   /**
-   * Sends a worker's status update with the result of a completed job.
+   * Sends a worker's status update, which reports that a job is completed, on a new connection.
    *
    * @return the status code of the response
    */
@@ -200,16 +213,22 @@
     }
   }
 
-  /** Makes a readiness check on the clients' port and returns the status code of the response. */
+  /**
+   * Makes a readiness check on the port on which the dispatcher accepts clients.
+   *
+   * @return the status code of the response
+   */
   public int readinessStatus() throws IOException {
     return request(READINESS_HEAD, "").status();
   }
 
   /**
-   * Waits for the next request to a stub worker, responds with status 202 (the worker accepts the
-   * job), and reports the job as completed.
+   * Waits for the next request to a stub worker and responds with status 202, which means that the
+   * worker accepts the job. Reports the job as completed, and asserts that the dispatcher responds
+   * to the report with status 200.
    *
    * @param worker the index of the worker
+   * @param result the result of the job
    */
   public void serveNextJob(int worker, String result) throws Exception {
     HttpMessage post = workers.get(worker).nextRequest();
@@ -218,10 +237,10 @@
   }
 
   /**
-   * Submits jobs one after the other and asserts that all of them are sent to the same worker. The
-   * harness must have exactly two workers.
+   * Submits jobs one after the other, and completes each job as a stub worker. Asserts that the
+   * dispatcher sends all of these jobs to this worker. The harness must have exactly two workers.
    *
-   * @param worker the index of this worker
+   * @param worker the index of the worker that is expected to receive the jobs
    * @param jobCount the number of jobs
    */
   public void assertAllServedBy(int worker, int jobCount) throws Exception {
@@ -234,9 +253,10 @@
   }
 
   /**
-   * Waits until a stub worker has a request in its queue. There is no timeout.
+   * Waits until the queue of at least one stub worker contains a request. The request stays in the
+   * queue. There is no timeout.
    *
-   * @return the index of the worker
+   * @return the lowest index of a worker whose queue contains a request
    */
   public int awaitWorkerWithRequest() throws InterruptedException {
     while (true) {
--- a/src/test/java/loomreel/program/harness/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -17,12 +17,15 @@
 import java.util.stream.Stream;
 
 /**
- * A dispatcher that runs as a separate process, started with the command {@code serve}.
+ * A dispatcher that runs as a separate process, started with the command {@code serve}. A test can
+ * start it directly or with a supervisor, see {@link ListenerSupervisor}.
  *
- * <p>With a supervisor, several dispatcher processes can be started one after the other: {@link
- * #instances} returns them in this order, and {@link #process} returns the supervisor. An instance
- * is identified by its index in this list. Without a supervisor the list is empty, and the only
- * dispatcher has index 0 in the methods that call a management API.
+ * <p>A supervisor can start several dispatcher processes one after the other. Each of these
+ * processes is an instance. {@link #instances} returns the instances in the order of their start,
+ * and the index in that list identifies an instance. {@link #process} returns the supervisor.
+ *
+ * <p>Without a supervisor, {@link #instances} is empty and {@link #process} returns the only
+ * dispatcher. In the methods that call a management API, this dispatcher has index 0.
  */
 public final class DispatcherProcess extends DispatcherHarness {
   private static final String FIRST_LIST_MESSAGE = "first endpoint list received";
@@ -36,11 +39,11 @@
   private final BufferedReader log;
   private final int port;
 
-  /** The process that owns the listening socket for clients. */
+  /** Which process opens the socket on which the dispatcher accepts clients. */
   private enum Listener {
-    /** The dispatcher itself. */
+    /** The dispatcher opens the socket. */
     OWNED,
-    /** A supervisor, from which each dispatcher inherits the socket. */
+    /** A supervisor opens the socket, and each dispatcher inherits it. */
     SUPERVISED
   }
 
@@ -50,9 +53,10 @@
   }
 
   /**
-   * Starts a dispatcher without a supervisor and waits until it listens for clients. If stub
-   * discovery confirms the initial endpoint list, also waits until the dispatcher has logged the
-   * receipt of its first list from discovery.
+   * Starts a dispatcher without a supervisor and waits until it listens for clients. If the
+   * configuration specifies that stub discovery confirms the initial endpoint list, as it does by
+   * default, also waits until the dispatcher has logged that it received its first list from
+   * discovery.
    */
   public DispatcherProcess(int workerCount, TestConfiguration configuration) throws IOException {
     this(workerCount, configuration, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
@@ -94,8 +98,8 @@
   }
 
   /**
-   * Starts a supervisor and a dispatcher with a copy of this configuration to which the management
-   * API is added.
+   * Starts a supervisor and a dispatcher. The dispatcher gets a copy of {@code configuration} and,
+   * in addition, serves the management API.
    */
   public static DispatcherProcess supervised(int workerCount, TestConfiguration configuration)
       throws IOException {
@@ -107,8 +111,8 @@
   }
 
   /**
-   * Starts a supervisor and a dispatcher that serves the management API. Both JVMs get the flags
-   * that {@code deploy/balancer.toml} specifies.
+   * Starts a supervisor and a dispatcher that serves the management API. The JVMs of both processes
+   * get the flags that {@code deploy/balancer.toml} specifies.
    */
   public static DispatcherProcess deployed(int workerCount) throws IOException {
     return supervised(workerCount, ProgramCommand.deployedFlags());
@@ -129,21 +133,21 @@
   }
 
   /**
-   * Returns the directory in which the dispatcher stores its files. {@link #close} deletes it with
-   * these files.
+   * Returns the directory in which the dispatcher stores its files. {@link #close} deletes these
+   * files and the directory.
    */
   public Path temporaryDirectory() {
     return temporaryDirectory;
   }
 
-  /** Returns the dispatcher with this index among those that the supervisor started. */
+  /** Returns the instance with this index in {@link #instances}. */
   public ProcessHandle instance(int index) {
     return instances.get(index);
   }
 
   /**
-   * Returns an unmodifiable view of the dispatchers that the supervisor started, ordered by start;
-   * empty without a supervisor.
+   * Returns an unmodifiable view of the dispatchers that the supervisor started, ordered by their
+   * start. The list includes dispatchers that have exited. It is empty if there is no supervisor.
    */
   public List<ProcessHandle> instances() {
     return Collections.unmodifiableList(instances);
@@ -161,8 +165,9 @@
   }
 
   /**
-   * Makes the supervisor start a further dispatcher, waits until this instance has logged its first
-   * endpoint list, and asserts that its readiness check succeeds.
+   * Makes the supervisor start a further dispatcher. Waits until this dispatcher has logged that it
+   * received its first endpoint list. Then asserts that the readiness check of its management API
+   * returns status 200.
    */
   public void startSuccessor() throws IOException {
     startInstance();
@@ -231,17 +236,24 @@
   /**
    * Returns a number from the statistics of an instance's management API.
    *
-   * @param name the name of the number, or {@code name.class} for the number of a request class
+   * @param name the name of the number. For the number of a single request class: the name, a dot
+   *     and the name of the class.
    */
   public int statistic(int instance, String name) throws IOException {
     String statistics = callManagement(instance, "GET", "stats", "").body();
+    // If the name contains a dot, the part after it is a member of the object before it.
     String pattern = "\"" + name.replace(".", "\":\\{[^}]*\"") + "\":(\\d+)";
     Matcher matcher = Pattern.compile(pattern).matcher(statistics);
     assertTrue(matcher.find(), name + " in " + statistics);
     return Integer.parseInt(matcher.group(1));
   }
 
-  /** Waits until a number in the statistics of an instance is equal to {@code value}. */
+  /**
+   * Waits until a number in the statistics of an instance is equal to {@code value}.
+   *
+   * @param name the name of the number, as for {@link #statistic}
+   * @throws AssertionError after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public void awaitStatistic(int instance, String name, int value) throws Exception {
     long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
     int current = statistic(instance, name);
@@ -254,8 +266,9 @@
   }
 
   /**
-   * Replaces stub discovery by a new stub, and makes the dispatcher reload a configuration with the
-   * new address.
+   * Replaces stub discovery by a new stub at another address. Writes this address into the
+   * configuration file and calls {@link #reload}. Does not wait until the dispatcher has reloaded
+   * the file.
    *
    * @return the previous stub, which stays open
    */
@@ -267,16 +280,18 @@
   }
 
   /**
-   * Returns a copy of the configuration with which the dispatcher was started. It has the address
-   * of discovery that the last {@link #moveDiscovery} set. {@link #reload} has no effect on it.
+   * Returns a copy of the configuration with which the dispatcher was started. If {@link
+   * #moveDiscovery} was called, the copy has the latest address of stub discovery. Text that a test
+   * passes to {@link #reload} does not change what this method returns.
    */
   public TestConfiguration configuration() {
     return configuration.copy();
   }
 
   /**
-   * Replaces the text of the configuration file and sends SIGHUP, on which a dispatcher reloads the
-   * file. With a supervisor, the supervisor receives the signal instead.
+   * Replaces the text of the configuration file and sends SIGHUP to {@link #process}. A dispatcher
+   * that receives SIGHUP reloads the file. If there is a supervisor, the supervisor receives the
+   * signal instead of a dispatcher.
    */
   public void reload(String text) throws Exception {
     writeConfiguration(text);
@@ -298,11 +313,11 @@
   }
 
   /**
-   * Reads the log, from where the previous call stopped, up to the first line that contains this
-   * text. There is no timeout.
+   * Waits for a log line that contains this text. Reads the log from where the previous call
+   * stopped, so that each line is read only once. There is no timeout.
    *
    * @return the line that contains the text
-   * @throws AssertionError if the log ends without such a line
+   * @throws AssertionError if the log ends before a line contains the text
    */
   public String awaitLog(String text) throws IOException {
     StringBuilder skipped = new StringBuilder();
@@ -315,6 +330,11 @@
     throw new AssertionError("not logged: " + text + "\n" + skipped);
   }
 
+  /**
+   * Waits for a log line that contains this text, and returns the port in this line. The pattern
+   * matches the text, a space or an equals sign, and an address in the form that Java prints:
+   * {@code /127.0.0.1:PORT}.
+   */
   private int awaitLoggedPort(String text) throws IOException {
     Matcher matcher = Pattern.compile(text + "[ =]/127.0.0.1:(\\d+)").matcher(awaitLog(text));
     assertTrue(matcher.find());
