--- a/src/test/java/loomreel/program/harness/HotRestartRelay.java
+++ b/src/test/java/loomreel/program/harness/HotRestartRelay.java
@@ -15,8 +15,10 @@
 import loomreel.standin.BackgroundThreads;
 
 /**
- * A relay between an old dispatcher process and its successor. It forwards the messages of a hot
- * restart in both directions, can hold them back, and queues the forwarded messages for the test.
+ * A relay between an old dispatcher process and its successor. During a hot restart, both
+ * processes exchange messages over a connection. The relay forwards these messages in both
+ * directions, and the test can make it hold messages back. The relay also keeps a copy of each
+ * forwarded message in a queue, from which the test reads the messages.
  */
 public final class HotRestartRelay implements AutoCloseable {
   /** The process that sends a message. */
@@ -24,8 +26,15 @@
     OLD("old "),
     NEW("new ");
 
+    /** The name of the process in a {@link Transcript}, for example "old loomreel". */
     private final String transcriptName;
 
+    /**
+     * Creates a sender.
+     *
+     * @param transcriptPrefix the start of {@link #transcriptName}, with a trailing space; the name
+     *     of the program follows
+     */
     Sender(String transcriptPrefix) {
       transcriptName = transcriptPrefix + Transcript.PROGRAM;
     }
@@ -35,18 +44,20 @@
     }
   }
 
+  /** A gate that does not hold messages back, because its count is 0. */
   private static final CountDownLatch OPEN_GATE = new CountDownLatch(0);
 
   private final ServerSocket listener;
   private final BlockingQueue<HttpMessage> fromOld = new LinkedBlockingQueue<>();
   private final BlockingQueue<HttpMessage> fromNew = new LinkedBlockingQueue<>();
 
-  /** The gates by sender. A sender's messages are forwarded while its gate is open (count 0). */
+  /** The gates by sender. The messages of a sender are forwarded while its gate has count 0. */
   private final Map<Sender, CountDownLatch> gates = new ConcurrentHashMap<>();
 
   /**
-   * Starts a relay in front of the old process. Overwrites the port in the file with the port of
-   * the relay, so that a successor that starts later connects to the relay.
+   * Starts a relay. Reads the port of the old process from a file, and overwrites the file with the
+   * port of the relay. A successor that starts later therefore connects to the relay, and the relay
+   * then connects to the old process. The relay accepts only one connection.
    *
    * @param portFile the file in which the old process has stored its hot-restart port
    */
@@ -83,23 +94,28 @@
   }
 
   /**
-   * Holds back the messages that a process sends from now on, until {@link #release} is called for
-   * this process.
+   * Holds back the messages that the relay receives from a process after this call, until {@link
+   * #release} is called for the same process.
    */
   public void hold(Sender sender) {
     gates.put(sender, new CountDownLatch(1));
   }
 
-  /** Forwards the messages of a process that are held back, and all of its later messages. */
+  /**
+   * Stops holding back the messages of a process. The relay forwards the messages that it held
+   * back, and forwards later messages when it receives them. Has no effect if the messages of this
+   * process are not held back.
+   */
   public void release(Sender sender) {
     gates.getOrDefault(sender, OPEN_GATE).countDown();
     gates.put(sender, OPEN_GATE);
   }
 
   /**
-   * Waits for the next forwarded message of a process and removes it from the queue.
+   * Waits until the relay has forwarded a message of a process, and removes the first such message
+   * from the queue.
    *
-   * @throws AssertionError after {@link HttpIo#TIMEOUT_MILLIS}
+   * @throws AssertionError if no message is forwarded within {@link HttpIo#TIMEOUT_MILLIS}
    */
   public HttpMessage receive(Sender sender) throws InterruptedException {
     HttpMessage message =
@@ -110,7 +126,7 @@
     return message;
   }
 
-  /** Waits for the next forwarded message of a process and adds it to a transcript. */
+  /** Waits for a message as {@link #receive(Sender)} does, and adds it to a transcript. */
   public void receive(Transcript transcript, Sender sender) throws InterruptedException {
     HttpMessage message = receive(sender);
     transcript.add(
--- a/src/test/java/loomreel/program/harness/ListenerSupervisor.java
+++ b/src/test/java/loomreel/program/harness/ListenerSupervisor.java
@@ -9,14 +9,16 @@
 import java.util.List;
 
 /**
- * A supervisor process that owns the listening socket for clients, as the platform does. Each child
- * process inherits the socket as file descriptor 0. The socket therefore stays open when a child
- * process exits.
+ * A process that opens the listening socket for clients and starts dispatchers as its child
+ * processes. In a deployment, the platform has this role. Each child process inherits the socket as
+ * file descriptor 0, so the socket stays open when a child process exits.
  *
- * <p>The arguments of the supervisor are the command of its child children. For each line on its
- * standard input, the supervisor starts a child process and prints the pid. At the end of the input
- * the supervisor kills all child processes and exits. Java cannot pass a socket to a child process,
- * so the supervisor calls functions of the C library.
+ * <p>The arguments of the supervisor are the command line that starts a child process. For each
+ * line on its standard input, the supervisor starts a child process and prints the process id. When
+ * its standard input ends, the supervisor kills all child processes and exits.
+ *
+ * <p>Java cannot pass a socket to a child process, so the supervisor calls functions of the C
+ * library.
  */
 final class ListenerSupervisor {
   private static final int AF_INET = 2;
@@ -47,12 +49,13 @@
   private ListenerSupervisor() {}
 
   /**
-   * Runs the supervisor.
+   * Runs the supervisor until its standard input ends.
    *
-   * @param command the command of the child processes: the program and its arguments
+   * @param command the command line that starts a child process: the program and its arguments
    */
   public static void main(String[] command) throws Exception {
     CLibrary libc = Native.load("c", CLibrary.class);
+    // Descriptor 0 becomes the socket, so the standard input gets another descriptor.
     int inputDescriptor = libc.dup(0);
     int socket = libc.socket(AF_INET, SOCK_STREAM, 0);
     if (libc.bind(socket, ANY_LOOPBACK_PORT, ANY_LOOPBACK_PORT.length) != 0
--- a/src/test/java/loomreel/program/harness/StepControlledServer.java
+++ b/src/test/java/loomreel/program/harness/StepControlledServer.java
@@ -22,14 +22,16 @@
 import loomreel.server.Server;
 
 /**
- * A dispatcher that runs in the process of the test, with real sockets. A step is an event that the
- * dispatcher writes to its trace. The test can wait for a step, or plan an action for it. The
- * action runs on the event loop thread, which does nothing else until the action returns.
+ * A dispatcher that runs in the process of the test, with real sockets. A step is an event that
+ * the dispatcher writes to its trace. The test can wait for a step, or plan an action that runs
+ * when the dispatcher reaches a step. A planned action runs on the event loop thread, which does
+ * nothing else until the action returns.
  */
 public final class StepControlledServer extends DispatcherHarness {
   /**
-   * The number of requests that {@link #awaitPendingInputRead} makes. It is larger than the number
-   * of event loop iterations that can be needed to read all input that was sent before.
+   * The number of requests that {@link #awaitPendingInputRead} makes. This number is larger than
+   * the number of event loop iterations that can be needed to read all input that was sent before
+   * the call.
    */
   private static final int REQUESTS_AFTER_PENDING_INPUT = 20;
 
@@ -39,7 +41,7 @@
     void run() throws Exception;
   }
 
-  /** The steps that tests wait for, each with its event name in the trace. */
+  /** The steps that tests wait for or plan actions for, each with its event name in the trace. */
   public enum Step {
     JOB_ARRIVED("arrival"),
     JOB_CANCELLED("withdrawn"),
@@ -48,13 +50,20 @@
     ATTEMPT_ENDED("end"),
     /** The dispatcher sends a cancellation to the worker of an attempt. */
     CANCELLATION_SENT("cancel"),
+    /** The dispatcher applies a complete endpoint list. A list of changes is another event. */
     LIST_APPLIED("list"),
     WATCH_FAILED("listlost"),
     SHUTDOWN_REQUESTED("drain"),
     LOOP_STOPPED("stop"),
-    /** An idle client connection is about to be closed. Its input is still read and processed. */
+    /**
+     * The dispatcher is about to close an idle client connection. Before the close, it reads the
+     * input that has arrived, and it processes a request that has arrived completely.
+     */
     IDLE_CONNECTION_CLOSING("letgo"),
-    /** The output of a client connection is shut down. Its input is discarded from now on. */
+    /**
+     * The dispatcher shuts down its output on a client connection. From this step on, it discards
+     * the input of this connection.
+     */
     OUTPUT_SHUT("shut");
 
     private final String traceName;
@@ -65,10 +74,11 @@
   }
 
   /**
-   * A step that the dispatcher reached.
+   * A step that the dispatcher reached. There is a reached step for each event in the trace, also
+   * for events that are no {@link Step}.
    *
    * @param traceName the event name in the trace
-   * @param fields the traced fields, as alternating names and values
+   * @param fields the fields of the event, as alternating names and values
    */
   public record ReachedStep(String traceName, List<Object> fields) {
     /** Returns whether this is an occurrence of {@code step}. */
@@ -83,11 +93,12 @@
     }
   }
 
+  /** An action and the step at which it runs. */
   private record PlannedAction(Step step, StepAction action) {}
 
   private final Server server;
   private final Thread loopThread;
-  /** The steps that {@link #awaitStep} and {@link #drainSteps} have not returned or skipped yet. */
+  /** The steps that neither {@link #awaitStep} nor {@link #drainSteps} has removed yet. */
   private final BlockingQueue<ReachedStep> unreadSteps = new LinkedBlockingQueue<>();
   private final List<ReachedStep> allSteps = Collections.synchronizedList(new ArrayList<>());
   private final BlockingQueue<PlannedAction> plannedActions = new LinkedBlockingQueue<>();
@@ -101,8 +112,9 @@
   }
 
   /**
-   * Starts a dispatcher. If stub discovery confirms the initial endpoint list, also waits until the
-   * dispatcher has applied its first list.
+   * Starts a dispatcher. If the configuration specifies that stub discovery confirms the initial
+   * endpoint list, as it does by default, also waits until the dispatcher has applied its first
+   * list.
    */
   public StepControlledServer(int workerCount, TestConfiguration configuration) throws Exception {
     super(workerCount);
@@ -138,6 +150,7 @@
     }
   }
 
+  /** A trace writer that records steps and runs planned actions instead of writing a trace. */
   private final class StepRecorder extends TraceWriter {
     StepRecorder() {
       super(OutputStream.nullOutputStream());
@@ -165,9 +178,10 @@
   }
 
   /**
-   * Plans an action that runs at the next occurrence of a step, before the step takes effect.
-   * Planned actions run in the order in which they were planned. A step triggers only the first
-   * planned action that has not run yet.
+   * Plans an action that runs once, when the dispatcher reaches a step and before this step takes
+   * effect. Planned actions form a queue, and only the first action in the queue can run. While the
+   * step of the first action has not occurred, it blocks all later actions, even if their steps
+   * occur. Each occurrence of a step triggers at most one action.
    */
   public void onStep(Step step, StepAction action) {
     plannedActions.add(new PlannedAction(step, action));
@@ -196,27 +210,38 @@
     }
   }
 
-  /** Waits until an attempt is started, and returns the index of its worker. */
+  /**
+   * Waits for the next unread step {@link Step#ATTEMPT_STARTED}, as {@link #awaitStep} does.
+   *
+   * @return the index of the worker to which the attempt is sent
+   */
   public int awaitAttemptWorker() throws Exception {
     String worker = (String) awaitStep(Step.ATTEMPT_STARTED).field("worker");
     return Integer.parseInt(worker.substring(1));
   }
 
-  /** Removes all unread steps and returns them, ordered by time. */
+  /**
+   * Returns all unread steps in the order in which the dispatcher reached them. These steps are not
+   * unread any more, so that {@link #awaitStep} does not return them.
+   */
   public List<ReachedStep> drainSteps() {
     List<ReachedStep> steps = new ArrayList<>();
     unreadSteps.drainTo(steps);
     return steps;
   }
 
-  /** Returns how many times a step was reached since the start, whether read or not. */
+  /**
+   * Returns how many times the dispatcher has reached a step since it was started. Unread steps and
+   * steps that {@link #awaitStep} skipped count, too.
+   */
   public long stepCount(Step step) {
     return List.copyOf(allSteps).stream().filter(reached -> reached.is(step)).count();
   }
 
   /**
-   * Pauses the event loop between two iterations, runs an action on the calling thread, and resumes
-   * the event loop. This simulates a process that gets no CPU time.
+   * Pauses the event loop in its next iteration, runs an action on the calling thread, and resumes
+   * the event loop. The pause simulates a process that gets no CPU time. If the action throws an
+   * exception, the event loop stays paused.
    */
   public void whileLoopIsPaused(StepAction action) throws Exception {
     CountDownLatch paused = new CountDownLatch(1);
@@ -237,9 +262,10 @@
   }
 
   /**
-   * Waits until the event loop has read all bytes that were sent before. It makes readiness checks
-   * one after the other: in each iteration the loop reads one buffer of each connection, and each
-   * check is answered in a later iteration than the check before it.
+   * Waits until the event loop has read all bytes that were sent before this call. For this
+   * purpose, makes {@link #REQUESTS_AFTER_PENDING_INPUT} readiness checks one after the other. The
+   * event loop answers each check in a later iteration than the previous check, and in each
+   * iteration it reads one buffer from each connection.
    */
   public void awaitPendingInputRead() throws Exception {
     for (int i = 0; i < REQUESTS_AFTER_PENDING_INPUT; i++) {
@@ -255,19 +281,26 @@
   /**
    * Waits until the event loop has ended.
    *
-   * @return false if it still runs after {@link HttpIo#TIMEOUT_MILLIS}
+   * @return true if the event loop has ended; false if it still runs after {@link
+   *     HttpIo#TIMEOUT_MILLIS}
    */
   public boolean awaitLoopEnd() throws InterruptedException {
     loopThread.join(HttpIo.TIMEOUT_MILLIS);
     return !loopThread.isAlive();
   }
 
-  /** Makes the dispatcher use discovery at another address, as a configuration reload does. */
+  /**
+   * Makes the dispatcher use discovery at another address, as a configuration reload does. The
+   * event loop makes the change; this method does not wait for the change.
+   */
   public void moveDiscovery(InetSocketAddress address) {
     server.loop().execute(() -> server.configReloader().moveDiscovery(address));
   }
 
-  /** Disables a worker, as an operator does through the management API. */
+  /**
+   * Disables a worker, as an operator does through the management API. The event loop makes the
+   * change; this method does not wait for the change.
+   */
   public void disableWorker(String worker) {
     server.loop().execute(() -> setDisabled(worker));
   }
