--- a/src/test/java/loomreel/program/harness/RequestClass.java
+++ b/src/test/java/loomreel/program/harness/RequestClass.java
@@ -3,15 +3,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A request class in the configuration of a dispatcher.
+ * A request class in the configuration of a dispatcher. The first segment of the path, in the
+ * request that submits a job, is the name of the job's request class.
  *
- * @param latencyObjectiveSeconds the time in seconds within which a job should be answered
- * @param deadlineSeconds the time in seconds for which a client waits, over all attempts
- * @param stretch how much the latency objective grows for each microsecond of the job's own work; 0
- *     to omit this setting, so that the dispatcher uses its default
- * @param priorityWeight the weight of an answer within the latency objective
- * @param deduplicationWindowSeconds the time in seconds for which workers deduplicate jobs with an
- *     idempotency key; 0 for classes without idempotency keys
+ * @param latencyObjectiveSeconds the time, in seconds, within which a job should be answered
+ * @param deadlineSeconds the time, in seconds, for which a client waits for the answer to a job,
+ *     over all attempts
+ * @param stretch how many microseconds the latency objective grows for each microsecond of the
+ *     job's own work. If the value is 0, the configuration does not contain this setting, and the
+ *     dispatcher uses its default.
+ * @param priorityWeight the weight of an answer that is given within the latency objective
+ * @param deduplicationWindowSeconds the time, in seconds, for which workers deduplicate jobs with
+ *     an idempotency key; 0 for classes without idempotency keys
  */
 public record RequestClass(
     String name,
@@ -21,19 +24,22 @@
     double stretch,
     int priorityWeight,
     double deduplicationWindowSeconds) {
-  /** The latency objective and the deadline of the standard classes, in seconds. */
+  /**
+   * The deadline, in seconds, of the classes that {@link #copy}, {@link #issue} and {@link #hold}
+   * return. The same value is also the latency objective of these classes.
+   */
   private static final double DEADLINE_SECONDS = 20;
 
   /** Whether a job may run more than once. */
   public enum Idempotency {
     /** A job may run more than once. */
     IDEMPOTENT("free"),
-    /** A job has an idempotency key, by which workers deduplicate it. */
+    /** A job has an idempotency key. Workers deduplicate jobs that have the same key. */
     KEYED("guarded"),
     /** A job must not run more than once. */
     NON_IDEMPOTENT("single_shot");
 
-    /** The value of the setting in a configuration. */
+    /** The value of the setting {@code Repeat} in a configuration. */
     private final String settingValue;
 
     Idempotency(String settingValue) {
@@ -41,17 +47,17 @@
     }
   }
 
-  /** Returns the class of idempotent jobs, which most tests submit. */
+  /** Returns a class of idempotent jobs, with the name copy. Most tests submit these jobs. */
   public static RequestClass copy() {
     return of("copy", Idempotency.IDEMPOTENT, 5, 0);
   }
 
-  /** Returns the class of jobs that must not run more than once. */
+  /** Returns a class of jobs that must not run more than once, with the name issue. */
   public static RequestClass issue() {
     return of("issue", Idempotency.NON_IDEMPOTENT, 2, 0);
   }
 
-  /** Returns the class of jobs with an idempotency key. */
+  /** Returns a class of jobs that have an idempotency key, with the name hold. */
   public static RequestClass hold(double deduplicationWindowSeconds) {
     return of("hold", Idempotency.KEYED, 3, deduplicationWindowSeconds);
   }
--- a/src/test/java/loomreel/program/harness/StalledListener.java
+++ b/src/test/java/loomreel/program/harness/StalledListener.java
@@ -10,20 +10,25 @@
 import java.util.List;
 
 /**
- * A listener whose backlog is full. No further connection to it is established until the test calls
- * {@link #nextConnection}.
+ * A listener whose backlog is full. The backlog contains established connections that the listener
+ * has not accepted yet. While the backlog is full, no further connection is established. Each
+ * connection that {@link #nextConnection} accepts frees a place in the backlog.
  */
 public final class StalledListener implements AutoCloseable {
   /**
-   * The connect timeout, in milliseconds, after which the backlog is considered full. A connection
-   * that is not established by then waits for a place in the backlog.
+   * The connect timeout, in milliseconds, of the connections that fill the backlog. If a connection
+   * is not established within this time, the backlog is considered full.
    */
   private static final int BACKLOG_FULL_AFTER_MILLIS = 500;
 
   private final ServerSocket listener;
+  /** The connections that were opened only to fill the backlog. */
   private final List<Socket> fillers = new ArrayList<>();
 
-  /** Listens on an address whose previous listener was closed, and fills the backlog. */
+  /**
+   * Listens on an address and fills the backlog. The previous listener on this address must be
+   * closed before.
+   */
   StalledListener(InetSocketAddress address) throws IOException {
     listener = bind(address, 1);
     while (true) {
@@ -43,6 +48,7 @@
    * Returns a listener that is bound to an address. Retries while the address is in use, because
    * the previous listener may not be fully closed yet.
    *
+   * @param backlog the requested size of the queue of connections that are not accepted yet
    * @throws BindException if the address is still in use after {@link HttpIo#TIMEOUT_MILLIS}
    */
   static ServerSocket bind(InetSocketAddress address, int backlog) throws IOException {
@@ -64,11 +70,13 @@
   }
 
   /**
-   * Accepts connections, so that waiting connections can be established. Skips the connections that
-   * were opened to fill the backlog.
+   * Accepts connections until it has accepted a connection that was not opened to fill the backlog.
+   * Each accepted connection frees a place in the backlog, so that a waiting connection can be
+   * established.
    *
-   * @param timeoutMillis the maximum time, in milliseconds, to wait for each connection
-   * @return the next other connection, or null after a timeout
+   * @param timeoutMillis the maximum time, in milliseconds, to wait for the next connection. The
+   *     time starts again after each connection that was opened to fill the backlog.
+   * @return the first connection that was not opened to fill the backlog, or null after a timeout
    */
   public Socket nextConnection(int timeoutMillis) throws IOException {
     listener.setSoTimeout(timeoutMillis);
--- a/src/test/java/loomreel/program/harness/StubHttpServer.java
+++ b/src/test/java/loomreel/program/harness/StubHttpServer.java
@@ -14,15 +14,17 @@
 import loomreel.standin.BackgroundThreads;
 
 /**
- * A stub worker or stub discovery service. It queues the requests that it receives, and the test
- * responds to them. {@link #close} closes the listener, but the connections stay open.
+ * A stub worker or stub discovery service. It puts the requests that it receives into a queue. The
+ * test takes requests from this queue and responds to them. {@link #close} closes the listener, but
+ * established connections stay open.
  */
 public final class StubHttpServer implements AutoCloseable {
   private static final int BACKLOG = 50;
 
   /**
-   * Matches the call with which a dispatcher, after its start, asks discovery whether the endpoint
-   * list that it has is still current. The group is the version of this list.
+   * Matches a call to discovery that is to be answered without delay ({@code hold_ms=0}). After its
+   * start, a dispatcher asks with this call whether its endpoint list is still current. The group
+   * matches the version of this list.
    */
   private static final Pattern CONFIRMATION_CALL = Pattern.compile("[?]from=(\\d+)&hold_ms=0 ");
 
@@ -40,7 +42,7 @@
   /**
    * Starts a server on the loopback address.
    *
-   * @param port the port, which a closed server may have used before; 0 for a free port
+   * @param port the port; 0 for a free port. The port of a closed server can be used again.
    */
   public StubHttpServer(int port) throws IOException {
     listener = StalledListener.bind(new InetSocketAddress(HttpIo.loopback(), port), BACKLOG);
@@ -72,9 +74,10 @@
 
   /**
    * Sets whether this server, as stub discovery, confirms the endpoint list of a dispatcher that
-   * has just started. If enabled, the server itself responds to the call that asks whether the list
-   * is still current: it sends a list without changes. Otherwise this call is queued. All other
-   * requests are always queued.
+   * has just started. After its start, a dispatcher asks whether its endpoint list is still
+   * current. If {@code enabled} is true, the server responds to this call with a list without
+   * changes, which confirms the dispatcher's list. If {@code enabled} is false, the server queues
+   * this call for the test. All other requests are always queued.
    */
   public void confirmKnownLists(boolean enabled) {
     confirmsKnownLists = enabled;
@@ -85,15 +88,15 @@
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
-  /** Returns the address in the form of a configuration or an endpoint list: host:port. */
+  /** Returns the address as host:port, the form that configurations and endpoint lists have. */
   public String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
   /**
-   * Waits for the next request and removes it from the queue.
+   * Waits until the queue contains a request, and removes the first request from the queue.
    *
-   * @throws AssertionError after {@link HttpIo#TIMEOUT_MILLIS}
+   * @throws AssertionError if no request arrives within {@link HttpIo#TIMEOUT_MILLIS}
    */
   public HttpMessage nextRequest() throws InterruptedException {
     HttpMessage request = requests.poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -103,21 +106,24 @@
     return request;
   }
 
-  /** Returns whether a request is queued. */
+  /** Returns whether the queue contains a request. */
   public boolean hasPendingRequest() {
     return !requests.isEmpty();
   }
 
-  /** Returns whether a POST request, which is how a worker receives a job, is queued. */
+  /** Returns whether the queue contains a job, which a worker receives as a POST request. */
   public boolean hasPendingJob() {
     return requests.stream().anyMatch(request -> request.startLine().startsWith("POST"));
   }
 
   /**
-   * Waits until the dispatcher has closed a connection to this server. Each closed connection can
-   * be awaited only once, and not after a connection that was closed later.
+   * Waits until the dispatcher has closed a connection to this server. The server keeps a queue of
+   * closed connections. This method removes {@code connection} from the queue, and discards all
+   * connections that were closed before it. A test must therefore await connections in the order in
+   * which they are closed, and each connection only once.
    *
-   * @throws AssertionError if no connection is closed for {@link HttpIo#TIMEOUT_MILLIS}
+   * @throws AssertionError if {@code connection} is not in the queue and no further connection is
+   *     closed for {@link HttpIo#TIMEOUT_MILLIS}
    */
   public void awaitClosed(Socket connection) throws InterruptedException {
     Socket closed = null;
@@ -130,8 +136,10 @@
   }
 
   /**
-   * Closes the listener of this server and replaces it by one at the same address that establishes
-   * no connection until the test allows it.
+   * Closes the listener of this server and opens a {@link StalledListener} at the same address. No
+   * further connection is established until the test calls {@link StalledListener#nextConnection}.
+   *
+   * @return the new listener, which the caller closes
    */
   public StalledListener stall() throws IOException {
     InetSocketAddress address = socketAddress();
@@ -139,12 +147,15 @@
     return new StalledListener(address);
   }
 
-  /** Returns the number of connections accepted since the start or the last reset. */
+  /**
+   * Returns how many connections this server has accepted since it was started or since the last
+   * {@link #resetConnectionCount}.
+   */
   public int connectionCount() {
     return connectionCount.get();
   }
 
-  /** Sets the number of accepted connections to 0. */
+  /** Sets the value that {@link #connectionCount} returns to 0. */
   public void resetConnectionCount() {
     connectionCount.set(0);
   }
--- a/src/test/java/loomreel/program/harness/TestConfiguration.java
+++ b/src/test/java/loomreel/program/harness/TestConfiguration.java
@@ -7,19 +7,23 @@
 import loomreel.program.harness.EndpointList.Health;
 
 /**
- * The configuration file of a dispatcher under test. A new instance has the standard configuration.
- * The setters change the instance in place and return it. {@link DispatcherHarness} sets the
- * addresses of stub discovery and of the stub workers.
+ * The content of the configuration file of a dispatcher under test. A new instance has the standard
+ * configuration. Each setter changes the instance in place and returns the same instance. Before
+ * a dispatcher starts, {@link DispatcherHarness#prepareConfiguration} adds the address of stub
+ * discovery and an endpoint list with the addresses of the stub workers.
  */
 public final class TestConfiguration {
   /** How the dispatcher receives endpoint lists. */
   public enum DiscoveryMode {
-    /** The dispatcher calls the discovery service itself. */
+    /** The dispatcher calls the discovery service directly. */
     POLL("ask"),
-    /** Discovery pushes lists to an agent on the same machine. The dispatcher calls this agent. */
+    /**
+     * The discovery service pushes endpoint lists to an agent on the machine of the dispatcher, and
+     * the dispatcher calls this agent.
+     */
     PUSH("push");
 
-    /** The value of the setting in a configuration. */
+    /** The value of the setting {@code Discovery} in a configuration. */
     private final String settingValue;
 
     DiscoveryMode(String settingValue) {
@@ -27,10 +31,10 @@
     }
   }
 
-  /** How the dispatcher receives load reports. */
+  /** How the dispatcher receives the load reports of workers. */
   public enum LoadReports {
     NONE,
-    /** The dispatcher polls workers with health checks, whose responses are load reports. */
+    /** The dispatcher sends health checks to workers. The responses contain the load reports. */
     POLLED
   }
 
@@ -39,8 +43,9 @@
   private boolean isKnownListConfirmed = true;
 
   /**
-   * Creates the standard configuration: the request classes copy and issue, discovery that is
-   * polled, and no load reports.
+   * Creates the standard configuration: the request classes {@link RequestClass#copy} and {@link
+   * RequestClass#issue}, discovery mode {@link DiscoveryMode#POLL}, no load reports and no
+   * management API.
    */
   public TestConfiguration() {
     root = new ObjectMapper().createObjectNode();
@@ -84,7 +89,7 @@
         .put("AnswerSlackS", 0.016);
   }
 
-  /** Returns an independent copy. */
+  /** Returns a copy. Later changes to this instance do not change the copy, and vice versa. */
   public TestConfiguration copy() {
     return new TestConfiguration(this);
   }
@@ -118,15 +123,15 @@
     return this;
   }
 
-  /** Sets the initial endpoint list, which the dispatcher has before it calls discovery. */
+  /** Sets the initial endpoint list, which the dispatcher knows before it calls discovery. */
   TestConfiguration initialEndpoints(EndpointList endpoints) {
     root.set("known", endpoints.toTree());
     return this;
   }
 
   /**
-   * Sets the health of w0, w1 and so on in the initial endpoint list. The last value also applies
-   * to the remaining workers.
+   * Sets the health of w0, w1 and so on in the initial endpoint list. If there are more workers
+   * than values, the last value applies to the remaining workers.
    */
   public TestConfiguration knownHealth(Health... health) {
     knownHealth = List.of(health);
@@ -139,22 +144,33 @@
   }
 
   /**
-   * Lets the test respond to the first call of the dispatcher to polled discovery. By default, stub
-   * discovery responds to this call and confirms the initial endpoint list.
+   * Specifies that stub discovery does not confirm the initial endpoint list. In discovery mode
+   * {@link DiscoveryMode#POLL}, the dispatcher first asks discovery whether this list is still
+   * current. By default, stub discovery responds to this call with a confirmation. After a call of
+   * this method, the test can respond instead.
    */
   public TestConfiguration knownListUnconfirmed() {
     isKnownListConfirmed = false;
     return this;
   }
 
-  /** Returns whether discovery is polled and stub discovery confirms the initial endpoint list. */
+  /**
+   * Returns whether stub discovery confirms the initial endpoint list. This is so if the discovery
+   * mode is {@link DiscoveryMode#POLL} and {@link #knownListUnconfirmed} was not called.
+   */
   boolean isKnownListConfirmed() {
     boolean isPolled =
         settings().path("Discovery").asText().equals(DiscoveryMode.POLL.settingValue);
     return isPolled && isKnownListConfirmed;
   }
 
-  /** Replaces the whole {@code settings} object, which has the settings of a deployment. */
+  /**
+   * Replaces the JSON object {@code settings} in this configuration. All members of the previous
+   * object, such as the request classes, are lost.
+   *
+   * @param settings the new object, with the settings of a deployment. The object is not copied, so
+   *     that later setters change it.
+   */
   public TestConfiguration deploymentSettings(ObjectNode settings) {
     root.set("settings", settings);
     return this;
@@ -175,7 +191,7 @@
     return this;
   }
 
-  /** Sets how the dispatcher receives load reports. */
+  /** Sets how the dispatcher receives the load reports of workers. */
   public TestConfiguration loadReports(LoadReports reports) {
     boolean polled = reports == LoadReports.POLLED;
     policyLimits().put("Probing", polled);
@@ -183,7 +199,7 @@
     return this;
   }
 
-  /** Sets whether the dispatcher may cancel attempts at their workers. */
+  /** Sets whether the dispatcher may send the cancellation of an attempt to its worker. */
   public TestConfiguration cancellation(boolean allowed) {
     policyLimits().put("Cancelling", allowed);
     return this;
@@ -201,7 +217,7 @@
     return this;
   }
 
-  /** Sets for how long, in seconds, jobs may still be sent to a draining worker. */
+  /** Sets how long, in seconds, the dispatcher may still send jobs to a draining worker. */
   public TestConfiguration drainGraceSeconds(double seconds) {
     invariants().put("StopSendingWithinS", seconds);
     return this;
--- a/src/test/java/loomreel/program/harness/Transcript.java
+++ b/src/test/java/loomreel/program/harness/Transcript.java
@@ -14,20 +14,29 @@
 import java.util.regex.Pattern;
 
 /**
- * The messages of an exchange with the program, byte for byte, in the order in which the test sends
- * and reads them. {@link #check} compares them with a file in {@code
+ * A text that records the messages between a test and the program, in the order in which the test
+ * sends and reads them. {@link #check} compares the text with a file in {@code
  * src/test/resources/transcripts}.
  *
- * <p>Each message follows a line with its sender and its receiver. A carriage return is written as
- * {@code \r} and a line feed as {@code \n} followed by a line break, so that every byte is visible.
- * {@link #normalized} replaces values that differ from run to run by placeholders.
+ * <p>The text contains two kinds of entries:
  *
- * <p>With {@code -Dtranscripts.record=true} the files are written instead of compared:
+ * <ul>
+ *   <li>A message starts with the line {@code --- SENDER -> RECEIVER}. All bytes of the message
+ *       follow, except that values that differ from run to run are replaced by placeholders. A
+ *       carriage return is written as {@code \r}, a line feed as {@code \n} followed by a line
+ *       break, and a backslash as two backslashes. Other characters outside of printable ASCII are
+ *       written as Unicode escapes. Every byte is therefore visible.
+ *   <li>An event is a single line that starts with {@code ===}. It describes something else that
+ *       happens during the exchange, for example that a connection is closed.
+ * </ul>
+ *
+ * <p>With {@code -Dtranscripts.record=true}, {@link #check} writes the files instead of comparing
+ * them:
  *
  * <pre>mvn -q -B -o test -Dtest=*TranscriptTest -Dtranscripts.record=true</pre>
  *
- * <p>The files specify the behaviour of the program on the wire. Record them again only if this
- * behaviour is meant to change, and review the difference.
+ * <p>The files specify the behaviour of the program on the wire. Record the files again only if
+ * this behaviour is meant to change, and review how the files differ from the previous ones.
  */
 public final class Transcript {
   /** The name of the program as sender and receiver in a transcript. */
@@ -39,7 +48,8 @@
   /**
    * A kind of value that differs from run to run.
    *
-   * @param pattern a pattern with three groups, of which the second matches the value
+   * @param pattern a pattern with three groups. The second group matches the value. The first and
+   *     the third group match the text around the value, which is kept.
    * @param name the name of the placeholder that replaces the value
    */
   private record VaryingValue(Pattern pattern, String name) {
@@ -49,8 +59,8 @@
   }
 
   /**
-   * Values that are replaced in all messages. Equal values get the same placeholder, which has a
-   * number, so that a reader can recognize equal values.
+   * The values that are replaced in all messages. Each placeholder contains a number. Equal values
+   * get the same placeholder, so that a reader can recognize equal values.
    */
   private static final List<VaryingValue> NUMBERED =
       List.of(
@@ -59,7 +69,10 @@
           new VaryingValue("(\"s\":\")([^\"]+)()", "salt"),
           new VaryingValue("(\"pwdhash\":\")([^\"]+)()", "hash"));
 
-  /** Measured values, which are replaced without a number, only in messages of the program. */
+  /**
+   * The times, durations and other measured values that are replaced only in messages that the
+   * program sends. The placeholders contain no number.
+   */
   private static final List<VaryingValue> MEASURED =
       List.of(
           new VaryingValue("(X-Budget-Ms: )(\\d+)()", "milliseconds"),
@@ -71,14 +84,15 @@
           new VaryingValue("(\"now\":\")([^\"]+)()", "time"),
           new VaryingValue("(\"uptime\":)(\\d+)()", "seconds"),
           new VaryingValue("(\"used_memory_mb\":)(\\d+)()", "megabytes"),
-          // The length of a bulk string of JSON, which varies with the lengths of the values in it.
+          // The length of a bulk string that contains JSON. The values in the JSON differ in length
+          // from run to run.
           new VaryingValue("(^\\$)(\\d+)(\\r\\n\\{)", "length"));
 
   private final StringBuilder text = new StringBuilder();
   private final Map<String, String> placeholdersByValue = new HashMap<>();
   private final Map<String, Integer> placeholderCounts = new HashMap<>();
 
-  /** Records a message. */
+  /** Records a message. Values that differ from run to run are replaced by placeholders. */
   public void add(String sender, String receiver, String message) {
     StringBuilder escaped = new StringBuilder();
     for (char c : normalized(sender, message).toCharArray()) {
@@ -93,20 +107,25 @@
     text.append(escaped.length() == 0 || escaped.charAt(escaped.length() - 1) == '\n' ? "" : "\n");
   }
 
-  /** Records an event that is not a message to or from the program. */
+  /**
+   * Records an event as a single line. An event is whatever is not recorded as a message.
+   *
+   * @param description the text of the line; whitespace at both ends is removed
+   */
   public void event(String description) {
     text.append("=== ").append(description.strip()).append('\n');
   }
 
-  /** Sends bytes to the program and records them as a message. */
+  /** Records a message and sends it to the program. */
   public void send(String sender, Socket socket, String message) throws IOException {
     add(sender, PROGRAM, message);
     HttpIo.write(socket, message);
   }
 
   /**
-   * Records a message that the program sent.
+   * Records a message that the program sent, or the event that the program closed a connection.
    *
+   * @param receiver the name of the receiver in the transcript
    * @param message the message, or null to record that the program closed the connection
    * @return {@code message}
    */
@@ -120,8 +139,8 @@
   }
 
   /**
-   * Reads the next message of the program from a connection and records it, or records that the
-   * program closed the connection.
+   * Reads the next message of the program from a connection and records this message. If the
+   * program closed the connection, records that event instead.
    *
    * @return the message, or null if the program closed the connection
    */
@@ -129,7 +148,10 @@
     return receive(receiver, HttpIo.read(socket));
   }
 
-  /** Sends the response of a stub and records its status, headers and body as an event. */
+  /**
+   * Records the response of a stub and sends the response. It is recorded as an event that contains
+   * the status, the headers and the body.
+   */
   public void respond(
       String sender, HttpMessage request, int status, String body, String... headers)
       throws IOException {
@@ -138,8 +160,8 @@
   }
 
   /**
-   * Asserts that this transcript is equal to a file, or writes the file if {@code
-   * transcripts.record} is true.
+   * Asserts that the text of this transcript is equal to the content of a file. If the system
+   * property {@code transcripts.record} is true, writes the text to the file instead.
    *
    * @param name the name of the file without its extension
    */
