--- a/src/test/java/loomreel/program/harness/EndpointList.java
+++ b/src/test/java/loomreel/program/harness/EndpointList.java
@@ -6,8 +6,8 @@
 import java.io.IOException;
 
 /**
- * An endpoint list in the JSON format of discovery. The methods that add workers change the list in
- * place and return it.
+ * An endpoint list in the JSON format of discovery. {@link #with} and {@link #withAllOf} change the
+ * list in place and return the same list.
  */
 public final class EndpointList {
   /** The health of a worker. The name of the constant is the value in the JSON. */
@@ -19,16 +19,16 @@
 
   /** Whether the dispatcher removes or keeps the workers that are not in a list. */
   public enum Extent {
-    /** The list has all workers. Workers that are not in the list are removed. */
+    /** The list contains all workers. The dispatcher removes workers that are not in the list. */
     COMPLETE,
-    /** The list has the workers that changed. Workers that are not in the list are kept. */
+    /** The list contains only changed workers. The dispatcher keeps workers that are not in it. */
     CHANGES
   }
 
   private final ObjectNode json = new ObjectMapper().createObjectNode();
   private final ArrayNode workers;
 
-  /** Creates an empty list with this version. */
+  /** Creates a list without workers. */
   public EndpointList(int version, Extent extent) {
     json.put("seq", version).put("whole", extent == Extent.COMPLETE);
     workers = json.putArray("hosts");
@@ -60,12 +60,12 @@
     return this;
   }
 
-  /** Sends this list as a response, with status 200, to a request for the endpoint list. */
+  /** Responds to a call to discovery with status 200 and this list. */
   public void respondTo(HttpMessage request) throws IOException {
     request.respond(200, toJson());
   }
 
-  /** Returns the JSON of this list as a tree, which is not a copy. */
+  /** Returns the JSON of this list as a tree. The tree is not a copy: later changes affect it. */
   ObjectNode toTree() {
     return json;
   }
--- a/src/test/java/loomreel/program/harness/FaktoryDaemonSettings.java
+++ b/src/test/java/loomreel/program/harness/FaktoryDaemonSettings.java
@@ -1,10 +1,13 @@
 package loomreel.program.harness;
 
-/** Creates settings files, in CUE, of daemons that accept Faktory clients on free ports. */
+/**
+ * Creates the text of settings files for daemons that accept Faktory clients. The settings are
+ * written in the language CUE, and all ports are free ports.
+ */
 public final class FaktoryDaemonSettings {
   /**
-   * A settings file with the request classes copy and issue. The two placeholders stand for further
-   * request classes and for further settings of the Faktory server, one on each line.
+   * A settings file with the request classes copy and issue. The first placeholder is replaced by
+   * further request classes, and the second by further settings of the Faktory server.
    */
   private static final String TEMPLATE =
       """
--- a/src/test/java/loomreel/program/harness/HttpIo.java
+++ b/src/test/java/loomreel/program/harness/HttpIo.java
@@ -10,8 +10,8 @@
 /** Reads and writes HTTP/1.1 messages on blocking sockets, for stub servers and test clients. */
 public final class HttpIo {
   /**
-   * The maximum time, in milliseconds, that most methods of this package wait for an event. A test
-   * in which a wait reaches this limit has failed.
+   * The maximum time, in milliseconds, that most methods of this package wait for an event. If the
+   * event does not occur within this time, the test fails.
    */
   public static final int TIMEOUT_MILLIS = 30_000;
 
@@ -24,7 +24,7 @@
     return InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
   }
 
-  /** Returns the concatenation of these lines, each with a line break (CR LF). */
+  /** Returns a text of these lines. Each line, including the last, is followed by CR LF. */
   public static String lines(String... lines) {
     StringBuilder text = new StringBuilder();
     for (String line : lines) {
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Opens a connection to a port on the loopback address. Reads from it time out after {@link
-   * #TIMEOUT_MILLIS}.
+   * Opens a connection to a port on the loopback address. A read from the connection times out
+   * after {@link #TIMEOUT_MILLIS}.
    */
   public static Socket connect(int port) throws IOException {
     Socket socket = new Socket(loopback(), port);
@@ -43,26 +43,27 @@
     return socket;
   }
 
-  /** Writes text to a connection in ISO 8859-1, that is, one byte for each character. */
+  /** Writes text to a connection. The encoding is ISO 8859-1, which has one byte per character. */
   public static void write(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
   /**
-   * Returns a complete request.
+   * Returns the text of a complete request. This method adds the Content-Length header and the
+   * empty line between the headers and the body.
    *
-   * @param head the request line and headers, which end with a line break, without Content-Length
-   *     and the empty line
-   * @param body the body, with one byte for each character
+   * @param head the request line and the other headers, each followed by CR LF
+   * @param body the body, in which each character stands for one byte
    */
   public static String withBody(String head, String body) {
     return head + "Content-Length: " + body.length() + END_OF_HEAD + body;
   }
 
   /**
-   * Reads the next message from a connection. A message without Content-Length has an empty body.
+   * Reads the next message from a connection. A message without a Content-Length header has an
+   * empty body. If the connection ends within the body, the body is incomplete.
    *
-   * @return the message, or null if the connection ends before a complete head was read
+   * @return the message, or null if the connection ends before a complete head is read
    */
   public static HttpMessage read(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
--- a/src/test/java/loomreel/program/harness/HttpMessage.java
+++ b/src/test/java/loomreel/program/harness/HttpMessage.java
@@ -15,8 +15,8 @@
  */
 public record HttpMessage(String startLine, String head, String body, Socket connection) {
   /**
-   * Returns the value of the first header with this name, or null if there is none. Upper and lower
-   * case are not distinguished in the name.
+   * Returns the value of the first header with this name, or null if there is no header with this
+   * name. The case of the name does not matter.
    */
   public String header(String name) {
     String prefix = name.toLowerCase(Locale.ROOT) + ":";
@@ -27,15 +27,16 @@
         .orElse(null);
   }
 
-  /** Returns the status code of this response. */
+  /** Returns the status code of this message, which must be a response. */
   public int status() {
     return Integer.parseInt(startLine.split(" ", -1)[1]);
   }
 
   /**
-   * Writes a response to this request.
+   * Writes a response to this message, which must be a request.
    *
-   * @param headers further headers, each a line without its line break
+   * @param body the body, in which each character stands for one byte
+   * @param headers the headers other than Content-Length, each a line without its line break
    */
   public void respond(int status, String body, String... headers) throws IOException {
     StringBuilder text =
--- a/src/test/java/loomreel/program/harness/ListService.java
+++ b/src/test/java/loomreel/program/harness/ListService.java
@@ -8,26 +8,27 @@
 import loomreel.standin.BackgroundThreads;
 
 /**
- * A discovery service on top of a stub that only queues calls. It responds to each call with the
- * complete endpoint list of the test. If the call names the current version of the list, the
- * response is delayed until the list changes or the waiting time of the call ({@code hold_ms}) has
- * passed.
+ * A discovery service that takes calls from the queue of a {@link StubHttpServer}. It responds to
+ * each call with the complete endpoint list that the test provides. If the call contains the
+ * current version of the list, the service delays the response until the list changes or the
+ * waiting time has passed. The call specifies this waiting time, in milliseconds, as {@code
+ * hold_ms}.
  */
 public final class ListService {
   private static final Pattern WATCH_QUERY = Pattern.compile("[?]from=(\\d+)&hold_ms=(\\d+) ");
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * A call without a response yet.
+   * A call to which this service has not responded yet.
    *
-   * @param responseNanos the {@link System#nanoTime} at which the response is due if the list does
-   *     not change before
+   * @param responseNanos the value of {@link System#nanoTime} at which the response is due, unless
+   *     the list changes earlier
    */
   private record Watch(HttpMessage call, long responseNanos) {}
 
   /** Provides the endpoint list of the test. */
   public interface Lists {
-    /** Returns the complete current list, labelled with this version. */
+    /** Returns the current list of all workers, with this version as the version of the list. */
     EndpointList completeList(int version);
   }
 
@@ -37,7 +38,7 @@
   private int version;
 
   /**
-   * Starts a daemon thread that responds to calls.
+   * Creates a service, and starts a daemon thread that responds to calls.
    *
    * @param discovery the stub that receives the calls
    * @param version the version of the initial endpoint list
@@ -87,7 +88,10 @@
     }
   }
 
-  /** Increments the version, and responds to all waiting calls with the changed list. */
+  /**
+   * Increments the version of the list, and responds to all waiting calls with the current list. A
+   * test calls this method after it has changed the list.
+   */
   public synchronized void changed() {
     version++;
     watches.forEach(this::respond);
--- a/src/test/java/loomreel/program/harness/ProgramCommand.java
+++ b/src/test/java/loomreel/program/harness/ProgramCommand.java
@@ -11,11 +11,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Creates the command lines, and the environment, with which tests start the program in a separate
- * JVM, directly or with a supervisor.
+ * Creates the command lines and the environment variables with which tests start the program in a
+ * separate JVM. A test starts the program directly or with a {@link ListenerSupervisor}.
  */
 public final class ProgramCommand {
-  /** The JVM flags that shorten the start of processes in tests. */
+  /** The JVM flags that make processes start faster in tests. */
   static final List<String> FAST_START_FLAGS = List.of("-XX:TieredStopAtLevel=1");
 
   private static final String MAIN_CLASS = "loomreel.cli.Main";
@@ -23,21 +23,22 @@
   private ProgramCommand() {}
 
   /**
-   * Returns the JVM flags of the deployment. They are the words between {@code java} and {@code
-   * -jar} in the value of {@code run} in {@code deploy/balancer.toml}.
+   * Returns the JVM flags with which the program is deployed. In {@code deploy/balancer.toml}, the
+   * value of {@code run} is the command that starts the program. The flags are the words between
+   * {@code java} and {@code -jar} in this command.
    */
   static List<String> deployedFlags() throws IOException {
     Matcher runLine =
         Pattern.compile("(?m)^run = \"exec java (.*?) -jar ")
             .matcher(Files.readString(Path.of("deploy", "balancer.toml")));
-    assertTrue(runLine.find(), "run starts java with exec");
+    assertTrue(runLine.find(), "run in deploy/balancer.toml starts with exec java");
     return List.of(runLine.group(1).split(" +"));
   }
 
   /**
-   * Returns a process builder for a command of the program.
+   * Returns a process builder that runs a command of the program, with {@link #FAST_START_FLAGS}.
    *
-   * @param command the name of the command
+   * @param command the name of the command, for example serve
    * @param discoveryAddress the address of discovery, as host:port
    */
   public static ProcessBuilder of(Path configurationFile, String command, String discoveryAddress) {
@@ -45,14 +46,15 @@
         configurationFile, discoveryAddress, program(FAST_START_FLAGS, command));
   }
 
-  /** Returns a process builder for the command {@code serve}, with these JVM flags. */
+  /** Returns a process builder that runs the command {@code serve} with these JVM flags. */
   static ProcessBuilder serve(Path configurationFile, String discoveryAddress, List<String> flags) {
     return builderWithEnvironment(configurationFile, discoveryAddress, program(flags, "serve"));
   }
 
   /**
-   * Returns a process builder for a {@link ListenerSupervisor}, which starts processes with the
-   * command {@code serve}. The supervisor and these processes have the same JVM flags.
+   * Returns a process builder that runs a {@link ListenerSupervisor}. The child processes of this
+   * supervisor run the command {@code serve}. The supervisor and its child processes have the same
+   * JVM flags.
    */
   static ProcessBuilder superviseServe(
       Path configurationFile, String discoveryAddress, List<String> flags) {
@@ -65,10 +67,10 @@
   }
 
   /**
-   * Returns the command line of the program.
+   * Returns the command line that starts the program in a JVM.
    *
    * @param flags the JVM flags
-   * @param arguments the arguments of the program, of which the first is the name of the command
+   * @param arguments the name of a command of the program, followed by the command's arguments
    */
   public static List<String> program(List<String> flags, String... arguments) {
     List<String> command = jvmCommand(flags);
--- a/src/test/java/loomreel/program/harness/RecordedFaktoryClient.java
+++ b/src/test/java/loomreel/program/harness/RecordedFaktoryClient.java
@@ -7,7 +7,10 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A Faktory client or worker that records all bytes of its connection in a transcript. */
+/**
+ * A Faktory client or worker that records the commands that it sends, and the replies that it
+ * receives, in a {@link Transcript}.
+ */
 public final class RecordedFaktoryClient implements AutoCloseable {
   private final Transcript transcript;
   private final String name;
@@ -27,10 +30,10 @@
   }
 
   /**
-   * Sends a command and waits for the reply.
+   * Sends a command, waits for the reply, and records both.
    *
-   * @param command the command without its last line break
-   * @return the reply as {@link #receive} returns it
+   * @param command the command, without the line break at its end
+   * @return the reply in the form that {@link #receive} returns
    */
   public String call(String command) throws IOException {
     transcript.send(name, socket, command + "\r\n");
@@ -38,10 +41,11 @@
   }
 
   /**
-   * Waits for the next reply and records it, or records that the connection ended.
+   * Waits for the next reply and records this reply. If the connection ends before a reply arrives,
+   * records the end of the connection instead.
    *
-   * @return the bytes of the reply as ISO 8859-1, with the line breaks; empty at the end of the
-   *     connection
+   * @return the reply, with its line breaks and with one character for each byte; empty if the
+   *     connection ended
    */
   public String receive() throws IOException {
     String reply = readReply();
@@ -53,6 +57,10 @@
     return reply;
   }
 
+  /**
+   * Reads a line. If this line announces a bulk string, with a dollar sign and a length, reads the
+   * bulk string as well.
+   */
   private String readReply() throws IOException {
     InputStream in = socket.getInputStream();
     ByteArrayOutputStream replyBytes = new ByteArrayOutputStream();
