--- a/src/test/java/loomreel/program/harness/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -125,16 +125,16 @@
   }
 
   /**
-   * Returns the process that the test started. It is the supervisor, or the dispatcher if there is
-   * no supervisor.
+   * Returns the process that the test started. This process is the supervisor if there is a
+   * supervisor, and the dispatcher otherwise.
    */
   public Process process() {
     return process;
   }
 
   /**
-   * Returns the directory in which the dispatcher stores its files. {@link #close} deletes these
-   * files and the directory.
+   * Returns the directory in which the dispatcher processes store their files. {@link #close}
+   * deletes these files and the directory.
    */
   public Path temporaryDirectory() {
     return temporaryDirectory;
@@ -165,9 +165,9 @@
   }
 
   /**
-   * Makes the supervisor start a further dispatcher. Waits until this dispatcher has logged that it
-   * received its first endpoint list. Then asserts that the readiness check of its management API
-   * returns status 200.
+   * Makes the supervisor start a further dispatcher, the successor. Waits until the successor has
+   * logged that it received its first endpoint list. Then asserts that the readiness check of the
+   * successor's management API returns status 200.
    */
   public void startSuccessor() throws IOException {
     startInstance();
@@ -176,7 +176,11 @@
     assertEquals(200, callManagement(instances.size() - 1, "GET", "readiness", "").status());
   }
 
-  /** Waits until the readiness check of an instance's management API returns status 200. */
+  /**
+   * Waits until the readiness check of an instance's management API returns status 200.
+   *
+   * @throws AssertionError after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public void awaitReadiness(int instance) throws IOException {
     long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HttpIo.TIMEOUT_MILLIS);
     while (callManagement(instance, "GET", "readiness", "").status() != 200) {
@@ -223,7 +227,12 @@
     return callManagement(instance, "POST", "copy-workers/up", worker).status();
   }
 
-  /** Starts a client drain through an instance's management API, and returns the status code. */
+  /**
+   * Starts a client drain through an instance's management API. During a client drain, the
+   * dispatcher closes the connections of clients, but not those of workers.
+   *
+   * @return the status code of the response
+   */
   public int startClientDrain(int instance) throws IOException {
     return callManagement(instance, "POST", "drain/start", "").status();
   }
@@ -241,7 +250,8 @@
    */
   public int statistic(int instance, String name) throws IOException {
     String statistics = callManagement(instance, "GET", "stats", "").body();
-    // If the name contains a dot, the part after it is a member of the object before it.
+    // If the name contains a dot, the part before the dot is the name of a JSON object, and the
+    // part after the dot is the name of a member of this object.
     String pattern = "\"" + name.replace(".", "\":\\{[^}]*\"") + "\":(\\d+)";
     Matcher matcher = Pattern.compile(pattern).matcher(statistics);
     assertTrue(matcher.find(), name + " in " + statistics);
--- a/src/test/java/loomreel/program/harness/EndpointList.java
+++ b/src/test/java/loomreel/program/harness/EndpointList.java
@@ -65,7 +65,10 @@
     request.respond(200, toJson());
   }
 
-  /** Returns the JSON of this list as a tree. The tree is not a copy: later changes affect it. */
+  /**
+   * Returns the JSON of this list as a tree. The tree is not a copy, so that later changes to this
+   * list also change the tree.
+   */
   ObjectNode toTree() {
     return json;
   }
--- a/src/test/java/loomreel/program/harness/FaktoryDaemonSettings.java
+++ b/src/test/java/loomreel/program/harness/FaktoryDaemonSettings.java
@@ -2,7 +2,8 @@
 
 /**
  * Creates the text of settings files for daemons that accept Faktory clients. The settings are
- * written in the language CUE, and all ports are free ports.
+ * written in the language CUE. Every port in the settings is 0, so that a daemon listens on free
+ * ports.
  */
 public final class FaktoryDaemonSettings {
   /**
--- a/src/test/java/loomreel/program/harness/ListService.java
+++ b/src/test/java/loomreel/program/harness/ListService.java
@@ -84,7 +84,7 @@
     try {
       lists.completeList(version).respondTo(watch.call);
     } catch (IOException e) {
-      // The dispatcher has exited.
+      // The dispatcher has exited, so it needs no response.
     }
   }
 
--- a/src/test/java/loomreel/program/harness/StepControlledServer.java
+++ b/src/test/java/loomreel/program/harness/StepControlledServer.java
@@ -52,6 +52,7 @@
     CANCELLATION_SENT("cancel"),
     /** The dispatcher applies a complete endpoint list. A list of changes is another event. */
     LIST_APPLIED("list"),
+    /** A call for the endpoint list has failed. The last list stays valid. */
     WATCH_FAILED("listlost"),
     SHUTDOWN_REQUESTED("drain"),
     LOOP_STOPPED("stop"),
@@ -75,7 +76,7 @@
 
   /**
    * A step that the dispatcher reached. There is a reached step for each event in the trace, also
-   * for events that are no {@link Step}.
+   * for events that {@link Step} does not contain.
    *
    * @param traceName the event name in the trace
    * @param fields the fields of the event, as alternating names and values
@@ -102,7 +103,7 @@
   private final BlockingQueue<ReachedStep> unreadSteps = new LinkedBlockingQueue<>();
   private final List<ReachedStep> allSteps = Collections.synchronizedList(new ArrayList<>());
   private final BlockingQueue<PlannedAction> plannedActions = new LinkedBlockingQueue<>();
-  /** Errors of the event loop thread and of planned actions, which {@link #awaitStep} reports. */
+  /** Errors of the event loop thread and of planned actions. {@link #awaitStep} reports them. */
   private final BlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
   private final int port;
 
@@ -190,8 +191,8 @@
   /**
    * Waits for the next unread occurrence of a step, and skips the unread steps before it.
    *
-   * @throws AssertionError if the event loop or a planned action has failed, or after {@link
-   *     HttpIo#TIMEOUT_MILLIS}
+   * @throws AssertionError if the event loop or a planned action has failed, or if the step does
+   *     not occur within {@link HttpIo#TIMEOUT_MILLIS}
    */
   public ReachedStep awaitStep(Step step) throws Exception {
     long deadlineNanos = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
--- a/src/test/java/loomreel/program/harness/StubHttpServer.java
+++ b/src/test/java/loomreel/program/harness/StubHttpServer.java
@@ -120,7 +120,8 @@
    * Waits until the dispatcher has closed a connection to this server. The server keeps a queue of
    * closed connections. This method removes {@code connection} from the queue, and discards all
    * connections that were closed before it. A test must therefore await connections in the order in
-   * which they are closed, and each connection only once.
+   * which they are closed, and each connection only once. A connection that ends with an I/O error
+   * is not added to the queue.
    *
    * @throws AssertionError if {@code connection} is not in the queue and no further connection is
    *     closed for {@link HttpIo#TIMEOUT_MILLIS}
--- a/src/test/java/loomreel/program/harness/TestConfiguration.java
+++ b/src/test/java/loomreel/program/harness/TestConfiguration.java
@@ -34,7 +34,7 @@
   /** How the dispatcher receives the load reports of workers. */
   public enum LoadReports {
     NONE,
-    /** The dispatcher sends health checks to workers. The responses contain the load reports. */
+    /** The dispatcher sends health checks to workers. The responses are the load reports. */
     POLLED
   }
 
@@ -145,9 +145,9 @@
 
   /**
    * Specifies that stub discovery does not confirm the initial endpoint list. In discovery mode
-   * {@link DiscoveryMode#POLL}, the dispatcher first asks discovery whether this list is still
-   * current. By default, stub discovery responds to this call with a confirmation. After a call of
-   * this method, the test can respond instead.
+   * {@link DiscoveryMode#POLL}, the dispatcher first calls discovery to ask whether this list is
+   * still current. By default, stub discovery responds that the list is current. If the test has
+   * called this method, stub discovery queues the dispatcher's call, and the test can respond.
    */
   public TestConfiguration knownListUnconfirmed() {
     isKnownListConfirmed = false;
@@ -155,8 +155,9 @@
   }
 
   /**
-   * Returns whether stub discovery confirms the initial endpoint list. This is so if the discovery
-   * mode is {@link DiscoveryMode#POLL} and {@link #knownListUnconfirmed} was not called.
+   * Returns whether stub discovery confirms the initial endpoint list. Stub discovery confirms the
+   * list if the discovery mode is {@link DiscoveryMode#POLL} and {@link #knownListUnconfirmed} was
+   * not called.
    */
   boolean isKnownListConfirmed() {
     boolean isPolled =
--- a/src/test/java/loomreel/program/harness/Transcript.java
+++ b/src/test/java/loomreel/program/harness/Transcript.java
@@ -26,8 +26,8 @@
  *       carriage return is written as {@code \r}, a line feed as {@code \n} followed by a line
  *       break, and a backslash as two backslashes. Other characters outside of printable ASCII are
  *       written as Unicode escapes. Every byte is therefore visible.
- *   <li>An event is a single line that starts with {@code ===}. It describes something else that
- *       happens during the exchange, for example that a connection is closed.
+ *   <li>An event is a line that starts with {@code ===}. Events describe what is not recorded as a
+ *       message, for example a closed connection, a signal or the response of a stub.
  * </ul>
  *
  * <p>With {@code -Dtranscripts.record=true}, {@link #check} writes the files instead of comparing
@@ -49,7 +49,7 @@
    * A kind of value that differs from run to run.
    *
    * @param pattern a pattern with three groups. The second group matches the value. The first and
-   *     the third group match the text around the value, which is kept.
+   *     the third group match the text before and after the value. Only the value is replaced.
    * @param name the name of the placeholder that replaces the value
    */
   private record VaryingValue(Pattern pattern, String name) {
@@ -108,9 +108,9 @@
   }
 
   /**
-   * Records an event as a single line. An event is whatever is not recorded as a message.
+   * Records something that is not recorded as a message, for example a signal.
    *
-   * @param description the text of the line; whitespace at both ends is removed
+   * @param description the text of the event; whitespace at both ends is removed
    */
   public void event(String description) {
     text.append("=== ").append(description.strip()).append('\n');
