--- a/src/test/java/loomreel/program/harness/DispatcherHarness.java
+++ b/src/test/java/loomreel/program/harness/DispatcherHarness.java
@@ -38,7 +38,7 @@
   private static final AtomicInteger LAST_JOB_ID = new AtomicInteger();
 
   private StubHttpServer discovery = new StubHttpServer();
-  private boolean confirmsKnownLists;
+  private boolean confirmsInitialLists;
   private final List<StubHttpServer> workers = new ArrayList<>();
 
   /** Starts the stub discovery service and {@code workerCount} stub workers. */
@@ -64,7 +64,7 @@
    */
   public final void restartDiscovery(int port) throws IOException {
     discovery = new StubHttpServer(port);
-    discovery.confirmKnownLists(confirmsKnownLists);
+    discovery.confirmInitialLists(confirmsInitialLists);
   }
 
   /** Returns the stub worker with this index; the worker's name is w followed by the index. */
@@ -88,14 +88,15 @@
 
   /**
    * Prepares the start of a dispatcher. The configuration specifies whether stub discovery confirms
-   * the initial endpoint list, and this method sets stub discovery accordingly.
+   * the initial endpoint list, see {@link TestConfiguration#isInitialListConfirmed}. This method
+   * sets stub discovery accordingly.
    *
    * @return a copy of the configuration, to which the address of stub discovery and the initial
    *     endpoint list are added
    */
   TestConfiguration prepareConfiguration(TestConfiguration configuration) {
-    confirmsKnownLists = configuration.isKnownListConfirmed();
-    discovery.confirmKnownLists(confirmsKnownLists);
+    confirmsInitialLists = configuration.isInitialListConfirmed();
+    discovery.confirmInitialLists(confirmsInitialLists);
     EndpointList initialList =
         endpointList(INITIAL_VERSION, Extent.COMPLETE, configuration.knownHealth());
     return configuration.copy().discoveryAddress(discovery.address()).initialEndpoints(initialList);
@@ -204,7 +205,8 @@
   /**
    * Sends a request on a new connection and reads the response.
    *
-   * @param head the request line and headers, without Content-Length and the empty line
+   * @param head the request line and the headers, each followed by CR LF. The head contains neither
+   *     the Content-Length header nor the empty line after the headers; this method adds both.
    */
   public HttpMessage request(String head, String body) throws IOException {
     try (Socket connection = connect()) {
--- a/src/test/java/loomreel/program/harness/DispatcherProcess.java
+++ b/src/test/java/loomreel/program/harness/DispatcherProcess.java
@@ -53,10 +53,13 @@
   }
 
   /**
-   * Starts a dispatcher without a supervisor and waits until it listens for clients. If the
-   * configuration specifies that stub discovery confirms the initial endpoint list, as it does by
-   * default, also waits until the dispatcher has logged that it received its first list from
-   * discovery.
+   * Starts a dispatcher without a supervisor and waits until the dispatcher listens for clients.
+   *
+   * <p>The configuration of the dispatcher contains an initial endpoint list. By default, stub
+   * discovery confirms this list: it responds to the dispatcher's first call that the list is still
+   * current. In this case, the constructor also waits until the dispatcher has logged that it
+   * received this response. {@link TestConfiguration#isInitialListConfirmed} specifies when stub
+   * discovery confirms the list.
    */
   public DispatcherProcess(int workerCount, TestConfiguration configuration) throws IOException {
     this(workerCount, configuration, Listener.OWNED, ProgramCommand.FAST_START_FLAGS);
@@ -82,7 +85,7 @@
     if (configuration.hasManagementApi()) {
       managementPorts.add(awaitLoggedPort("admin server listening address"));
     }
-    if (configuration.isKnownListConfirmed()) {
+    if (configuration.isInitialListConfirmed()) {
       awaitLog(FIRST_LIST_MESSAGE);
     }
   }
--- a/src/test/java/loomreel/program/harness/HttpIo.java
+++ b/src/test/java/loomreel/program/harness/HttpIo.java
@@ -52,7 +52,8 @@
    * Returns the text of a complete request. This method adds the Content-Length header and the
    * empty line between the headers and the body.
    *
-   * @param head the request line and the other headers, each followed by CR LF
+   * @param head the request line and the other headers, each followed by CR LF, without the empty
+   *     line
    * @param body the body, in which each character stands for one byte
    */
   public static String withBody(String head, String body) {
@@ -63,7 +64,8 @@
    * Reads the next message from a connection. A message without a Content-Length header has an
    * empty body. If the connection ends within the body, the body is incomplete.
    *
-   * @return the message, or null if the connection ends before a complete head is read
+   * @return the message, or null if the connection ends before the empty line after the headers is
+   *     read completely
    */
   public static HttpMessage read(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
--- a/src/test/java/loomreel/program/harness/HttpMessage.java
+++ b/src/test/java/loomreel/program/harness/HttpMessage.java
@@ -8,7 +8,7 @@
  * An HTTP request or response that was received.
  *
  * @param startLine the request line or status line
- * @param head the start line, the headers and the empty line, as received
+ * @param head the start line, the headers and the empty line after the headers, as received
  * @param body the body; empty if there was no Content-Length header
  * @param connection the connection on which the message was received, and to which {@link #respond}
  *     writes
--- a/src/test/java/loomreel/program/harness/RequestClass.java
+++ b/src/test/java/loomreel/program/harness/RequestClass.java
@@ -9,10 +9,13 @@
  * @param latencyObjectiveSeconds the time, in seconds, within which a job should be answered
  * @param deadlineSeconds the time, in seconds, for which a client waits for the answer to a job,
  *     over all attempts
- * @param stretch how many microseconds the latency objective grows for each microsecond of the
- *     job's own work. If the value is 0, the configuration does not contain this setting, and the
- *     dispatcher uses its default.
- * @param priorityWeight the weight of an answer that is given within the latency objective
+ * @param stretch how many microseconds the latency objective grows for each microsecond that a
+ *     worker is expected to take to run the job. If the value is 0, the configuration does not
+ *     contain this setting, and the dispatcher uses its default.
+ * @param priorityWeight the weight of a job of this class in the order of the dispatcher's queue,
+ *     as long as the job can be answered within the latency objective. The dispatcher divides the
+ *     weight by the expected run time of the job, and tries to send the job with the highest
+ *     quotient first.
  * @param deduplicationWindowSeconds the time, in seconds, for which workers deduplicate jobs with
  *     an idempotency key; 0 for classes without idempotency keys
  */
--- a/src/test/java/loomreel/program/harness/StepControlledServer.java
+++ b/src/test/java/loomreel/program/harness/StepControlledServer.java
@@ -29,9 +29,10 @@
  */
 public final class StepControlledServer extends DispatcherHarness {
   /**
-   * The number of requests that {@link #awaitPendingInputRead} makes. This number is larger than
-   * the number of event loop iterations that can be needed to read all input that was sent before
-   * the call.
+   * The number of readiness checks that {@link #awaitPendingInputRead} makes, one after the other,
+   * to wait until the event loop has read all input that was sent before. Each check takes at least
+   * one iteration of the event loop. The number of checks is larger than the number of iterations
+   * that can be needed to read this input.
    */
   private static final int REQUESTS_AFTER_PENDING_INPUT = 20;
 
@@ -52,13 +53,21 @@
     CANCELLATION_SENT("cancel"),
     /** The dispatcher applies a complete endpoint list. A list of changes is another event. */
     LIST_APPLIED("list"),
-    /** A call for the endpoint list has failed. The last list stays valid. */
+    /**
+     * A call for the endpoint list has failed, and the dispatcher classifies the failure as:
+     * discovery is down or overloaded ({@code WatchTimeouts.Failure.UNAVAILABLE}). The last list
+     * stays valid. After other failures, for example an invalid list or a call without response,
+     * this step does not occur. In discovery mode {@link TestConfiguration.DiscoveryMode#PUSH}, it
+     * never occurs.
+     */
     WATCH_FAILED("listlost"),
     SHUTDOWN_REQUESTED("drain"),
     LOOP_STOPPED("stop"),
     /**
-     * The dispatcher is about to close an idle client connection. Before the close, it reads the
-     * input that has arrived, and it processes a request that has arrived completely.
+     * The dispatcher intends to close an idle client connection. First, it reads the input that has
+     * arrived on this connection. If a job has arrived completely, the dispatcher processes the job
+     * and does not close the connection at this point. If only a part of a request has arrived, the
+     * dispatcher may also keep the connection open.
      */
     IDLE_CONNECTION_CLOSING("letgo"),
     /**
@@ -113,9 +122,11 @@
   }
 
   /**
-   * Starts a dispatcher. If the configuration specifies that stub discovery confirms the initial
-   * endpoint list, as it does by default, also waits until the dispatcher has applied its first
-   * list.
+   * Starts a dispatcher. The configuration of the dispatcher contains an initial endpoint list. By
+   * default, stub discovery confirms this list: it responds to the dispatcher's first call that the
+   * list is still current. In this case, the constructor also waits until the dispatcher has
+   * applied the list. {@link TestConfiguration#isInitialListConfirmed} specifies when stub
+   * discovery confirms the list.
    */
   public StepControlledServer(int workerCount, TestConfiguration configuration) throws Exception {
     super(workerCount);
@@ -128,7 +139,7 @@
     loopThread = new Thread(this::runLoop, "step-controlled server");
     loopThread.setDaemon(true);
     loopThread.start();
-    if (configuration.isKnownListConfirmed()) {
+    if (configuration.isInitialListConfirmed()) {
       awaitFirstList();
     }
   }
--- a/src/test/java/loomreel/program/harness/StubHttpServer.java
+++ b/src/test/java/loomreel/program/harness/StubHttpServer.java
@@ -23,8 +23,8 @@
 
   /**
    * Matches a call to discovery that is to be answered without delay ({@code hold_ms=0}). After its
-   * start, a dispatcher asks with this call whether its endpoint list is still current. The group
-   * matches the version of this list.
+   * start, a dispatcher asks with this call whether its initial endpoint list is still current. The
+   * group matches the version of this list.
    */
   private static final Pattern CONFIRMATION_CALL = Pattern.compile("[?]from=(\\d+)&hold_ms=0 ");
 
@@ -32,7 +32,7 @@
   private final BlockingQueue<HttpMessage> requests = new LinkedBlockingQueue<>();
   private final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
   private final AtomicInteger connectionCount = new AtomicInteger();
-  private volatile boolean confirmsKnownLists;
+  private volatile boolean confirmsInitialLists;
 
   /** Starts a server on a free port. */
   public StubHttpServer() throws IOException {
@@ -61,7 +61,7 @@
     HttpMessage request = HttpIo.read(connection);
     while (request != null) {
       Matcher confirmationCall = CONFIRMATION_CALL.matcher(request.startLine());
-      if (confirmsKnownLists && confirmationCall.find()) {
+      if (confirmsInitialLists && confirmationCall.find()) {
         new EndpointList(Integer.parseInt(confirmationCall.group(1)), Extent.CHANGES)
             .respondTo(request);
       } else {
@@ -73,14 +73,14 @@
   }
 
   /**
-   * Sets whether this server, as stub discovery, confirms the endpoint list of a dispatcher that
-   * has just started. After its start, a dispatcher asks whether its endpoint list is still
-   * current. If {@code enabled} is true, the server responds to this call with a list without
-   * changes, which confirms the dispatcher's list. If {@code enabled} is false, the server queues
-   * this call for the test. All other requests are always queued.
+   * Sets whether this server, as stub discovery, confirms initial endpoint lists. The initial
+   * endpoint list is part of a dispatcher's configuration. After its start, the dispatcher asks
+   * discovery whether this list is still current. If {@code enabled} is true, the server responds
+   * to this call with a list without changes, which confirms the initial list. If {@code enabled}
+   * is false, the server queues this call for the test. All other requests are always queued.
    */
-  public void confirmKnownLists(boolean enabled) {
-    confirmsKnownLists = enabled;
+  public void confirmInitialLists(boolean enabled) {
+    confirmsInitialLists = enabled;
   }
 
   /** Returns the address on which this server listens. */
--- a/src/test/java/loomreel/program/harness/TestConfiguration.java
+++ b/src/test/java/loomreel/program/harness/TestConfiguration.java
@@ -8,9 +8,11 @@
 
 /**
  * The content of the configuration file of a dispatcher under test. A new instance has the standard
- * configuration. Each setter changes the instance in place and returns the same instance. Before
- * a dispatcher starts, {@link DispatcherHarness#prepareConfiguration} adds the address of stub
- * discovery and an endpoint list with the addresses of the stub workers.
+ * configuration. Each setter changes the instance in place and returns the same instance.
+ *
+ * <p>Before a dispatcher starts, {@link DispatcherHarness#prepareConfiguration} copies the instance
+ * of the test. It adds the address of stub discovery and an endpoint list with the addresses of the
+ * stub workers to this copy. The instance of the test does not change.
  */
 public final class TestConfiguration {
   /** How the dispatcher receives endpoint lists. */
@@ -18,8 +20,8 @@
     /** The dispatcher calls the discovery service directly. */
     POLL("ask"),
     /**
-     * The discovery service pushes endpoint lists to an agent on the machine of the dispatcher, and
-     * the dispatcher calls this agent.
+     * The dispatcher calls an agent on its own machine, and the agent responds with endpoint lists.
+     * The discovery service pushes the lists to the agent, not to the dispatcher.
      */
     PUSH("push");
 
@@ -40,7 +42,7 @@
 
   private final ObjectNode root;
   private List<Health> knownHealth = List.of(Health.SERVING);
-  private boolean isKnownListConfirmed = true;
+  private boolean isInitialListConfirmed = true;
 
   /**
    * Creates the standard configuration: the request classes {@link RequestClass#copy} and {@link
@@ -64,7 +66,7 @@
   private TestConfiguration(TestConfiguration original) {
     root = original.root.deepCopy();
     knownHealth = original.knownHealth;
-    isKnownListConfirmed = original.isKnownListConfirmed;
+    isInitialListConfirmed = original.isInitialListConfirmed;
   }
 
   private static void putPolicyLimits(ObjectNode limits) {
@@ -123,15 +125,19 @@
     return this;
   }
 
-  /** Sets the initial endpoint list, which the dispatcher knows before it calls discovery. */
+  /**
+   * Sets the initial endpoint list. This list is part of the configuration, so that the dispatcher
+   * has the list before it calls discovery.
+   */
   TestConfiguration initialEndpoints(EndpointList endpoints) {
     root.set("known", endpoints.toTree());
     return this;
   }
 
   /**
-   * Sets the health of w0, w1 and so on in the initial endpoint list. If there are more workers
-   * than values, the last value applies to the remaining workers.
+   * Sets the health of w0, w1 and so on in the initial endpoint list, which is part of the
+   * configuration. If there are more workers than values, the last value applies to the remaining
+   * workers.
    */
   public TestConfiguration knownHealth(Health... health) {
     knownHealth = List.of(health);
@@ -144,25 +150,26 @@
   }
 
   /**
-   * Specifies that stub discovery does not confirm the initial endpoint list. In discovery mode
-   * {@link DiscoveryMode#POLL}, the dispatcher first calls discovery to ask whether this list is
-   * still current. By default, stub discovery responds that the list is current. If the test has
-   * called this method, stub discovery queues the dispatcher's call, and the test can respond.
+   * Specifies that stub discovery does not confirm the initial endpoint list, which is part of the
+   * configuration. In discovery mode {@link DiscoveryMode#POLL}, the dispatcher first calls
+   * discovery to ask whether this list is still current. By default, stub discovery confirms the
+   * list: it responds that the list is current. If the test has called this method, stub discovery
+   * queues the dispatcher's call, and the test can respond.
    */
   public TestConfiguration knownListUnconfirmed() {
-    isKnownListConfirmed = false;
+    isInitialListConfirmed = false;
     return this;
   }
 
   /**
-   * Returns whether stub discovery confirms the initial endpoint list. Stub discovery confirms the
-   * list if the discovery mode is {@link DiscoveryMode#POLL} and {@link #knownListUnconfirmed} was
-   * not called.
+   * Returns whether stub discovery confirms the initial endpoint list, that is, responds to the
+   * dispatcher's first call that the list is still current. Stub discovery confirms the list if the
+   * discovery mode is {@link DiscoveryMode#POLL} and {@link #knownListUnconfirmed} was not called.
    */
-  boolean isKnownListConfirmed() {
+  boolean isInitialListConfirmed() {
     boolean isPolled =
         settings().path("Discovery").asText().equals(DiscoveryMode.POLL.settingValue);
-    return isPolled && isKnownListConfirmed;
+    return isPolled && isInitialListConfirmed;
   }
 
   /**
@@ -212,7 +219,11 @@
     return this;
   }
 
-  /** Sets the time, in seconds, after which workers close idle connections. */
+  /**
+   * Tells the dispatcher after how many seconds workers close idle connections. The dispatcher
+   * closes its idle connections to workers earlier, because a job that is sent while the worker
+   * closes the connection can be lost. This setting does not change the stub workers.
+   */
   public TestConfiguration idleConnectionSeconds(double seconds) {
     policyLimits().put("ConnIdleS", seconds);
     return this;
--- a/src/test/java/loomreel/program/harness/Transcript.java
+++ b/src/test/java/loomreel/program/harness/Transcript.java
@@ -21,11 +21,14 @@
  * <p>The text contains two kinds of entries:
  *
  * <ul>
- *   <li>A message starts with the line {@code --- SENDER -> RECEIVER}. All bytes of the message
- *       follow, except that values that differ from run to run are replaced by placeholders. A
+ *   <li>A message starts with the line {@code --- SENDER -> RECEIVER}. The text of the message
+ *       follows, except that values that differ from run to run are replaced by placeholders. A
  *       carriage return is written as {@code \r}, a line feed as {@code \n} followed by a line
  *       break, and a backslash as two backslashes. Other characters outside of printable ASCII are
- *       written as Unicode escapes. Every byte is therefore visible.
+ *       written as Unicode escapes. Every character is therefore visible. {@link HttpIo#read}
+ *       decodes bodies as UTF-8, so that a non-ASCII character in a body appears as one escape, not
+ *       as one escape for each byte. A character outside the Basic Multilingual Plane appears as
+ *       two escapes.
  *   <li>An event is a line that starts with {@code ===}. Events describe what is not recorded as a
  *       message, for example a closed connection, a signal or the response of a stub.
  * </ul>
