--- a/src/test/java/loomreel/program/harness/StalledListener.java
+++ b/src/test/java/loomreel/program/harness/StalledListener.java
@@ -10,17 +10,25 @@
 import java.util.List;
 
 /**
- * A listener whose backlog is full, so that no connection to it completes until the test accepts
- * one.
+ * A listener whose backlog is full. The backlog contains established connections that the listener
+ * has not accepted yet. While the backlog is full, no further connection is established. Each
+ * connection that {@link #nextConnection} accepts frees a place in the backlog.
  */
 public final class StalledListener implements AutoCloseable {
-  /** A connection that has not completed after this time waits for a place in the backlog. */
+  /**
+   * The connect timeout, in milliseconds, of the connections that fill the backlog. If a connection
+   * is not established within this time, the backlog is considered full.
+   */
   private static final int BACKLOG_FULL_AFTER_MILLIS = 500;
 
   private final ServerSocket listener;
+  /** The connections that were opened only to fill the backlog. */
   private final List<Socket> fillers = new ArrayList<>();
 
-  /** Listens at an address whose listener was closed before, and fills the backlog. */
+  /**
+   * Listens on an address and fills the backlog. The previous listener on this address must be
+   * closed before.
+   */
   StalledListener(InetSocketAddress address) throws IOException {
     listener = bind(address, 1);
     while (true) {
@@ -29,26 +37,32 @@
         filler.connect(
             new InetSocketAddress(HttpIo.loopback(), address.getPort()), BACKLOG_FULL_AFTER_MILLIS);
         fillers.add(filler);
-      } catch (SocketTimeoutException full) {
+      } catch (SocketTimeoutException backlogFull) {
         filler.close();
         return;
       }
     }
   }
 
-  /** Binds a listener; waits while the previous one at the address is still being closed. */
+  /**
+   * Returns a listener that is bound to an address. Retries while the address is in use, because
+   * the previous listener may not be fully closed yet.
+   *
+   * @param backlog the requested size of the queue of connections that are not accepted yet
+   * @throws BindException if the address is still in use after {@link HttpIo#TIMEOUT_MILLIS}
+   */
   static ServerSocket bind(InetSocketAddress address, int backlog) throws IOException {
-    long deadline = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
+    long deadlineNanos = System.nanoTime() + HttpIo.TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
       ServerSocket listener = new ServerSocket();
       try {
         listener.setReuseAddress(true);
         listener.bind(address, backlog);
         return listener;
-      } catch (BindException inUse) {
+      } catch (BindException addressInUse) {
         listener.close();
-        if (System.nanoTime() > deadline) {
-          throw inUse;
+        if (System.nanoTime() > deadlineNanos) {
+          throw addressInUse;
         }
         Thread.onSpinWait();
       }
@@ -56,8 +70,13 @@
   }
 
   /**
-   * Lets connections complete from now on; the next one that does not fill the backlog, or null
-   * after a timeout without one.
+   * Accepts connections until it has accepted a connection that was not opened to fill the backlog.
+   * Each accepted connection frees a place in the backlog, so that a waiting connection can be
+   * established.
+   *
+   * @param timeoutMillis the maximum time, in milliseconds, to wait for the next connection. The
+   *     time starts again after each connection that was opened to fill the backlog.
+   * @return the first connection that was not opened to fill the backlog, or null after a timeout
    */
   public Socket nextConnection(int timeoutMillis) throws IOException {
     listener.setSoTimeout(timeoutMillis);
@@ -69,7 +88,7 @@
           return connection;
         }
       }
-    } catch (SocketTimeoutException none) {
+    } catch (SocketTimeoutException noConnection) {
       return null;
     }
   }
--- a/src/test/java/loomreel/program/harness/StubHttpServer.java
+++ b/src/test/java/loomreel/program/harness/StubHttpServer.java
@@ -14,27 +14,36 @@
 import loomreel.standin.BackgroundThreads;
 
 /**
- * A stub worker or discovery service: it queues the requests that it receives, and the test
- * responds to them. Connections stay open when it is closed.
+ * A stub worker or stub discovery service. It puts the requests that it receives into a queue. The
+ * test takes requests from this queue and responds to them. {@link #close} closes the listener, but
+ * established connections stay open.
  */
 public final class StubHttpServer implements AutoCloseable {
   private static final int BACKLOG = 50;
 
-  /** A dispatcher that starts asks whether the list that it knows has changed. */
-  private static final Pattern CALL_FOR_CONFIRMATION = Pattern.compile("[?]from=(\\d+)&hold_ms=0 ");
+  /**
+   * Matches a call to discovery that is to be answered without delay ({@code hold_ms=0}). After its
+   * start, a dispatcher asks with this call whether its initial endpoint list is still current. The
+   * group matches the version of this list.
+   */
+  private static final Pattern CONFIRMATION_CALL = Pattern.compile("[?]from=(\\d+)&hold_ms=0 ");
 
   private final ServerSocket listener;
   private final BlockingQueue<HttpMessage> requests = new LinkedBlockingQueue<>();
   private final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
   private final AtomicInteger connectionCount = new AtomicInteger();
-  private volatile boolean confirmsKnownLists;
+  private volatile boolean confirmsInitialLists;
 
-  /** Listens on a free port. */
+  /** Starts a server on a free port. */
   public StubHttpServer() throws IOException {
     this(0);
   }
 
-  /** Listens on this port, which a closed server may have used before; 0 for a free one. */
+  /**
+   * Starts a server on the loopback address.
+   *
+   * @param port the port; 0 for a free port. The port of a closed server can be used again.
+   */
   public StubHttpServer(int port) throws IOException {
     listener = StalledListener.bind(new InetSocketAddress(HttpIo.loopback(), port), BACKLOG);
     BackgroundThreads.start(this::acceptConnections);
@@ -51,9 +60,10 @@
   private void readRequests(Socket connection) throws IOException {
     HttpMessage request = HttpIo.read(connection);
     while (request != null) {
-      Matcher listCall = CALL_FOR_CONFIRMATION.matcher(request.startLine());
-      if (confirmsKnownLists && listCall.find()) {
-        new EndpointList(Integer.parseInt(listCall.group(1)), Extent.CHANGES).respondTo(request);
+      Matcher confirmationCall = CONFIRMATION_CALL.matcher(request.startLine());
+      if (confirmsInitialLists && confirmationCall.find()) {
+        new EndpointList(Integer.parseInt(confirmationCall.group(1)), Extent.CHANGES)
+            .respondTo(request);
       } else {
         requests.add(request);
       }
@@ -63,24 +73,31 @@
   }
 
   /**
-   * Sets whether a call of a dispatcher that starts is answered, as by discovery whose list has not
-   * changed, rather than queued. Other calls are always queued.
+   * Sets whether this server, as stub discovery, confirms initial endpoint lists. The initial
+   * endpoint list is part of a dispatcher's configuration. After its start, the dispatcher asks
+   * discovery whether this list is still current. If {@code enabled} is true, the server responds
+   * to this call with a list without changes, which confirms the initial list. If {@code enabled}
+   * is false, the server queues this call for the test. All other requests are always queued.
    */
-  public void confirmKnownLists(boolean newValue) {
-    confirmsKnownLists = newValue;
+  public void confirmInitialLists(boolean enabled) {
+    confirmsInitialLists = enabled;
   }
 
-  /** The address of the listener. */
+  /** Returns the address on which this server listens. */
   public InetSocketAddress socketAddress() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
-  /** The address as a configuration or an endpoint list names it. */
+  /** Returns the address as host:port, the form that configurations and endpoint lists have. */
   public String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Waits for the next request and takes it from the queue. */
+  /**
+   * Waits until the queue contains a request, and removes the first request from the queue.
+   *
+   * @throws AssertionError if no request arrives within {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public HttpMessage nextRequest() throws InterruptedException {
     HttpMessage request = requests.poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (request == null) {
@@ -89,40 +106,57 @@
     return request;
   }
 
-  /** Whether a request is queued. */
+  /** Returns whether the queue contains a request. */
   public boolean hasPendingRequest() {
     return !requests.isEmpty();
   }
 
-  /** Whether a POST is queued. */
+  /** Returns whether the queue contains a job, which a worker receives as a POST request. */
   public boolean hasPendingJob() {
     return requests.stream().anyMatch(request -> request.startLine().startsWith("POST"));
   }
 
-  /** Waits until the dispatcher has closed this connection. */
+  /**
+   * Waits until the dispatcher has closed a connection to this server. The server keeps a queue of
+   * closed connections. This method removes {@code connection} from the queue, and discards all
+   * connections that were closed before it. A test must therefore await connections in the order in
+   * which they are closed, and each connection only once. A connection that ends with an I/O error
+   * is not added to the queue.
+   *
+   * @throws AssertionError if {@code connection} is not in the queue and no further connection is
+   *     closed for {@link HttpIo#TIMEOUT_MILLIS}
+   */
   public void awaitClosed(Socket connection) throws InterruptedException {
     Socket closed = null;
     while (closed != connection) {
       closed = closedConnections.poll(HttpIo.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       if (closed == null) {
-        throw new AssertionError("the connection stays open");
+        throw new AssertionError("the connection was not closed");
       }
     }
   }
 
-  /** Closes the listener and has no connection to its address complete until the test allows it. */
+  /**
+   * Closes the listener of this server and opens a {@link StalledListener} at the same address. No
+   * further connection is established until the test calls {@link StalledListener#nextConnection}.
+   *
+   * @return the new listener, which the caller closes
+   */
   public StalledListener stall() throws IOException {
     InetSocketAddress address = socketAddress();
     listener.close();
     return new StalledListener(address);
   }
 
-  /** The number of connections accepted since the last reset. */
+  /**
+   * Returns how many connections this server has accepted since it was started or since the last
+   * {@link #resetConnectionCount}.
+   */
   public int connectionCount() {
     return connectionCount.get();
   }
 
-  /** Counts connections from 0 again. */
+  /** Sets the value that {@link #connectionCount} returns to 0. */
   public void resetConnectionCount() {
     connectionCount.set(0);
   }
--- a/src/test/java/loomreel/program/harness/TestConfiguration.java
+++ b/src/test/java/loomreel/program/harness/TestConfiguration.java
@@ -7,35 +7,48 @@
 import loomreel.program.harness.EndpointList.Health;
 
 /**
- * The configuration file of a dispatcher under test. A new one is the standard configuration;
- * setters change it in place and return it. The addresses of stubs are set by {@link
- * DispatcherHarness}.
+ * The content of the configuration file of a dispatcher under test. A new instance has the standard
+ * configuration. Each setter changes the instance in place and returns the same instance.
+ *
+ * <p>Before a dispatcher starts, {@link DispatcherHarness#prepareConfiguration} copies the instance
+ * of the test. It adds the address of stub discovery and an endpoint list with the addresses of the
+ * stub workers to this copy. The instance of the test does not change.
  */
 public final class TestConfiguration {
-  /** How the dispatcher gets endpoint lists, with its name in a configuration. */
+  /** How the dispatcher receives endpoint lists. */
   public enum DiscoveryMode {
+    /** The dispatcher calls the discovery service directly. */
     POLL("ask"),
+    /**
+     * The dispatcher calls an agent on its own machine, and the agent responds with endpoint lists.
+     * The discovery service pushes the lists to the agent, not to the dispatcher.
+     */
     PUSH("push");
 
-    private final String settingName;
+    /** The value of the setting {@code Discovery} in a configuration. */
+    private final String settingValue;
 
-    DiscoveryMode(String settingName) {
-      this.settingName = settingName;
+    DiscoveryMode(String settingValue) {
+      this.settingValue = settingValue;
     }
   }
 
-  /** How the dispatcher gets load reports. */
+  /** How the dispatcher receives the load reports of workers. */
   public enum LoadReports {
     NONE,
-    /** By health checks. */
+    /** The dispatcher sends health checks to workers. The responses are the load reports. */
     POLLED
   }
 
   private final ObjectNode root;
   private List<Health> knownHealth = List.of(Health.SERVING);
-  private boolean isKnownListConfirmed = true;
+  private boolean isInitialListConfirmed = true;
 
-  /** The standard configuration: the request classes copy and issue, polled discovery. */
+  /**
+   * Creates the standard configuration: the request classes {@link RequestClass#copy} and {@link
+   * RequestClass#issue}, discovery mode {@link DiscoveryMode#POLL}, no load reports and no
+   * management API.
+   */
   public TestConfiguration() {
     root = new ObjectMapper().createObjectNode();
     root.put("name", "n0").put("listen", "127.0.0.1:0").put("seed", "8c1f30d27a5be964");
@@ -53,7 +66,7 @@
   private TestConfiguration(TestConfiguration original) {
     root = original.root.deepCopy();
     knownHealth = original.knownHealth;
-    isKnownListConfirmed = original.isKnownListConfirmed;
+    isInitialListConfirmed = original.isInitialListConfirmed;
   }
 
   private static void putPolicyLimits(ObjectNode limits) {
@@ -78,70 +91,94 @@
         .put("AnswerSlackS", 0.016);
   }
 
-  /** A copy to be changed without this one. */
+  /** Returns a copy. Later changes to this instance do not change the copy, and vice versa. */
   public TestConfiguration copy() {
     return new TestConfiguration(this);
   }
 
-  /** The name of the dispatcher. */
+  /** Sets the name of the dispatcher. */
   public TestConfiguration name(String name) {
     root.put("name", name);
     return this;
   }
 
-  /** The descriptors that the dispatcher may use. */
+  /** Sets how many file descriptors the dispatcher may use. */
   public TestConfiguration descriptorLimit(int descriptors) {
     ((ObjectNode) root.get("limits")).put("sockets", descriptors);
     return this;
   }
 
-  /** Has the dispatcher serve the management API, at a free port. */
+  /** Makes the dispatcher serve the management API on a free port. */
   public TestConfiguration managementApi() {
     root.put("mgmt", "127.0.0.1:0");
     return this;
   }
 
-  /** Whether the dispatcher serves the management API. */
+  /** Returns whether the dispatcher serves the management API. */
   boolean hasManagementApi() {
     return root.has("mgmt");
   }
 
-  /** The address of discovery. */
+  /** Sets the address of discovery, as host:port. */
   public TestConfiguration discoveryAddress(String address) {
     root.put("discovery", address);
     return this;
   }
 
-  /** The endpoint list that is known at the start. */
-  TestConfiguration knownEndpoints(EndpointList endpoints) {
+  /**
+   * Sets the initial endpoint list. This list is part of the configuration, so that the dispatcher
+   * has the list before it calls discovery.
+   */
+  TestConfiguration initialEndpoints(EndpointList endpoints) {
     root.set("known", endpoints.toTree());
     return this;
   }
 
-  /** The health of w0, w1 and so on in the list that is known at the start; the last repeats. */
+  /**
+   * Sets the health of w0, w1 and so on in the initial endpoint list, which is part of the
+   * configuration. If there are more workers than values, the last value applies to the remaining
+   * workers.
+   */
   public TestConfiguration knownHealth(Health... health) {
     knownHealth = List.of(health);
     return this;
   }
 
-  /** The health of workers in the list that is known at the start. */
+  /** Returns a copy of the values that were set with {@link #knownHealth(Health...)}. */
   Health[] knownHealth() {
     return knownHealth.toArray(Health[]::new);
   }
 
-  /** Has the test answer the first call to polled discovery, which is confirmed otherwise. */
+  /**
+   * Specifies that stub discovery does not confirm the initial endpoint list, which is part of the
+   * configuration. In discovery mode {@link DiscoveryMode#POLL}, the dispatcher first calls
+   * discovery to ask whether this list is still current. By default, stub discovery confirms the
+   * list: it responds that the list is current. If the test has called this method, stub discovery
+   * queues the dispatcher's call, and the test can respond.
+   */
   public TestConfiguration knownListUnconfirmed() {
-    isKnownListConfirmed = false;
+    isInitialListConfirmed = false;
     return this;
   }
 
-  /** Whether discovery is polled and confirms the list that is known at the start. */
-  boolean isKnownListConfirmed() {
-    boolean isPolled = settings().path("Discovery").asText().equals(DiscoveryMode.POLL.settingName);
-    return isPolled && isKnownListConfirmed;
+  /**
+   * Returns whether stub discovery confirms the initial endpoint list, that is, responds to the
+   * dispatcher's first call that the list is still current. Stub discovery confirms the list if the
+   * discovery mode is {@link DiscoveryMode#POLL} and {@link #knownListUnconfirmed} was not called.
+   */
+  boolean isInitialListConfirmed() {
+    boolean isPolled =
+        settings().path("Discovery").asText().equals(DiscoveryMode.POLL.settingValue);
+    return isPolled && isInitialListConfirmed;
   }
 
-  /** Replaces all settings of the deployment. */
+  /**
+   * Replaces the JSON object {@code settings} in this configuration. All members of the previous
+   * object, such as the request classes, are lost.
+   *
+   * @param settings the new object, with the settings of a deployment. The object is not copied, so
+   *     that later setters change it.
+   */
   public TestConfiguration deploymentSettings(ObjectNode settings) {
     root.set("settings", settings);
     return this;
@@ -156,13 +193,13 @@
     return this;
   }
 
-  /** How the dispatcher gets endpoint lists. */
+  /** Sets how the dispatcher receives endpoint lists. */
   public TestConfiguration discoveryMode(DiscoveryMode mode) {
-    settings().put("Discovery", mode.settingName);
+    settings().put("Discovery", mode.settingValue);
     return this;
   }
 
-  /** How the dispatcher gets load reports. */
+  /** Sets how the dispatcher receives the load reports of workers. */
   public TestConfiguration loadReports(LoadReports reports) {
     boolean polled = reports == LoadReports.POLLED;
     policyLimits().put("Probing", polled);
@@ -170,31 +207,35 @@
     return this;
   }
 
-  /** Whether attempts may be cancelled at their workers. */
+  /** Sets whether the dispatcher may send the cancellation of an attempt to its worker. */
   public TestConfiguration cancellation(boolean allowed) {
     policyLimits().put("Cancelling", allowed);
     return this;
   }
 
-  /** How long a connection to a worker may take to be established. */
+  /** Sets the maximum time, in seconds, to establish a connection to a worker. */
   public TestConfiguration connectTimeoutSeconds(double seconds) {
     policyLimits().put("ConnectTimeoutS", seconds);
     return this;
   }
 
-  /** The time after which workers close idle connections. */
+  /**
+   * Tells the dispatcher after how many seconds workers close idle connections. The dispatcher
+   * closes its idle connections to workers earlier, because a job that is sent while the worker
+   * closes the connection can be lost. This setting does not change the stub workers.
+   */
   public TestConfiguration idleConnectionSeconds(double seconds) {
     policyLimits().put("ConnIdleS", seconds);
     return this;
   }
 
-  /** How long jobs may still be sent to a worker that drains. */
+  /** Sets how long, in seconds, the dispatcher may still send jobs to a draining worker. */
   public TestConfiguration drainGraceSeconds(double seconds) {
     invariants().put("StopSendingWithinS", seconds);
     return this;
   }
 
-  /** How often discovery is polled at the least. */
+  /** Sets the maximum time, in seconds, between two polls of discovery. */
   public TestConfiguration discoveryPollIntervalSeconds(double seconds) {
     invariants().put("AskWithinS", seconds);
     return this;
@@ -212,7 +253,7 @@
     return (ObjectNode) settings().get("Invariants");
   }
 
-  /** The text of the configuration file. */
+  /** Returns the text of the configuration file. */
   public String toJson() {
     return root.toString();
   }
