--- a/src/test/java/loomreel/io/ByteQueueTest.java
+++ b/src/test/java/loomreel/io/ByteQueueTest.java
@@ -18,6 +18,7 @@
 
   /** A pool that is scarce if the three buffers of the content are acquired. */
   private final BufferPool pool = new BufferPool(3);
+
   private final ByteQueue queue = new ByteQueue(pool);
   private final byte[] content = new byte[LENGTH];
 
--- a/src/test/java/loomreel/program/BadInputTest.java
+++ b/src/test/java/loomreel/program/BadInputTest.java
@@ -21,6 +21,7 @@
    * #CALL_ID} and {@link #BUDGET}.
    */
   private static final String JOB = HttpIo.lines("POST /copy HTTP/1.1", "Host: x");
+
   private static final String CALL_ID = HttpIo.lines("X-Call-Id: 00000000000000bb");
   private static final String BUDGET = HttpIo.lines("X-Budget-Ms: 900");
 
--- a/src/test/java/loomreel/program/CiRunTest.java
+++ b/src/test/java/loomreel/program/CiRunTest.java
@@ -135,8 +135,8 @@
 
   /**
    * The columns of an entry are the test, the command and seed, what was seen, and the issue. The
-   * first entry consists of the test only. The second one has no issue, and in the third one
-   * the column for what was seen is empty. In the last two entries, the test has no method name.
+   * first entry consists of the test only. The second one has no issue, and in the third one the
+   * column for what was seen is empty. In the last two entries, the test has no method name.
    */
   @ParameterizedTest
   @ValueSource(
--- a/src/test/java/loomreel/program/ConfigurationReloadTest.java
+++ b/src/test/java/loomreel/program/ConfigurationReloadTest.java
@@ -142,8 +142,8 @@
    * @param poll the pending poll
    * @param path the target of the job
    */
-  private static void assertServesAsBefore(
-      DispatcherProcess program, HttpMessage poll, String path) throws Exception {
+  private static void assertServesAsBefore(DispatcherProcess program, HttpMessage poll, String path)
+      throws Exception {
     program.endpointList(42, Extent.COMPLETE, Health.SERVING).respondTo(poll);
     assertTrue(program.discovery().nextRequest().startLine().contains("?from=42&"));
     SubmittedJob job = program.submit(path, "");
--- a/src/test/java/loomreel/program/ConnectionLimitTest.java
+++ b/src/test/java/loomreel/program/ConnectionLimitTest.java
@@ -23,8 +23,7 @@
  */
 @Timeout(120)
 class ConnectionLimitTest {
-  private static DispatcherProcess startWithDescriptorLimit(int maxDescriptors)
-      throws IOException {
+  private static DispatcherProcess startWithDescriptorLimit(int maxDescriptors) throws IOException {
     return new DispatcherProcess(1, new TestConfiguration().descriptorLimit(maxDescriptors));
   }
 
--- a/src/test/java/loomreel/program/EndpointWatchTest.java
+++ b/src/test/java/loomreel/program/EndpointWatchTest.java
@@ -138,8 +138,7 @@
           program.endpointList(44, Extent.CHANGES, Health.SERVING, Health.DRAINING).toJson();
 
       String head = "HTTP/1.1 200 x\r\n";
-      HttpIo.write(
-          poll.connection(), HttpIo.withBody(head, first) + HttpIo.withBody(head, second));
+      HttpIo.write(poll.connection(), HttpIo.withBody(head, first) + HttpIo.withBody(head, second));
 
       HttpMessage next = program.discovery().nextRequest();
       assertTrue(next.startLine().contains("?from=43&"), next.startLine());
--- a/src/test/java/loomreel/program/FaktoryTranscriptTest.java
+++ b/src/test/java/loomreel/program/FaktoryTranscriptTest.java
@@ -22,6 +22,7 @@
 @Timeout(120)
 class FaktoryTranscriptTest {
   private static final String PASSWORD = "secret";
+
   /**
    * The number of SHA-256 rounds of the password hash. It equals {@code iterations} in {@link
    * #FAKTORY_SETTINGS}.
--- a/src/test/java/loomreel/program/IdempotencyKeyTest.java
+++ b/src/test/java/loomreel/program/IdempotencyKeyTest.java
@@ -23,6 +23,7 @@
 @Timeout(120)
 class IdempotencyKeyTest {
   private static final String JOB_ID = "00000000000000cc";
+
   /** An idempotency key that contains punctuation. The key must reach the worker unchanged. */
   private static final String IDEMPOTENCY_KEY = "5c0f6e1a-2b3d, \"x\"; ~";
 
--- a/src/test/java/loomreel/program/ManagementApiTest.java
+++ b/src/test/java/loomreel/program/ManagementApiTest.java
@@ -31,9 +31,7 @@
     try (DispatcherProcess program = DispatcherProcess.managed(2)) {
       assertEquals(200, program.callManagement(0, "GET", "readiness", "").status());
       assertEquals(
-          0,
-          program.statistic(0, "failure.issue"),
-          "the statistics also list counters that are 0");
+          0, program.statistic(0, "failure.issue"), "the statistics also list counters that are 0");
 
       serveJobAtSecondAttempt(program);
       SubmittedJob failing = program.submit("/issue", "");
--- a/src/test/java/loomreel/program/SampleDeployment.java
+++ b/src/test/java/loomreel/program/SampleDeployment.java
@@ -84,8 +84,8 @@
 
   /**
    * Converts the effect of a request class to the value of the setting {@code Repeat}. In the file,
-   * the key {@code effect} says whether a job of the class may run twice. The setting
-   * {@code Repeat} has the same meaning, but other values.
+   * the key {@code effect} says whether a job of the class may run twice. The setting {@code
+   * Repeat} has the same meaning, but other values.
    */
   private static String idempotencySetting(String effect) {
     return switch (effect) {
--- a/src/test/java/loomreel/program/WorkerConnectionTest.java
+++ b/src/test/java/loomreel/program/WorkerConnectionTest.java
@@ -35,8 +35,8 @@
 
   /**
    * A middlebox, a network device between the dispatcher and a worker, may drop an idle connection
-   * before the configured idle timeout is over. The device then resets the connection when the
-   * next job is sent on it. After three resets, the dispatcher shortens the idle timeout.
+   * before the configured idle timeout is over. The device then resets the connection when the next
+   * job is sent on it. After three resets, the dispatcher shortens the idle timeout.
    */
   @Test
   void theIdleTimeoutIsShortenedAfterResetsOfReusedConnections() throws Exception {
--- a/src/test/java/loomreel/program/harness/HotRestartRelay.java
+++ b/src/test/java/loomreel/program/harness/HotRestartRelay.java
@@ -15,10 +15,10 @@
 import loomreel.standin.BackgroundThreads;
 
 /**
- * A relay between an old dispatcher process and its successor. During a hot restart, both
- * processes exchange messages over a connection. The relay forwards these messages in both
- * directions, and the test can make it hold messages back. The relay also keeps a copy of each
- * forwarded message in a queue, from which the test reads the messages.
+ * A relay between an old dispatcher process and its successor. During a hot restart, both processes
+ * exchange messages over a connection. The relay forwards these messages in both directions, and
+ * the test can make it hold messages back. The relay also keeps a copy of each forwarded message in
+ * a queue, from which the test reads the messages.
  */
 public final class HotRestartRelay implements AutoCloseable {
   /** The process that sends a message. */
--- a/src/test/java/loomreel/program/harness/StalledListener.java
+++ b/src/test/java/loomreel/program/harness/StalledListener.java
@@ -22,6 +22,7 @@
   private static final int BACKLOG_FULL_AFTER_MILLIS = 500;
 
   private final ServerSocket listener;
+
   /** The connections that were opened only to fill the backlog. */
   private final List<Socket> fillers = new ArrayList<>();
 
--- a/src/test/java/loomreel/program/harness/StepControlledServer.java
+++ b/src/test/java/loomreel/program/harness/StepControlledServer.java
@@ -22,10 +22,10 @@
 import loomreel.server.Server;
 
 /**
- * A dispatcher that runs in the process of the test, with real sockets. A step is an event that
- * the dispatcher writes to its trace. The test can wait for a step, or plan an action that runs
- * when the dispatcher reaches a step. A planned action runs on the event loop thread, which does
- * nothing else until the action returns.
+ * A dispatcher that runs in the process of the test, with real sockets. A step is an event that the
+ * dispatcher writes to its trace. The test can wait for a step, or plan an action that runs when
+ * the dispatcher reaches a step. A planned action runs on the event loop thread, which does nothing
+ * else until the action returns.
  */
 public final class StepControlledServer extends DispatcherHarness {
   /**
@@ -108,12 +108,16 @@
 
   private final Server server;
   private final Thread loopThread;
+
   /** The steps that neither {@link #awaitStep} nor {@link #drainSteps} has removed yet. */
   private final BlockingQueue<ReachedStep> unreadSteps = new LinkedBlockingQueue<>();
+
   private final List<ReachedStep> allSteps = Collections.synchronizedList(new ArrayList<>());
   private final BlockingQueue<PlannedAction> plannedActions = new LinkedBlockingQueue<>();
+
   /** Errors of the event loop thread and of planned actions. {@link #awaitStep} reports them. */
   private final BlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
+
   private final int port;
 
   /** Starts a dispatcher with the standard configuration. */
--- a/src/test/java/loomreel/tracing/TraceSummaryTest.java
+++ b/src/test/java/loomreel/tracing/TraceSummaryTest.java
@@ -13,6 +13,7 @@
 class TraceSummaryTest {
   private static final long SECOND = 1_000_000;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
+
   /** The latency objective of a job is 200 ms plus twice the expected work of the job. */
   private final TraceSummary summary = new TraceSummary(200_000, 2);
 
