--- a/src/test/java/loomreel/decision/SlowStartLimiterTest.java
+++ b/src/test/java/loomreel/decision/SlowStartLimiterTest.java
@@ -244,6 +244,19 @@
     assertTrue(usedFraction >= 0.7, "used " + usedFraction + " of the limit");
   }
 
+  /**
+   * Returns whether a request may be sent to a worker whose allowance refills by the mean work per
+   * second.
+   *
+   * @param work the work of the request, in microseconds
+   * @param maxWork the maximum work of a request, in microseconds
+   */
+  private static boolean isAllowed(
+      SlowStartLimiter limiter, double work, double maxWork, long nowMicros) {
+    double refillRate = MEAN_WORK_MICROS / SECOND;
+    return limiter.allows(refillRate, MEAN_WORK_MICROS, 3 * SECOND, work, maxWork, nowMicros);
+  }
+
   /**
    * Verifies that a request with more work than the allowance can hold is allowed only when the
    * allowance is full, and that the allowance is negative afterwards. In this test, the full
@@ -253,42 +266,16 @@
   void aHeavyRequestNeedsAFullAllowanceAndOverdrawsIt() {
     SlowStartLimiter limiter = new SlowStartLimiter();
     limiter.restart(0, 0);
-    double rate = MEAN_WORK_MICROS / SECOND;
-    long windowMicros = 3 * SECOND;
 
-    assertFalse(
-        limiter.allows(
-            rate,
-            MEAN_WORK_MICROS,
-            windowMicros,
-            5 * MEAN_WORK_MICROS,
-            UNLIMITED_WORK,
-            SECOND / 2));
-    assertTrue(
-        limiter.allows(
-            rate, MEAN_WORK_MICROS, windowMicros, 5 * MEAN_WORK_MICROS, UNLIMITED_WORK, SECOND));
+    assertFalse(isAllowed(limiter, 5 * MEAN_WORK_MICROS, UNLIMITED_WORK, SECOND / 2));
+    assertTrue(isAllowed(limiter, 5 * MEAN_WORK_MICROS, UNLIMITED_WORK, SECOND));
     limiter.consume(5 * MEAN_WORK_MICROS);
 
     assertFalse(
-        limiter.allows(
-            rate,
-            MEAN_WORK_MICROS,
-            windowMicros,
-            MEAN_WORK_MICROS / 10,
-            UNLIMITED_WORK,
-            5 * SECOND),
+        isAllowed(limiter, MEAN_WORK_MICROS / 10, UNLIMITED_WORK, 5 * SECOND),
         "the overdrawn allowance has refilled to 0, and a light request needs the mean work");
-    assertTrue(
-        limiter.allows(
-            rate,
-            MEAN_WORK_MICROS,
-            windowMicros,
-            MEAN_WORK_MICROS / 10,
-            UNLIMITED_WORK,
-            6 * SECOND));
-    assertTrue(
-        limiter.allows(
-            rate, MEAN_WORK_MICROS, windowMicros, MEAN_WORK_MICROS, UNLIMITED_WORK, 6 * SECOND));
+    assertTrue(isAllowed(limiter, MEAN_WORK_MICROS / 10, UNLIMITED_WORK, 6 * SECOND));
+    assertTrue(isAllowed(limiter, MEAN_WORK_MICROS, UNLIMITED_WORK, 6 * SECOND));
   }
 
   /**
@@ -299,25 +286,9 @@
   void aRequestAboveTheMaximumWorkIsNeverAllowed() {
     SlowStartLimiter limiter = new SlowStartLimiter();
     limiter.restart(0, 0);
-    double rate = MEAN_WORK_MICROS / SECOND;
-    long windowMicros = 3 * SECOND;
     long laterMicros = 100 * SECOND;
 
-    assertFalse(
-        limiter.allows(
-            rate,
-            MEAN_WORK_MICROS,
-            windowMicros,
-            2.1 * MEAN_WORK_MICROS,
-            2 * MEAN_WORK_MICROS,
-            laterMicros));
-    assertTrue(
-        limiter.allows(
-            rate,
-            MEAN_WORK_MICROS,
-            windowMicros,
-            2 * MEAN_WORK_MICROS,
-            2 * MEAN_WORK_MICROS,
-            laterMicros));
+    assertFalse(isAllowed(limiter, 2.1 * MEAN_WORK_MICROS, 2 * MEAN_WORK_MICROS, laterMicros));
+    assertTrue(isAllowed(limiter, 2 * MEAN_WORK_MICROS, 2 * MEAN_WORK_MICROS, laterMicros));
   }
 }
