--- a/src/test/java/loomreel/arch/OuterNamesTest.java
+++ b/src/test/java/loomreel/arch/OuterNamesTest.java
@@ -32,6 +32,7 @@
   private record OuterName(String kind, String place, String name) {}
 
   private final Map<String, Set<String>> literalsByPackage = new HashMap<>();
+  private final Map<String, String> fileTexts = new HashMap<>();
 
   @Test
   void eachListedNameIsStillInItsPlace() throws IOException {
@@ -56,13 +57,21 @@
       return constants(outer.place()).contains(outer.name());
     }
     if (outer.place().contains("/")) {
-      return read(Path.of(outer.place())).contains(outer.name());
+      return fileTexts
+          .computeIfAbsent(outer.place(), place -> read(Path.of(place)))
+          .lines()
+          .anyMatch(line -> containsWord(line, outer.name()));
     }
     return literalsByPackage
         .computeIfAbsent(outer.place(), OuterNamesTest::literals)
         .contains(outer.name());
   }
 
+  /** Returns whether a line contains the name, and not only as the end of a longer word. */
+  private static boolean containsWord(String line, String name) {
+    return Pattern.compile("(?<!\\w)" + Pattern.quote(name)).matcher(line).find();
+  }
+
   private static List<String> constants(String enumName) {
     try {
       return Arrays.stream(Class.forName(enumName).getEnumConstants())
